--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -65,7 +65,7 @@
 	ts *timer.Service
 	lg *zap.Logger
 	up *upstream.Client
-	re *replica.Table
+	re *replica.Balancer
 	bu *budget.Budget
 	pk *route.Picker
 	ad *admit.Limiter
@@ -95,7 +95,7 @@
 }
 
 // New returns a gateway that refuses all requests until it has a table.
-func New(cf Config, ts *timer.Service, lg *zap.Logger, up *upstream.Client, re *replica.Table, bu *budget.Budget, qa *quarantine.Book) *Server {
+func New(cf Config, ts *timer.Service, lg *zap.Logger, up *upstream.Client, re *replica.Balancer, bu *budget.Budget, qa *quarantine.Book) *Server {
 	sv := &Server{
 		cf: cf, ts: ts, lg: lg, up: up, re: re, bu: bu, qa: qa,
 		pk: route.NewPicker(), ad: admit.New(max(1, cf.MostActive)), qu: newQueue(),
--- a/replica/news.go
+++ b/replica/news.go
@@ -64,7 +64,7 @@
 // was last asked, for the other entry instances. What finds no room is kept for
 // the next call, which goes on from there: the samples told must be no choice of
 // the slow ones, or sound servers would seem slow.
-func (tb *Table) News(now time.Time, most int) []outlier.Sample {
+func (tb *Balancer) News(now time.Time, most int) []outlier.Sample {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	before, at := tb.newsAt, tb.at(now)
@@ -112,10 +112,10 @@
 
 // Pressing is sent to when something was seen that the others should know soon: a slow
 // or failing server. It holds one element at most until the next News.
-func (tb *Table) Pressing() <-chan struct{} { return tb.press }
+func (tb *Balancer) Pressing() <-chan struct{} { return tb.press }
 
 // urge makes the others be told soon if the news of a server are of a fault.
-func (tb *Table) urge(se *server) {
+func (tb *Balancer) urge(se *server) {
 	if tb.pressing || se.news.Slow == 0 && se.news.Failed == 0 {
 		return
 	}
@@ -130,7 +130,7 @@
 //
 // When a server is found well again, what this instance held against it is
 // forgotten: it has not asked it since, so it can't know better.
-func (tb *Table) Hear(now time.Time, fis []outlier.Finding) {
+func (tb *Balancer) Hear(now time.Time, fis []outlier.Finding) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	at := tb.at(now)
--- a/replica/sim_test.go
+++ b/replica/sim_test.go
@@ -126,7 +126,7 @@
 }
 
 type simEntry struct {
-	tb     *Table
+	tb     *Balancer
 	bu     *budget.Budget
 	centre string
 }
--- a/replica/table.go
+++ b/replica/table.go
@@ -41,7 +41,7 @@
 
 // Table is what one instance knows of the backend servers. It is safe for many
 // goroutines.
-type Table struct {
+type Balancer struct {
 	cf Config
 
 	mu         sync.Mutex
@@ -74,11 +74,11 @@
 func incarnationOf(re registry.Server) incarnation { return incarnation{re.ID, re.Born} }
 
 // New returns a table without servers.
-func New(cf Config) *Table {
+func New(cf Config) *Balancer {
 	if cf.HedgeShare <= 0 {
 		cf.HedgeShare = defaultHedgeShare
 	}
-	return &Table{
+	return &Balancer{
 		cf:       cf,
 		rn:       rand.New(rand.NewPCG(cf.Seed, seedStream)),
 		resumed:  never,
@@ -92,7 +92,7 @@
 
 // at returns the time since the first call. It never goes back: callers read
 // the clock before they take the lock.
-func (tb *Table) at(now time.Time) time.Duration {
+func (tb *Balancer) at(now time.Time) time.Duration {
 	if !tb.begun {
 		tb.begun, tb.base = true, now
 	}
@@ -103,7 +103,7 @@
 // Update takes over the servers by service. What is known of ids that stay is
 // kept, that of others and of earlier starts under the same id forgotten, except that
 // they moved. Only ready servers are chosen.
-func (tb *Table) Update(now time.Time, ses map[string][]registry.Server) {
+func (tb *Balancer) Update(now time.Time, ses map[string][]registry.Server) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	at := tb.at(now)
@@ -130,7 +130,7 @@
 }
 
 // Ready returns how many servers of a service may be chosen at some time.
-func (tb *Table) Ready(service string) int {
+func (tb *Balancer) Ready(service string) int {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	count := 0
@@ -145,7 +145,7 @@
 // Limit takes over how many requests may be in flight at one server of each
 // service, which is how many connections this instance may open to it. A service
 // that isn't named has no limit.
-func (tb *Table) Limit(most map[string]int) {
+func (tb *Balancer) Limit(most map[string]int) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	tb.limits = most
@@ -153,7 +153,7 @@
 
 // Warm takes over of which services cold servers bear a bounded rate, and this instance's
 // part of it. The map must not be changed later.
-func (tb *Table) Warm(was map[string]Warmup) {
+func (tb *Balancer) Warm(was map[string]Warmup) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	tb.warmups = was
@@ -161,7 +161,7 @@
 
 // Warming reports whether all ready servers that aren't avoided may not be asked now because
 // they are cold.
-func (tb *Table) Warming(now time.Time, as Ask) bool {
+func (tb *Balancer) Warming(now time.Time, as Ask) bool {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	at, warming := tb.at(now), false
@@ -179,7 +179,7 @@
 
 // Home takes over the ids of servers that are preferred as those in the own data
 // centre are. The map must not be changed later.
-func (tb *Table) Home(ids map[string]bool) {
+func (tb *Balancer) Home(ids map[string]bool) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	tb.home = ids
@@ -213,7 +213,7 @@
 }
 
 // Done ends the request of a pick. A second call for the same pick does nothing.
-func (tb *Table) Done(now time.Time, pk Pick, re Report) {
+func (tb *Balancer) Done(now time.Time, pk Pick, re Report) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	at := tb.at(now)
@@ -242,7 +242,7 @@
 }
 
 // learn takes in the end of a request.
-func (tb *Table) learn(at time.Duration, se *server, fl *flight, kind ReportKind) {
+func (tb *Balancer) learn(at time.Duration, se *server, fl *flight, kind ReportKind) {
 	switch kind {
 	case Served:
 		tb.learnAnswer(at, se, fl)
@@ -259,7 +259,7 @@
 }
 
 // learnAnswer takes in a request that was answered.
-func (tb *Table) learnAnswer(at time.Duration, se *server, fl *flight) {
+func (tb *Balancer) learnAnswer(at time.Duration, se *server, fl *flight) {
 	latency := at - fl.start
 	se.renew(at)
 	if fl.work.known() {
@@ -275,7 +275,7 @@
 // beyond its hedge time. Were it left out, or counted as what it was waited for
 // at a server that was hedged sooner, the quantile would fall with each hedge,
 // and more and more requests would be hedged.
-func (tb *Table) learnSilence(at time.Duration, se *server, fl *flight) {
+func (tb *Balancer) learnSilence(at time.Duration, se *server, fl *flight) {
 	latency := at - fl.start
 	fl.work.refresh()
 	delay := fl.work.delay(at)
@@ -292,7 +292,7 @@
 }
 
 // bury remembers that a server moved.
-func (tb *Table) bury(se *server) {
+func (tb *Balancer) bury(se *server) {
 	if se.moved {
 		return
 	}
@@ -308,7 +308,7 @@
 // Overdue says that the request of a pick has passed its hedge time, whether it
 // is hedged or not. The server is suspect until it answers any request, or for
 // a moment after this one was given up.
-func (tb *Table) Overdue(now time.Time, pk Pick) {
+func (tb *Balancer) Overdue(now time.Time, pk Pick) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	tb.at(now)
@@ -322,7 +322,7 @@
 
 // Resumed says that the process stood still until now, suspended or frozen. The
 // requests in flight show nothing of their servers any more.
-func (tb *Table) Resumed(now time.Time) {
+func (tb *Balancer) Resumed(now time.Time) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	tb.resumed = tb.at(now)
@@ -333,7 +333,7 @@
 
 // Expected returns the median latency of a work over all servers; a guess if
 // nothing is known of it.
-func (tb *Table) Expected(work string) time.Duration {
+func (tb *Balancer) Expected(work string) time.Duration {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	wo := tb.works[work]
@@ -346,7 +346,7 @@
 
 // work returns what is known of the work of a request, with its quantiles up to
 // date.
-func (tb *Table) work(at time.Duration, as Ask) *work {
+func (tb *Balancer) work(at time.Duration, as Ask) *work {
 	wo := tb.works[as.Work]
 	if wo == nil {
 		tb.forgetWork()
@@ -363,7 +363,7 @@
 
 // forgetWork forgets the work that was not used for longest, if there are too
 // many.
-func (tb *Table) forgetWork() {
+func (tb *Balancer) forgetWork() {
 	if len(tb.works) < mostWorks {
 		return
 	}
--- a/replica/table_test.go
+++ b/replica/table_test.go
@@ -17,7 +17,7 @@
 // bench is a table with one service on virtual time.
 type bench struct {
 	c   *qt.C
-	tb  *Table
+	tb  *Balancer
 	now time.Time
 }
 
--- a/replica/warm.go
+++ b/replica/warm.go
@@ -30,7 +30,7 @@
 //
 // The first one waits for a random part of the spacing: servers often turn cold together,
 // and all instances would send to them at the same moment.
-func (tb *Table) permits(at time.Duration, se *server) bool {
+func (tb *Balancer) permits(at time.Duration, se *server) bool {
 	if len(tb.warmups) == 0 {
 		return true
 	}
--- a/replica/warm_test.go
+++ b/replica/warm_test.go
@@ -13,7 +13,7 @@
 )
 
 // warmTable returns a table with a server that is cold and one that is warm.
-func warmTable(now time.Time, spacing time.Duration) *Table {
+func warmTable(now time.Time, spacing time.Duration) *Balancer {
 	tb := New(Config{Seed: 1})
 	tb.Update(now, map[string][]registry.Server{"shard": {
 		{ID: "cold", Service: "shard", Slots: 2, WarmMillis: 3000},
@@ -106,7 +106,7 @@
 	const servers, perSecond, span = 36, 55, 3 * time.Second
 	rn := rand.New(rand.NewPCG(1, uint64(instances)))
 	begin := time.Unix(1000, 0)
-	tbs := make([]*Table, instances)
+	tbs := make([]*Balancer, instances)
 	ses := make(map[string][]registry.Server)
 	was := make(map[string]Warmup)
 	for sh := range servers {
--- a/tier/entry.go
+++ b/tier/entry.go
@@ -46,7 +46,7 @@
 	gw   *gateway.Server
 	su   *feed.Subscriber
 	door *door
-	re   *replica.Table
+	re   *replica.Balancer
 	qa   *quarantine.Book
 	ts   *timer.Service
 	lg   *zap.Logger
@@ -241,7 +241,7 @@
 // and tells the choice of replicas when the process stood still: what requests
 // seem to have taken then says nothing of their servers, and learned as real
 // latencies it would set them all aside.
-func keepHouse(ctx context.Context, up *upstream.Client, re *replica.Table, ts *timer.Service, lg *zap.Logger) error {
+func keepHouse(ctx context.Context, up *upstream.Client, re *replica.Balancer, ts *timer.Service, lg *zap.Logger) error {
 	su := ts.Subscribe(watchedPeriod)
 	defer su.Stop()
 	last, closed := ts.Now(), ts.Now()
