--- a/gateway/run.go
+++ b/gateway/run.go
@@ -135,7 +135,7 @@
 	if wa.Kind == scatter.Hedge {
 		sv.re.Overdue(now, cr.picks[wa.Shard])
 	}
-	as := replica.Ask{Service: service, Work: cr.ca.ro.Name, Avoid: cr.tried[wa.Shard], Sure: !cr.ca.repeatable() || cr.ca.probe, HedgeShare: hedgeShare(len(cr.services))}
+	as := replica.Request{Service: service, Work: cr.ca.ro.Name, Avoid: cr.tried[wa.Shard], Sure: !cr.ca.repeatable() || cr.ca.probe, HedgeShare: hedgeShare(len(cr.services))}
 	pk, ok := cr.choose(now, wa, as)
 	if !ok {
 		cr.nobody(now, wa)
@@ -172,7 +172,7 @@
 // choose chooses a backend server, or makes the shard wait in the queue for room at
 // one. It looks once more then: for room that came free just before, others were
 // woken. A hedge doesn't queue, or those who have no attempt at all would wait for it.
-func (cr *carrier) choose(now time.Time, wa scatter.Want, as replica.Ask) (replica.Pick, bool) {
+func (cr *carrier) choose(now time.Time, wa scatter.Want, as replica.Request) (replica.Pick, bool) {
 	re := cr.ca.sv.re
 	pk, ok := re.Choose(now, as)
 	if ok || wa.Kind == scatter.Hedge || !cr.join(wa.Shard) {
--- a/replica/choose.go
+++ b/replica/choose.go
@@ -29,7 +29,7 @@
 )
 
 // Ask is what a server is wanted for.
-type Ask struct {
+type Request struct {
 	Service string
 	// Work names requests that cost alike, of whatever service.
 	Work string
@@ -71,7 +71,7 @@
 // of that time, and a slow one a request now and then, to show how it does.
 // Choose returns false only when no ready server is left that isn't avoided and
 // has fewer requests in flight than the limit.
-func (tb *Balancer) Choose(now time.Time, as Ask) (Pick, bool) {
+func (tb *Balancer) Choose(now time.Time, as Request) (Pick, bool) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	at := tb.at(now)
@@ -92,7 +92,7 @@
 
 // rate returns the servers that may be chosen. They are overwritten by the
 // next call.
-func (tb *Balancer) rate(at time.Duration, as Ask, wo *work) []candidate {
+func (tb *Balancer) rate(at time.Duration, as Request, wo *work) []candidate {
 	cas := tb.candidates[:0]
 	hedge := len(as.Avoid) > 0
 	for _, se := range tb.services[as.Service] {
@@ -115,7 +115,7 @@
 // One that all connections lead to already may not: a request would find none
 // free, and while a server stands still its queue here would grow although the
 // other replicas have room.
-func (tb *Balancer) usable(se *server, as Ask) bool {
+func (tb *Balancer) usable(se *server, as Request) bool {
 	if most, ok := tb.limits[as.Service]; ok && len(se.flights) >= most {
 		return false
 	}
@@ -132,7 +132,7 @@
 // probe returns a server that should be probed by the request, if there is one
 // and the request is fit for it: the first of its kind, while another server is
 // there to be asked in its place.
-func (tb *Balancer) probe(at time.Duration, as Ask, cas []candidate) (candidate, bool) {
+func (tb *Balancer) probe(at time.Duration, as Request, cas []candidate) (candidate, bool) {
 	if as.Sure || len(as.Avoid) > 0 {
 		return candidate{}, false
 	}
@@ -201,7 +201,7 @@
 // exceed. It is at most the median while the server of the pick is slow or
 // doubtful and another one isn't. While little is known it is three times the
 // median, or 50 ms.
-func (tb *Balancer) HedgeAfter(now time.Time, as Ask, pk Pick) time.Duration {
+func (tb *Balancer) HedgeAfter(now time.Time, as Request, pk Pick) time.Duration {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	at := tb.at(now)
@@ -215,7 +215,7 @@
 
 // outdone reports whether the server of the pick is slow or doubtful and another
 // one is neither, or twice as quick.
-func (tb *Balancer) outdone(at time.Duration, as Ask, pk Pick) bool {
+func (tb *Balancer) outdone(at time.Duration, as Request, pk Pick) bool {
 	factor := pk.se.factor(at)
 	if !pk.Doubtful && factor < slowFactor && pk.se.standing(at) == sound {
 		return false
--- a/replica/table.go
+++ b/replica/table.go
@@ -161,7 +161,7 @@
 
 // Warming reports whether all ready servers that aren't avoided may not be asked now because
 // they are cold.
-func (tb *Balancer) Warming(now time.Time, as Ask) bool {
+func (tb *Balancer) Warming(now time.Time, as Request) bool {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	at, warming := tb.at(now), false
@@ -346,7 +346,7 @@
 
 // work returns what is known of the work of a request, with its quantiles up to
 // date.
-func (tb *Balancer) work(at time.Duration, as Ask) *work {
+func (tb *Balancer) work(at time.Duration, as Request) *work {
 	wo := tb.works[as.Work]
 	if wo == nil {
 		tb.forgetWork()
