--- a/replica/choose.go
+++ b/replica/choose.go
@@ -32,7 +32,7 @@
 type Request struct {
 	Service string
 	// Work names requests that cost alike, of whatever service.
-	Work string
+	Class string
 	// Avoid are the ids that were asked for this request before. A request with
 	// one or more of them is a hedge, or sent once more.
 	Avoid []string
--- a/replica/limit_test.go
+++ b/replica/limit_test.go
@@ -22,7 +22,7 @@
 		{ID: "far", Service: "shard", DataCentre: "b", Slots: 2},
 	}})
 	tb.Limit(map[string]int{"shard": 2})
-	as := Request{Service: "shard", Work: "w"}
+	as := Request{Service: "shard", Class: "w"}
 	chosen := map[string]int{}
 	var last Pick
 	for range 4 {
--- a/replica/sim_test.go
+++ b/replica/sim_test.go
@@ -342,7 +342,7 @@
 }
 
 func (fa *simFan) ask() Request {
-	return Request{Service: fmt.Sprintf("shard-%d", fa.shard), Work: fa.work.name, Avoid: fa.asked}
+	return Request{Service: fmt.Sprintf("shard-%d", fa.shard), Class: fa.work.name, Avoid: fa.asked}
 }
 
 func (fa *simFan) begin() {
@@ -368,7 +368,7 @@
 		return fa.en.tb.HedgeAfter(fa.sm.clock(), fa.ask(), at.pk)
 	}
 	tb := fa.en.tb
-	return tb.work(tb.at(fa.sm.clock()), Request{Work: fa.work.name}).delay(tb.latest)
+	return tb.work(tb.at(fa.sm.clock()), Request{Class: fa.work.name}).delay(tb.latest)
 }
 
 // again asks a second server if the budget has it.
--- a/replica/table.go
+++ b/replica/table.go
@@ -347,11 +347,11 @@
 // work returns what is known of the work of a request, with its quantiles up to
 // date.
 func (tb *Balancer) work(at time.Duration, as Request) *work {
-	wo := tb.works[as.Work]
+	wo := tb.works[as.Class]
 	if wo == nil {
 		tb.forgetWork()
 		wo = &work{since: at, share: tb.cf.HedgeShare}
-		tb.works[as.Work] = wo
+		tb.works[as.Class] = wo
 	}
 	if as.HedgeShare > 0 && as.HedgeShare != wo.share {
 		wo.share, wo.fresh = as.HedgeShare, false
--- a/replica/table_test.go
+++ b/replica/table_test.go
@@ -38,7 +38,7 @@
 
 func (be *bench) pass(de time.Duration) { be.now = be.now.Add(de) }
 
-func (be *bench) ask(avoid ...string) Request { return Request{Service: "s", Work: "w", Avoid: avoid} }
+func (be *bench) ask(avoid ...string) Request { return Request{Service: "s", Class: "w", Avoid: avoid} }
 
 func (be *bench) choose(avoid ...string) Pick {
 	be.c.Helper()
@@ -123,7 +123,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
 			be := newBench(c, tt.servers...)
-			pk, ok := be.tb.Choose(be.now, Request{Service: tt.service, Work: "w", Avoid: tt.avoid})
+			pk, ok := be.tb.Choose(be.now, Request{Service: tt.service, Class: "w", Avoid: tt.avoid})
 			c.Assert(ok, qt.Equals, tt.want != "")
 			c.Assert(pk.Server.ID, qt.Equals, tt.want)
 		})
@@ -216,7 +216,7 @@
 	got := be.shares(2000)["a"]
 	c.Assert(got > 10 && got < 90, qt.IsTrue, qt.Commentf("%d of 2000", got))
 	for range 500 {
-		pk, ok := be.tb.Choose(be.now, Request{Service: "s", Work: "w", Sure: true})
+		pk, ok := be.tb.Choose(be.now, Request{Service: "s", Class: "w", Sure: true})
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(pk.Server.ID, qt.Not(qt.Equals), "a")
 		be.tb.Done(be.now, pk, Report{Kind: Canceled})
@@ -282,7 +282,7 @@
 	var probes []time.Duration
 	for be.now.Sub(fell) < 20*time.Second {
 		be.pass(10 * ms)
-		pk, _ := be.tb.Choose(be.now, Request{Service: "s", Work: "w", Sure: true})
+		pk, _ := be.tb.Choose(be.now, Request{Service: "s", Class: "w", Sure: true})
 		c.Assert(pk.Server.ID, qt.Equals, "b")
 		be.tb.Done(be.now, pk, Report{Kind: Served})
 		if pk := be.choose(); pk.Server.ID == "a" {
@@ -584,7 +584,7 @@
 	be := newBench(c, ready("a"))
 	for ix := range 2 * mostWorks {
 		be.pass(ms)
-		pk, _ := be.tb.Choose(be.now, Request{Service: "s", Work: fmt.Sprint(ix)})
+		pk, _ := be.tb.Choose(be.now, Request{Service: "s", Class: fmt.Sprint(ix)})
 		be.tb.Done(be.now, pk, Report{Kind: Served})
 	}
 	c.Assert(be.tb.works, qt.HasLen, mostWorks)
@@ -646,7 +646,7 @@
 			}
 			now := simStart
 			tb.Update(now, map[string][]registry.Server{"s": servers})
-			as := Request{Service: "s", Work: "w"}
+			as := Request{Service: "s", Class: "w"}
 			for b.Loop() {
 				pk, _ := tb.Choose(now, as)
 				tb.HedgeAfter(now, as, pk)
--- a/replica/warm_test.go
+++ b/replica/warm_test.go
@@ -29,7 +29,7 @@
 	tb := warmTable(now, time.Second)
 	chosen := map[string]int{}
 	for range 1000 {
-		pk, ok := tb.Choose(now, Request{Service: "shard", Work: "w"})
+		pk, ok := tb.Choose(now, Request{Service: "shard", Class: "w"})
 		qt.Assert(t, ok, qt.IsTrue)
 		chosen[pk.Server.ID]++
 		now = now.Add(5 * time.Millisecond)
@@ -44,7 +44,7 @@
 func TestAllCold(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tb := warmTable(now, time.Second)
-	as := Request{Service: "shard", Work: "w", Avoid: []string{"warm"}}
+	as := Request{Service: "shard", Class: "w", Avoid: []string{"warm"}}
 	tb.Warming(now, as) // The server turns cold now.
 	qt.Assert(t, tb.Warming(now.Add(time.Second), as), qt.IsFalse)
 	_, ok := tb.Choose(now.Add(time.Second), as)
@@ -69,7 +69,7 @@
 	count := 0
 	for range 2000 {
 		now = now.Add(time.Millisecond)
-		if pk, ok := tb.Choose(now, Request{Service: "shard", Work: "w"}); ok {
+		if pk, ok := tb.Choose(now, Request{Service: "shard", Class: "w"}); ok {
 			tb.Done(now, pk, Report{Kind: Served})
 			count++
 		}
@@ -77,7 +77,7 @@
 	qt.Assert(t, count <= 3, qt.IsTrue, qt.Commentf("%d requests in two seconds", count))
 	now = now.Add(2 * time.Second)
 	for range 100 {
-		_, ok := tb.Choose(now, Request{Service: "shard", Work: "w"})
+		_, ok := tb.Choose(now, Request{Service: "shard", Class: "w"})
 		qt.Assert(t, ok, qt.IsTrue)
 	}
 }
@@ -124,7 +124,7 @@
 	for at := time.Duration(0); at < span; at += time.Duration(rn.ExpFloat64() * float64(time.Second) / perSecond) {
 		tb, now := tbs[rn.IntN(instances)], begin.Add(at)
 		for name := range ses {
-			if pk, ok := tb.Choose(now, Request{Service: name, Work: "w"}); ok {
+			if pk, ok := tb.Choose(now, Request{Service: name, Class: "w"}); ok {
 				tb.Done(now.Add(time.Microsecond), pk, Report{Kind: Served})
 				got[name] = append(got[name], at)
 				total++
