--- a/replica/choose.go
+++ b/replica/choose.go
@@ -38,7 +38,7 @@
 	Avoid []string
 	// HedgeShare is the share of the requests of its work that should reach their
 	// hedge time; zero counts as that of the Config.
-	HedgeShare float64
+	HedgeFraction float64
 	// Sure says that the request must not probe a server that failed or was slow,
 	// for instance because it can't be sent again.
 	Sure bool
--- a/replica/table.go
+++ b/replica/table.go
@@ -353,8 +353,8 @@
 		wo = &work{since: at, share: tb.cf.HedgeShare}
 		tb.works[as.Class] = wo
 	}
-	if as.HedgeShare > 0 && as.HedgeShare != wo.share {
-		wo.share, wo.fresh = as.HedgeShare, false
+	if as.HedgeFraction > 0 && as.HedgeFraction != wo.share {
+		wo.share, wo.fresh = as.HedgeFraction, false
 	}
 	wo.used = at
 	wo.refresh()
