--- a/gateway/run.go
+++ b/gateway/run.go
@@ -135,7 +135,7 @@
 	if wa.Kind == scatter.Hedge {
 		sv.re.Overdue(now, cr.picks[wa.Shard])
 	}
-	as := replica.Request{Service: service, Class: cr.ca.ro.Name, Avoid: cr.tried[wa.Shard], Sure: !cr.ca.repeatable() || cr.ca.probe, HedgeFraction: hedgeShare(len(cr.services))}
+	as := replica.Request{Service: service, Class: cr.ca.ro.Name, Avoid: cr.tried[wa.Shard], NoProbe: !cr.ca.repeatable() || cr.ca.probe, HedgeFraction: hedgeShare(len(cr.services))}
 	pk, ok := cr.choose(now, wa, as)
 	if !ok {
 		cr.nobody(now, wa)
--- a/replica/choose.go
+++ b/replica/choose.go
@@ -41,7 +41,7 @@
 	HedgeFraction float64
 	// Sure says that the request must not probe a server that failed or was slow,
 	// for instance because it can't be sent again.
-	Sure bool
+	NoProbe bool
 }
 
 // Pick is a chosen server and a request in flight to it, until Done.
@@ -133,7 +133,7 @@
 // and the request is fit for it: the first of its kind, while another server is
 // there to be asked in its place.
 func (tb *Balancer) probe(at time.Duration, as Request, cas []candidate) (candidate, bool) {
-	if as.Sure || len(as.Avoid) > 0 {
+	if as.NoProbe || len(as.Avoid) > 0 {
 		return candidate{}, false
 	}
 	good := 0
--- a/replica/table_test.go
+++ b/replica/table_test.go
@@ -216,7 +216,7 @@
 	got := be.shares(2000)["a"]
 	c.Assert(got > 10 && got < 90, qt.IsTrue, qt.Commentf("%d of 2000", got))
 	for range 500 {
-		pk, ok := be.tb.Choose(be.now, Request{Service: "s", Class: "w", Sure: true})
+		pk, ok := be.tb.Choose(be.now, Request{Service: "s", Class: "w", NoProbe: true})
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(pk.Server.ID, qt.Not(qt.Equals), "a")
 		be.tb.Done(be.now, pk, Report{Kind: Canceled})
@@ -282,7 +282,7 @@
 	var probes []time.Duration
 	for be.now.Sub(fell) < 20*time.Second {
 		be.pass(10 * ms)
-		pk, _ := be.tb.Choose(be.now, Request{Service: "s", Class: "w", Sure: true})
+		pk, _ := be.tb.Choose(be.now, Request{Service: "s", Class: "w", NoProbe: true})
 		c.Assert(pk.Server.ID, qt.Equals, "b")
 		be.tb.Done(be.now, pk, Report{Kind: Served})
 		if pk := be.choose(); pk.Server.ID == "a" {
