--- a/gateway/rig_test.go
+++ b/gateway/rig_test.go
@@ -86,7 +86,7 @@
 	}
 	// The budget is that of a process that has run for a whole window.
 	rg.bu = budget.New(se.budget, rg.ts.Now().Add(-se.budget.Window))
-	re := replica.New(replica.Config{Seed: 1, HedgeShare: 0.08})
+	re := replica.New(replica.Config{Seed: 1, HedgeFraction: 0.08})
 	rg.gw = New(Config{
 		Names: names, CallerDistance: distance, HoldMargin: margin, MostActive: se.mostActive,
 	}, rg.ts, lg, rg.up, re, rg.bu, quarantine.New())
--- a/replica/table.go
+++ b/replica/table.go
@@ -36,7 +36,7 @@
 	Seed uint64
 	// HedgeShare is the share of requests that should reach their hedge time,
 	// unless an Ask says otherwise; zero or less counts as 0.08.
-	HedgeShare float64
+	HedgeFraction float64
 }
 
 // Table is what one instance knows of the backend servers. It is safe for many
@@ -75,8 +75,8 @@
 
 // New returns a table without servers.
 func New(cf Config) *Balancer {
-	if cf.HedgeShare <= 0 {
-		cf.HedgeShare = defaultHedgeShare
+	if cf.HedgeFraction <= 0 {
+		cf.HedgeFraction = defaultHedgeShare
 	}
 	return &Balancer{
 		cf:       cf,
@@ -350,7 +350,7 @@
 	wo := tb.works[as.Class]
 	if wo == nil {
 		tb.forgetWork()
-		wo = &work{since: at, share: tb.cf.HedgeShare}
+		wo = &work{since: at, share: tb.cf.HedgeFraction}
 		tb.works[as.Class] = wo
 	}
 	if as.HedgeFraction > 0 && as.HedgeFraction != wo.share {
