--- a/gateway/run.go
+++ b/gateway/run.go
@@ -162,7 +162,7 @@
 	cr.picks[wa.Shard] = pk
 	cr.tried[wa.Shard] = append(cr.tried[wa.Shard], pk.Server.ID)
 	var hedgeAt time.Time
-	if cr.ca.repeatable() && !(wa.Kind == scatter.Hedge && pk.Doubtful) {
+	if cr.ca.repeatable() && !(wa.Kind == scatter.Hedge && pk.Unhealthy) {
 		hedgeAt = now.Add(sv.re.HedgeAfter(now, as, pk))
 	}
 	cr.qu.Asked(wa.Shard, hedgeAt)
--- a/replica/choose.go
+++ b/replica/choose.go
@@ -49,7 +49,7 @@
 	Server registry.Server
 	// Doubtful says that the server is suspect or set aside: it is probed, or no
 	// better one is left. A hedge there is hardly worth its cost.
-	Doubtful bool
+	Unhealthy bool
 
 	se     *server
 	number uint64
@@ -86,7 +86,7 @@
 	}
 	ca.se.permit = ca.se.permit.used(at)
 	return Pick{
-		Server: ca.se.record, Doubtful: ca.standing != sound, se: ca.se, number: ca.se.take(at, wo),
+		Server: ca.se.record, Unhealthy: ca.standing != sound, se: ca.se, number: ca.se.take(at, wo),
 	}, true
 }
 
@@ -217,7 +217,7 @@
 // one is neither, or twice as quick.
 func (tb *Balancer) outdone(at time.Duration, as Request, pk Pick) bool {
 	factor := pk.se.factor(at)
-	if !pk.Doubtful && factor < slowFactor && pk.se.standing(at) == sound {
+	if !pk.Unhealthy && factor < slowFactor && pk.se.standing(at) == sound {
 		return false
 	}
 	for _, se := range tb.services[as.Service] {
--- a/replica/table_test.go
+++ b/replica/table_test.go
@@ -86,7 +86,7 @@
 	be.c.Helper()
 	pk := be.only(id)
 	be.tb.Done(be.now, pk, Report{Kind: Canceled})
-	return pk.Doubtful
+	return pk.Unhealthy
 }
 
 // shares returns how many of some choices, each given back at once, fall to
@@ -287,7 +287,7 @@
 		be.tb.Done(be.now, pk, Report{Kind: Served})
 		if pk := be.choose(); pk.Server.ID == "a" {
 			probes = append(probes, be.now.Sub(fell))
-			c.Assert(pk.Doubtful, qt.IsTrue)
+			c.Assert(pk.Unhealthy, qt.IsTrue)
 			second := be.choose()
 			c.Assert(second.Server.ID, qt.Equals, "b")
 			be.tb.Done(be.now, second, Report{Kind: Canceled})
@@ -329,7 +329,7 @@
 	got := make(map[string]int)
 	for range 20 {
 		pk := be.choose()
-		c.Assert(pk.Doubtful, qt.IsTrue)
+		c.Assert(pk.Unhealthy, qt.IsTrue)
 		got[pk.Server.ID]++
 		be.tb.Done(be.now, pk, Report{Kind: Canceled})
 	}
@@ -371,7 +371,7 @@
 	be.tb.Overdue(be.now, pk)
 	be.tb.Overdue(be.now, pk)
 	c.Assert(be.shares(50), qt.DeepEquals, map[string]int{"b": 50})
-	c.Assert(be.choose("b").Doubtful, qt.IsTrue)
+	c.Assert(be.choose("b").Unhealthy, qt.IsTrue)
 	be.pass(100 * ms)
 	be.tb.Done(be.now, pk, Report{Kind: Served})
 	c.Assert(be.doubtful("a"), qt.IsFalse)
@@ -456,7 +456,7 @@
 	be.tb.Done(be.now, first, Report{Kind: Unreachable})
 	be.tb.Overdue(be.now, first)
 	c.Assert(be.tb.servers["a"].flights, qt.HasLen, 1)
-	c.Assert(be.choose().Doubtful, qt.IsFalse)
+	c.Assert(be.choose().Unhealthy, qt.IsFalse)
 	be.tb.Done(be.now, second, Report{Kind: Served})
 	be.tb.Done(be.now, Pick{}, Report{Kind: Unreachable})
 	be.tb.Overdue(be.now, Pick{})
