--- a/replica/news.go
+++ b/replica/news.go
@@ -13,7 +13,7 @@
 const newsGap = time.Second
 
 // note counts an outcome for the other entry instances.
-func (se *server) note(kind ReportKind) {
+func (se *server) note(kind Outcome) {
 	switch kind {
 	case Served:
 		se.news.Served++
--- a/replica/news_test.go
+++ b/replica/news_test.go
@@ -86,7 +86,7 @@
 	be.tb.News(be.now, 10)
 	for _, ca := range []struct {
 		took time.Duration
-		kind ReportKind
+		kind Outcome
 		want uint32
 	}{{15 * ms, Silent, 0}, {100 * ms, Silent, 1}, {10 * ms, Served, 1}} {
 		pk := be.only("a")
--- a/replica/sim_test.go
+++ b/replica/sim_test.go
@@ -57,7 +57,7 @@
 type simFailing struct {
 	at, until   time.Duration
 	share, part float64
-	kind        ReportKind
+	kind        Outcome
 }
 
 // policy is how a replica is chosen.
@@ -122,7 +122,7 @@
 type simRequest struct {
 	work              float64
 	started, canceled bool
-	done              func(kind ReportKind)
+	done              func(kind Outcome)
 }
 
 type simEntry struct {
@@ -412,7 +412,7 @@
 	fa.attempts = append(fa.attempts, at)
 	fa.asked = append(fa.asked, at.pk.Server.ID)
 	at.rq = &simRequest{work: fa.draw()}
-	at.rq.done = func(kind ReportKind) {
+	at.rq.done = func(kind Outcome) {
 		se := at.se
 		re := Report{Kind: kind, Running: se.busy, Waiting: len(se.waiting), Slots: sm.slots, HasLoad: true}
 		sm.after(hop, func() { fa.answered(at, re) })
--- a/replica/table.go
+++ b/replica/table.go
@@ -186,22 +186,22 @@
 }
 
 // ReportKind says how a request to a server ended.
-type ReportKind uint8
+type Outcome uint8
 
 // The ends of a request.
 const (
-	Served      ReportKind = iota // Served is an answer that is no failure of the server.
-	Shed                          // Shed is a refusal of the server, which hasn't run the request.
-	Failed                        // Failed is a 5xx, a wrong answer or a lost one.
-	Silent                        // Silent was given up while it was waited for: a hedge won, or time was out.
-	Unreachable                   // Unreachable is no connection.
-	Moved                         // Moved is the word of another server at the address; this one is gone for good.
-	Canceled                      // Canceled says nothing of the server: the caller left, or this was the hedge and lost.
+	Served      Outcome = iota // Served is an answer that is no failure of the server.
+	Shed                       // Shed is a refusal of the server, which hasn't run the request.
+	Failed                     // Failed is a 5xx, a wrong answer or a lost one.
+	Silent                     // Silent was given up while it was waited for: a hedge won, or time was out.
+	Unreachable                // Unreachable is no connection.
+	Moved                      // Moved is the word of another server at the address; this one is gone for good.
+	Canceled                   // Canceled says nothing of the server: the caller left, or this was the hedge and lost.
 )
 
 // Report is what a request showed of its server.
 type Report struct {
-	Kind ReportKind
+	Kind Outcome
 	// Running, Waiting and Slots are the load that the server reported, in
 	// requests; Pace is how long work takes there now, 100 as usual, 0 unknown.
 	Running, Waiting, Slots, Pace int
@@ -242,7 +242,7 @@
 }
 
 // learn takes in the end of a request.
-func (tb *Balancer) learn(at time.Duration, se *server, fl *flight, kind ReportKind) {
+func (tb *Balancer) learn(at time.Duration, se *server, fl *flight, kind Outcome) {
 	switch kind {
 	case Served:
 		tb.learnAnswer(at, se, fl)
--- a/replica/table_test.go
+++ b/replica/table_test.go
@@ -64,7 +64,7 @@
 // answer lets a server answer a request after some time.
 func (be *bench) answer(id string, de time.Duration) { be.end(id, de, Served) }
 
-func (be *bench) end(id string, de time.Duration, kind ReportKind) {
+func (be *bench) end(id string, de time.Duration, kind Outcome) {
 	be.c.Helper()
 	pk := be.only(id)
 	be.pass(de)
@@ -247,7 +247,7 @@
 
 func TestFailuresSetAside(t *testing.T) {
 	tests := []struct {
-		kind  ReportKind
+		kind  Outcome
 		count int
 		aside bool
 	}{
@@ -621,7 +621,7 @@
 				}
 				be.tb.HedgeAfter(now, as, pk)
 				be.tb.Overdue(now, pk)
-				be.tb.Done(now.Add(ms), pk, Report{Kind: ReportKind(rn.IntN(int(Canceled) + 1)), HasLoad: true, Slots: 2})
+				be.tb.Done(now.Add(ms), pk, Report{Kind: Outcome(rn.IntN(int(Canceled) + 1)), HasLoad: true, Slots: 2})
 				if ix%50 == 0 {
 					be.tb.Update(now, map[string][]registry.Server{"s": {ready("a"), ready("b"), ready(fmt.Sprint(ix))}})
 					be.tb.Resumed(now)
