--- a/gateway/run.go
+++ b/gateway/run.go
@@ -145,7 +145,7 @@
 	var spent time.Time
 	if cr.costs(wa) {
 		if !sv.bu.Spend(now, service) {
-			sv.re.Done(now, pk, replica.Report{Kind: replica.Canceled})
+			sv.re.Done(now, pk, replica.Report{Outcome: replica.Canceled})
 			cr.denied(service)
 			cr.qu.Denied(now, wa.Shard, scatter.CauseBudget, now.Add(budgetPause))
 			return
@@ -225,32 +225,32 @@
 	}
 	switch rs.Outcome {
 	case upstream.Answered:
-		re.Kind = replica.Served
+		re.Outcome = replica.Served
 		if rs.Reply.Status >= 500 {
-			re.Kind = replica.Failed
+			re.Outcome = replica.Failed
 		}
 	case upstream.NotRun:
-		re.Kind = replica.Shed
+		re.Outcome = replica.Shed
 		if rs.Moved {
-			re.Kind = replica.Moved
+			re.Outcome = replica.Moved
 		}
 	case upstream.NotSent:
-		re.Kind = replica.Unreachable
+		re.Outcome = replica.Unreachable
 	case upstream.NoConnection:
 		// Connections that wait for a reply nobody wants, or to be opened, are in the
 		// way: the server stands still or is gone.
-		re.Kind, re.Own = replica.Shed, true
+		re.Outcome, re.Own = replica.Shed, true
 	case upstream.Lost, upstream.Wrong:
-		re.Kind = replica.Failed
+		re.Outcome = replica.Failed
 	case upstream.TimedOut:
-		re.Kind = replica.Silent
+		re.Outcome = replica.Silent
 	case upstream.Canceled:
-		re.Kind = replica.Silent
+		re.Outcome = replica.Silent
 		if context.Cause(ctx) != upstream.ErrSuperseded {
-			re.Kind = replica.Canceled
+			re.Outcome = replica.Canceled
 		}
 	default:
-		re.Kind = replica.Canceled
+		re.Outcome = replica.Canceled
 	}
 	return re
 }
--- a/replica/fault_test.go
+++ b/replica/fault_test.go
@@ -21,7 +21,7 @@
 		held = append(held, be.only("a"))
 	}
 	for _, pk := range held {
-		be.tb.Done(be.now, pk, Report{Kind: Unreachable})
+		be.tb.Done(be.now, pk, Report{Outcome: Unreachable})
 	}
 	be.pass(leastAside + ms)
 	c.Assert(be.choose().Server.ID, qt.Equals, "a")
@@ -44,7 +44,7 @@
 	}
 	for _, pk := range held {
 		be.pass(ms)
-		be.tb.Done(be.now, pk, Report{Kind: Silent})
+		be.tb.Done(be.now, pk, Report{Outcome: Silent})
 	}
 	be.pass(200 * ms)
 	c.Assert(be.doubtful("a"), qt.IsFalse)
@@ -64,16 +64,16 @@
 		delay := be.tb.HedgeAfter(be.now, be.ask(), pk)
 		if latency <= delay {
 			be.pass(latency)
-			be.tb.Done(be.now, pk, Report{Kind: Served})
+			be.tb.Done(be.now, pk, Report{Outcome: Served})
 			continue
 		}
 		hedged++
 		other := be.choose()
 		be.pass(delay)
 		be.tb.Overdue(be.now, pk)
-		be.tb.Done(be.now, other, Report{Kind: Served})
+		be.tb.Done(be.now, other, Report{Outcome: Served})
 		be.pass(5 * ms)
-		be.tb.Done(be.now, pk, Report{Kind: Silent})
+		be.tb.Done(be.now, pk, Report{Outcome: Silent})
 	}
 	share := float64(hedged) / float64(count)
 	c.Assert(share > 0.04 && share < 0.12, qt.IsTrue, qt.Commentf("%.3f", share))
@@ -127,7 +127,7 @@
 	again := ready("a")
 	again.Born = 20
 	be.list(again, ready("b"))
-	be.tb.Done(be.now, old, Report{Kind: Failed})
+	be.tb.Done(be.now, old, Report{Outcome: Failed})
 	c.Assert(be.shares(50)["a"] > 10, qt.IsTrue)
 	c.Assert(be.tb.Ready("s"), qt.Equals, 2)
 	// The start before stays moved, in case somebody still lists it.
--- a/replica/limit_test.go
+++ b/replica/limit_test.go
@@ -35,7 +35,7 @@
 	_, ok := tb.Choose(now, as)
 	c.Assert(ok, qt.IsFalse)
 	c.Assert(tb.Ready("shard"), qt.Equals, 2)
-	tb.Done(now.Add(time.Millisecond), last, Report{Kind: Served})
+	tb.Done(now.Add(time.Millisecond), last, Report{Outcome: Served})
 	pk, ok := tb.Choose(now.Add(time.Millisecond), as)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(pk.Server.ID, qt.Equals, last.Server.ID)
--- a/replica/news_test.go
+++ b/replica/news_test.go
@@ -56,7 +56,7 @@
 	}
 	be := newBench(c, ses...)
 	for ix := range 5 {
-		be.tb.Done(be.now, be.only(fmt.Sprint(ix)), Report{Kind: Shed})
+		be.tb.Done(be.now, be.only(fmt.Sprint(ix)), Report{Outcome: Shed})
 	}
 	var told []string
 	for range 3 {
@@ -73,7 +73,7 @@
 func TestOwnLackIsNoNews(t *testing.T) {
 	c := qt.New(t)
 	be := newBench(c, ready("a"))
-	be.tb.Done(be.now, be.only("a"), Report{Kind: Shed, Own: true})
+	be.tb.Done(be.now, be.only("a"), Report{Outcome: Shed, Own: true})
 	c.Assert(be.tb.News(be.now, 10), qt.HasLen, 0)
 }
 
@@ -91,7 +91,7 @@
 	}{{15 * ms, Silent, 0}, {100 * ms, Silent, 1}, {10 * ms, Served, 1}} {
 		pk := be.only("a")
 		be.pass(ca.took)
-		be.tb.Done(be.now, pk, Report{Kind: ca.kind})
+		be.tb.Done(be.now, pk, Report{Outcome: ca.kind})
 		count := uint32(0)
 		for _, sa := range be.tb.News(be.now, 10) {
 			count += sa.Count
@@ -120,9 +120,9 @@
 	c.Assert(sas[0].Slow, qt.Equals, uint32(2))
 	c.Assert(sas[0].OldestSlow, qt.Equals, uint32(345))
 	c.Assert(sas[0].NewestSlow, qt.Equals, uint32(45))
-	be.tb.Done(be.now, first, Report{Kind: Silent})
-	be.tb.Done(be.now, second, Report{Kind: Served})
-	be.tb.Done(be.now, third, Report{Kind: Served})
+	be.tb.Done(be.now, first, Report{Outcome: Silent})
+	be.tb.Done(be.now, second, Report{Outcome: Served})
+	be.tb.Done(be.now, third, Report{Outcome: Served})
 	sas = be.tb.News(be.now, 10)
 	c.Assert(sas, qt.HasLen, 1)
 	c.Assert([]uint32{sas[0].Count, sas[0].Slow}, qt.DeepEquals, []uint32{1, 0})
@@ -165,12 +165,12 @@
 		re      Report
 		presses bool
 	}{
-		{"quick", 10 * ms, Report{Kind: Served}, false},
-		{"slow", 60 * ms, Report{Kind: Served}, true},
-		{"given up and slow", 60 * ms, Report{Kind: Silent}, true},
-		{"refused", ms, Report{Kind: Shed}, true},
-		{"a lack of its own", ms, Report{Kind: Shed, Own: true}, false},
-		{"the caller left", 60 * ms, Report{Kind: Canceled}, false},
+		{"quick", 10 * ms, Report{Outcome: Served}, false},
+		{"slow", 60 * ms, Report{Outcome: Served}, true},
+		{"given up and slow", 60 * ms, Report{Outcome: Silent}, true},
+		{"refused", ms, Report{Outcome: Shed}, true},
+		{"a lack of its own", ms, Report{Outcome: Shed, Own: true}, false},
+		{"the caller left", 60 * ms, Report{Outcome: Canceled}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := qt.New(t)
--- a/replica/sim_test.go
+++ b/replica/sim_test.go
@@ -414,7 +414,7 @@
 	at.rq = &simRequest{work: fa.draw()}
 	at.rq.done = func(kind Outcome) {
 		se := at.se
-		re := Report{Kind: kind, Running: se.busy, Waiting: len(se.waiting), Slots: sm.slots, HasLoad: true}
+		re := Report{Outcome: kind, Running: se.busy, Waiting: len(se.waiting), Slots: sm.slots, HasLoad: true}
 		sm.after(hop, func() { fa.answered(at, re) })
 	}
 	sm.after(hop, func() {
@@ -444,7 +444,7 @@
 	if fa.over {
 		return
 	}
-	if re.Kind != Served {
+	if re.Outcome != Served {
 		fa.refused()
 		return
 	}
@@ -458,7 +458,7 @@
 		if ix > 0 {
 			kind = Canceled
 		}
-		fa.en.tb.Done(now, ot.pk, Report{Kind: kind})
+		fa.en.tb.Done(now, ot.pk, Report{Outcome: kind})
 		fa.sm.after(fa.sm.farHop, func() { ot.se.cancel(ot.rq) })
 	}
 }
--- a/replica/table.go
+++ b/replica/table.go
@@ -201,7 +201,7 @@
 
 // Report is what a request showed of its server.
 type Report struct {
-	Kind Outcome
+	Outcome Outcome
 	// Running, Waiting and Slots are the load that the server reported, in
 	// requests; Pace is how long work takes there now, 100 as usual, 0 unknown.
 	Running, Waiting, Slots, Pace int
@@ -229,14 +229,14 @@
 	if re.HasLoad {
 		pk.se.load(at, re)
 	}
-	if re.Kind == Moved {
+	if re.Outcome == Moved {
 		tb.bury(pk.se)
 	}
 	if fl.start >= tb.resumed {
 		if !re.Own {
-			pk.se.note(re.Kind)
+			pk.se.note(re.Outcome)
 		}
-		tb.learn(at, pk.se, &fl, re.Kind)
+		tb.learn(at, pk.se, &fl, re.Outcome)
 		tb.urge(pk.se)
 	}
 }
--- a/replica/table_test.go
+++ b/replica/table_test.go
@@ -68,7 +68,7 @@
 	be.c.Helper()
 	pk := be.only(id)
 	be.pass(de)
-	be.tb.Done(be.now, pk, Report{Kind: kind})
+	be.tb.Done(be.now, pk, Report{Outcome: kind})
 }
 
 // settle lets all servers answer often, each after 10 ms.
@@ -85,7 +85,7 @@
 func (be *bench) doubtful(id string) bool {
 	be.c.Helper()
 	pk := be.only(id)
-	be.tb.Done(be.now, pk, Report{Kind: Canceled})
+	be.tb.Done(be.now, pk, Report{Outcome: Canceled})
 	return pk.Unhealthy
 }
 
@@ -96,7 +96,7 @@
 	for range count {
 		pk := be.choose()
 		got[pk.Server.ID]++
-		be.tb.Done(be.now, pk, Report{Kind: Canceled})
+		be.tb.Done(be.now, pk, Report{Outcome: Canceled})
 	}
 	return got
 }
@@ -219,7 +219,7 @@
 		pk, ok := be.tb.Choose(be.now, Request{Service: "s", Class: "w", NoProbe: true})
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(pk.Server.ID, qt.Not(qt.Equals), "a")
-		be.tb.Done(be.now, pk, Report{Kind: Canceled})
+		be.tb.Done(be.now, pk, Report{Outcome: Canceled})
 	}
 }
 
@@ -284,16 +284,16 @@
 		be.pass(10 * ms)
 		pk, _ := be.tb.Choose(be.now, Request{Service: "s", Class: "w", NoProbe: true})
 		c.Assert(pk.Server.ID, qt.Equals, "b")
-		be.tb.Done(be.now, pk, Report{Kind: Served})
+		be.tb.Done(be.now, pk, Report{Outcome: Served})
 		if pk := be.choose(); pk.Server.ID == "a" {
 			probes = append(probes, be.now.Sub(fell))
 			c.Assert(pk.Unhealthy, qt.IsTrue)
 			second := be.choose()
 			c.Assert(second.Server.ID, qt.Equals, "b")
-			be.tb.Done(be.now, second, Report{Kind: Canceled})
-			be.tb.Done(be.now, pk, Report{Kind: Unreachable})
+			be.tb.Done(be.now, second, Report{Outcome: Canceled})
+			be.tb.Done(be.now, pk, Report{Outcome: Unreachable})
 		} else {
-			be.tb.Done(be.now, pk, Report{Kind: Canceled})
+			be.tb.Done(be.now, pk, Report{Outcome: Canceled})
 		}
 	}
 	c.Assert(probes[0] >= 100*ms && probes[0] <= 120*ms, qt.IsTrue, qt.Commentf("%v", probes))
@@ -314,7 +314,7 @@
 	pk := be.choose()
 	c.Assert(pk.Server.ID, qt.Equals, "a")
 	be.pass(10 * ms)
-	be.tb.Done(be.now, pk, Report{Kind: Served})
+	be.tb.Done(be.now, pk, Report{Outcome: Served})
 	c.Assert(be.doubtful("a"), qt.IsFalse)
 }
 
@@ -331,7 +331,7 @@
 		pk := be.choose()
 		c.Assert(pk.Unhealthy, qt.IsTrue)
 		got[pk.Server.ID]++
-		be.tb.Done(be.now, pk, Report{Kind: Canceled})
+		be.tb.Done(be.now, pk, Report{Outcome: Canceled})
 	}
 	c.Assert(got, qt.DeepEquals, map[string]int{"b": 20})
 }
@@ -373,7 +373,7 @@
 	c.Assert(be.shares(50), qt.DeepEquals, map[string]int{"b": 50})
 	c.Assert(be.choose("b").Unhealthy, qt.IsTrue)
 	be.pass(100 * ms)
-	be.tb.Done(be.now, pk, Report{Kind: Served})
+	be.tb.Done(be.now, pk, Report{Outcome: Served})
 	c.Assert(be.doubtful("a"), qt.IsFalse)
 }
 
@@ -385,7 +385,7 @@
 	be.pass(50 * ms)
 	be.tb.Overdue(be.now, pk)
 	be.pass(10 * ms)
-	be.tb.Done(be.now, pk, Report{Kind: Silent})
+	be.tb.Done(be.now, pk, Report{Outcome: Silent})
 	c.Assert(be.doubtful("a"), qt.IsTrue)
 	be.pass(time.Second)
 	c.Assert(be.doubtful("a"), qt.IsFalse)
@@ -452,13 +452,13 @@
 	be := newBench(c, ready("a"))
 	first, second := be.choose(), be.choose()
 	be.tb.Overdue(be.now, first)
-	be.tb.Done(be.now, first, Report{Kind: Served})
-	be.tb.Done(be.now, first, Report{Kind: Unreachable})
+	be.tb.Done(be.now, first, Report{Outcome: Served})
+	be.tb.Done(be.now, first, Report{Outcome: Unreachable})
 	be.tb.Overdue(be.now, first)
 	c.Assert(be.tb.servers["a"].flights, qt.HasLen, 1)
 	c.Assert(be.choose().Unhealthy, qt.IsFalse)
-	be.tb.Done(be.now, second, Report{Kind: Served})
-	be.tb.Done(be.now, Pick{}, Report{Kind: Unreachable})
+	be.tb.Done(be.now, second, Report{Outcome: Served})
+	be.tb.Done(be.now, Pick{}, Report{Outcome: Unreachable})
 	be.tb.Overdue(be.now, Pick{})
 	c.Assert(be.tb.HedgeAfter(be.now, be.ask(), Pick{}) > 0, qt.IsTrue)
 }
@@ -529,7 +529,7 @@
 			latency, kind = 5*ms, Silent
 		}
 		be.pass(latency)
-		be.tb.Done(be.now, pk, Report{Kind: kind})
+		be.tb.Done(be.now, pk, Report{Outcome: kind})
 		be.answer("b", 30*ms) // The server of the hedge.
 	}
 	share := float64(hedged) / float64(count)
@@ -572,8 +572,8 @@
 	be.pass(8 * time.Second)
 	be.tb.Resumed(be.now)
 	be.tb.Overdue(be.now, first)
-	be.tb.Done(be.now, first, Report{Kind: Served})
-	be.tb.Done(be.now, second, Report{Kind: Unreachable})
+	be.tb.Done(be.now, first, Report{Outcome: Served})
+	be.tb.Done(be.now, second, Report{Outcome: Unreachable})
 	c.Assert(be.tb.Expected("w") < 15*ms, qt.IsTrue)
 	c.Assert(be.doubtful("a"), qt.IsFalse)
 	c.Assert(be.doubtful("b"), qt.IsFalse)
@@ -585,7 +585,7 @@
 	for ix := range 2 * mostWorks {
 		be.pass(ms)
 		pk, _ := be.tb.Choose(be.now, Request{Service: "s", Class: fmt.Sprint(ix)})
-		be.tb.Done(be.now, pk, Report{Kind: Served})
+		be.tb.Done(be.now, pk, Report{Outcome: Served})
 	}
 	c.Assert(be.tb.works, qt.HasLen, mostWorks)
 	c.Assert(be.tb.works[fmt.Sprint(2*mostWorks-1)], qt.IsNotNil)
@@ -600,7 +600,7 @@
 		pk, _ := be.tb.Choose(be.now, as)
 		be.tb.HedgeAfter(be.now, as, pk)
 		be.pass(10 * ms)
-		be.tb.Done(be.now, pk, Report{Kind: Served})
+		be.tb.Done(be.now, pk, Report{Outcome: Served})
 	})
 	c.Assert(got, qt.Equals, 0.0)
 }
@@ -621,7 +621,7 @@
 				}
 				be.tb.HedgeAfter(now, as, pk)
 				be.tb.Overdue(now, pk)
-				be.tb.Done(now.Add(ms), pk, Report{Kind: Outcome(rn.IntN(int(Canceled) + 1)), HasLoad: true, Slots: 2})
+				be.tb.Done(now.Add(ms), pk, Report{Outcome: Outcome(rn.IntN(int(Canceled) + 1)), HasLoad: true, Slots: 2})
 				if ix%50 == 0 {
 					be.tb.Update(now, map[string][]registry.Server{"s": {ready("a"), ready("b"), ready(fmt.Sprint(ix))}})
 					be.tb.Resumed(now)
@@ -651,7 +651,7 @@
 				pk, _ := tb.Choose(now, as)
 				tb.HedgeAfter(now, as, pk)
 				now = now.Add(time.Millisecond)
-				tb.Done(now, pk, Report{Kind: Served})
+				tb.Done(now, pk, Report{Outcome: Served})
 			}
 		})
 	}
--- a/replica/warm_test.go
+++ b/replica/warm_test.go
@@ -33,7 +33,7 @@
 		qt.Assert(t, ok, qt.IsTrue)
 		chosen[pk.Server.ID]++
 		now = now.Add(5 * time.Millisecond)
-		tb.Done(now, pk, Report{Kind: Served})
+		tb.Done(now, pk, Report{Outcome: Served})
 	}
 	qt.Assert(t, chosen["cold"] <= 6, qt.IsTrue, qt.Commentf("%v", chosen))
 	qt.Assert(t, chosen["warm"]+chosen["cold"], qt.Equals, 1000)
@@ -70,7 +70,7 @@
 	for range 2000 {
 		now = now.Add(time.Millisecond)
 		if pk, ok := tb.Choose(now, Request{Service: "shard", Class: "w"}); ok {
-			tb.Done(now, pk, Report{Kind: Served})
+			tb.Done(now, pk, Report{Outcome: Served})
 			count++
 		}
 	}
@@ -125,7 +125,7 @@
 		tb, now := tbs[rn.IntN(instances)], begin.Add(at)
 		for name := range ses {
 			if pk, ok := tb.Choose(now, Request{Service: name, Class: "w"}); ok {
-				tb.Done(now.Add(time.Microsecond), pk, Report{Kind: Served})
+				tb.Done(now.Add(time.Microsecond), pk, Report{Outcome: Served})
 				got[name] = append(got[name], at)
 				total++
 			}
