--- a/gateway/run.go
+++ b/gateway/run.go
@@ -239,7 +239,7 @@
 	case upstream.NoConnection:
 		// Connections that wait for a reply nobody wants, or to be opened, are in the
 		// way: the server stands still or is gone.
-		re.Outcome, re.Own = replica.Shed, true
+		re.Outcome, re.LocalCause = replica.Shed, true
 	case upstream.Lost, upstream.Wrong:
 		re.Outcome = replica.Failed
 	case upstream.TimedOut:
--- a/replica/news_test.go
+++ b/replica/news_test.go
@@ -73,7 +73,7 @@
 func TestOwnLackIsNoNews(t *testing.T) {
 	c := qt.New(t)
 	be := newBench(c, ready("a"))
-	be.tb.Done(be.now, be.only("a"), Report{Outcome: Shed, Own: true})
+	be.tb.Done(be.now, be.only("a"), Report{Outcome: Shed, LocalCause: true})
 	c.Assert(be.tb.News(be.now, 10), qt.HasLen, 0)
 }
 
@@ -169,7 +169,7 @@
 		{"slow", 60 * ms, Report{Outcome: Served}, true},
 		{"given up and slow", 60 * ms, Report{Outcome: Silent}, true},
 		{"refused", ms, Report{Outcome: Shed}, true},
-		{"a lack of its own", ms, Report{Outcome: Shed, Own: true}, false},
+		{"a lack of its own", ms, Report{Outcome: Shed, LocalCause: true}, false},
 		{"the caller left", 60 * ms, Report{Outcome: Canceled}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/replica/table.go
+++ b/replica/table.go
@@ -209,7 +209,7 @@
 	HasLoad bool
 	// Own says that the refusal was a lack of this instance, so that it tells the
 	// others nothing of the server.
-	Own bool
+	LocalCause bool
 }
 
 // Done ends the request of a pick. A second call for the same pick does nothing.
@@ -233,7 +233,7 @@
 		tb.bury(pk.se)
 	}
 	if fl.start >= tb.resumed {
-		if !re.Own {
+		if !re.LocalCause {
 			pk.se.note(re.Outcome)
 		}
 		tb.learn(at, pk.se, &fl, re.Outcome)
