--- a/gateway/run.go
+++ b/gateway/run.go
@@ -243,9 +243,9 @@
 	case upstream.Lost, upstream.Wrong:
 		re.Outcome = replica.Failed
 	case upstream.TimedOut:
-		re.Outcome = replica.Silent
+		re.Outcome = replica.Abandoned
 	case upstream.Canceled:
-		re.Outcome = replica.Silent
+		re.Outcome = replica.Abandoned
 		if context.Cause(ctx) != upstream.ErrSuperseded {
 			re.Outcome = replica.Canceled
 		}
--- a/replica/fault_test.go
+++ b/replica/fault_test.go
@@ -44,7 +44,7 @@
 	}
 	for _, pk := range held {
 		be.pass(ms)
-		be.tb.Done(be.now, pk, Report{Outcome: Silent})
+		be.tb.Done(be.now, pk, Report{Outcome: Abandoned})
 	}
 	be.pass(200 * ms)
 	c.Assert(be.doubtful("a"), qt.IsFalse)
@@ -73,7 +73,7 @@
 		be.tb.Overdue(be.now, pk)
 		be.tb.Done(be.now, other, Report{Outcome: Served})
 		be.pass(5 * ms)
-		be.tb.Done(be.now, pk, Report{Outcome: Silent})
+		be.tb.Done(be.now, pk, Report{Outcome: Abandoned})
 	}
 	share := float64(hedged) / float64(count)
 	c.Assert(share > 0.04 && share < 0.12, qt.IsTrue, qt.Commentf("%.3f", share))
@@ -85,7 +85,7 @@
 	c := qt.New(t)
 	be := newBench(c, ready("a"), ready("b"))
 	be.settle("a", "b")
-	be.end("a", 500*ms, Silent)
+	be.end("a", 500*ms, Abandoned)
 	c.Assert(be.doubtful("a"), qt.IsTrue)
 }
 
--- a/replica/news_test.go
+++ b/replica/news_test.go
@@ -88,7 +88,7 @@
 		took time.Duration
 		kind Outcome
 		want uint32
-	}{{15 * ms, Silent, 0}, {100 * ms, Silent, 1}, {10 * ms, Served, 1}} {
+	}{{15 * ms, Abandoned, 0}, {100 * ms, Abandoned, 1}, {10 * ms, Served, 1}} {
 		pk := be.only("a")
 		be.pass(ca.took)
 		be.tb.Done(be.now, pk, Report{Outcome: ca.kind})
@@ -120,7 +120,7 @@
 	c.Assert(sas[0].Slow, qt.Equals, uint32(2))
 	c.Assert(sas[0].OldestSlow, qt.Equals, uint32(345))
 	c.Assert(sas[0].NewestSlow, qt.Equals, uint32(45))
-	be.tb.Done(be.now, first, Report{Outcome: Silent})
+	be.tb.Done(be.now, first, Report{Outcome: Abandoned})
 	be.tb.Done(be.now, second, Report{Outcome: Served})
 	be.tb.Done(be.now, third, Report{Outcome: Served})
 	sas = be.tb.News(be.now, 10)
@@ -167,7 +167,7 @@
 	}{
 		{"quick", 10 * ms, Report{Outcome: Served}, false},
 		{"slow", 60 * ms, Report{Outcome: Served}, true},
-		{"given up and slow", 60 * ms, Report{Outcome: Silent}, true},
+		{"given up and slow", 60 * ms, Report{Outcome: Abandoned}, true},
 		{"refused", ms, Report{Outcome: Shed}, true},
 		{"a lack of its own", ms, Report{Outcome: Shed, LocalCause: true}, false},
 		{"the caller left", 60 * ms, Report{Outcome: Canceled}, false},
--- a/replica/sim_test.go
+++ b/replica/sim_test.go
@@ -454,7 +454,7 @@
 			continue
 		}
 		ot.done = true
-		kind := Silent
+		kind := Abandoned
 		if ix > 0 {
 			kind = Canceled
 		}
--- a/replica/table.go
+++ b/replica/table.go
@@ -193,7 +193,7 @@
 	Served      Outcome = iota // Served is an answer that is no failure of the server.
 	Shed                       // Shed is a refusal of the server, which hasn't run the request.
 	Failed                     // Failed is a 5xx, a wrong answer or a lost one.
-	Silent                     // Silent was given up while it was waited for: a hedge won, or time was out.
+	Abandoned                  // Silent was given up while it was waited for: a hedge won, or time was out.
 	Unreachable                // Unreachable is no connection.
 	Moved                      // Moved is the word of another server at the address; this one is gone for good.
 	Canceled                   // Canceled says nothing of the server: the caller left, or this was the hedge and lost.
@@ -246,7 +246,7 @@
 	switch kind {
 	case Served:
 		tb.learnAnswer(at, se, fl)
-	case Silent:
+	case Abandoned:
 		tb.learnSilence(at, se, fl)
 	case Failed:
 		se.renew(at)
--- a/replica/table_test.go
+++ b/replica/table_test.go
@@ -385,7 +385,7 @@
 	be.pass(50 * ms)
 	be.tb.Overdue(be.now, pk)
 	be.pass(10 * ms)
-	be.tb.Done(be.now, pk, Report{Outcome: Silent})
+	be.tb.Done(be.now, pk, Report{Outcome: Abandoned})
 	c.Assert(be.doubtful("a"), qt.IsTrue)
 	be.pass(time.Second)
 	c.Assert(be.doubtful("a"), qt.IsFalse)
@@ -398,7 +398,7 @@
 	be.settle("a", "b")
 	before := be.tb.Expected("w")
 	for range 50 {
-		be.end("a", 2*ms, Silent)
+		be.end("a", 2*ms, Abandoned)
 	}
 	c.Assert(be.doubtful("a"), qt.IsFalse)
 	c.Assert(be.tb.Expected("w"), qt.Equals, before)
@@ -526,7 +526,7 @@
 			hedged++
 			be.pass(delay)
 			be.tb.Overdue(be.now, pk)
-			latency, kind = 5*ms, Silent
+			latency, kind = 5*ms, Abandoned
 		}
 		be.pass(latency)
 		be.tb.Done(be.now, pk, Report{Outcome: kind})
