--- a/gateway/run.go
+++ b/gateway/run.go
@@ -232,7 +232,7 @@
 	case upstream.NotRun:
 		re.Outcome = replica.Shed
 		if rs.Moved {
-			re.Outcome = replica.Moved
+			re.Outcome = replica.Replaced
 		}
 	case upstream.NotSent:
 		re.Outcome = replica.Unreachable
--- a/replica/fault_test.go
+++ b/replica/fault_test.go
@@ -95,7 +95,7 @@
 func TestMovedStaysAfterItWasDropped(t *testing.T) {
 	c := qt.New(t)
 	be := newBench(c, ready("a"), ready("b"))
-	be.end("a", ms, Moved)
+	be.end("a", ms, Replaced)
 	be.list(ready("b"))
 	be.list(ready("a"), ready("b"))
 	c.Assert(be.shares(50), qt.DeepEquals, map[string]int{"b": 50})
@@ -107,7 +107,7 @@
 	for ix := range 2 * mostMoved {
 		id := fmt.Sprint(ix)
 		be.list(ready(id))
-		be.end(id, ms, Moved)
+		be.end(id, ms, Replaced)
 	}
 	c.Assert(be.tb.moved, qt.HasLen, mostMoved)
 	c.Assert(be.tb.movedOrder, qt.HasLen, mostMoved)
@@ -121,7 +121,7 @@
 	be := newBench(c, ready("a"), ready("b"))
 	be.settle("a", "b")
 	old := be.only("a")
-	be.end("a", ms, Moved)
+	be.end("a", ms, Replaced)
 	be.list(ready("a"), ready("b"))
 	c.Assert(be.shares(50), qt.DeepEquals, map[string]int{"b": 50})
 	again := ready("a")
--- a/replica/news.go
+++ b/replica/news.go
@@ -19,7 +19,7 @@
 		se.news.Served++
 	case Shed, Failed, Unreachable:
 		se.news.Failed++
-	case Abandoned, Moved, Canceled:
+	case Abandoned, Replaced, Canceled:
 	}
 }
 
--- a/replica/table.go
+++ b/replica/table.go
@@ -195,7 +195,7 @@
 	Failed                     // Failed is a 5xx, a wrong answer or a lost one.
 	Abandoned                  // Silent was given up while it was waited for: a hedge won, or time was out.
 	Unreachable                // Unreachable is no connection.
-	Moved                      // Moved is the word of another server at the address; this one is gone for good.
+	Replaced                   // Moved is the word of another server at the address; this one is gone for good.
 	Canceled                   // Canceled says nothing of the server: the caller left, or this was the hedge and lost.
 )
 
@@ -229,7 +229,7 @@
 	if re.HasLoad {
 		pk.se.load(at, re)
 	}
-	if re.Outcome == Moved {
+	if re.Outcome == Replaced {
 		tb.bury(pk.se)
 	}
 	if fl.start >= tb.resumed {
@@ -254,7 +254,7 @@
 	case Shed, Unreachable:
 		se.renew(at)
 		se.fail(at, fl.start, 1)
-	case Moved, Canceled:
+	case Replaced, Canceled:
 	}
 }
 
--- a/replica/table_test.go
+++ b/replica/table_test.go
@@ -339,7 +339,7 @@
 func TestMovedIsNeverChosenAgain(t *testing.T) {
 	c := qt.New(t)
 	be := newBench(c, ready("a"), ready("b"))
-	be.end("a", ms, Moved)
+	be.end("a", ms, Replaced)
 	be.pass(time.Hour)
 	be.list(ready("a"), ready("b"))
 	c.Assert(be.shares(50), qt.DeepEquals, map[string]int{"b": 50})
