--- a/gateway/run.go
+++ b/gateway/run.go
@@ -163,7 +163,7 @@
 	cr.tried[wa.Shard] = append(cr.tried[wa.Shard], pk.Server.ID)
 	var hedgeAt time.Time
 	if cr.ca.repeatable() && !(wa.Kind == scatter.Hedge && pk.Unhealthy) {
-		hedgeAt = now.Add(sv.re.HedgeAfter(now, as, pk))
+		hedgeAt = now.Add(sv.re.HedgeDelay(now, as, pk))
 	}
 	cr.qu.Asked(wa.Shard, hedgeAt)
 	go cr.exchange(ctx, attempt{shard: wa.Shard, number: cr.began(now, wa, pk.Server.ID), pk: pk, spent: spent})
--- a/replica/choose.go
+++ b/replica/choose.go
@@ -201,7 +201,7 @@
 // exceed. It is at most the median while the server of the pick is slow or
 // doubtful and another one isn't. While little is known it is three times the
 // median, or 50 ms.
-func (tb *Balancer) HedgeAfter(now time.Time, as Request, pk Pick) time.Duration {
+func (tb *Balancer) HedgeDelay(now time.Time, as Request, pk Pick) time.Duration {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	at := tb.at(now)
--- a/replica/fault_test.go
+++ b/replica/fault_test.go
@@ -61,7 +61,7 @@
 	for range count {
 		pk := be.choose()
 		latency := ms + time.Duration(rn.Int64N(int64(99*ms)))
-		delay := be.tb.HedgeAfter(be.now, be.ask(), pk)
+		delay := be.tb.HedgeDelay(be.now, be.ask(), pk)
 		if latency <= delay {
 			be.pass(latency)
 			be.tb.Done(be.now, pk, Report{Outcome: Served})
--- a/replica/sim_test.go
+++ b/replica/sim_test.go
@@ -365,7 +365,7 @@
 
 func (fa *simFan) delay(at *simAttempt) time.Duration {
 	if fa.sm.policy == learned {
-		return fa.en.tb.HedgeAfter(fa.sm.clock(), fa.ask(), at.pk)
+		return fa.en.tb.HedgeDelay(fa.sm.clock(), fa.ask(), at.pk)
 	}
 	tb := fa.en.tb
 	return tb.work(tb.at(fa.sm.clock()), Request{Class: fa.work.name}).delay(tb.latest)
--- a/replica/table_test.go
+++ b/replica/table_test.go
@@ -460,17 +460,17 @@
 	be.tb.Done(be.now, second, Report{Outcome: Served})
 	be.tb.Done(be.now, Pick{}, Report{Outcome: Unreachable})
 	be.tb.Overdue(be.now, Pick{})
-	c.Assert(be.tb.HedgeAfter(be.now, be.ask(), Pick{}) > 0, qt.IsTrue)
+	c.Assert(be.tb.HedgeDelay(be.now, be.ask(), Pick{}) > 0, qt.IsTrue)
 }
 
 func TestHedgeAfterWithFewAnswers(t *testing.T) {
 	c := qt.New(t)
 	be := newBench(c, ready("a"), ready("b"))
-	c.Assert(be.tb.HedgeAfter(be.now, be.ask(), be.only("a")), qt.Equals, 50*ms)
+	c.Assert(be.tb.HedgeDelay(be.now, be.ask(), be.only("a")), qt.Equals, 50*ms)
 	for range 10 {
 		be.answer("b", 10*ms)
 	}
-	got := be.tb.HedgeAfter(be.now, be.ask(), be.only("b"))
+	got := be.tb.HedgeDelay(be.now, be.ask(), be.only("b"))
 	c.Assert(got > 27*ms && got < 34*ms, qt.IsTrue, qt.Commentf("%v", got))
 }
 
@@ -482,7 +482,7 @@
 	for range 2000 {
 		be.answer([]string{"a", "b"}[rn.IntN(2)], ms+time.Duration(rn.Int64N(int64(99*ms))))
 	}
-	got := be.tb.HedgeAfter(be.now, be.ask(), be.choose())
+	got := be.tb.HedgeDelay(be.now, be.ask(), be.choose())
 	c.Assert(got > 84*ms && got < 100*ms, qt.IsTrue, qt.Commentf("%v", got))
 	got = be.tb.Expected("w")
 	c.Assert(got > 44*ms && got < 57*ms, qt.IsTrue, qt.Commentf("%v", got))
@@ -495,18 +495,18 @@
 		be.answer("a", 10*ms+time.Duration(ix%10)*ms)
 		be.answer("b", 10*ms+time.Duration(ix%10)*ms)
 	}
-	usual := be.tb.HedgeAfter(be.now, be.ask(), be.only("b"))
+	usual := be.tb.HedgeDelay(be.now, be.ask(), be.only("b"))
 	for range 6 {
 		be.answer("a", 150*ms)
 	}
 	slow := be.only("a")
-	got := be.tb.HedgeAfter(be.now, be.ask(), slow)
+	got := be.tb.HedgeDelay(be.now, be.ask(), slow)
 	c.Assert(got < usual, qt.IsTrue, qt.Commentf("%v and %v", got, usual))
 	c.Assert(got <= be.tb.Expected("w"), qt.IsTrue)
 	for range 6 {
 		be.answer("b", 150*ms)
 	}
-	c.Assert(be.tb.HedgeAfter(be.now, be.ask(), slow) >= usual, qt.IsTrue)
+	c.Assert(be.tb.HedgeDelay(be.now, be.ask(), slow) >= usual, qt.IsTrue)
 }
 
 // Requests that were hedged never show how long they would have taken. If they
@@ -520,7 +520,7 @@
 	for range count {
 		pk := be.choose()
 		latency := ms + time.Duration(rn.Int64N(int64(99*ms)))
-		delay := be.tb.HedgeAfter(be.now, be.ask(), pk)
+		delay := be.tb.HedgeDelay(be.now, be.ask(), pk)
 		kind := Served
 		if latency > delay {
 			hedged++
@@ -598,7 +598,7 @@
 	as := be.ask()
 	got := testing.AllocsPerRun(1000, func() {
 		pk, _ := be.tb.Choose(be.now, as)
-		be.tb.HedgeAfter(be.now, as, pk)
+		be.tb.HedgeDelay(be.now, as, pk)
 		be.pass(10 * ms)
 		be.tb.Done(be.now, pk, Report{Outcome: Served})
 	})
@@ -619,7 +619,7 @@
 				if !ok {
 					continue
 				}
-				be.tb.HedgeAfter(now, as, pk)
+				be.tb.HedgeDelay(now, as, pk)
 				be.tb.Overdue(now, pk)
 				be.tb.Done(now.Add(ms), pk, Report{Outcome: Outcome(rn.IntN(int(Canceled) + 1)), HasLoad: true, Slots: 2})
 				if ix%50 == 0 {
@@ -649,7 +649,7 @@
 			as := Request{Service: "s", Class: "w"}
 			for b.Loop() {
 				pk, _ := tb.Choose(now, as)
-				tb.HedgeAfter(now, as, pk)
+				tb.HedgeDelay(now, as, pk)
 				now = now.Add(time.Millisecond)
 				tb.Done(now, pk, Report{Outcome: Served})
 			}
