--- a/gateway/lines_test.go
+++ b/gateway/lines_test.go
@@ -435,7 +435,7 @@
 		lo.known("desk", "i-1", "address of nobody", registry.Ready)
 		lo.known("desk", "i-2", "address of nobody else", registry.Ready)
 		lo.serve("desk", "i-3", cut)
-		lo.sv.re.Limit(map[string]int{"desk": 10})
+		lo.sv.re.SetMaxInFlight(map[string]int{"desk": 10})
 		qt.Assert(t, lo.ask(t.Context()), qt.Equals, 502)
 		qt.Assert(t, lo.line().Text("Sent"), qt.Equals, "1")
 	})
--- a/gateway/share.go
+++ b/gateway/share.go
@@ -99,7 +99,7 @@
 	sv.scarce.Store(sc)
 	maps.DeleteFunc(sv.limits, func(name string, _ int) bool { return sv.servers[name] == nil })
 	sv.shares.Store(&shares)
-	sv.re.Limit(shares)
+	sv.re.SetMaxInFlight(shares)
 	sv.re.Warm(warmups)
 	sv.re.Home(sc.home)
 	sv.up.Retain(targets)
--- a/replica/limit_test.go
+++ b/replica/limit_test.go
@@ -21,7 +21,7 @@
 		{ID: "near", Service: "shard", DataCentre: "a", Slots: 2},
 		{ID: "far", Service: "shard", DataCentre: "b", Slots: 2},
 	}})
-	tb.Limit(map[string]int{"shard": 2})
+	tb.SetMaxInFlight(map[string]int{"shard": 2})
 	as := Request{Service: "shard", Class: "w"}
 	chosen := map[string]int{}
 	var last Pick
--- a/replica/table.go
+++ b/replica/table.go
@@ -145,7 +145,7 @@
 // Limit takes over how many requests may be in flight at one server of each
 // service, which is how many connections this instance may open to it. A service
 // that isn't named has no limit.
-func (tb *Balancer) Limit(most map[string]int) {
+func (tb *Balancer) SetMaxInFlight(most map[string]int) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	tb.limits = most
