--- a/gateway/share.go
+++ b/gateway/share.go
@@ -100,7 +100,7 @@
 	maps.DeleteFunc(sv.limits, func(name string, _ int) bool { return sv.servers[name] == nil })
 	sv.shares.Store(&shares)
 	sv.re.SetMaxInFlight(shares)
-	sv.re.Warm(warmups)
+	sv.re.SetWarmups(warmups)
 	sv.re.Home(sc.home)
 	sv.up.Retain(targets)
 	sv.qu.wakeAll()
--- a/replica/table.go
+++ b/replica/table.go
@@ -153,7 +153,7 @@
 
 // Warm takes over of which services cold servers bear a bounded rate, and this instance's
 // part of it. The map must not be changed later.
-func (tb *Balancer) Warm(was map[string]Warmup) {
+func (tb *Balancer) SetWarmups(was map[string]Warmup) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	tb.warmups = was
--- a/replica/warm_test.go
+++ b/replica/warm_test.go
@@ -19,7 +19,7 @@
 		{ID: "cold", Service: "shard", Slots: 2, WarmMillis: 3000},
 		{ID: "warm", Service: "shard", Slots: 2},
 	}})
-	tb.Warm(map[string]Warmup{"shard": {Part: warmup.Part{Share: 1, Spacing: spacing}, Duration: 3 * time.Second}})
+	tb.SetWarmups(map[string]Warmup{"shard": {Part: warmup.Part{Share: 1, Spacing: spacing}, Duration: 3 * time.Second}})
 	return tb
 }
 
@@ -117,7 +117,7 @@
 	for ix := range tbs {
 		tbs[ix] = New(Config{Seed: rn.Uint64()})
 		tbs[ix].Update(begin, ses)
-		tbs[ix].Warm(was)
+		tbs[ix].SetWarmups(was)
 	}
 	got := make(map[string][]time.Duration)
 	total := 0
