--- a/gateway/vacant.go
+++ b/gateway/vacant.go
@@ -118,7 +118,7 @@
 	case !pi.untried(service, cr.tried[wa.Shard]):
 		// Each was tried and is not tried again. What they did is the cause.
 		cr.qu.Nobody(now, wa.Shard, scatter.CauseNone, now.Add(noServerPause))
-	case cr.ca.sv.re.Warming(now, replica.Request{Service: service, Avoid: cr.tried[wa.Shard]}):
+	case cr.ca.sv.re.AllWarmingUp(now, replica.Request{Service: service, Avoid: cr.tried[wa.Shard]}):
 		cr.qu.Nobody(now, wa.Shard, scatter.CauseCold, now.Add(noServerPause))
 	default:
 		cr.qu.Denied(now, wa.Shard, scatter.CauseBusy, now.Add(pause))
--- a/replica/table.go
+++ b/replica/table.go
@@ -161,7 +161,7 @@
 
 // Warming reports whether all ready servers that aren't avoided may not be asked now because
 // they are cold.
-func (tb *Balancer) Warming(now time.Time, as Request) bool {
+func (tb *Balancer) AllWarmingUp(now time.Time, as Request) bool {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	at, warming := tb.at(now), false
--- a/replica/warm_test.go
+++ b/replica/warm_test.go
@@ -45,14 +45,14 @@
 	now := time.Unix(1000, 0)
 	tb := warmTable(now, time.Second)
 	as := Request{Service: "shard", Class: "w", Avoid: []string{"warm"}}
-	tb.Warming(now, as) // The server turns cold now.
-	qt.Assert(t, tb.Warming(now.Add(time.Second), as), qt.IsFalse)
+	tb.AllWarmingUp(now, as) // The server turns cold now.
+	qt.Assert(t, tb.AllWarmingUp(now.Add(time.Second), as), qt.IsFalse)
 	_, ok := tb.Choose(now.Add(time.Second), as)
 	qt.Assert(t, ok, qt.IsTrue)
 	_, ok = tb.Choose(now.Add(time.Second), as)
 	qt.Assert(t, ok, qt.IsFalse)
-	qt.Assert(t, tb.Warming(now.Add(time.Second), as), qt.IsTrue)
-	qt.Assert(t, tb.Warming(now.Add(time.Second), Request{Service: "shard"}), qt.IsFalse)
+	qt.Assert(t, tb.AllWarmingUp(now.Add(time.Second), as), qt.IsTrue)
+	qt.Assert(t, tb.AllWarmingUp(now.Add(time.Second), Request{Service: "shard"}), qt.IsFalse)
 }
 
 // Guards against full load on servers that became cold while their data centre was
