--- a/gateway/share.go
+++ b/gateway/share.go
@@ -101,7 +101,7 @@
 	sv.shares.Store(&shares)
 	sv.re.SetMaxInFlight(shares)
 	sv.re.SetWarmups(warmups)
-	sv.re.Home(sc.home)
+	sv.re.SetPreferred(sc.home)
 	sv.up.Retain(targets)
 	sv.qu.wakeAll()
 }
--- a/replica/table.go
+++ b/replica/table.go
@@ -179,7 +179,7 @@
 
 // Home takes over the ids of servers that are preferred as those in the own data
 // centre are. The map must not be changed later.
-func (tb *Balancer) Home(ids map[string]bool) {
+func (tb *Balancer) SetPreferred(ids map[string]bool) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	tb.home = ids
