--- a/gateway/vacant.go
+++ b/gateway/vacant.go
@@ -110,7 +110,7 @@
 			cr.unqueue(wa.Shard)
 		}
 	}()
-	switch ready := cr.ca.sv.re.Ready(service); {
+	switch ready := cr.ca.sv.re.NumReady(service); {
 	case ready == 0 && pi.vacant(now, service):
 		cr.qu.Nobody(now, wa.Shard, scatter.CauseNoServer, now.Add(noServerPause))
 	case ready == 0:
--- a/replica/fault_test.go
+++ b/replica/fault_test.go
@@ -129,8 +129,8 @@
 	be.list(again, ready("b"))
 	be.tb.Done(be.now, old, Report{Outcome: Failed})
 	c.Assert(be.shares(50)["a"] > 10, qt.IsTrue)
-	c.Assert(be.tb.Ready("s"), qt.Equals, 2)
+	c.Assert(be.tb.NumReady("s"), qt.Equals, 2)
 	// The start before stays moved, in case somebody still lists it.
 	be.list(ready("a"), ready("b"))
-	c.Assert(be.tb.Ready("s"), qt.Equals, 1)
+	c.Assert(be.tb.NumReady("s"), qt.Equals, 1)
 }
--- a/replica/limit_test.go
+++ b/replica/limit_test.go
@@ -34,7 +34,7 @@
 	c.Assert(chosen, qt.DeepEquals, map[string]int{"near": 2, "far": 2})
 	_, ok := tb.Choose(now, as)
 	c.Assert(ok, qt.IsFalse)
-	c.Assert(tb.Ready("shard"), qt.Equals, 2)
+	c.Assert(tb.NumReady("shard"), qt.Equals, 2)
 	tb.Done(now.Add(time.Millisecond), last, Report{Outcome: Served})
 	pk, ok := tb.Choose(now.Add(time.Millisecond), as)
 	c.Assert(ok, qt.IsTrue)
--- a/replica/table.go
+++ b/replica/table.go
@@ -130,7 +130,7 @@
 }
 
 // Ready returns how many servers of a service may be chosen at some time.
-func (tb *Balancer) Ready(service string) int {
+func (tb *Balancer) NumReady(service string) int {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	count := 0
