--- a/replica/table.go
+++ b/replica/table.go
@@ -333,7 +333,7 @@
 
 // Expected returns the median latency of a work over all servers; a guess if
 // nothing is known of it.
-func (tb *Balancer) Expected(work string) time.Duration {
+func (tb *Balancer) MedianLatency(work string) time.Duration {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	wo := tb.works[work]
--- a/replica/table_test.go
+++ b/replica/table_test.go
@@ -396,12 +396,12 @@
 	c := qt.New(t)
 	be := newBench(c, ready("a"), ready("b"))
 	be.settle("a", "b")
-	before := be.tb.Expected("w")
+	before := be.tb.MedianLatency("w")
 	for range 50 {
 		be.end("a", 2*ms, Abandoned)
 	}
 	c.Assert(be.doubtful("a"), qt.IsFalse)
-	c.Assert(be.tb.Expected("w"), qt.Equals, before)
+	c.Assert(be.tb.MedianLatency("w"), qt.Equals, before)
 	c.Assert(be.shares(400)["a"] > 100, qt.IsTrue)
 }
 
@@ -484,7 +484,7 @@
 	}
 	got := be.tb.HedgeDelay(be.now, be.ask(), be.choose())
 	c.Assert(got > 84*ms && got < 100*ms, qt.IsTrue, qt.Commentf("%v", got))
-	got = be.tb.Expected("w")
+	got = be.tb.MedianLatency("w")
 	c.Assert(got > 44*ms && got < 57*ms, qt.IsTrue, qt.Commentf("%v", got))
 }
 
@@ -502,7 +502,7 @@
 	slow := be.only("a")
 	got := be.tb.HedgeDelay(be.now, be.ask(), slow)
 	c.Assert(got < usual, qt.IsTrue, qt.Commentf("%v and %v", got, usual))
-	c.Assert(got <= be.tb.Expected("w"), qt.IsTrue)
+	c.Assert(got <= be.tb.MedianLatency("w"), qt.IsTrue)
 	for range 6 {
 		be.answer("b", 150*ms)
 	}
@@ -545,9 +545,9 @@
 	for range 500 {
 		be.answer("a", 100*ms)
 	}
-	got := be.tb.Expected("w")
+	got := be.tb.MedianLatency("w")
 	c.Assert(got > 90*ms && got < 110*ms, qt.IsTrue, qt.Commentf("%v", got))
-	c.Assert(be.tb.Expected("unknown") > 0, qt.IsTrue)
+	c.Assert(be.tb.MedianLatency("unknown") > 0, qt.IsTrue)
 }
 
 func TestLatenciesAfterADay(t *testing.T) {
@@ -557,7 +557,7 @@
 		be.answer("a", 10*ms)
 		be.pass(time.Hour)
 	}
-	got := be.tb.Expected("w")
+	got := be.tb.MedianLatency("w")
 	c.Assert(got > 9*ms && got < 11*ms, qt.IsTrue, qt.Commentf("%v", got))
 }
 
@@ -574,7 +574,7 @@
 	be.tb.Overdue(be.now, first)
 	be.tb.Done(be.now, first, Report{Outcome: Served})
 	be.tb.Done(be.now, second, Report{Outcome: Unreachable})
-	c.Assert(be.tb.Expected("w") < 15*ms, qt.IsTrue)
+	c.Assert(be.tb.MedianLatency("w") < 15*ms, qt.IsTrue)
 	c.Assert(be.doubtful("a"), qt.IsFalse)
 	c.Assert(be.doubtful("b"), qt.IsFalse)
 }
@@ -626,7 +626,7 @@
 					be.tb.Update(now, map[string][]registry.Server{"s": {ready("a"), ready("b"), ready(fmt.Sprint(ix))}})
 					be.tb.Resumed(now)
 				}
-				be.tb.Expected("w")
+				be.tb.MedianLatency("w")
 			}
 		})
 	}
