--- a/replica/news.go
+++ b/replica/news.go
@@ -64,7 +64,7 @@
 // was last asked, for the other entry instances. What finds no room is kept for
 // the next call, which goes on from there: the samples told must be no choice of
 // the slow ones, or sound servers would seem slow.
-func (tb *Balancer) News(now time.Time, most int) []outlier.Sample {
+func (tb *Balancer) TakeSamples(now time.Time, most int) []outlier.Sample {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	before, at := tb.newsAt, tb.at(now)
--- a/replica/news_sim_test.go
+++ b/replica/news_sim_test.go
@@ -61,7 +61,7 @@
 }
 
 func (co *collector) tell(en *simEntry, name string) {
-	sas := en.tb.News(co.sm.clock(), 48)
+	sas := en.tb.TakeSamples(co.sm.clock(), 48)
 	co.sm.after(co.sm.farHop, func() { co.de.Add(co.sm.clock(), name, sas) })
 }
 
--- a/replica/news_test.go
+++ b/replica/news_test.go
@@ -60,13 +60,13 @@
 	}
 	var told []string
 	for range 3 {
-		for _, sa := range be.tb.News(be.now, 2) {
+		for _, sa := range be.tb.TakeSamples(be.now, 2) {
 			c.Assert(sa, qt.Equals, outlier.Sample{ID: sa.ID, Failed: 1})
 			told = append(told, sa.ID)
 		}
 	}
 	c.Assert(told, qt.DeepEquals, []string{"0", "1", "2", "3", "4"})
-	c.Assert(be.tb.News(be.now, 2), qt.HasLen, 0)
+	c.Assert(be.tb.TakeSamples(be.now, 2), qt.HasLen, 0)
 }
 
 // A refusal for want of a connection of its own tells the others nothing.
@@ -74,7 +74,7 @@
 	c := qt.New(t)
 	be := newBench(c, ready("a"))
 	be.tb.Done(be.now, be.only("a"), Report{Outcome: Shed, LocalCause: true})
-	c.Assert(be.tb.News(be.now, 10), qt.HasLen, 0)
+	c.Assert(be.tb.TakeSamples(be.now, 10), qt.HasLen, 0)
 }
 
 // Latencies are told against the median of their work; that of a request that was
@@ -83,7 +83,7 @@
 	c := qt.New(t)
 	be := newBench(c, ready("a"))
 	be.settle("a")
-	be.tb.News(be.now, 10)
+	be.tb.TakeSamples(be.now, 10)
 	for _, ca := range []struct {
 		took time.Duration
 		kind Outcome
@@ -93,7 +93,7 @@
 		be.pass(ca.took)
 		be.tb.Done(be.now, pk, Report{Outcome: ca.kind})
 		count := uint32(0)
-		for _, sa := range be.tb.News(be.now, 10) {
+		for _, sa := range be.tb.TakeSamples(be.now, 10) {
 			count += sa.Count
 		}
 		c.Assert(count, qt.Equals, ca.want, qt.Commentf("%v", ca))
@@ -108,14 +108,14 @@
 	c := qt.New(t)
 	be := newBench(c, ready("a"))
 	be.settle("a")
-	be.tb.News(be.now, 10)
+	be.tb.TakeSamples(be.now, 10)
 	first := be.only("a")
 	be.pass(300 * ms)
 	second := be.only("a")
 	be.pass(40 * ms)
 	third := be.only("a")
 	be.pass(5 * ms)
-	sas := be.tb.News(be.now, 10)
+	sas := be.tb.TakeSamples(be.now, 10)
 	c.Assert(sas, qt.HasLen, 1)
 	c.Assert(sas[0].Slow, qt.Equals, uint32(2))
 	c.Assert(sas[0].OldestSlow, qt.Equals, uint32(345))
@@ -123,7 +123,7 @@
 	be.tb.Done(be.now, first, Report{Outcome: Abandoned})
 	be.tb.Done(be.now, second, Report{Outcome: Served})
 	be.tb.Done(be.now, third, Report{Outcome: Served})
-	sas = be.tb.News(be.now, 10)
+	sas = be.tb.TakeSamples(be.now, 10)
 	c.Assert(sas, qt.HasLen, 1)
 	c.Assert([]uint32{sas[0].Count, sas[0].Slow}, qt.DeepEquals, []uint32{1, 0})
 }
@@ -138,19 +138,19 @@
 			c := qt.New(t)
 			be := newBench(c, ready("a"))
 			be.settle("a")
-			be.tb.News(be.now, 10)
+			be.tb.TakeSamples(be.now, 10)
 			be.only("a")
 			be.pass(4 * time.Second)
 			if noticed {
 				be.tb.Resumed(be.now)
 			}
-			c.Assert(be.tb.News(be.now, 10), qt.HasLen, 0)
+			c.Assert(be.tb.TakeSamples(be.now, 10), qt.HasLen, 0)
 			be.tb.Resumed(be.now)
 			be.pass(300 * ms)
-			c.Assert(be.tb.News(be.now, 10), qt.HasLen, 0)
+			c.Assert(be.tb.TakeSamples(be.now, 10), qt.HasLen, 0)
 			be.only("a")
 			be.pass(300 * ms)
-			sas := be.tb.News(be.now, 10)
+			sas := be.tb.TakeSamples(be.now, 10)
 			c.Assert(sas, qt.HasLen, 1)
 			c.Assert(sas[0].Slow, qt.Equals, uint32(1))
 		})
@@ -176,7 +176,7 @@
 			c := qt.New(t)
 			be := newBench(c, ready("a"))
 			be.settle("a")
-			be.tb.News(be.now, 10)
+			be.tb.TakeSamples(be.now, 10)
 			for len(be.tb.Pressing()) > 0 {
 				<-be.tb.Pressing()
 			}
