--- a/replica/news.go
+++ b/replica/news.go
@@ -112,7 +112,7 @@
 
 // Pressing is sent to when something was seen that the others should know soon: a slow
 // or failing server. It holds one element at most until the next News.
-func (tb *Balancer) Pressing() <-chan struct{} { return tb.press }
+func (tb *Balancer) Urgent() <-chan struct{} { return tb.press }
 
 // urge makes the others be told soon if the news of a server are of a fault.
 func (tb *Balancer) urge(se *server) {
--- a/replica/news_sim_test.go
+++ b/replica/news_sim_test.go
@@ -41,7 +41,7 @@
 		co.every(time.Duration(sm.rn.Int64N(int64(simNews))), simNews, func() { co.tell(en, name) })
 		co.every(time.Duration(sm.rn.Int64N(int64(simDelay))), simDelay, func() {
 			select {
-			case <-en.tb.Pressing():
+			case <-en.tb.Urgent():
 				co.tell(en, name)
 			default:
 			}
--- a/replica/news_test.go
+++ b/replica/news_test.go
@@ -177,13 +177,13 @@
 			be := newBench(c, ready("a"))
 			be.settle("a")
 			be.tb.TakeSamples(be.now, 10)
-			for len(be.tb.Pressing()) > 0 {
-				<-be.tb.Pressing()
+			for len(be.tb.Urgent()) > 0 {
+				<-be.tb.Urgent()
 			}
 			pk := be.only("a")
 			be.pass(tc.took)
 			be.tb.Done(be.now, pk, tc.re)
-			c.Assert(len(be.tb.Pressing()) == 1, qt.Equals, tc.presses)
+			c.Assert(len(be.tb.Urgent()) == 1, qt.Equals, tc.presses)
 		})
 	}
 }
--- a/tier/entry.go
+++ b/tier/entry.go
@@ -218,7 +218,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-en.re.Pressing():
+		case <-en.re.Urgent():
 			if err := en.ts.Sleep(ctx, newsDelay); err != nil {
 				return err
 			}
