--- a/replica/news.go
+++ b/replica/news.go
@@ -130,7 +130,7 @@
 //
 // When a server is found well again, what this instance held against it is
 // forgotten: it has not asked it since, so it can't know better.
-func (tb *Balancer) Hear(now time.Time, fis []outlier.Finding) {
+func (tb *Balancer) ApplyFindings(now time.Time, fis []outlier.Finding) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	at := tb.at(now)
--- a/replica/news_sim_test.go
+++ b/replica/news_sim_test.go
@@ -75,7 +75,7 @@
 	}
 	co.sm.after(co.sm.farHop, func() {
 		for _, en := range co.sm.members {
-			en.tb.Hear(co.sm.clock(), fis)
+			en.tb.ApplyFindings(co.sm.clock(), fis)
 		}
 	})
 }
--- a/replica/news_test.go
+++ b/replica/news_test.go
@@ -24,9 +24,9 @@
 	be.tb.cf.DataCentre = "here"
 	be.settle("a", "b")
 	c.Assert(be.share("a") > 0.9, qt.IsTrue)
-	be.tb.Hear(be.now, []outlier.Finding{{ID: "a", Slowness: float32(math.Log(2.5))}})
+	be.tb.ApplyFindings(be.now, []outlier.Finding{{ID: "a", Slowness: float32(math.Log(2.5))}})
 	c.Assert(be.share("a") < 0.1, qt.IsTrue)
-	be.tb.Hear(be.now, []outlier.Finding{{ID: "a"}})
+	be.tb.ApplyFindings(be.now, []outlier.Finding{{ID: "a"}})
 	c.Assert(be.share("a") > 0.9, qt.IsTrue)
 }
 
@@ -35,7 +35,7 @@
 	c := qt.New(t)
 	be := newBench(c, ready("a"), ready("b"))
 	be.settle("a", "b")
-	be.tb.Hear(be.now, []outlier.Finding{{ID: "a", Failures: 0.5}})
+	be.tb.ApplyFindings(be.now, []outlier.Finding{{ID: "a", Failures: 0.5}})
 	c.Assert(be.share("a") < 0.1, qt.IsTrue)
 	be.pass(outlier.Lifetime)
 	c.Assert(be.share("a") > 0.3, qt.IsTrue)
--- a/tier/entry.go
+++ b/tier/entry.go
@@ -179,7 +179,7 @@
 }
 
 // OutliersFound takes over what all entry instances together saw of backend servers.
-func (en *entry) OutliersFound(fis []outlier.Finding) { en.re.Hear(en.ts.Now(), fis) }
+func (en *entry) OutliersFound(fis []outlier.Finding) { en.re.ApplyFindings(en.ts.Now(), fis) }
 
 // SuspectsHeard takes over what all instances know of requests under which servers ended.
 func (en *entry) SuspectsHeard(_ string, rcs []quarantine.Record) []quarantine.Record {
