--- a/replica/warm.go
+++ b/replica/warm.go
@@ -8,8 +8,8 @@
 
 // Warmup is what this instance may send to a cold server of a service.
 type Warmup struct {
-	Part     warmup.Part
-	Duration time.Duration // Duration is how long a server is cold after it starts.
+	Allowance warmup.Part
+	Duration  time.Duration // Duration is how long a server is cold after it starts.
 }
 
 // permit is what this instance has sent to a server while that was cold. The zero permit
@@ -40,10 +40,10 @@
 		return true
 	}
 	if !se.permit.cold {
-		ahead := time.Duration(tb.rn.Float64() * float64(wa.Part.Spacing))
+		ahead := time.Duration(tb.rn.Float64() * float64(wa.Allowance.Spacing))
 		se.permit = permit{cold: true, chance: tb.rn.Float64(), last: max(se.permit.last, at-ahead)}
 	}
-	return se.permit.chance < wa.Part.Share && at-se.permit.last >= wa.Part.Spacing
+	return se.permit.chance < wa.Allowance.Share && at-se.permit.last >= wa.Allowance.Spacing
 }
 
 // cold reports whether a server is cold as it says, or may be for all that is known: one
--- a/replica/warm_test.go
+++ b/replica/warm_test.go
@@ -19,7 +19,7 @@
 		{ID: "cold", Service: "shard", Slots: 2, WarmMillis: 3000},
 		{ID: "warm", Service: "shard", Slots: 2},
 	}})
-	tb.SetWarmups(map[string]Warmup{"shard": {Part: warmup.Part{Share: 1, Spacing: spacing}, Duration: 3 * time.Second}})
+	tb.SetWarmups(map[string]Warmup{"shard": {Allowance: warmup.Part{Share: 1, Spacing: spacing}, Duration: 3 * time.Second}})
 	return tb
 }
 
@@ -112,7 +112,7 @@
 	for sh := range servers {
 		name := fmt.Sprint("shard-", sh)
 		ses[name] = []registry.Server{{ID: name, Service: name, Slots: 4, WarmMillis: 3000}}
-		was[name] = Warmup{Part: li.Divide(instances), Duration: li.Duration}
+		was[name] = Warmup{Allowance: li.Divide(instances), Duration: li.Duration}
 	}
 	for ix := range tbs {
 		tbs[ix] = New(Config{Seed: rn.Uint64()})
