--- a/replica/warm.go
+++ b/replica/warm.go
@@ -8,7 +8,7 @@
 
 // Warmup is what this instance may send to a cold server of a service.
 type Warmup struct {
-	Allowance warmup.Part
+	Allowance warmup.Allowance
 	Duration  time.Duration // Duration is how long a server is cold after it starts.
 }
 
--- a/warmup/warmup.go
+++ b/warmup/warmup.go
@@ -44,7 +44,7 @@
 }
 
 // Part is what one sender may do.
-type Part struct {
+type Allowance struct {
 	// Share is the probability with which the sender takes part in the warm-up of a
 	// server at all. It is drawn once for each server.
 	Share float64
@@ -59,17 +59,17 @@
 // Few senders divide the rate among them; each may be one request ahead. Many send one
 // request each at most in any second, and if there are more senders than Most, each takes
 // part with a probability: senders that come and go needn't agree on a list then.
-func (li Limit) Divide(senders int) Part {
+func (li Limit) Divide(senders int) Allowance {
 	known := float64(min(max(1, senders), mostSenders))
 	count, most := math.Ceil(known*(1+strayShare)), float64(li.Most())
 	if count+li.Rate <= most {
-		return Part{Share: 1, Spacing: spacing(count, li.Rate)}
+		return Allowance{Share: 1, Spacing: spacing(count, li.Rate)}
 	}
 	share := 1.0
 	if count > most {
 		share = shareOf(count, most+1)
 	}
-	return Part{Share: share, Spacing: max(leastSpacing, spacing(count*share, li.Rate))}
+	return Allowance{Share: share, Spacing: max(leastSpacing, spacing(count*share, li.Rate))}
 }
 
 // spacing returns the time between two requests of each of so many senders that send so
--- a/warmup/warmup_test.go
+++ b/warmup/warmup_test.go
@@ -13,11 +13,11 @@
 	qt.Assert(t, li.Most(), qt.Equals, 23)
 	tests := []struct {
 		senders int
-		want    Part
+		want    Allowance
 	}{
-		{1, Part{Share: 1, Spacing: 2 * time.Second / 12}},
-		{9, Part{Share: 1, Spacing: 11 * time.Second / 12}},
-		{18, Part{Share: 1, Spacing: 22 * time.Second / 12}},
+		{1, Allowance{Share: 1, Spacing: 2 * time.Second / 12}},
+		{9, Allowance{Share: 1, Spacing: 11 * time.Second / 12}},
+		{18, Allowance{Share: 1, Spacing: 22 * time.Second / 12}},
 	}
 	for _, tt := range tests {
 		qt.Assert(t, li.Divide(tt.senders), qt.Equals, tt.want)
