--- a/warmup/warmup.go
+++ b/warmup/warmup.go
@@ -47,7 +47,7 @@
 type Allowance struct {
 	// Share is the probability with which the sender takes part in the warm-up of a
 	// server at all. It is drawn once for each server.
-	Share float64
+	Probability float64
 	// Spacing is the least time between two of its requests to the server.
 	Spacing time.Duration
 }
@@ -63,13 +63,13 @@
 	known := float64(min(max(1, senders), mostSenders))
 	count, most := math.Ceil(known*(1+strayShare)), float64(li.Most())
 	if count+li.Rate <= most {
-		return Allowance{Share: 1, Spacing: spacing(count, li.Rate)}
+		return Allowance{Probability: 1, Spacing: spacing(count, li.Rate)}
 	}
 	share := 1.0
 	if count > most {
 		share = shareOf(count, most+1)
 	}
-	return Allowance{Share: share, Spacing: max(leastSpacing, spacing(count*share, li.Rate))}
+	return Allowance{Probability: share, Spacing: max(leastSpacing, spacing(count*share, li.Rate))}
 }
 
 // spacing returns the time between two requests of each of so many senders that send so
--- a/warmup/warmup_test.go
+++ b/warmup/warmup_test.go
@@ -15,16 +15,16 @@
 		senders int
 		want    Allowance
 	}{
-		{1, Allowance{Share: 1, Spacing: 2 * time.Second / 12}},
-		{9, Allowance{Share: 1, Spacing: 11 * time.Second / 12}},
-		{18, Allowance{Share: 1, Spacing: 22 * time.Second / 12}},
+		{1, Allowance{Probability: 1, Spacing: 2 * time.Second / 12}},
+		{9, Allowance{Probability: 1, Spacing: 11 * time.Second / 12}},
+		{18, Allowance{Probability: 1, Spacing: 22 * time.Second / 12}},
 	}
 	for _, tt := range tests {
 		qt.Assert(t, li.Divide(tt.senders), qt.Equals, tt.want)
 	}
 	many := li.Divide(67)
 	qt.Assert(t, many.Spacing >= leastSpacing, qt.IsTrue)
-	qt.Assert(t, many.Share > 0.05 && many.Share < 0.2, qt.IsTrue, qt.Commentf("%v", many))
+	qt.Assert(t, many.Probability > 0.05 && many.Probability < 0.2, qt.IsTrue, qt.Commentf("%v", many))
 	qt.Assert(t, Limit{}.Bounded(), qt.IsFalse)
 }
 
@@ -38,10 +38,10 @@
 		}
 		senders := rapid.IntRange(0, 2000).Draw(rt, "senders")
 		pa := li.Divide(senders)
-		if pa.Share <= 0 || pa.Share > 1 || pa.Spacing <= 0 {
+		if pa.Probability <= 0 || pa.Probability > 1 || pa.Spacing <= 0 {
 			rt.Fatalf("no part: %v", pa)
 		}
-		taking := float64(max(1, senders)) * pa.Share
+		taking := float64(max(1, senders)) * pa.Probability
 		if sum := taking / pa.Spacing.Seconds(); sum > li.Rate*1.001 {
 			rt.Fatalf("%v a second together", sum)
 		}
