--- a/gateway/warmup_test.go
+++ b/gateway/warmup_test.go
@@ -26,7 +26,7 @@
 		ses[se.Service] = append(ses[se.Service], se)
 	}
 	rg.gw.SetServers(ses)
-	rg.gw.re.SetWarmups(map[string]replica.Warmup{service: {Allowance: warmup.Allowance{Spacing: time.Second}, Duration: 3 * time.Second}})
+	rg.gw.re.SetWarmups(map[string]replica.Warmup{service: {Allowance: warmup.Allowance{MinInterval: time.Second}, Duration: 3 * time.Second}})
 }
 
 // Guards against callers who wait for cold backend servers that get what they bear already.
--- a/replica/warm.go
+++ b/replica/warm.go
@@ -40,10 +40,10 @@
 		return true
 	}
 	if !se.permit.cold {
-		ahead := time.Duration(tb.rn.Float64() * float64(wa.Allowance.Spacing))
+		ahead := time.Duration(tb.rn.Float64() * float64(wa.Allowance.MinInterval))
 		se.permit = permit{cold: true, chance: tb.rn.Float64(), last: max(se.permit.last, at-ahead)}
 	}
-	return se.permit.chance < wa.Allowance.Probability && at-se.permit.last >= wa.Allowance.Spacing
+	return se.permit.chance < wa.Allowance.Probability && at-se.permit.last >= wa.Allowance.MinInterval
 }
 
 // cold reports whether a server is cold as it says, or may be for all that is known: one
--- a/replica/warm_test.go
+++ b/replica/warm_test.go
@@ -19,7 +19,7 @@
 		{ID: "cold", Service: "shard", Slots: 2, WarmMillis: 3000},
 		{ID: "warm", Service: "shard", Slots: 2},
 	}})
-	tb.SetWarmups(map[string]Warmup{"shard": {Allowance: warmup.Allowance{Probability: 1, Spacing: spacing}, Duration: 3 * time.Second}})
+	tb.SetWarmups(map[string]Warmup{"shard": {Allowance: warmup.Allowance{Probability: 1, MinInterval: spacing}, Duration: 3 * time.Second}})
 	return tb
 }
 
--- a/warmup/warmup.go
+++ b/warmup/warmup.go
@@ -49,7 +49,7 @@
 	// server at all. It is drawn once for each server.
 	Probability float64
 	// Spacing is the least time between two of its requests to the server.
-	Spacing time.Duration
+	MinInterval time.Duration
 }
 
 // Divide returns the part of each of so many senders. However their requests come, no
@@ -63,13 +63,13 @@
 	known := float64(min(max(1, senders), mostSenders))
 	count, most := math.Ceil(known*(1+strayShare)), float64(li.Most())
 	if count+li.Rate <= most {
-		return Allowance{Probability: 1, Spacing: spacing(count, li.Rate)}
+		return Allowance{Probability: 1, MinInterval: spacing(count, li.Rate)}
 	}
 	share := 1.0
 	if count > most {
 		share = shareOf(count, most+1)
 	}
-	return Allowance{Probability: share, Spacing: max(leastSpacing, spacing(count*share, li.Rate))}
+	return Allowance{Probability: share, MinInterval: max(leastSpacing, spacing(count*share, li.Rate))}
 }
 
 // spacing returns the time between two requests of each of so many senders that send so
--- a/warmup/warmup_test.go
+++ b/warmup/warmup_test.go
@@ -15,15 +15,15 @@
 		senders int
 		want    Allowance
 	}{
-		{1, Allowance{Probability: 1, Spacing: 2 * time.Second / 12}},
-		{9, Allowance{Probability: 1, Spacing: 11 * time.Second / 12}},
-		{18, Allowance{Probability: 1, Spacing: 22 * time.Second / 12}},
+		{1, Allowance{Probability: 1, MinInterval: 2 * time.Second / 12}},
+		{9, Allowance{Probability: 1, MinInterval: 11 * time.Second / 12}},
+		{18, Allowance{Probability: 1, MinInterval: 22 * time.Second / 12}},
 	}
 	for _, tt := range tests {
 		qt.Assert(t, li.Divide(tt.senders), qt.Equals, tt.want)
 	}
 	many := li.Divide(67)
-	qt.Assert(t, many.Spacing >= leastSpacing, qt.IsTrue)
+	qt.Assert(t, many.MinInterval >= leastSpacing, qt.IsTrue)
 	qt.Assert(t, many.Probability > 0.05 && many.Probability < 0.2, qt.IsTrue, qt.Commentf("%v", many))
 	qt.Assert(t, Limit{}.Bounded(), qt.IsFalse)
 }
@@ -38,16 +38,16 @@
 		}
 		senders := rapid.IntRange(0, 2000).Draw(rt, "senders")
 		pa := li.Divide(senders)
-		if pa.Probability <= 0 || pa.Probability > 1 || pa.Spacing <= 0 {
+		if pa.Probability <= 0 || pa.Probability > 1 || pa.MinInterval <= 0 {
 			rt.Fatalf("no part: %v", pa)
 		}
 		taking := float64(max(1, senders)) * pa.Probability
-		if sum := taking / pa.Spacing.Seconds(); sum > li.Rate*1.001 {
+		if sum := taking / pa.MinInterval.Seconds(); sum > li.Rate*1.001 {
 			rt.Fatalf("%v a second together", sum)
 		}
 		most := float64(li.Most())
-		if pa.Spacing > time.Second && taking > most || pa.Spacing <= time.Second && taking+li.Rate > most {
-			rt.Fatalf("%v take part with a spacing of %v, allowed %v", taking, pa.Spacing, most)
+		if pa.MinInterval > time.Second && taking > most || pa.MinInterval <= time.Second && taking+li.Rate > most {
+			rt.Fatalf("%v take part with a spacing of %v, allowed %v", taking, pa.MinInterval, most)
 		}
 	})
 }
