--- a/replica/warm_test.go
+++ b/replica/warm_test.go
@@ -89,7 +89,7 @@
 	for _, instances := range []int{9, 18, 67, 191} {
 		for _, rate := range []float64{2, 12, 40} {
 			t.Run(fmt.Sprintf("%d instances, %v a second", instances, rate), func(t *testing.T) {
-				li := warmup.Limit{Rate: rate, Overage: 1.5, Slack: 5, Duration: 3 * time.Second}
+				li := warmup.Limit{Rate: rate, BurstFactor: 1.5, Slack: 5, Duration: 3 * time.Second}
 				worst, mean := playCold(instances, li)
 				t.Logf("at most %d in a second, allowed %d; %.1f a second in the mean", worst, li.Most(), mean)
 				qt.Assert(t, worst <= li.Most(), qt.IsTrue)
--- a/tier/entry.go
+++ b/tier/entry.go
@@ -103,7 +103,7 @@
 	en.gw = gateway.New(gateway.Config{
 		Names: di.Names(), Name: se.Name, DataCentre: se.DataCentre,
 		CallerDistance: se.Timing.CallerDistance, HoldMargin: holdMargin, MostActive: mostActive,
-		Warmup: warmup.Limit{Overage: se.Warmup.Overage, Slack: se.Warmup.Slack},
+		Warmup: warmup.Limit{BurstFactor: se.Warmup.Overage, Slack: se.Warmup.Slack},
 	}, ts, lg, up, re, bu, qa)
 	en.su = feed.NewSubscriber(feed.SubscriberConfig{
 		Self:  feed.Entry{Name: se.Name, DataCentre: se.DataCentre, Address: se.Listen.Callers, State: feed.Starting},
--- a/warmup/warmup.go
+++ b/warmup/warmup.go
@@ -29,10 +29,10 @@
 
 // Limit is what a cold backend server bears. The zero Limit bounds nothing.
 type Limit struct {
-	Rate     float64       // Rate is in requests a second; 0 means no bound.
-	Overage  float64       // Overage times Rate, and Slack, may arrive in any one second.
-	Slack    float64       // Slack is in requests.
-	Duration time.Duration // Duration is how long a server is cold after it starts.
+	Rate        float64       // Rate is in requests a second; 0 means no bound.
+	BurstFactor float64       // Overage times Rate, and Slack, may arrive in any one second.
+	Slack       float64       // Slack is in requests.
+	Duration    time.Duration // Duration is how long a server is cold after it starts.
 }
 
 // Bounded reports whether there is a bound.
@@ -40,7 +40,7 @@
 
 // Most returns how many requests of all senders may arrive in any one second.
 func (li Limit) Most() int {
-	return max(1, int(math.Floor(li.Rate*max(1, li.Overage)+max(0, li.Slack))))
+	return max(1, int(math.Floor(li.Rate*max(1, li.BurstFactor)+max(0, li.Slack))))
 }
 
 // Part is what one sender may do.
--- a/warmup/warmup_test.go
+++ b/warmup/warmup_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestDivide(t *testing.T) {
-	li := Limit{Rate: 12, Overage: 1.5, Slack: 5}
+	li := Limit{Rate: 12, BurstFactor: 1.5, Slack: 5}
 	qt.Assert(t, li.Most(), qt.Equals, 23)
 	tests := []struct {
 		senders int
@@ -32,9 +32,9 @@
 func TestDivideHolds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		li := Limit{
-			Rate:    rapid.Float64Range(0.1, 200).Draw(rt, "rate"),
-			Overage: rapid.Float64Range(0, 3).Draw(rt, "overage"),
-			Slack:   rapid.Float64Range(0, 50).Draw(rt, "slack"),
+			Rate:        rapid.Float64Range(0.1, 200).Draw(rt, "rate"),
+			BurstFactor: rapid.Float64Range(0, 3).Draw(rt, "overage"),
+			Slack:       rapid.Float64Range(0, 50).Draw(rt, "slack"),
 		}
 		senders := rapid.IntRange(0, 2000).Draw(rt, "senders")
 		pa := li.Divide(senders)
