--- a/replica/warm_test.go
+++ b/replica/warm_test.go
@@ -91,8 +91,8 @@
 			t.Run(fmt.Sprintf("%d instances, %v a second", instances, rate), func(t *testing.T) {
 				li := warmup.Limit{Rate: rate, BurstFactor: 1.5, Slack: 5, Duration: 3 * time.Second}
 				worst, mean := playCold(instances, li)
-				t.Logf("at most %d in a second, allowed %d; %.1f a second in the mean", worst, li.Most(), mean)
-				qt.Assert(t, worst <= li.Most(), qt.IsTrue)
+				t.Logf("at most %d in a second, allowed %d; %.1f a second in the mean", worst, li.MaxPerSecond(), mean)
+				qt.Assert(t, worst <= li.MaxPerSecond(), qt.IsTrue)
 				qt.Assert(t, mean <= rate, qt.IsTrue)
 			})
 		}
--- a/warmup/warmup.go
+++ b/warmup/warmup.go
@@ -39,7 +39,7 @@
 func (li Limit) Bounded() bool { return li.Rate > 0 }
 
 // Most returns how many requests of all senders may arrive in any one second.
-func (li Limit) Most() int {
+func (li Limit) MaxPerSecond() int {
 	return max(1, int(math.Floor(li.Rate*max(1, li.BurstFactor)+max(0, li.Slack))))
 }
 
@@ -61,7 +61,7 @@
 // part with a probability: senders that come and go needn't agree on a list then.
 func (li Limit) Divide(senders int) Allowance {
 	known := float64(min(max(1, senders), mostSenders))
-	count, most := math.Ceil(known*(1+strayShare)), float64(li.Most())
+	count, most := math.Ceil(known*(1+strayShare)), float64(li.MaxPerSecond())
 	if count+li.Rate <= most {
 		return Allowance{Probability: 1, MinInterval: spacing(count, li.Rate)}
 	}
--- a/warmup/warmup_test.go
+++ b/warmup/warmup_test.go
@@ -10,7 +10,7 @@
 
 func TestDivide(t *testing.T) {
 	li := Limit{Rate: 12, BurstFactor: 1.5, Slack: 5}
-	qt.Assert(t, li.Most(), qt.Equals, 23)
+	qt.Assert(t, li.MaxPerSecond(), qt.Equals, 23)
 	tests := []struct {
 		senders int
 		want    Allowance
@@ -45,7 +45,7 @@
 		if sum := taking / pa.MinInterval.Seconds(); sum > li.Rate*1.001 {
 			rt.Fatalf("%v a second together", sum)
 		}
-		most := float64(li.Most())
+		most := float64(li.MaxPerSecond())
 		if pa.MinInterval > time.Second && taking > most || pa.MinInterval <= time.Second && taking+li.Rate > most {
 			rt.Fatalf("%v take part with a spacing of %v, allowed %v", taking, pa.MinInterval, most)
 		}
