--- a/gateway/share.go
+++ b/gateway/share.go
@@ -90,7 +90,7 @@
 		}
 		shares[name] = most
 		if wa := sv.warmup(tb, name); wa.Bounded() {
-			warmups[name] = replica.Warmup{Allowance: wa.Divide(entries), Duration: wa.Duration}
+			warmups[name] = replica.Warmup{Allowance: wa.PerSender(entries), Duration: wa.Duration}
 		}
 		for _, se := range ses {
 			targets[se.ID] = upstream.Target{ID: se.ID, Address: se.Address, Born: se.Born, Connections: most, Idle: sc.idle(se.ID)}
--- a/replica/warm_test.go
+++ b/replica/warm_test.go
@@ -112,7 +112,7 @@
 	for sh := range servers {
 		name := fmt.Sprint("shard-", sh)
 		ses[name] = []registry.Server{{ID: name, Service: name, Slots: 4, WarmMillis: 3000}}
-		was[name] = Warmup{Allowance: li.Divide(instances), Duration: li.Duration}
+		was[name] = Warmup{Allowance: li.PerSender(instances), Duration: li.Duration}
 	}
 	for ix := range tbs {
 		tbs[ix] = New(Config{Seed: rn.Uint64()})
--- a/warmup/warmup.go
+++ b/warmup/warmup.go
@@ -59,7 +59,7 @@
 // Few senders divide the rate among them; each may be one request ahead. Many send one
 // request each at most in any second, and if there are more senders than Most, each takes
 // part with a probability: senders that come and go needn't agree on a list then.
-func (li Limit) Divide(senders int) Allowance {
+func (li Limit) PerSender(senders int) Allowance {
 	known := float64(min(max(1, senders), mostSenders))
 	count, most := math.Ceil(known*(1+strayShare)), float64(li.MaxPerSecond())
 	if count+li.Rate <= most {
--- a/warmup/warmup_test.go
+++ b/warmup/warmup_test.go
@@ -20,9 +20,9 @@
 		{18, Allowance{Probability: 1, MinInterval: 22 * time.Second / 12}},
 	}
 	for _, tt := range tests {
-		qt.Assert(t, li.Divide(tt.senders), qt.Equals, tt.want)
+		qt.Assert(t, li.PerSender(tt.senders), qt.Equals, tt.want)
 	}
-	many := li.Divide(67)
+	many := li.PerSender(67)
 	qt.Assert(t, many.MinInterval >= leastSpacing, qt.IsTrue)
 	qt.Assert(t, many.Probability > 0.05 && many.Probability < 0.2, qt.IsTrue, qt.Commentf("%v", many))
 	qt.Assert(t, Limit{}.Bounded(), qt.IsFalse)
@@ -37,7 +37,7 @@
 			Slack:       rapid.Float64Range(0, 50).Draw(rt, "slack"),
 		}
 		senders := rapid.IntRange(0, 2000).Draw(rt, "senders")
-		pa := li.Divide(senders)
+		pa := li.PerSender(senders)
 		if pa.Probability <= 0 || pa.Probability > 1 || pa.MinInterval <= 0 {
 			rt.Fatalf("no part: %v", pa)
 		}
