--- a/gateway/call.go
+++ b/gateway/call.go
@@ -133,7 +133,7 @@
 func (ca *call) plan(shards, least int) scatter.Plan {
 	pl := scatter.Plan{
 		Shards:      shards,
-		Least:       least,
+		MinParts:    least,
 		MaxAttempts: ca.ro.MaxAttempts,
 		Repeatable:  ca.ro.Kind == route.Repeatable,
 		Deadline:    ca.start.Add(ca.timeout()),
--- a/scatter/careful_test.go
+++ b/scatter/careful_test.go
@@ -119,7 +119,7 @@
 	t.Run("once only", func(t *testing.T) {
 		c := qt.New(t)
 		one := pl
-		one.Shards, one.Least, one.From, one.Repeatable = 1, 1, 0, false
+		one.Shards, one.MinParts, one.From, one.Repeatable = 1, 1, 0, false
 		qu := New(one)
 		c.Assert(ask(qu, 0), qt.HasLen, 1)
 		qu.Replied(at(5), 0, ReplyLost)
--- a/scatter/scatter.go
+++ b/scatter/scatter.go
@@ -14,7 +14,7 @@
 // Plan is what a query is started with.
 type Plan struct {
 	Shards      int           // Shards is how many parts make the whole answer, at least 1.
-	Least       int           // Least is how many parts an answer needs.
+	MinParts    int           // Least is how many parts an answer needs.
 	MaxAttempts int           // MaxAttempts is how many backend servers may run the request for one shard.
 	Repeatable  bool          // Repeatable says whether a request may run more than once.
 	Offer       time.Time     // Offer is until when a shard that nobody could be asked for is tried.
@@ -228,12 +228,12 @@
 		qu.end = Failed
 	case qu.have == total:
 		qu.end = Answered
-	case qu.have+qu.lost == total && qu.have >= qu.pl.Least:
+	case qu.have+qu.lost == total && qu.have >= qu.pl.MinParts:
 		qu.end = Answered
-	case total-qu.lost < qu.pl.Least:
+	case total-qu.lost < qu.pl.MinParts:
 		// Enough parts can't come any more: what was given up on is said at once.
 		qu.end = Failed
-	case qu.have >= qu.pl.Least && !now.Before(qu.pl.Hold):
+	case qu.have >= qu.pl.MinParts && !now.Before(qu.pl.Hold):
 		qu.end = Answered
 	case !now.Before(qu.pl.Deadline):
 		qu.end = Expired
@@ -251,7 +251,7 @@
 // Wake returns when Next is to be called again if no event comes before.
 func (qu *Query) Wake(now time.Time) time.Time {
 	at := qu.pl.Deadline
-	if qu.have >= qu.pl.Least && qu.pl.Hold.Before(at) {
+	if qu.have >= qu.pl.MinParts && qu.pl.Hold.Before(at) {
 		at = qu.pl.Hold
 	}
 	for po := range qu.shards {
--- a/scatter/scatter_test.go
+++ b/scatter/scatter_test.go
@@ -13,7 +13,7 @@
 
 func plan(shards, least int) Plan {
 	return Plan{
-		Shards: shards, Least: least, MaxAttempts: 2, Repeatable: true,
+		Shards: shards, MinParts: least, MaxAttempts: 2, Repeatable: true,
 		Offer: at(20), Hold: at(90), Deadline: at(600), Pause: 5 * time.Millisecond,
 	}
 }
