--- a/scatter/events.go
+++ b/scatter/events.go
@@ -28,7 +28,7 @@
 		return
 	}
 	sh.blame(ca)
-	until := qu.pl.Offer
+	until := qu.pl.NoServerDeadline
 	if ca != CauseNoServer {
 		until = qu.pl.Room
 	}
