--- a/gateway/call.go
+++ b/gateway/call.go
@@ -147,7 +147,7 @@
 	}
 	if shards > 1 {
 		pl.NoServerDeadline = pl.Hold // Other shards are at work by then, so refusing early saves nothing.
-		pl.Room = pl.Deadline
+		pl.NoConnectionDeadline = pl.Deadline
 	}
 	return ca.asProbe(pl)
 }
--- a/scatter/events.go
+++ b/scatter/events.go
@@ -30,7 +30,7 @@
 	sh.blame(ca)
 	until := qu.pl.NoServerDeadline
 	if ca != CauseNoServer {
-		until = qu.pl.Room
+		until = qu.pl.NoConnectionDeadline
 	}
 	if !now.Before(until) {
 		qu.lose(sh)
@@ -146,14 +146,14 @@
 	if sh.flying > 0 {
 		return
 	}
-	if !now.Before(qu.pl.Room) && sh.ran == 0 && sh.refused == 0 {
+	if !now.Before(qu.pl.NoConnectionDeadline) && sh.ran == 0 && sh.refused == 0 {
 		qu.lose(sh)
 		return
 	}
 	sh.next = now.Add(qu.pl.Pause << min(sh.busy, busyDoublings))
 	sh.busy++
 	if sh.ran == 0 && sh.refused == 0 {
-		sh.next = earlier(sh.next, qu.pl.Room)
+		sh.next = earlier(sh.next, qu.pl.NoConnectionDeadline)
 	}
 }
 
--- a/scatter/scatter.go
+++ b/scatter/scatter.go
@@ -13,15 +13,15 @@
 
 // Plan is what a query is started with.
 type Plan struct {
-	Shards           int           // Shards is how many parts make the whole answer, at least 1.
-	MinParts         int           // Least is how many parts an answer needs.
-	MaxAttempts      int           // MaxAttempts is how many backend servers may run the request for one shard.
-	Repeatable       bool          // Repeatable says whether a request may run more than once.
-	NoServerDeadline time.Time     // Offer is until when a shard that nobody could be asked for is tried.
-	Room             time.Time     // Room is the same for one whose servers have no connection free; Offer if zero.
-	Hold             time.Time     // Hold is until when missing parts are waited for once Least are in.
-	Deadline         time.Time     // Deadline is when the query is given up.
-	Pause            time.Duration // Pause is the time before a shard is asked again after a refusal, or the first time for want of a connection.
+	Shards               int           // Shards is how many parts make the whole answer, at least 1.
+	MinParts             int           // Least is how many parts an answer needs.
+	MaxAttempts          int           // MaxAttempts is how many backend servers may run the request for one shard.
+	Repeatable           bool          // Repeatable says whether a request may run more than once.
+	NoServerDeadline     time.Time     // Offer is until when a shard that nobody could be asked for is tried.
+	NoConnectionDeadline time.Time     // Room is the same for one whose servers have no connection free; Offer if zero.
+	Hold                 time.Time     // Hold is until when missing parts are waited for once Least are in.
+	Deadline             time.Time     // Deadline is when the query is given up.
+	Pause                time.Duration // Pause is the time before a shard is asked again after a refusal, or the first time for want of a connection.
 	// Probe says that servers have ended under the same request before. One is asked
 	// alone, and others only once it has answered.
 	Probe bool
@@ -134,8 +134,8 @@
 
 // New returns a query that has asked nobody yet.
 func New(pl Plan) *Query {
-	if pl.Room.IsZero() {
-		pl.Room = pl.NoServerDeadline
+	if pl.NoConnectionDeadline.IsZero() {
+		pl.NoConnectionDeadline = pl.NoServerDeadline
 	}
 	return &Query{pl: pl, shards: make([]shard, pl.Shards)}
 }
--- a/scatter/scatter_test.go
+++ b/scatter/scatter_test.go
@@ -359,7 +359,7 @@
 // connection, and against waiting as long for a part that nobody is known for.
 func TestRoomOutlastsOffer(t *testing.T) {
 	pl := plan(2, 2)
-	pl.NoServerDeadline, pl.Room = at(90), at(600)
+	pl.NoServerDeadline, pl.NoConnectionDeadline = at(90), at(600)
 	for ca, want := range map[Cause]End{CauseBusy: Running, CauseNoServer: Failed} {
 		qu := New(pl)
 		qu.Asked(0, time.Time{})
