--- a/gateway/call.go
+++ b/gateway/call.go
@@ -139,14 +139,14 @@
 		Deadline:    ca.start.Add(ca.timeout()),
 		Pause:       refusalPause,
 	}
-	pl.Hold, pl.NoServerDeadline = pl.Deadline, pl.Deadline
+	pl.PartialDeadline, pl.NoServerDeadline = pl.Deadline, pl.Deadline
 	if ca.ro.Aim > 0 {
 		aim := ca.start.Add(ca.ro.Aim - 2*ca.sv.cf.CallerDistance)
-		pl.Hold = aim.Add(-ca.sv.cf.HoldMargin)
+		pl.PartialDeadline = aim.Add(-ca.sv.cf.HoldMargin)
 		pl.NoServerDeadline = ca.start.Add(ca.ro.Aim / offerPart)
 	}
 	if shards > 1 {
-		pl.NoServerDeadline = pl.Hold // Other shards are at work by then, so refusing early saves nothing.
+		pl.NoServerDeadline = pl.PartialDeadline // Other shards are at work by then, so refusing early saves nothing.
 		pl.NoConnectionDeadline = pl.Deadline
 	}
 	return ca.asProbe(pl)
--- a/scatter/scatter.go
+++ b/scatter/scatter.go
@@ -19,7 +19,7 @@
 	Repeatable           bool          // Repeatable says whether a request may run more than once.
 	NoServerDeadline     time.Time     // Offer is until when a shard that nobody could be asked for is tried.
 	NoConnectionDeadline time.Time     // Room is the same for one whose servers have no connection free; Offer if zero.
-	Hold                 time.Time     // Hold is until when missing parts are waited for once Least are in.
+	PartialDeadline      time.Time     // Hold is until when missing parts are waited for once Least are in.
 	Deadline             time.Time     // Deadline is when the query is given up.
 	Pause                time.Duration // Pause is the time before a shard is asked again after a refusal, or the first time for want of a connection.
 	// Probe says that servers have ended under the same request before. One is asked
@@ -233,7 +233,7 @@
 	case total-qu.lost < qu.pl.MinParts:
 		// Enough parts can't come any more: what was given up on is said at once.
 		qu.end = Failed
-	case qu.have >= qu.pl.MinParts && !now.Before(qu.pl.Hold):
+	case qu.have >= qu.pl.MinParts && !now.Before(qu.pl.PartialDeadline):
 		qu.end = Answered
 	case !now.Before(qu.pl.Deadline):
 		qu.end = Expired
@@ -251,8 +251,8 @@
 // Wake returns when Next is to be called again if no event comes before.
 func (qu *Query) Wake(now time.Time) time.Time {
 	at := qu.pl.Deadline
-	if qu.have >= qu.pl.MinParts && qu.pl.Hold.Before(at) {
-		at = qu.pl.Hold
+	if qu.have >= qu.pl.MinParts && qu.pl.PartialDeadline.Before(at) {
+		at = qu.pl.PartialDeadline
 	}
 	for po := range qu.shards {
 		sh := &qu.shards[po]
--- a/scatter/scatter_test.go
+++ b/scatter/scatter_test.go
@@ -14,7 +14,7 @@
 func plan(shards, least int) Plan {
 	return Plan{
 		Shards: shards, MinParts: least, MaxAttempts: 2, Repeatable: true,
-		NoServerDeadline: at(20), Hold: at(90), Deadline: at(600), Pause: 5 * time.Millisecond,
+		NoServerDeadline: at(20), PartialDeadline: at(90), Deadline: at(600), Pause: 5 * time.Millisecond,
 	}
 }
 
@@ -224,7 +224,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			pl := plan(tt.shards, max(1, tt.shards-1))
 			if tt.shards > 1 {
-				pl.NoServerDeadline = pl.Hold
+				pl.NoServerDeadline = pl.PartialDeadline
 			}
 			qu := New(pl)
 			last := tt.shards - 1
@@ -273,7 +273,7 @@
 // time. Looking for a free one each 5 ms brought 35 looks.
 func TestBusyGrows(t *testing.T) {
 	pl := plan(2, 1)
-	pl.NoServerDeadline, pl.Hold = at(188), at(188)
+	pl.NoServerDeadline, pl.PartialDeadline = at(188), at(188)
 	qu := New(pl)
 	qu.Denied(t0, 1, CauseNoServer, at(188))
 	var looks []time.Duration
@@ -318,7 +318,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			pl := plan(3, tt.least)
-			pl.NoServerDeadline, pl.MaxAttempts = pl.Hold, 1
+			pl.NoServerDeadline, pl.MaxAttempts = pl.PartialDeadline, 1
 			qu := New(pl)
 			for _, sh := range tt.nobody {
 				qu.Nobody(t0, sh, CauseNoServer, at(20))
