--- a/gateway/call.go
+++ b/gateway/call.go
@@ -137,7 +137,7 @@
 		MaxAttempts: ca.ro.MaxAttempts,
 		Repeatable:  ca.ro.Kind == route.Repeatable,
 		Deadline:    ca.start.Add(ca.timeout()),
-		Pause:       refusalPause,
+		RetryDelay:  refusalPause,
 	}
 	pl.PartialDeadline, pl.NoServerDeadline = pl.Deadline, pl.Deadline
 	if ca.ro.Aim > 0 {
--- a/scatter/events.go
+++ b/scatter/events.go
@@ -131,7 +131,7 @@
 	}
 	sh.next = now
 	if sh.refused > 1 {
-		sh.next = now.Add(qu.pl.Pause * time.Duration(sh.refused-1))
+		sh.next = now.Add(qu.pl.RetryDelay * time.Duration(sh.refused-1))
 	}
 }
 
@@ -150,7 +150,7 @@
 		qu.lose(sh)
 		return
 	}
-	sh.next = now.Add(qu.pl.Pause << min(sh.busy, busyDoublings))
+	sh.next = now.Add(qu.pl.RetryDelay << min(sh.busy, busyDoublings))
 	sh.busy++
 	if sh.ran == 0 && sh.refused == 0 {
 		sh.next = earlier(sh.next, qu.pl.NoConnectionDeadline)
--- a/scatter/room_sim_test.go
+++ b/scatter/room_sim_test.go
@@ -106,7 +106,7 @@
 	pa := &part{
 		instance: bm.rn.IntN(modelInstances), start: start, again: again,
 		qu: New(Plan{
-			Shards: modelShards, MinParts: modelShards, MaxAttempts: 2, Repeatable: true, Pause: 5 * time.Millisecond,
+			Shards: modelShards, MinParts: modelShards, MaxAttempts: 2, Repeatable: true, RetryDelay: 5 * time.Millisecond,
 			NoServerDeadline: began.Add(modelHold), PartialDeadline: began.Add(modelHold), NoConnectionDeadline: began.Add(bm.room), Deadline: t0.Add(start + modelDeadline),
 		}),
 	}
--- a/scatter/scatter.go
+++ b/scatter/scatter.go
@@ -21,7 +21,7 @@
 	NoConnectionDeadline time.Time     // Room is the same for one whose servers have no connection free; Offer if zero.
 	PartialDeadline      time.Time     // Hold is until when missing parts are waited for once Least are in.
 	Deadline             time.Time     // Deadline is when the query is given up.
-	Pause                time.Duration // Pause is the time before a shard is asked again after a refusal, or the first time for want of a connection.
+	RetryDelay           time.Duration // Pause is the time before a shard is asked again after a refusal, or the first time for want of a connection.
 	// Probe says that servers have ended under the same request before. One is asked
 	// alone, and others only once it has answered.
 	Probe bool
--- a/scatter/scatter_test.go
+++ b/scatter/scatter_test.go
@@ -14,7 +14,7 @@
 func plan(shards, least int) Plan {
 	return Plan{
 		Shards: shards, MinParts: least, MaxAttempts: 2, Repeatable: true,
-		NoServerDeadline: at(20), PartialDeadline: at(90), Deadline: at(600), Pause: 5 * time.Millisecond,
+		NoServerDeadline: at(20), PartialDeadline: at(90), Deadline: at(600), RetryDelay: 5 * time.Millisecond,
 	}
 }
 
