--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -54,7 +54,7 @@
 // same shard, that one would lose all its servers.
 func (ca *call) asProbe(pl scatter.Plan) scatter.Plan {
 	if ca.probe {
-		pl.Probe, pl.From = true, rand.IntN(pl.Shards)
+		pl.Probe, pl.FirstShard = true, rand.IntN(pl.Shards)
 	}
 	return pl
 }
--- a/scatter/careful_test.go
+++ b/scatter/careful_test.go
@@ -80,7 +80,7 @@
 // query is over at once, and if it answers, all others are asked.
 func TestProbe(t *testing.T) {
 	pl := plan(4, 3)
-	pl.Probe, pl.From = true, 2
+	pl.Probe, pl.FirstShard = true, 2
 	t.Run("ends", func(t *testing.T) {
 		c := qt.New(t)
 		qu := New(pl)
@@ -119,7 +119,7 @@
 	t.Run("once only", func(t *testing.T) {
 		c := qt.New(t)
 		one := pl
-		one.Shards, one.MinParts, one.From, one.Repeatable = 1, 1, 0, false
+		one.Shards, one.MinParts, one.FirstShard, one.Repeatable = 1, 1, 0, false
 		qu := New(one)
 		c.Assert(ask(qu, 0), qt.HasLen, 1)
 		qu.Replied(at(5), 0, ReplyLost)
--- a/scatter/scatter.go
+++ b/scatter/scatter.go
@@ -24,8 +24,8 @@
 	RetryDelay           time.Duration // Pause is the time before a shard is asked again after a refusal, or the first time for want of a connection.
 	// Probe says that servers have ended under the same request before. One is asked
 	// alone, and others only once it has answered.
-	Probe bool
-	From  int // From is the shard that is asked first, from 0.
+	Probe      bool
+	FirstShard int // From is the shard that is asked first, from 0.
 }
 
 // Cause says why a shard has no part.
@@ -168,7 +168,7 @@
 	}
 	hedges := 0
 	for ix := range qu.shards {
-		po := (qu.pl.From + ix) % len(qu.shards)
+		po := (qu.pl.FirstShard + ix) % len(qu.shards)
 		sh := &qu.shards[po]
 		if sh.have || sh.lost || now.Before(sh.next) || !qu.mayAsk(sh) {
 			continue
