--- a/gateway/room.go
+++ b/gateway/room.go
@@ -46,7 +46,7 @@
 			continue
 		}
 		switch ca.cr.qu.Cause(sh) {
-		case scatter.CauseBusy, scatter.CauseCold, scatter.CauseNotRun:
+		case scatter.CauseNoConnection, scatter.CauseCold, scatter.CauseNotRun:
 			short++
 		case scatter.CauseLate:
 			if len(ca.cr.services) > 1 {
--- a/gateway/vacant.go
+++ b/gateway/vacant.go
@@ -121,6 +121,6 @@
 	case cr.ca.sv.re.AllWarmingUp(now, replica.Request{Service: service, Avoid: cr.tried[wa.Shard]}):
 		cr.qu.Nobody(now, wa.Shard, scatter.CauseCold, now.Add(noServerPause))
 	default:
-		cr.qu.Denied(now, wa.Shard, scatter.CauseBusy, now.Add(pause))
+		cr.qu.Denied(now, wa.Shard, scatter.CauseNoConnection, now.Add(pause))
 	}
 }
--- a/scatter/careful_test.go
+++ b/scatter/careful_test.go
@@ -111,7 +111,7 @@
 		c := qt.New(t)
 		qu := New(pl)
 		c.Assert(qu.Next(at(0), nil), qt.DeepEquals, []Want{{2, First}})
-		qu.Denied(at(0), 2, CauseBusy, at(20))
+		qu.Denied(at(0), 2, CauseNoConnection, at(20))
 		c.Assert(qu.Wake(at(0)), qt.Equals, at(0), qt.Commentf("another shard is asked at once"))
 		c.Assert(ask(qu, 0), qt.DeepEquals, []Want{{3, First}})
 		c.Assert(ask(qu, 20), qt.HasLen, 0)
--- a/scatter/events.go
+++ b/scatter/events.go
@@ -142,7 +142,7 @@
 // a merged answer is waited for beyond the time of the other parts, as far as Room:
 // failed for want of it, the caller comes again and has all shards asked once more.
 func (qu *Query) busy(now time.Time, sh *shard) {
-	sh.blame(CauseBusy)
+	sh.blame(CauseNoConnection)
 	if sh.flying > 0 {
 		return
 	}
--- a/scatter/scatter.go
+++ b/scatter/scatter.go
@@ -33,15 +33,15 @@
 
 // The causes, the later ones telling more about what happened to the request.
 const (
-	CauseNone     Cause = iota
-	CauseNoServer       // No backend server of the shard is known.
-	CauseCold           // Its backend servers are cold and get what they bear already.
-	CauseBusy           // No connection or slot was to be had, so nothing was sent.
-	CauseBudget         // The retry budget is spent.
-	CauseNotRun         // Backend servers refused it unrun, or were not reached.
-	CauseLate           // It was sent and not answered in time.
-	CauseFailed         // A backend server answered with a failure.
-	CauseLost           // It was sent and the answer was lost or wrong.
+	CauseNone         Cause = iota
+	CauseNoServer           // No backend server of the shard is known.
+	CauseCold               // Its backend servers are cold and get what they bear already.
+	CauseNoConnection       // No connection or slot was to be had, so nothing was sent.
+	CauseBudget             // The retry budget is spent.
+	CauseNotRun             // Backend servers refused it unrun, or were not reached.
+	CauseLate               // It was sent and not answered in time.
+	CauseFailed             // A backend server answered with a failure.
+	CauseLost               // It was sent and the answer was lost or wrong.
 )
 
 // Reply says how an attempt ended.
@@ -283,7 +283,7 @@
 		return "no backend server is known"
 	case CauseCold:
 		return "backend servers are warming up"
-	case CauseBusy:
+	case CauseNoConnection:
 		return "no connection was free"
 	case CauseBudget:
 		return "the retry budget is spent"
--- a/scatter/scatter_test.go
+++ b/scatter/scatter_test.go
@@ -187,7 +187,7 @@
 	qu.Replied(at(20), 0, ReplyBusy)
 	qt.Assert(t, qu.End(), qt.Equals, Failed, qt.Commentf("told at once when no connection comes free"))
 	qt.Assert(t, qu.Ran(), qt.IsFalse)
-	qt.Assert(t, qu.Cause(0), qt.Equals, CauseBusy)
+	qt.Assert(t, qu.Cause(0), qt.Equals, CauseNoConnection)
 }
 
 // A shard finds no connection, or no server. A request to a single backend server
@@ -203,7 +203,7 @@
 		qu.Denied(now, po, CauseNoServer, now.Add(13*time.Millisecond))
 	}
 	noRoom := func(qu *Query, now time.Time, po int) {
-		qu.Denied(now, po, CauseBusy, now.Add(20*time.Millisecond))
+		qu.Denied(now, po, CauseNoConnection, now.Add(20*time.Millisecond))
 	}
 	tests := []struct {
 		name   string
@@ -213,11 +213,11 @@
 		end    End
 		cause  Cause
 	}{
-		{"single, no connection", 1, busy, 20, Failed, CauseBusy},
-		{"single, no room", 1, noRoom, 20, Failed, CauseBusy},
+		{"single, no connection", 1, busy, 20, Failed, CauseNoConnection},
+		{"single, no room", 1, noRoom, 20, Failed, CauseNoConnection},
 		{"single, no server", 1, noServer, 20, Failed, CauseNoServer},
-		{"part, no connection", 3, busy, 90, Answered, CauseBusy},
-		{"part, no room", 3, noRoom, 90, Answered, CauseBusy},
+		{"part, no connection", 3, busy, 90, Answered, CauseNoConnection},
+		{"part, no room", 3, noRoom, 90, Answered, CauseNoConnection},
 		{"part, no server", 3, noServer, 90, Answered, CauseNoServer},
 	}
 	for _, tt := range tests {
@@ -255,7 +255,7 @@
 func TestRoom(t *testing.T) {
 	qu := New(plan(2, 2))
 	for sh := range 2 {
-		qu.Denied(t0, sh, CauseBusy, at(20))
+		qu.Denied(t0, sh, CauseNoConnection, at(20))
 	}
 	qu.Room(at(3), 1)
 	qt.Assert(t, qu.Next(at(3), nil), qt.DeepEquals, []Want{{1, First}})
@@ -360,7 +360,7 @@
 func TestRoomOutlastsOffer(t *testing.T) {
 	pl := plan(2, 2)
 	pl.NoServerDeadline, pl.NoConnectionDeadline = at(90), at(600)
-	for ca, want := range map[Cause]End{CauseBusy: Running, CauseNoServer: Failed} {
+	for ca, want := range map[Cause]End{CauseNoConnection: Running, CauseNoServer: Failed} {
 		qu := New(pl)
 		qu.Asked(0, time.Time{})
 		qu.Replied(at(10), 0, ReplyPart)
