--- a/gateway/lines.go
+++ b/gateway/lines.go
@@ -196,7 +196,7 @@
 		if cause := ca.cause(ca.cr); cause != scatter.CauseNone.String() {
 			return cause
 		}
-		return scatter.CauseLate.String() // What is missing was under way when the answer was due.
+		return scatter.CauseTimeout.String() // What is missing was under way when the answer was due.
 	case st.late:
 		return detailLate
 	}
--- a/gateway/room.go
+++ b/gateway/room.go
@@ -48,7 +48,7 @@
 		switch ca.cr.qu.Cause(sh) {
 		case scatter.CauseNoConnection, scatter.CauseCold, scatter.CauseNotRun:
 			short++
-		case scatter.CauseLate:
+		case scatter.CauseTimeout:
 			if len(ca.cr.services) > 1 {
 				short++
 			}
--- a/scatter/scatter.go
+++ b/scatter/scatter.go
@@ -39,7 +39,7 @@
 	CauseNoConnection       // No connection or slot was to be had, so nothing was sent.
 	CauseBudget             // The retry budget is spent.
 	CauseNotRun             // Backend servers refused it unrun, or were not reached.
-	CauseLate               // It was sent and not answered in time.
+	CauseTimeout            // It was sent and not answered in time.
 	CauseFailed             // A backend server answered with a failure.
 	CauseLost               // It was sent and the answer was lost or wrong.
 )
@@ -242,8 +242,8 @@
 		return
 	}
 	for po := range qu.shards {
-		if sh := &qu.shards[po]; !sh.have && sh.flying > 0 && sh.cause < CauseLate {
-			sh.cause = CauseLate
+		if sh := &qu.shards[po]; !sh.have && sh.flying > 0 && sh.cause < CauseTimeout {
+			sh.cause = CauseTimeout
 		}
 	}
 }
@@ -289,7 +289,7 @@
 		return "the retry budget is spent"
 	case CauseNotRun:
 		return "backend servers refused it"
-	case CauseLate:
+	case CauseTimeout:
 		return "no answer in time"
 	case CauseFailed:
 		return "backend servers failed"
--- a/scatter/scatter_test.go
+++ b/scatter/scatter_test.go
@@ -92,7 +92,7 @@
 	qu.Replied(at(20), 0, ReplyLost)
 	qt.Assert(t, qu.End(), qt.Equals, Failed)
 	qt.Assert(t, qu.Cause(0), qt.Equals, CauseLost)
-	qt.Assert(t, qu.Cause(1), qt.Equals, CauseLate)
+	qt.Assert(t, qu.Cause(1), qt.Equals, CauseTimeout)
 }
 
 func TestDeadline(t *testing.T) {
