--- a/gateway/run.go
+++ b/gateway/run.go
@@ -296,7 +296,7 @@
 // reply says what an exchange means for the query. Only a success is a part of a
 // merged answer; an answer of any kind but a server's own fault is one for a
 // request to a single backend server, and is passed on as it came.
-func (ca *call) reply(rs upstream.Result) scatter.Reply {
+func (ca *call) reply(rs upstream.Result) scatter.Outcome {
 	switch rs.Outcome {
 	case upstream.Answered:
 		if unsigned(rs.Reply) {
@@ -320,7 +320,7 @@
 
 func success(status int) bool { return status >= 200 && status < 300 }
 
-func (ca *call) answered(status int) scatter.Reply {
+func (ca *call) answered(status int) scatter.Outcome {
 	switch {
 	case success(status):
 		return scatter.ReplyPart
--- a/scatter/events.go
+++ b/scatter/events.go
@@ -74,7 +74,7 @@
 }
 
 // Replied says how an attempt ended, and settles the query if that decides it.
-func (qu *Query) Replied(now time.Time, po int, re Reply) {
+func (qu *Query) Replied(now time.Time, po int, re Outcome) {
 	sh := &qu.shards[po]
 	sh.flying--
 	qu.flying--
--- a/scatter/scatter_test.go
+++ b/scatter/scatter_test.go
@@ -298,7 +298,7 @@
 	type event struct {
 		at    int
 		shard int
-		reply Reply
+		reply Outcome
 	}
 	tests := []struct {
 		name   string
