--- a/gateway/run.go
+++ b/gateway/run.go
@@ -323,10 +323,10 @@
 func (ca *call) answered(status int) scatter.Outcome {
 	switch {
 	case success(status):
-		return scatter.ReplyPart
+		return scatter.OutcomePart
 	case len(ca.ro.Shards) > 0 || status >= 500:
 		return scatter.ReplyFailed
 	default:
-		return scatter.ReplyPart
+		return scatter.OutcomePart
 	}
 }
--- a/scatter/careful_test.go
+++ b/scatter/careful_test.go
@@ -72,7 +72,7 @@
 	c.Assert(ask(qu, 10), qt.HasLen, 0)
 	qu.Replied(at(11), 2, ReplyFailed)
 	c.Assert(ask(qu, 11), qt.HasLen, 0)
-	qu.Replied(at(12), 3, ReplyPart)
+	qu.Replied(at(12), 3, OutcomePart)
 	c.Assert(ask(qu, 12), qt.DeepEquals, []Want{{0, Retry}, {1, Retry}, {2, Retry}})
 }
 
@@ -95,7 +95,7 @@
 		c := qt.New(t)
 		qu := New(pl)
 		ask(qu, 0)
-		qu.Replied(at(8), 2, ReplyPart)
+		qu.Replied(at(8), 2, OutcomePart)
 		c.Assert(ask(qu, 8), qt.DeepEquals, []Want{{3, First}, {0, First}, {1, First}})
 	})
 	t.Run("is refused", func(t *testing.T) {
--- a/scatter/events.go
+++ b/scatter/events.go
@@ -79,7 +79,7 @@
 	sh.flying--
 	qu.flying--
 	switch re {
-	case ReplyPart:
+	case OutcomePart:
 		qu.answered = true
 	case ReplyLost:
 		qu.broke()
@@ -88,7 +88,7 @@
 		return
 	}
 	switch re {
-	case ReplyPart:
+	case OutcomePart:
 		sh.have, sh.cause = true, CauseNone
 		if sh.lost {
 			sh.lost = false
--- a/scatter/scatter.go
+++ b/scatter/scatter.go
@@ -49,7 +49,7 @@
 
 // The kinds of replies.
 const (
-	ReplyPart   Outcome = iota // ReplyPart is a whole success.
+	OutcomePart Outcome = iota // ReplyPart is a whole success.
 	ReplyNotRun                // ReplyNotRun: refused by the server's own word, or no byte was sent.
 	ReplyFailed                // ReplyFailed: the server answered with a failure of its own.
 	ReplyLost                  // ReplyLost: bytes were sent and no good answer came.
--- a/scatter/scatter_test.go
+++ b/scatter/scatter_test.go
@@ -34,7 +34,7 @@
 	qu := begun(t, plan(3, 2))
 	for sh := range 3 {
 		qt.Assert(t, qu.End(), qt.Equals, Running)
-		qu.Replied(at(10), sh, ReplyPart)
+		qu.Replied(at(10), sh, OutcomePart)
 	}
 	qt.Assert(t, qu.End(), qt.Equals, Answered)
 	qt.Assert(t, qu.Have(), qt.Equals, 3)
@@ -44,14 +44,14 @@
 // once the request is overdue, and takes whichever part comes first.
 func TestHedge(t *testing.T) {
 	qu := begun(t, plan(2, 2))
-	qu.Replied(at(10), 0, ReplyPart)
+	qu.Replied(at(10), 0, OutcomePart)
 	qt.Assert(t, qu.Wake(at(10)), qt.Equals, at(30))
 	qt.Assert(t, qu.Next(at(30), nil), qt.DeepEquals, []Want{{1, Hedge}})
 	qu.Asked(1, at(60))
 	qt.Assert(t, qu.Next(at(70), nil), qt.HasLen, 0, qt.Commentf("two backend servers at most"))
-	qu.Replied(at(75), 1, ReplyPart)
+	qu.Replied(at(75), 1, OutcomePart)
 	qt.Assert(t, qu.End(), qt.Equals, Answered)
-	qu.Replied(at(80), 1, ReplyPart)
+	qu.Replied(at(80), 1, OutcomePart)
 	qt.Assert(t, qu.Have(), qt.Equals, 2, qt.Commentf("the later part counts once"))
 }
 
@@ -59,8 +59,8 @@
 // doesn't come; just before the aim it gets what is in.
 func TestHold(t *testing.T) {
 	qu := begun(t, plan(3, 2))
-	qu.Replied(at(10), 0, ReplyPart)
-	qu.Replied(at(12), 1, ReplyPart)
+	qu.Replied(at(10), 0, OutcomePart)
+	qu.Replied(at(12), 1, OutcomePart)
 	qu.Next(at(89), nil)
 	qt.Assert(t, qu.End(), qt.Equals, Running)
 	qu.Asked(2, time.Time{})
@@ -75,10 +75,10 @@
 // it enough ends the query.
 func TestHoldBelowLeast(t *testing.T) {
 	qu := begun(t, plan(3, 2))
-	qu.Replied(at(10), 0, ReplyPart)
+	qu.Replied(at(10), 0, OutcomePart)
 	qu.Next(at(95), nil)
 	qt.Assert(t, qu.End(), qt.Equals, Running)
-	qu.Replied(at(120), 1, ReplyPart)
+	qu.Replied(at(120), 1, OutcomePart)
 	qt.Assert(t, qu.End(), qt.Equals, Answered)
 }
 
@@ -161,7 +161,7 @@
 	qt.Assert(t, qu.Next(at(30), nil), qt.DeepEquals, []Want{{0, Hedge}})
 	qu.Denied(at(30), 0, CauseBudget, at(55))
 	qt.Assert(t, qu.Wake(at(30)), qt.Equals, at(55))
-	qu.Replied(at(40), 0, ReplyPart)
+	qu.Replied(at(40), 0, OutcomePart)
 	qt.Assert(t, qu.End(), qt.Equals, Answered)
 }
 
@@ -180,7 +180,7 @@
 		qt.Assert(t, qu.Next(at(now), nil), qt.DeepEquals, []Want{{0, First}})
 		qu.Asked(0, at(now+30))
 	}
-	qu.Replied(at(now), 0, ReplyPart)
+	qu.Replied(at(now), 0, OutcomePart)
 	qt.Assert(t, qu.End(), qt.Equals, Answered)
 
 	qu = begun(t, plan(1, 1))
@@ -234,7 +234,7 @@
 					continue
 				}
 				qu.Asked(wa.Shard, time.Time{})
-				qu.Replied(t0, wa.Shard, ReplyPart)
+				qu.Replied(t0, wa.Shard, OutcomePart)
 			}
 			now := t0
 			for qu.End() == Running {
@@ -262,7 +262,7 @@
 	qu.Asked(1, at(30))
 	qu.Room(at(4), 1)
 	qt.Assert(t, qu.Next(at(4), nil), qt.HasLen, 0)
-	qu.Replied(at(5), 1, ReplyPart)
+	qu.Replied(at(5), 1, OutcomePart)
 	qu.Room(at(6), 1)
 	qt.Assert(t, qu.Next(at(6), nil), qt.HasLen, 0)
 	qu.Room(at(7), 0)
@@ -309,11 +309,11 @@
 		end    End
 		ran    bool
 	}{
-		{"others in", 2, []int{1}, []event{{10, 0, ReplyPart}, {15, 2, ReplyPart}}, 15, Answered, true},
-		{"others in, all left but one", 1, []int{0, 1}, []event{{10, 2, ReplyPart}}, 10, Answered, true},
+		{"others in", 2, []int{1}, []event{{10, 0, OutcomePart}, {15, 2, OutcomePart}}, 15, Answered, true},
+		{"others in, all left but one", 1, []int{0, 1}, []event{{10, 2, OutcomePart}}, 10, Answered, true},
 		{"too many", 2, []int{0, 1}, nil, 0, Failed, false},
 		{"all", 1, []int{0, 1, 2}, nil, 0, Failed, false},
-		{"too many with one that fails", 2, []int{1}, []event{{10, 0, ReplyPart}, {12, 2, ReplyLost}}, 12, Failed, true},
+		{"too many with one that fails", 2, []int{1}, []event{{10, 0, OutcomePart}, {12, 2, ReplyLost}}, 12, Failed, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -363,7 +363,7 @@
 	for ca, want := range map[Cause]End{CauseNoConnection: Running, CauseNoServer: Failed} {
 		qu := New(pl)
 		qu.Asked(0, time.Time{})
-		qu.Replied(at(10), 0, ReplyPart)
+		qu.Replied(at(10), 0, OutcomePart)
 		qu.Denied(at(89), 1, ca, at(109))
 		qu.Denied(at(90), 1, ca, at(110))
 		qt.Assert(t, qu.End(), qt.Equals, want, qt.Commentf("%v", ca))
