--- a/gateway/run.go
+++ b/gateway/run.go
@@ -306,7 +306,7 @@
 	case upstream.NoConnection:
 		return scatter.ReplyBusy
 	case upstream.NotRun, upstream.NotSent:
-		return scatter.ReplyNotRun
+		return scatter.OutcomeNotRun
 	default:
 		return scatter.ReplyLost
 	}
--- a/scatter/events.go
+++ b/scatter/events.go
@@ -97,7 +97,7 @@
 		qu.have++
 	case ReplyBusy:
 		qu.busy(now, sh)
-	case ReplyNotRun:
+	case OutcomeNotRun:
 		sh.refused++
 		qu.ended(now, sh, CauseNotRun)
 	case ReplyFailed:
--- a/scatter/scatter_test.go
+++ b/scatter/scatter_test.go
@@ -108,13 +108,13 @@
 	qu := begun(t, plan(1, 1))
 	now := 1
 	for range refusals {
-		qu.Replied(at(now), 0, ReplyNotRun)
+		qu.Replied(at(now), 0, OutcomeNotRun)
 		qt.Assert(t, qu.End(), qt.Equals, Running)
 		now += 20
 		qt.Assert(t, qu.Next(at(now), nil), qt.DeepEquals, []Want{{0, Retry}})
 		qu.Asked(0, time.Time{})
 	}
-	qu.Replied(at(now), 0, ReplyNotRun)
+	qu.Replied(at(now), 0, OutcomeNotRun)
 	qt.Assert(t, qu.End(), qt.Equals, Failed)
 	qt.Assert(t, qu.Ran(), qt.IsFalse)
 }
@@ -131,7 +131,7 @@
 	qt.Assert(t, qu.Ran(), qt.IsTrue)
 
 	qu = begun(t, pl)
-	qu.Replied(at(10), 0, ReplyNotRun)
+	qu.Replied(at(10), 0, OutcomeNotRun)
 	qt.Assert(t, qu.Next(at(10), nil), qt.DeepEquals, []Want{{0, Retry}})
 	qu.Asked(0, time.Time{})
 	qu.Replied(at(20), 0, ReplyFailed)
@@ -348,7 +348,7 @@
 	qu.Nobody(at(30), 0, CauseNotRun, at(50))
 	qt.Assert(t, qu.End(), qt.Equals, Running)
 	qt.Assert(t, qu.Wake(at(30)), qt.Equals, at(50))
-	qu.Replied(at(40), 0, ReplyNotRun)
+	qu.Replied(at(40), 0, OutcomeNotRun)
 	qt.Assert(t, qu.Next(at(40), nil), qt.DeepEquals, []Want{{0, Retry}})
 	qu.Nobody(at(40), 0, CauseNotRun, at(60))
 	qt.Assert(t, qu.End(), qt.Equals, Failed)
