--- a/gateway/run.go
+++ b/gateway/run.go
@@ -325,7 +325,7 @@
 	case success(status):
 		return scatter.OutcomePart
 	case len(ca.ro.Shards) > 0 || status >= 500:
-		return scatter.ReplyFailed
+		return scatter.OutcomeFailed
 	default:
 		return scatter.OutcomePart
 	}
--- a/scatter/careful_test.go
+++ b/scatter/careful_test.go
@@ -70,7 +70,7 @@
 	qu.Replied(at(10), 0, ReplyLost)
 	qu.Replied(at(10), 1, ReplyLost)
 	c.Assert(ask(qu, 10), qt.HasLen, 0)
-	qu.Replied(at(11), 2, ReplyFailed)
+	qu.Replied(at(11), 2, OutcomeFailed)
 	c.Assert(ask(qu, 11), qt.HasLen, 0)
 	qu.Replied(at(12), 3, OutcomePart)
 	c.Assert(ask(qu, 12), qt.DeepEquals, []Want{{0, Retry}, {1, Retry}, {2, Retry}})
--- a/scatter/events.go
+++ b/scatter/events.go
@@ -100,7 +100,7 @@
 	case OutcomeNotRun:
 		sh.refused++
 		qu.ended(now, sh, CauseNotRun)
-	case ReplyFailed:
+	case OutcomeFailed:
 		sh.ran++
 		qu.ended(now, sh, CauseFailed)
 	case ReplyLost:
--- a/scatter/scatter.go
+++ b/scatter/scatter.go
@@ -51,7 +51,7 @@
 const (
 	OutcomePart   Outcome = iota // ReplyPart is a whole success.
 	OutcomeNotRun                // ReplyNotRun: refused by the server's own word, or no byte was sent.
-	ReplyFailed                  // ReplyFailed: the server answered with a failure of its own.
+	OutcomeFailed                // ReplyFailed: the server answered with a failure of its own.
 	ReplyLost                    // ReplyLost: bytes were sent and no good answer came.
 	ReplyBusy                    // ReplyBusy: this instance had no connection free, so nobody was asked.
 )
--- a/scatter/scatter_test.go
+++ b/scatter/scatter_test.go
@@ -86,7 +86,7 @@
 // rest, so the caller is told at once.
 func TestFailsAtOnce(t *testing.T) {
 	qu := begun(t, plan(3, 3))
-	qu.Replied(at(10), 0, ReplyFailed)
+	qu.Replied(at(10), 0, OutcomeFailed)
 	qt.Assert(t, qu.Next(at(10), nil), qt.DeepEquals, []Want{{0, Retry}})
 	qu.Asked(0, at(40))
 	qu.Replied(at(20), 0, ReplyLost)
@@ -134,7 +134,7 @@
 	qu.Replied(at(10), 0, OutcomeNotRun)
 	qt.Assert(t, qu.Next(at(10), nil), qt.DeepEquals, []Want{{0, Retry}})
 	qu.Asked(0, time.Time{})
-	qu.Replied(at(20), 0, ReplyFailed)
+	qu.Replied(at(20), 0, OutcomeFailed)
 	qt.Assert(t, qu.End(), qt.Equals, Failed)
 	qt.Assert(t, qu.Ran(), qt.IsTrue)
 }
