--- a/gateway/run.go
+++ b/gateway/run.go
@@ -300,7 +300,7 @@
 	switch rs.Outcome {
 	case upstream.Answered:
 		if unsigned(rs.Reply) {
-			return scatter.ReplyLost
+			return scatter.OutcomeLost
 		}
 		return ca.answered(rs.Reply.Status)
 	case upstream.NoConnection:
@@ -308,7 +308,7 @@
 	case upstream.NotRun, upstream.NotSent:
 		return scatter.OutcomeNotRun
 	default:
-		return scatter.ReplyLost
+		return scatter.OutcomeLost
 	}
 }
 
--- a/scatter/events.go
+++ b/scatter/events.go
@@ -81,7 +81,7 @@
 	switch re {
 	case OutcomePart:
 		qu.answered = true
-	case ReplyLost:
+	case OutcomeLost:
 		qu.broke()
 	}
 	if sh.have {
@@ -103,7 +103,7 @@
 	case OutcomeFailed:
 		sh.ran++
 		qu.ended(now, sh, CauseFailed)
-	case ReplyLost:
+	case OutcomeLost:
 		sh.ran++
 		qu.ended(now, sh, CauseLost)
 	}
--- a/scatter/scatter.go
+++ b/scatter/scatter.go
@@ -52,7 +52,7 @@
 	OutcomePart   Outcome = iota // ReplyPart is a whole success.
 	OutcomeNotRun                // ReplyNotRun: refused by the server's own word, or no byte was sent.
 	OutcomeFailed                // ReplyFailed: the server answered with a failure of its own.
-	ReplyLost                    // ReplyLost: bytes were sent and no good answer came.
+	OutcomeLost                  // ReplyLost: bytes were sent and no good answer came.
 	ReplyBusy                    // ReplyBusy: this instance had no connection free, so nobody was asked.
 )
 
--- a/scatter/scatter_test.go
+++ b/scatter/scatter_test.go
@@ -89,7 +89,7 @@
 	qu.Replied(at(10), 0, OutcomeFailed)
 	qt.Assert(t, qu.Next(at(10), nil), qt.DeepEquals, []Want{{0, Retry}})
 	qu.Asked(0, at(40))
-	qu.Replied(at(20), 0, ReplyLost)
+	qu.Replied(at(20), 0, OutcomeLost)
 	qt.Assert(t, qu.End(), qt.Equals, Failed)
 	qt.Assert(t, qu.Cause(0), qt.Equals, CauseLost)
 	qt.Assert(t, qu.Cause(1), qt.Equals, CauseTimeout)
@@ -126,7 +126,7 @@
 	pl.Repeatable = false
 	qu := begun(t, pl)
 	qt.Assert(t, qu.Next(at(500), nil), qt.HasLen, 0, qt.Commentf("no hedge"))
-	qu.Replied(at(510), 0, ReplyLost)
+	qu.Replied(at(510), 0, OutcomeLost)
 	qt.Assert(t, qu.End(), qt.Equals, Failed)
 	qt.Assert(t, qu.Ran(), qt.IsTrue)
 
@@ -313,7 +313,7 @@
 		{"others in, all left but one", 1, []int{0, 1}, []event{{10, 2, OutcomePart}}, 10, Answered, true},
 		{"too many", 2, []int{0, 1}, nil, 0, Failed, false},
 		{"all", 1, []int{0, 1, 2}, nil, 0, Failed, false},
-		{"too many with one that fails", 2, []int{1}, []event{{10, 0, OutcomePart}, {12, 2, ReplyLost}}, 12, Failed, true},
+		{"too many with one that fails", 2, []int{1}, []event{{10, 0, OutcomePart}, {12, 2, OutcomeLost}}, 12, Failed, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
