--- a/gateway/run.go
+++ b/gateway/run.go
@@ -304,7 +304,7 @@
 		}
 		return ca.answered(rs.Reply.Status)
 	case upstream.NoConnection:
-		return scatter.ReplyBusy
+		return scatter.OutcomeNoConnection
 	case upstream.NotRun, upstream.NotSent:
 		return scatter.OutcomeNotRun
 	default:
--- a/scatter/events.go
+++ b/scatter/events.go
@@ -95,7 +95,7 @@
 			qu.lost--
 		}
 		qu.have++
-	case ReplyBusy:
+	case OutcomeNoConnection:
 		qu.busy(now, sh)
 	case OutcomeNotRun:
 		sh.refused++
--- a/scatter/scatter.go
+++ b/scatter/scatter.go
@@ -49,11 +49,11 @@
 
 // The kinds of replies.
 const (
-	OutcomePart   Outcome = iota // ReplyPart is a whole success.
-	OutcomeNotRun                // ReplyNotRun: refused by the server's own word, or no byte was sent.
-	OutcomeFailed                // ReplyFailed: the server answered with a failure of its own.
-	OutcomeLost                  // ReplyLost: bytes were sent and no good answer came.
-	ReplyBusy                    // ReplyBusy: this instance had no connection free, so nobody was asked.
+	OutcomePart         Outcome = iota // ReplyPart is a whole success.
+	OutcomeNotRun                      // ReplyNotRun: refused by the server's own word, or no byte was sent.
+	OutcomeFailed                      // ReplyFailed: the server answered with a failure of its own.
+	OutcomeLost                        // ReplyLost: bytes were sent and no good answer came.
+	OutcomeNoConnection                // ReplyBusy: this instance had no connection free, so nobody was asked.
 )
 
 // End says that a query is over.
--- a/scatter/scatter_test.go
+++ b/scatter/scatter_test.go
@@ -172,7 +172,7 @@
 	qu := begun(t, plan(1, 1))
 	now := 0
 	for _, next := range []int{5, 15} {
-		qu.Replied(at(now), 0, ReplyBusy)
+		qu.Replied(at(now), 0, OutcomeNoConnection)
 		qt.Assert(t, qu.End(), qt.Equals, Running)
 		qt.Assert(t, qu.Wake(at(now)), qt.Equals, at(next))
 		qt.Assert(t, qu.Next(at(next-1), nil), qt.HasLen, 0)
@@ -184,7 +184,7 @@
 	qt.Assert(t, qu.End(), qt.Equals, Answered)
 
 	qu = begun(t, plan(1, 1))
-	qu.Replied(at(20), 0, ReplyBusy)
+	qu.Replied(at(20), 0, OutcomeNoConnection)
 	qt.Assert(t, qu.End(), qt.Equals, Failed, qt.Commentf("told at once when no connection comes free"))
 	qt.Assert(t, qu.Ran(), qt.IsFalse)
 	qt.Assert(t, qu.Cause(0), qt.Equals, CauseNoConnection)
@@ -197,7 +197,7 @@
 func TestWaitForRoom(t *testing.T) {
 	busy := func(qu *Query, now time.Time, po int) {
 		qu.Asked(po, now.Add(30*time.Millisecond))
-		qu.Replied(now, po, ReplyBusy)
+		qu.Replied(now, po, OutcomeNoConnection)
 	}
 	noServer := func(qu *Query, now time.Time, po int) {
 		qu.Denied(now, po, CauseNoServer, now.Add(13*time.Millisecond))
@@ -282,7 +282,7 @@
 			if wa.Shard == 0 {
 				looks = append(looks, now.Sub(t0)/time.Millisecond)
 				qu.Asked(0, time.Time{})
-				qu.Replied(now, 0, ReplyBusy)
+				qu.Replied(now, 0, OutcomeNoConnection)
 				continue
 			}
 			qu.Denied(now, 1, CauseNoServer, at(188))
