--- a/scatter/scatter.go
+++ b/scatter/scatter.go
@@ -57,14 +57,14 @@
 )
 
 // End says that a query is over.
-type End uint8
+type State uint8
 
 // The ends of a query.
 const (
-	Running  End = iota
-	Answered     // At least Least parts are in.
-	Failed       // Too few parts came, and more can't.
-	Expired      // The deadline passed.
+	Running  State = iota
+	Answered       // At least Least parts are in.
+	Failed         // Too few parts came, and more can't.
+	Expired        // The deadline passed.
 )
 
 // Want is something the executor is to try for a shard. It answers with Asked
@@ -122,7 +122,7 @@
 	shards []shard
 	have   int
 	lost   int
-	end    End
+	end    State
 
 	flying   int  // flying counts the attempts under way for all shards.
 	hedges   int  // hedges counts those that were begun before any server had answered.
@@ -141,7 +141,7 @@
 }
 
 // End returns how the query ended, or Running.
-func (qu *Query) End() End { return qu.end }
+func (qu *Query) End() State { return qu.end }
 
 // Have returns how many parts are in.
 func (qu *Query) Have() int { return qu.have }
--- a/scatter/scatter_test.go
+++ b/scatter/scatter_test.go
@@ -210,7 +210,7 @@
 		shards int
 		short  func(qu *Query, now time.Time, po int)
 		until  int
-		end    End
+		end    State
 		cause  Cause
 	}{
 		{"single, no connection", 1, busy, 20, Failed, CauseNoConnection},
@@ -306,7 +306,7 @@
 		nobody []int // nobody are the shards that are given up before any is asked.
 		events []event
 		until  int
-		end    End
+		end    State
 		ran    bool
 	}{
 		{"others in", 2, []int{1}, []event{{10, 0, OutcomePart}, {15, 2, OutcomePart}}, 15, Answered, true},
@@ -360,7 +360,7 @@
 func TestRoomOutlastsOffer(t *testing.T) {
 	pl := plan(2, 2)
 	pl.NoServerDeadline, pl.NoConnectionDeadline = at(90), at(600)
-	for ca, want := range map[Cause]End{CauseNoConnection: Running, CauseNoServer: Failed} {
+	for ca, want := range map[Cause]State{CauseNoConnection: Running, CauseNoServer: Failed} {
 		qu := New(pl)
 		qu.Asked(0, time.Time{})
 		qu.Replied(at(10), 0, OutcomePart)
