--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -63,7 +63,7 @@
 		return
 	}
 	ca.missed = len(ro.Shards) - cr.qu.Have()
-	if cr.qu.End() != scatter.Answered {
+	if cr.qu.State() != scatter.Answered {
 		ca.giveUp(cr)
 		return
 	}
@@ -119,7 +119,7 @@
 	switch {
 	case !cr.qu.Ran():
 		ca.refuse(cause, retryNoServer)
-	case cr.qu.End() == scatter.Expired:
+	case cr.qu.State() == scatter.Expired:
 		ca.fail(http.StatusGatewayTimeout, ca.unknown(), cause)
 	default:
 		ca.setRetryAfter(retryNoServer)
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -92,7 +92,7 @@
 		for _, wa := range wants {
 			cr.try(ctx, now, wa)
 		}
-		if cr.qu.End() != scatter.Running {
+		if cr.qu.State() != scatter.Running {
 			return true
 		}
 		timer.Reset(cr.qu.Wake(now).Sub(now))
@@ -115,10 +115,10 @@
 // core, each of their replies would take a turn of the loop otherwise. An answer that
 // is whole doesn't wait for that.
 func (cr *carrier) drain() {
-	if cr.qu.End() == scatter.Running {
+	if cr.qu.State() == scatter.Running {
 		runtime.Gosched()
 	}
-	for cr.qu.End() == scatter.Running {
+	for cr.qu.State() == scatter.Running {
 		select {
 		case en := <-cr.ends:
 			cr.ended(en)
--- a/scatter/careful_test.go
+++ b/scatter/careful_test.go
@@ -40,7 +40,7 @@
 	}
 	c.Assert(ask(qu, 60), qt.HasLen, 0)
 	qu.Replied(at(90), 3, OutcomeLost)
-	c.Assert(qu.End(), qt.Equals, Failed, qt.Commentf("too many shards have had all their attempts"))
+	c.Assert(qu.State(), qt.Equals, Failed, qt.Commentf("too many shards have had all their attempts"))
 }
 
 // Servers end one after the other under a query of which only few attempts were made.
@@ -58,7 +58,7 @@
 	c.Assert(ask(qu, 11), qt.DeepEquals, []Want{{0, Retry}})
 	c.Assert(ask(qu, 11), qt.HasLen, 0)
 	qu.Replied(at(20), 0, OutcomeLost)
-	c.Assert(qu.End(), qt.Equals, Failed)
+	c.Assert(qu.State(), qt.Equals, Failed)
 }
 
 // Two servers end for reasons of their own while a query is with them. The others answer,
@@ -89,7 +89,7 @@
 		c.Assert(ask(qu, 31), qt.HasLen, 0, qt.Commentf("no hedge"))
 		c.Assert(qu.Wake(at(31)), qt.Equals, pl.Deadline)
 		qu.Replied(at(56), 2, OutcomeLost)
-		c.Assert(qu.End(), qt.Equals, Failed)
+		c.Assert(qu.State(), qt.Equals, Failed)
 	})
 	t.Run("answers", func(t *testing.T) {
 		c := qt.New(t)
@@ -123,7 +123,7 @@
 		qu := New(one)
 		c.Assert(ask(qu, 0), qt.HasLen, 1)
 		qu.Replied(at(5), 0, OutcomeLost)
-		c.Assert(qu.End(), qt.Equals, Failed)
+		c.Assert(qu.State(), qt.Equals, Failed)
 		c.Assert(qu.Ran(), qt.IsTrue)
 	})
 }
@@ -137,5 +137,5 @@
 	c.Assert(qu.Next(at(0), nil), qt.HasLen, 1)
 	qu.Asked(0, time.Time{})
 	qu.Next(pl.Deadline, nil)
-	c.Assert(qu.End(), qt.Equals, Expired)
+	c.Assert(qu.State(), qt.Equals, Expired)
 }
--- a/scatter/room_sim_test.go
+++ b/scatter/room_sim_test.go
@@ -168,7 +168,7 @@
 
 // ended counts what the caller got, or has it come again.
 func (bm *burstModel) ended(pa *part) {
-	switch pa.qu.End() {
+	switch pa.qu.State() {
 	case Running:
 		return
 	case Answered:
--- a/scatter/scatter.go
+++ b/scatter/scatter.go
@@ -141,7 +141,7 @@
 }
 
 // End returns how the query ended, or Running.
-func (qu *Query) End() State { return qu.end }
+func (qu *Query) State() State { return qu.end }
 
 // Have returns how many parts are in.
 func (qu *Query) Have() int { return qu.have }
--- a/scatter/scatter_test.go
+++ b/scatter/scatter_test.go
@@ -33,10 +33,10 @@
 func TestAllParts(t *testing.T) {
 	qu := begun(t, plan(3, 2))
 	for sh := range 3 {
-		qt.Assert(t, qu.End(), qt.Equals, Running)
+		qt.Assert(t, qu.State(), qt.Equals, Running)
 		qu.Replied(at(10), sh, OutcomePart)
 	}
-	qt.Assert(t, qu.End(), qt.Equals, Answered)
+	qt.Assert(t, qu.State(), qt.Equals, Answered)
 	qt.Assert(t, qu.Have(), qt.Equals, 3)
 }
 
@@ -50,7 +50,7 @@
 	qu.Asked(1, at(60))
 	qt.Assert(t, qu.Next(at(70), nil), qt.HasLen, 0, qt.Commentf("two backend servers at most"))
 	qu.Replied(at(75), 1, OutcomePart)
-	qt.Assert(t, qu.End(), qt.Equals, Answered)
+	qt.Assert(t, qu.State(), qt.Equals, Answered)
 	qu.Replied(at(80), 1, OutcomePart)
 	qt.Assert(t, qu.Have(), qt.Equals, 2, qt.Commentf("the later part counts once"))
 }
@@ -62,11 +62,11 @@
 	qu.Replied(at(10), 0, OutcomePart)
 	qu.Replied(at(12), 1, OutcomePart)
 	qu.Next(at(89), nil)
-	qt.Assert(t, qu.End(), qt.Equals, Running)
+	qt.Assert(t, qu.State(), qt.Equals, Running)
 	qu.Asked(2, time.Time{})
 	qt.Assert(t, qu.Wake(at(89)), qt.Equals, at(90))
 	qu.Next(at(90), nil)
-	qt.Assert(t, qu.End(), qt.Equals, Answered)
+	qt.Assert(t, qu.State(), qt.Equals, Answered)
 	qt.Assert(t, qu.Have(), qt.Equals, 2)
 	qt.Assert(t, qu.Has(2), qt.IsFalse)
 }
@@ -77,9 +77,9 @@
 	qu := begun(t, plan(3, 2))
 	qu.Replied(at(10), 0, OutcomePart)
 	qu.Next(at(95), nil)
-	qt.Assert(t, qu.End(), qt.Equals, Running)
+	qt.Assert(t, qu.State(), qt.Equals, Running)
 	qu.Replied(at(120), 1, OutcomePart)
-	qt.Assert(t, qu.End(), qt.Equals, Answered)
+	qt.Assert(t, qu.State(), qt.Equals, Answered)
 }
 
 // Too many shards failed for an answer. Nothing is gained by waiting for the
@@ -90,7 +90,7 @@
 	qt.Assert(t, qu.Next(at(10), nil), qt.DeepEquals, []Want{{0, Retry}})
 	qu.Asked(0, at(40))
 	qu.Replied(at(20), 0, OutcomeLost)
-	qt.Assert(t, qu.End(), qt.Equals, Failed)
+	qt.Assert(t, qu.State(), qt.Equals, Failed)
 	qt.Assert(t, qu.Cause(0), qt.Equals, CauseLost)
 	qt.Assert(t, qu.Cause(1), qt.Equals, CauseTimeout)
 }
@@ -98,7 +98,7 @@
 func TestDeadline(t *testing.T) {
 	qu := begun(t, plan(1, 1))
 	qu.Next(at(600), nil)
-	qt.Assert(t, qu.End(), qt.Equals, Expired)
+	qt.Assert(t, qu.State(), qt.Equals, Expired)
 	qt.Assert(t, qu.Ran(), qt.IsTrue)
 }
 
@@ -109,13 +109,13 @@
 	now := 1
 	for range refusals {
 		qu.Replied(at(now), 0, OutcomeNotRun)
-		qt.Assert(t, qu.End(), qt.Equals, Running)
+		qt.Assert(t, qu.State(), qt.Equals, Running)
 		now += 20
 		qt.Assert(t, qu.Next(at(now), nil), qt.DeepEquals, []Want{{0, Retry}})
 		qu.Asked(0, time.Time{})
 	}
 	qu.Replied(at(now), 0, OutcomeNotRun)
-	qt.Assert(t, qu.End(), qt.Equals, Failed)
+	qt.Assert(t, qu.State(), qt.Equals, Failed)
 	qt.Assert(t, qu.Ran(), qt.IsFalse)
 }
 
@@ -127,7 +127,7 @@
 	qu := begun(t, pl)
 	qt.Assert(t, qu.Next(at(500), nil), qt.HasLen, 0, qt.Commentf("no hedge"))
 	qu.Replied(at(510), 0, OutcomeLost)
-	qt.Assert(t, qu.End(), qt.Equals, Failed)
+	qt.Assert(t, qu.State(), qt.Equals, Failed)
 	qt.Assert(t, qu.Ran(), qt.IsTrue)
 
 	qu = begun(t, pl)
@@ -135,7 +135,7 @@
 	qt.Assert(t, qu.Next(at(10), nil), qt.DeepEquals, []Want{{0, Retry}})
 	qu.Asked(0, time.Time{})
 	qu.Replied(at(20), 0, OutcomeFailed)
-	qt.Assert(t, qu.End(), qt.Equals, Failed)
+	qt.Assert(t, qu.State(), qt.Equals, Failed)
 	qt.Assert(t, qu.Ran(), qt.IsTrue)
 }
 
@@ -146,10 +146,10 @@
 	for now := 0; now < 20; now += 10 {
 		qt.Assert(t, qu.Next(at(now), nil), qt.HasLen, 1)
 		qu.Denied(at(now), 0, CauseNoServer, at(now+10))
-		qt.Assert(t, qu.End(), qt.Equals, Running)
+		qt.Assert(t, qu.State(), qt.Equals, Running)
 	}
 	qu.Denied(at(20), 0, CauseNoServer, at(30))
-	qt.Assert(t, qu.End(), qt.Equals, Failed)
+	qt.Assert(t, qu.State(), qt.Equals, Failed)
 	qt.Assert(t, qu.Ran(), qt.IsFalse)
 	qt.Assert(t, qu.Cause(0), qt.Equals, CauseNoServer)
 }
@@ -162,7 +162,7 @@
 	qu.Denied(at(30), 0, CauseBudget, at(55))
 	qt.Assert(t, qu.Wake(at(30)), qt.Equals, at(55))
 	qu.Replied(at(40), 0, OutcomePart)
-	qt.Assert(t, qu.End(), qt.Equals, Answered)
+	qt.Assert(t, qu.State(), qt.Equals, Answered)
 }
 
 // An instance has just started and opens few connections, and all of them are in
@@ -173,7 +173,7 @@
 	now := 0
 	for _, next := range []int{5, 15} {
 		qu.Replied(at(now), 0, OutcomeNoConnection)
-		qt.Assert(t, qu.End(), qt.Equals, Running)
+		qt.Assert(t, qu.State(), qt.Equals, Running)
 		qt.Assert(t, qu.Wake(at(now)), qt.Equals, at(next))
 		qt.Assert(t, qu.Next(at(next-1), nil), qt.HasLen, 0)
 		now = next
@@ -181,11 +181,11 @@
 		qu.Asked(0, at(now+30))
 	}
 	qu.Replied(at(now), 0, OutcomePart)
-	qt.Assert(t, qu.End(), qt.Equals, Answered)
+	qt.Assert(t, qu.State(), qt.Equals, Answered)
 
 	qu = begun(t, plan(1, 1))
 	qu.Replied(at(20), 0, OutcomeNoConnection)
-	qt.Assert(t, qu.End(), qt.Equals, Failed, qt.Commentf("told at once when no connection comes free"))
+	qt.Assert(t, qu.State(), qt.Equals, Failed, qt.Commentf("told at once when no connection comes free"))
 	qt.Assert(t, qu.Ran(), qt.IsFalse)
 	qt.Assert(t, qu.Cause(0), qt.Equals, CauseNoConnection)
 }
@@ -237,14 +237,14 @@
 				qu.Replied(t0, wa.Shard, OutcomePart)
 			}
 			now := t0
-			for qu.End() == Running {
+			for qu.State() == Running {
 				now = qu.Wake(now)
 				for _, wa := range qu.Next(now, nil) {
 					tt.short(qu, now, wa.Shard)
 				}
 			}
 			qt.Assert(t, now, qt.Equals, at(tt.until))
-			qt.Assert(t, qu.End(), qt.Equals, tt.end)
+			qt.Assert(t, qu.State(), qt.Equals, tt.end)
 			qt.Assert(t, qu.Cause(last), qt.Equals, tt.cause)
 		})
 	}
@@ -277,7 +277,7 @@
 	qu := New(pl)
 	qu.Denied(t0, 1, CauseNoServer, at(188))
 	var looks []time.Duration
-	for now := t0; qu.End() == Running; now = qu.Wake(now) {
+	for now := t0; qu.State() == Running; now = qu.Wake(now) {
 		for _, wa := range qu.Next(now, nil) {
 			if wa.Shard == 0 {
 				looks = append(looks, now.Sub(t0)/time.Millisecond)
@@ -289,7 +289,7 @@
 		}
 	}
 	qt.Assert(t, looks, qt.DeepEquals, []time.Duration{0, 5, 15, 35, 75, 115, 155, 188})
-	qt.Assert(t, qu.End(), qt.Equals, Failed)
+	qt.Assert(t, qu.State(), qt.Equals, Failed)
 }
 
 // Nobody is left who could give a part. The answer is due as soon as the others are
@@ -328,11 +328,11 @@
 			}
 			now := 0
 			for _, ev := range tt.events {
-				qt.Assert(t, qu.End(), qt.Equals, Running)
+				qt.Assert(t, qu.State(), qt.Equals, Running)
 				now = ev.at
 				qu.Replied(at(now), ev.shard, ev.reply)
 			}
-			qt.Assert(t, qu.End(), qt.Equals, tt.end)
+			qt.Assert(t, qu.State(), qt.Equals, tt.end)
 			qt.Assert(t, now, qt.Equals, tt.until)
 			qt.Assert(t, qu.Ran(), qt.Equals, tt.ran)
 		})
@@ -346,12 +346,12 @@
 	qu := begun(t, plan(1, 1))
 	qt.Assert(t, qu.Next(at(30), nil), qt.DeepEquals, []Want{{0, Hedge}})
 	qu.Nobody(at(30), 0, CauseNotRun, at(50))
-	qt.Assert(t, qu.End(), qt.Equals, Running)
+	qt.Assert(t, qu.State(), qt.Equals, Running)
 	qt.Assert(t, qu.Wake(at(30)), qt.Equals, at(50))
 	qu.Replied(at(40), 0, OutcomeNotRun)
 	qt.Assert(t, qu.Next(at(40), nil), qt.DeepEquals, []Want{{0, Retry}})
 	qu.Nobody(at(40), 0, CauseNotRun, at(60))
-	qt.Assert(t, qu.End(), qt.Equals, Failed)
+	qt.Assert(t, qu.State(), qt.Equals, Failed)
 	qt.Assert(t, qu.Ran(), qt.IsFalse)
 }
 
@@ -366,6 +366,6 @@
 		qu.Replied(at(10), 0, OutcomePart)
 		qu.Denied(at(89), 1, ca, at(109))
 		qu.Denied(at(90), 1, ca, at(110))
-		qt.Assert(t, qu.End(), qt.Equals, want, qt.Commentf("%v", ca))
+		qt.Assert(t, qu.State(), qt.Equals, want, qt.Commentf("%v", ca))
 	}
 }
