--- a/gateway/lines.go
+++ b/gateway/lines.go
@@ -72,7 +72,7 @@
 }
 
 // began notes and counts an attempt and returns its number.
-func (cr *carrier) began(now time.Time, wa scatter.Want, server string) int {
+func (cr *carrier) began(now time.Time, wa scatter.Attempt, server string) int {
 	if cr.notes == nil {
 		cr.notes = make([]note, 0, len(cr.services)+2)
 	}
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -85,7 +85,7 @@
 	defer cr.leaveQueue()
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	var wants []scatter.Want
+	var wants []scatter.Attempt
 	for {
 		now := ts.Now()
 		wants = cr.qu.Next(now, wants[:0])
@@ -129,7 +129,7 @@
 }
 
 // try begins an attempt, or tells the query why it can't.
-func (cr *carrier) try(ctx context.Context, now time.Time, wa scatter.Want) {
+func (cr *carrier) try(ctx context.Context, now time.Time, wa scatter.Attempt) {
 	sv := cr.ca.sv
 	service := cr.services[wa.Shard]
 	if wa.Kind == scatter.Hedge {
@@ -172,7 +172,7 @@
 // choose chooses a backend server, or makes the shard wait in the queue for room at
 // one. It looks once more then: for room that came free just before, others were
 // woken. A hedge doesn't queue, or those who have no attempt at all would wait for it.
-func (cr *carrier) choose(now time.Time, wa scatter.Want, as replica.Request) (replica.Pick, bool) {
+func (cr *carrier) choose(now time.Time, wa scatter.Attempt, as replica.Request) (replica.Pick, bool) {
 	re := cr.ca.sv.re
 	pk, ok := re.Choose(now, as)
 	if ok || wa.Kind == scatter.Hedge || !cr.join(wa.Shard) {
@@ -184,7 +184,7 @@
 // costs reports whether an attempt is an arrival beyond the first. A retry is
 // none if no earlier attempt has reached a backend server; a hedge always is,
 // since the attempt beside it has been sent by then.
-func (cr *carrier) costs(wa scatter.Want) bool {
+func (cr *carrier) costs(wa scatter.Attempt) bool {
 	return wa.Kind == scatter.Hedge || wa.Kind == scatter.Retry && cr.arrived[wa.Shard]
 }
 
--- a/gateway/vacant.go
+++ b/gateway/vacant.go
@@ -100,7 +100,7 @@
 }
 
 // nobody tells the query that no backend server could be chosen, and why.
-func (cr *carrier) nobody(now time.Time, wa scatter.Want) {
+func (cr *carrier) nobody(now time.Time, wa scatter.Attempt) {
 	service, pi, pause := cr.services[wa.Shard], cr.ca.sv.seen.Load(), busyPause
 	if wa.Kind == scatter.Hedge {
 		pause = hedgePause
--- a/scatter/careful_test.go
+++ b/scatter/careful_test.go
@@ -8,7 +8,7 @@
 )
 
 // ask asks for all that is wanted and returns it.
-func ask(qu *Query, ms int) []Want {
+func ask(qu *Query, ms int) []Attempt {
 	was := qu.Next(at(ms), nil)
 	for _, wa := range was {
 		qu.Asked(wa.Shard, at(ms+30))
@@ -29,7 +29,7 @@
 	for sh := 3; sh < 10; sh++ {
 		qu.Replied(at(56), sh, OutcomeLost)
 		if sh == 3 {
-			c.Assert(ask(qu, 56), qt.DeepEquals, []Want{{3, Retry}}, qt.Commentf("one server may always break off"))
+			c.Assert(ask(qu, 56), qt.DeepEquals, []Attempt{{3, Retry}}, qt.Commentf("one server may always break off"))
 		} else {
 			c.Assert(ask(qu, 56), qt.HasLen, 0)
 		}
@@ -55,7 +55,7 @@
 	qu.Replied(at(10), 2, OutcomeNotRun)
 	c.Assert(ask(qu, 10), qt.HasLen, 0)
 	qu.Replied(at(11), 3, OutcomeNotRun)
-	c.Assert(ask(qu, 11), qt.DeepEquals, []Want{{0, Retry}})
+	c.Assert(ask(qu, 11), qt.DeepEquals, []Attempt{{0, Retry}})
 	c.Assert(ask(qu, 11), qt.HasLen, 0)
 	qu.Replied(at(20), 0, OutcomeLost)
 	c.Assert(qu.State(), qt.Equals, Failed)
@@ -73,7 +73,7 @@
 	qu.Replied(at(11), 2, OutcomeFailed)
 	c.Assert(ask(qu, 11), qt.HasLen, 0)
 	qu.Replied(at(12), 3, OutcomePart)
-	c.Assert(ask(qu, 12), qt.DeepEquals, []Want{{0, Retry}, {1, Retry}, {2, Retry}})
+	c.Assert(ask(qu, 12), qt.DeepEquals, []Attempt{{0, Retry}, {1, Retry}, {2, Retry}})
 }
 
 // Servers have ended under a query before. One server is asked alone; if that ends too, the
@@ -84,7 +84,7 @@
 	t.Run("ends", func(t *testing.T) {
 		c := qt.New(t)
 		qu := New(pl)
-		c.Assert(ask(qu, 0), qt.DeepEquals, []Want{{2, First}})
+		c.Assert(ask(qu, 0), qt.DeepEquals, []Attempt{{2, First}})
 		c.Assert(ask(qu, 29), qt.HasLen, 0)
 		c.Assert(ask(qu, 31), qt.HasLen, 0, qt.Commentf("no hedge"))
 		c.Assert(qu.Wake(at(31)), qt.Equals, pl.Deadline)
@@ -96,24 +96,24 @@
 		qu := New(pl)
 		ask(qu, 0)
 		qu.Replied(at(8), 2, OutcomePart)
-		c.Assert(ask(qu, 8), qt.DeepEquals, []Want{{3, First}, {0, First}, {1, First}})
+		c.Assert(ask(qu, 8), qt.DeepEquals, []Attempt{{3, First}, {0, First}, {1, First}})
 	})
 	t.Run("is refused", func(t *testing.T) {
 		c := qt.New(t)
 		qu := New(pl)
 		ask(qu, 0)
 		qu.Replied(at(1), 2, OutcomeNotRun)
-		c.Assert(ask(qu, 1), qt.DeepEquals, []Want{{2, Retry}}, qt.Commentf("who refuses says nothing"))
+		c.Assert(ask(qu, 1), qt.DeepEquals, []Attempt{{2, Retry}}, qt.Commentf("who refuses says nothing"))
 		qu.Replied(at(2), 2, OutcomeNotRun)
-		c.Assert(ask(qu, 2), qt.DeepEquals, []Want{{3, First}})
+		c.Assert(ask(qu, 2), qt.DeepEquals, []Attempt{{3, First}})
 	})
 	t.Run("nobody is there", func(t *testing.T) {
 		c := qt.New(t)
 		qu := New(pl)
-		c.Assert(qu.Next(at(0), nil), qt.DeepEquals, []Want{{2, First}})
+		c.Assert(qu.Next(at(0), nil), qt.DeepEquals, []Attempt{{2, First}})
 		qu.Denied(at(0), 2, CauseNoConnection, at(20))
 		c.Assert(qu.Wake(at(0)), qt.Equals, at(0), qt.Commentf("another shard is asked at once"))
-		c.Assert(ask(qu, 0), qt.DeepEquals, []Want{{3, First}})
+		c.Assert(ask(qu, 0), qt.DeepEquals, []Attempt{{3, First}})
 		c.Assert(ask(qu, 20), qt.HasLen, 0)
 	})
 	t.Run("once only", func(t *testing.T) {
--- a/scatter/scatter.go
+++ b/scatter/scatter.go
@@ -69,7 +69,7 @@
 
 // Want is something the executor is to try for a shard. It answers with Asked
 // or Denied.
-type Want struct {
+type Attempt struct {
 	Shard int
 	Kind  WantKind
 }
@@ -161,7 +161,7 @@
 
 // Next appends what is to be tried now to out and returns it. Until the next
 // event, Wake tells when to call it again.
-func (qu *Query) Next(now time.Time, out []Want) []Want {
+func (qu *Query) Next(now time.Time, out []Attempt) []Attempt {
 	qu.settle(now)
 	if qu.end != Running {
 		return out
@@ -178,11 +178,11 @@
 			continue
 		case sh.flying > 0:
 			hedges++
-			out = append(out, Want{po, Hedge})
+			out = append(out, Attempt{po, Hedge})
 		case sh.ran+sh.refused > 0:
-			out = append(out, Want{po, Retry})
+			out = append(out, Attempt{po, Retry})
 		default:
-			out = append(out, Want{po, First})
+			out = append(out, Attempt{po, First})
 		}
 		if qu.careful() {
 			break
--- a/scatter/scatter_test.go
+++ b/scatter/scatter_test.go
@@ -46,7 +46,7 @@
 	qu := begun(t, plan(2, 2))
 	qu.Replied(at(10), 0, OutcomePart)
 	qt.Assert(t, qu.Wake(at(10)), qt.Equals, at(30))
-	qt.Assert(t, qu.Next(at(30), nil), qt.DeepEquals, []Want{{1, Hedge}})
+	qt.Assert(t, qu.Next(at(30), nil), qt.DeepEquals, []Attempt{{1, Hedge}})
 	qu.Asked(1, at(60))
 	qt.Assert(t, qu.Next(at(70), nil), qt.HasLen, 0, qt.Commentf("two backend servers at most"))
 	qu.Replied(at(75), 1, OutcomePart)
@@ -87,7 +87,7 @@
 func TestFailsAtOnce(t *testing.T) {
 	qu := begun(t, plan(3, 3))
 	qu.Replied(at(10), 0, OutcomeFailed)
-	qt.Assert(t, qu.Next(at(10), nil), qt.DeepEquals, []Want{{0, Retry}})
+	qt.Assert(t, qu.Next(at(10), nil), qt.DeepEquals, []Attempt{{0, Retry}})
 	qu.Asked(0, at(40))
 	qu.Replied(at(20), 0, OutcomeLost)
 	qt.Assert(t, qu.State(), qt.Equals, Failed)
@@ -111,7 +111,7 @@
 		qu.Replied(at(now), 0, OutcomeNotRun)
 		qt.Assert(t, qu.State(), qt.Equals, Running)
 		now += 20
-		qt.Assert(t, qu.Next(at(now), nil), qt.DeepEquals, []Want{{0, Retry}})
+		qt.Assert(t, qu.Next(at(now), nil), qt.DeepEquals, []Attempt{{0, Retry}})
 		qu.Asked(0, time.Time{})
 	}
 	qu.Replied(at(now), 0, OutcomeNotRun)
@@ -132,7 +132,7 @@
 
 	qu = begun(t, pl)
 	qu.Replied(at(10), 0, OutcomeNotRun)
-	qt.Assert(t, qu.Next(at(10), nil), qt.DeepEquals, []Want{{0, Retry}})
+	qt.Assert(t, qu.Next(at(10), nil), qt.DeepEquals, []Attempt{{0, Retry}})
 	qu.Asked(0, time.Time{})
 	qu.Replied(at(20), 0, OutcomeFailed)
 	qt.Assert(t, qu.State(), qt.Equals, Failed)
@@ -158,7 +158,7 @@
 // which it was wanted.
 func TestHedgeDenied(t *testing.T) {
 	qu := begun(t, plan(1, 1))
-	qt.Assert(t, qu.Next(at(30), nil), qt.DeepEquals, []Want{{0, Hedge}})
+	qt.Assert(t, qu.Next(at(30), nil), qt.DeepEquals, []Attempt{{0, Hedge}})
 	qu.Denied(at(30), 0, CauseBudget, at(55))
 	qt.Assert(t, qu.Wake(at(30)), qt.Equals, at(55))
 	qu.Replied(at(40), 0, OutcomePart)
@@ -177,7 +177,7 @@
 		qt.Assert(t, qu.Wake(at(now)), qt.Equals, at(next))
 		qt.Assert(t, qu.Next(at(next-1), nil), qt.HasLen, 0)
 		now = next
-		qt.Assert(t, qu.Next(at(now), nil), qt.DeepEquals, []Want{{0, First}})
+		qt.Assert(t, qu.Next(at(now), nil), qt.DeepEquals, []Attempt{{0, First}})
 		qu.Asked(0, at(now+30))
 	}
 	qu.Replied(at(now), 0, OutcomePart)
@@ -258,7 +258,7 @@
 		qu.Denied(t0, sh, CauseNoConnection, at(20))
 	}
 	qu.Room(at(3), 1)
-	qt.Assert(t, qu.Next(at(3), nil), qt.DeepEquals, []Want{{1, First}})
+	qt.Assert(t, qu.Next(at(3), nil), qt.DeepEquals, []Attempt{{1, First}})
 	qu.Asked(1, at(30))
 	qu.Room(at(4), 1)
 	qt.Assert(t, qu.Next(at(4), nil), qt.HasLen, 0)
@@ -266,7 +266,7 @@
 	qu.Room(at(6), 1)
 	qt.Assert(t, qu.Next(at(6), nil), qt.HasLen, 0)
 	qu.Room(at(7), 0)
-	qt.Assert(t, qu.Next(at(7), nil), qt.DeepEquals, []Want{{0, First}})
+	qt.Assert(t, qu.Next(at(7), nil), qt.DeepEquals, []Attempt{{0, First}})
 }
 
 // All connections to a server wait to be opened, for as long as the request has
@@ -344,12 +344,12 @@
 // is under way.
 func TestNobodyLeftAfter(t *testing.T) {
 	qu := begun(t, plan(1, 1))
-	qt.Assert(t, qu.Next(at(30), nil), qt.DeepEquals, []Want{{0, Hedge}})
+	qt.Assert(t, qu.Next(at(30), nil), qt.DeepEquals, []Attempt{{0, Hedge}})
 	qu.Nobody(at(30), 0, CauseNotRun, at(50))
 	qt.Assert(t, qu.State(), qt.Equals, Running)
 	qt.Assert(t, qu.Wake(at(30)), qt.Equals, at(50))
 	qu.Replied(at(40), 0, OutcomeNotRun)
-	qt.Assert(t, qu.Next(at(40), nil), qt.DeepEquals, []Want{{0, Retry}})
+	qt.Assert(t, qu.Next(at(40), nil), qt.DeepEquals, []Attempt{{0, Retry}})
 	qu.Nobody(at(40), 0, CauseNotRun, at(60))
 	qt.Assert(t, qu.State(), qt.Equals, Failed)
 	qt.Assert(t, qu.Ran(), qt.IsFalse)
