--- a/gateway/lines.go
+++ b/gateway/lines.go
@@ -43,7 +43,7 @@
 	took    time.Duration
 	shard   uint16
 	status  uint16 // status is the HTTP status of the reply; 0 for none.
-	kind    scatter.WantKind
+	kind    scatter.AttemptKind
 	outcome upstream.Outcome
 	ended   bool
 	moved   bool
@@ -354,7 +354,7 @@
 	return ou.String()
 }
 
-func kindName(wk scatter.WantKind) string {
+func kindName(wk scatter.AttemptKind) string {
 	switch wk {
 	case scatter.Hedge:
 		return "Hedge"
--- a/gateway/meters.go
+++ b/gateway/meters.go
@@ -189,7 +189,7 @@
 }
 
 // began counts the beginning of an attempt.
-func (mt *meters) began(service string, wk scatter.WantKind) {
+func (mt *meters) began(service string, wk scatter.AttemptKind) {
 	sm := mt.service(service)
 	switch wk {
 	case scatter.Hedge:
@@ -274,7 +274,7 @@
 
 func (mt *meters) newService(label string) *serviceMeters {
 	in := `{service="` + label + `"}`
-	kind := func(wk scatter.WantKind) *metrics.Counter {
+	kind := func(wk scatter.AttemptKind) *metrics.Counter {
 		return mt.set.GetOrCreateCounter(`balsamwinch_attempts_total{service="` + label + `",kind="` + kindName(wk) + `"}`)
 	}
 	return &serviceMeters{
--- a/scatter/scatter.go
+++ b/scatter/scatter.go
@@ -71,17 +71,17 @@
 // or Denied.
 type Attempt struct {
 	Shard int
-	Kind  WantKind
+	Kind  AttemptKind
 }
 
 // WantKind says for what an attempt is.
-type WantKind uint8
+type AttemptKind uint8
 
 // The kinds of wants.
 const (
-	First WantKind = iota // First is the first arrival for a shard, which costs no budget.
-	Retry                 // Retry follows an attempt that ended without a part.
-	Hedge                 // Hedge runs beside an attempt that is overdue.
+	First AttemptKind = iota // First is the first arrival for a shard, which costs no budget.
+	Retry                    // Retry follows an attempt that ended without a part.
+	Hedge                    // Hedge runs beside an attempt that is overdue.
 )
 
 // refusals is how many backend servers that refused a request unrun are
