--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -62,7 +62,7 @@
 		ca.left()
 		return
 	}
-	ca.missed = len(ro.Shards) - cr.qu.Have()
+	ca.missed = len(ro.Shards) - cr.qu.NumParts()
 	if cr.qu.State() != scatter.Answered {
 		ca.giveUp(cr)
 		return
--- a/scatter/scatter.go
+++ b/scatter/scatter.go
@@ -144,7 +144,7 @@
 func (qu *Query) State() State { return qu.end }
 
 // Have returns how many parts are in.
-func (qu *Query) Have() int { return qu.have }
+func (qu *Query) NumParts() int { return qu.have }
 
 // Has reports whether the part of a shard is in.
 func (qu *Query) Has(sh int) bool { return qu.shards[sh].have }
--- a/scatter/scatter_test.go
+++ b/scatter/scatter_test.go
@@ -37,7 +37,7 @@
 		qu.Replied(at(10), sh, OutcomePart)
 	}
 	qt.Assert(t, qu.State(), qt.Equals, Answered)
-	qt.Assert(t, qu.Have(), qt.Equals, 3)
+	qt.Assert(t, qu.NumParts(), qt.Equals, 3)
 }
 
 // A backend server pauses: its part doesn't come. The query asks another one
@@ -52,7 +52,7 @@
 	qu.Replied(at(75), 1, OutcomePart)
 	qt.Assert(t, qu.State(), qt.Equals, Answered)
 	qu.Replied(at(80), 1, OutcomePart)
-	qt.Assert(t, qu.Have(), qt.Equals, 2, qt.Commentf("the later part counts once"))
+	qt.Assert(t, qu.NumParts(), qt.Equals, 2, qt.Commentf("the later part counts once"))
 }
 
 // One shard is down. The caller would wait until its deadline for a part that
@@ -67,7 +67,7 @@
 	qt.Assert(t, qu.Wake(at(89)), qt.Equals, at(90))
 	qu.Next(at(90), nil)
 	qt.Assert(t, qu.State(), qt.Equals, Answered)
-	qt.Assert(t, qu.Have(), qt.Equals, 2)
+	qt.Assert(t, qu.NumParts(), qt.Equals, 2)
 	qt.Assert(t, qu.Has(2), qt.IsFalse)
 }
 
