--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -75,7 +75,7 @@
 	parts := make([][]byte, 0, len(cr.services))
 	stamps := make([]byte, 0, len(cr.services)*40)
 	for sh, rp := range cr.replies {
-		if !cr.qu.Has(sh) {
+		if !cr.qu.HasPart(sh) {
 			continue
 		}
 		if len(stamps) > 0 {
@@ -138,7 +138,7 @@
 func (ca *call) cause(cr *carrier) string {
 	worst := scatter.CauseNone
 	for sh := range cr.services {
-		if !cr.qu.Has(sh) && cr.qu.Cause(sh) > worst {
+		if !cr.qu.HasPart(sh) && cr.qu.Cause(sh) > worst {
 			worst = cr.qu.Cause(sh)
 		}
 	}
--- a/gateway/lines.go
+++ b/gateway/lines.go
@@ -216,7 +216,7 @@
 	cr := st.ca.cr
 	li := listing{cr: cr, took: st.took}
 	for sh := range cr.services {
-		if cr.qu.Has(sh) && !st.lateShard(sh) {
+		if cr.qu.HasPart(sh) && !st.lateShard(sh) {
 			continue
 		}
 		asked := false
--- a/gateway/meters.go
+++ b/gateway/meters.go
@@ -182,7 +182,7 @@
 // missed counts the parts that an answer lacks or would have lacked.
 func (mt *meters) missed(cr *carrier) {
 	for sh, service := range cr.services {
-		if !cr.qu.Has(sh) {
+		if !cr.qu.HasPart(sh) {
 			mt.service(service).missing.Inc()
 		}
 	}
--- a/gateway/room.go
+++ b/gateway/room.go
@@ -39,7 +39,7 @@
 	}
 	short := 0
 	for sh := range ca.cr.services {
-		if ca.cr.qu.Has(sh) {
+		if ca.cr.qu.HasPart(sh) {
 			if queued(ca.cr.replies[sh]) {
 				short++
 			}
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -267,7 +267,7 @@
 	if en.rs.Outcome == upstream.NoConnection {
 		cr.retract(en)
 	}
-	if !cr.qu.Has(en.shard) && en.rs.Outcome == upstream.Answered && !unsigned(en.rs.Reply) {
+	if !cr.qu.HasPart(en.shard) && en.rs.Outcome == upstream.Answered && !unsigned(en.rs.Reply) {
 		cr.replies[en.shard] = en.rs.Reply
 	}
 	cr.qu.Replied(cr.ca.sv.ts.Now(), en.shard, cr.ca.reply(en.rs))
--- a/scatter/scatter.go
+++ b/scatter/scatter.go
@@ -147,7 +147,7 @@
 func (qu *Query) NumParts() int { return qu.have }
 
 // Has reports whether the part of a shard is in.
-func (qu *Query) Has(sh int) bool { return qu.shards[sh].have }
+func (qu *Query) HasPart(sh int) bool { return qu.shards[sh].have }
 
 // Cause returns why a shard has no part yet.
 func (qu *Query) Cause(sh int) Cause { return qu.shards[sh].cause }
--- a/scatter/scatter_test.go
+++ b/scatter/scatter_test.go
@@ -68,7 +68,7 @@
 	qu.Next(at(90), nil)
 	qt.Assert(t, qu.State(), qt.Equals, Answered)
 	qt.Assert(t, qu.NumParts(), qt.Equals, 2)
-	qt.Assert(t, qu.Has(2), qt.IsFalse)
+	qt.Assert(t, qu.HasPart(2), qt.IsFalse)
 }
 
 // Below the least share nothing is given at the aim; the first part that makes
