--- a/gateway/queue.go
+++ b/gateway/queue.go
@@ -142,7 +142,7 @@
 
 // roomFor takes that there is room for a shard.
 func (cr *carrier) roomFor(sh int) {
-	if cr.qu.Waits(sh) {
+	if cr.qu.NeedsAttempt(sh) {
 		cr.qu.Room(cr.ca.sv.ts.Now(), sh)
 		return
 	}
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -271,7 +271,7 @@
 		cr.replies[en.shard] = en.rs.Reply
 	}
 	cr.qu.Replied(cr.ca.sv.ts.Now(), en.shard, cr.ca.reply(en.rs))
-	if en.rs.Outcome == upstream.NoConnection && cr.qu.Waits(en.shard) {
+	if en.rs.Outcome == upstream.NoConnection && cr.qu.NeedsAttempt(en.shard) {
 		cr.join(en.shard)
 	}
 }
--- a/gateway/vacant.go
+++ b/gateway/vacant.go
@@ -93,7 +93,7 @@
 		}
 	}
 	for sh, service := range cr.services {
-		if cr.qu.Waits(sh) {
+		if cr.qu.NeedsAttempt(sh) {
 			sv.bu.Arrival(cr.ca.start, service)
 		}
 	}
@@ -106,7 +106,7 @@
 		pause = hedgePause
 	}
 	defer func() {
-		if !cr.qu.Waits(wa.Shard) {
+		if !cr.qu.NeedsAttempt(wa.Shard) {
 			cr.unqueue(wa.Shard)
 		}
 	}()
--- a/scatter/scatter.go
+++ b/scatter/scatter.go
@@ -154,7 +154,7 @@
 
 // Waits reports whether a shard has neither a part nor an attempt under way, and is
 // not given up.
-func (qu *Query) Waits(po int) bool {
+func (qu *Query) NeedsAttempt(po int) bool {
 	sh := &qu.shards[po]
 	return qu.end == Running && !sh.have && !sh.lost && sh.flying == 0
 }
