--- a/gateway/run.go
+++ b/gateway/run.go
@@ -95,7 +95,7 @@
 		if cr.qu.State() != scatter.Running {
 			return true
 		}
-		timer.Reset(cr.qu.Wake(now).Sub(now))
+		timer.Reset(cr.qu.WakeAt(now).Sub(now))
 		select {
 		case en := <-cr.ends:
 			cr.ended(en)
--- a/scatter/careful_test.go
+++ b/scatter/careful_test.go
@@ -25,7 +25,7 @@
 	qu := begun(t, plan(10, 9))
 	c.Assert(ask(qu, 30), qt.HasLen, fewHedges)
 	c.Assert(ask(qu, 31), qt.HasLen, 0)
-	c.Assert(qu.Wake(at(31)).After(at(31)), qt.IsTrue, qt.Commentf("it must not wake for hedges that may not be"))
+	c.Assert(qu.WakeAt(at(31)).After(at(31)), qt.IsTrue, qt.Commentf("it must not wake for hedges that may not be"))
 	for sh := 3; sh < 10; sh++ {
 		qu.Replied(at(56), sh, OutcomeLost)
 		if sh == 3 {
@@ -87,7 +87,7 @@
 		c.Assert(ask(qu, 0), qt.DeepEquals, []Attempt{{2, First}})
 		c.Assert(ask(qu, 29), qt.HasLen, 0)
 		c.Assert(ask(qu, 31), qt.HasLen, 0, qt.Commentf("no hedge"))
-		c.Assert(qu.Wake(at(31)), qt.Equals, pl.Deadline)
+		c.Assert(qu.WakeAt(at(31)), qt.Equals, pl.Deadline)
 		qu.Replied(at(56), 2, OutcomeLost)
 		c.Assert(qu.State(), qt.Equals, Failed)
 	})
@@ -112,7 +112,7 @@
 		qu := New(pl)
 		c.Assert(qu.Next(at(0), nil), qt.DeepEquals, []Attempt{{2, First}})
 		qu.Denied(at(0), 2, CauseNoConnection, at(20))
-		c.Assert(qu.Wake(at(0)), qt.Equals, at(0), qt.Commentf("another shard is asked at once"))
+		c.Assert(qu.WakeAt(at(0)), qt.Equals, at(0), qt.Commentf("another shard is asked at once"))
 		c.Assert(ask(qu, 0), qt.DeepEquals, []Attempt{{3, First}})
 		c.Assert(ask(qu, 20), qt.HasLen, 0)
 	})
--- a/scatter/room_sim_test.go
+++ b/scatter/room_sim_test.go
@@ -134,7 +134,7 @@
 		bm.serve()
 	}
 	if bm.ended(pa); !pa.over {
-		bm.at(max(time.Microsecond, pa.qu.Wake(now).Sub(now)), func() { bm.look(pa) })
+		bm.at(max(time.Microsecond, pa.qu.WakeAt(now).Sub(now)), func() { bm.look(pa) })
 	}
 }
 
--- a/scatter/scatter.go
+++ b/scatter/scatter.go
@@ -249,7 +249,7 @@
 }
 
 // Wake returns when Next is to be called again if no event comes before.
-func (qu *Query) Wake(now time.Time) time.Time {
+func (qu *Query) WakeAt(now time.Time) time.Time {
 	at := qu.pl.Deadline
 	if qu.have >= qu.pl.MinParts && qu.pl.PartialDeadline.Before(at) {
 		at = qu.pl.PartialDeadline
--- a/scatter/scatter_test.go
+++ b/scatter/scatter_test.go
@@ -45,7 +45,7 @@
 func TestHedge(t *testing.T) {
 	qu := begun(t, plan(2, 2))
 	qu.Replied(at(10), 0, OutcomePart)
-	qt.Assert(t, qu.Wake(at(10)), qt.Equals, at(30))
+	qt.Assert(t, qu.WakeAt(at(10)), qt.Equals, at(30))
 	qt.Assert(t, qu.Next(at(30), nil), qt.DeepEquals, []Attempt{{1, Hedge}})
 	qu.Asked(1, at(60))
 	qt.Assert(t, qu.Next(at(70), nil), qt.HasLen, 0, qt.Commentf("two backend servers at most"))
@@ -64,7 +64,7 @@
 	qu.Next(at(89), nil)
 	qt.Assert(t, qu.State(), qt.Equals, Running)
 	qu.Asked(2, time.Time{})
-	qt.Assert(t, qu.Wake(at(89)), qt.Equals, at(90))
+	qt.Assert(t, qu.WakeAt(at(89)), qt.Equals, at(90))
 	qu.Next(at(90), nil)
 	qt.Assert(t, qu.State(), qt.Equals, Answered)
 	qt.Assert(t, qu.NumParts(), qt.Equals, 2)
@@ -160,7 +160,7 @@
 	qu := begun(t, plan(1, 1))
 	qt.Assert(t, qu.Next(at(30), nil), qt.DeepEquals, []Attempt{{0, Hedge}})
 	qu.Denied(at(30), 0, CauseBudget, at(55))
-	qt.Assert(t, qu.Wake(at(30)), qt.Equals, at(55))
+	qt.Assert(t, qu.WakeAt(at(30)), qt.Equals, at(55))
 	qu.Replied(at(40), 0, OutcomePart)
 	qt.Assert(t, qu.State(), qt.Equals, Answered)
 }
@@ -174,7 +174,7 @@
 	for _, next := range []int{5, 15} {
 		qu.Replied(at(now), 0, OutcomeNoConnection)
 		qt.Assert(t, qu.State(), qt.Equals, Running)
-		qt.Assert(t, qu.Wake(at(now)), qt.Equals, at(next))
+		qt.Assert(t, qu.WakeAt(at(now)), qt.Equals, at(next))
 		qt.Assert(t, qu.Next(at(next-1), nil), qt.HasLen, 0)
 		now = next
 		qt.Assert(t, qu.Next(at(now), nil), qt.DeepEquals, []Attempt{{0, First}})
@@ -238,7 +238,7 @@
 			}
 			now := t0
 			for qu.State() == Running {
-				now = qu.Wake(now)
+				now = qu.WakeAt(now)
 				for _, wa := range qu.Next(now, nil) {
 					tt.short(qu, now, wa.Shard)
 				}
@@ -277,7 +277,7 @@
 	qu := New(pl)
 	qu.Denied(t0, 1, CauseNoServer, at(188))
 	var looks []time.Duration
-	for now := t0; qu.State() == Running; now = qu.Wake(now) {
+	for now := t0; qu.State() == Running; now = qu.WakeAt(now) {
 		for _, wa := range qu.Next(now, nil) {
 			if wa.Shard == 0 {
 				looks = append(looks, now.Sub(t0)/time.Millisecond)
@@ -347,7 +347,7 @@
 	qt.Assert(t, qu.Next(at(30), nil), qt.DeepEquals, []Attempt{{0, Hedge}})
 	qu.Nobody(at(30), 0, CauseNotRun, at(50))
 	qt.Assert(t, qu.State(), qt.Equals, Running)
-	qt.Assert(t, qu.Wake(at(30)), qt.Equals, at(50))
+	qt.Assert(t, qu.WakeAt(at(30)), qt.Equals, at(50))
 	qu.Replied(at(40), 0, OutcomeNotRun)
 	qt.Assert(t, qu.Next(at(40), nil), qt.DeepEquals, []Attempt{{0, Retry}})
 	qu.Nobody(at(40), 0, CauseNotRun, at(60))
