--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -117,7 +117,7 @@
 func (ca *call) giveUp(cr *carrier) {
 	cause := ca.cause(cr)
 	switch {
-	case !cr.qu.Ran():
+	case !cr.qu.MayHaveRun():
 		ca.refuse(cause, retryNoServer)
 	case cr.qu.State() == scatter.Expired:
 		ca.fail(http.StatusGatewayTimeout, ca.unknown(), cause)
--- a/scatter/careful_test.go
+++ b/scatter/careful_test.go
@@ -124,7 +124,7 @@
 		c.Assert(ask(qu, 0), qt.HasLen, 1)
 		qu.Replied(at(5), 0, OutcomeLost)
 		c.Assert(qu.State(), qt.Equals, Failed)
-		c.Assert(qu.Ran(), qt.IsTrue)
+		c.Assert(qu.MayHaveRun(), qt.IsTrue)
 	})
 }
 
--- a/scatter/scatter.go
+++ b/scatter/scatter.go
@@ -267,7 +267,7 @@
 }
 
 // Ran reports whether any backend server may have run the request.
-func (qu *Query) Ran() bool {
+func (qu *Query) MayHaveRun() bool {
 	for _, sh := range qu.shards {
 		if sh.have || sh.ran > 0 || sh.flying > 0 {
 			return true
--- a/scatter/scatter_test.go
+++ b/scatter/scatter_test.go
@@ -99,7 +99,7 @@
 	qu := begun(t, plan(1, 1))
 	qu.Next(at(600), nil)
 	qt.Assert(t, qu.State(), qt.Equals, Expired)
-	qt.Assert(t, qu.Ran(), qt.IsTrue)
+	qt.Assert(t, qu.MayHaveRun(), qt.IsTrue)
 }
 
 // Backend servers that refuse a request have not run it, so others are asked,
@@ -116,7 +116,7 @@
 	}
 	qu.Replied(at(now), 0, OutcomeNotRun)
 	qt.Assert(t, qu.State(), qt.Equals, Failed)
-	qt.Assert(t, qu.Ran(), qt.IsFalse)
+	qt.Assert(t, qu.MayHaveRun(), qt.IsFalse)
 }
 
 // A booking whose answer was lost may have run: it must not be sent again, and
@@ -128,7 +128,7 @@
 	qt.Assert(t, qu.Next(at(500), nil), qt.HasLen, 0, qt.Commentf("no hedge"))
 	qu.Replied(at(510), 0, OutcomeLost)
 	qt.Assert(t, qu.State(), qt.Equals, Failed)
-	qt.Assert(t, qu.Ran(), qt.IsTrue)
+	qt.Assert(t, qu.MayHaveRun(), qt.IsTrue)
 
 	qu = begun(t, pl)
 	qu.Replied(at(10), 0, OutcomeNotRun)
@@ -136,7 +136,7 @@
 	qu.Asked(0, time.Time{})
 	qu.Replied(at(20), 0, OutcomeFailed)
 	qt.Assert(t, qu.State(), qt.Equals, Failed)
-	qt.Assert(t, qu.Ran(), qt.IsTrue)
+	qt.Assert(t, qu.MayHaveRun(), qt.IsTrue)
 }
 
 // No backend server of the shard is known. The caller is told while it still
@@ -150,7 +150,7 @@
 	}
 	qu.Denied(at(20), 0, CauseNoServer, at(30))
 	qt.Assert(t, qu.State(), qt.Equals, Failed)
-	qt.Assert(t, qu.Ran(), qt.IsFalse)
+	qt.Assert(t, qu.MayHaveRun(), qt.IsFalse)
 	qt.Assert(t, qu.Cause(0), qt.Equals, CauseNoServer)
 }
 
@@ -186,7 +186,7 @@
 	qu = begun(t, plan(1, 1))
 	qu.Replied(at(20), 0, OutcomeNoConnection)
 	qt.Assert(t, qu.State(), qt.Equals, Failed, qt.Commentf("told at once when no connection comes free"))
-	qt.Assert(t, qu.Ran(), qt.IsFalse)
+	qt.Assert(t, qu.MayHaveRun(), qt.IsFalse)
 	qt.Assert(t, qu.Cause(0), qt.Equals, CauseNoConnection)
 }
 
@@ -334,7 +334,7 @@
 			}
 			qt.Assert(t, qu.State(), qt.Equals, tt.end)
 			qt.Assert(t, now, qt.Equals, tt.until)
-			qt.Assert(t, qu.Ran(), qt.Equals, tt.ran)
+			qt.Assert(t, qu.MayHaveRun(), qt.Equals, tt.ran)
 		})
 	}
 }
@@ -352,7 +352,7 @@
 	qt.Assert(t, qu.Next(at(40), nil), qt.DeepEquals, []Attempt{{0, Retry}})
 	qu.Nobody(at(40), 0, CauseNotRun, at(60))
 	qt.Assert(t, qu.State(), qt.Equals, Failed)
-	qt.Assert(t, qu.Ran(), qt.IsFalse)
+	qt.Assert(t, qu.MayHaveRun(), qt.IsFalse)
 }
 
 // Guards against an answer that fails at the end of the hold for one part that waits for a
