--- a/gateway/run.go
+++ b/gateway/run.go
@@ -165,7 +165,7 @@
 	if cr.ca.repeatable() && !(wa.Kind == scatter.Hedge && pk.Unhealthy) {
 		hedgeAt = now.Add(sv.re.HedgeDelay(now, as, pk))
 	}
-	cr.qu.Asked(wa.Shard, hedgeAt)
+	cr.qu.AttemptStarted(wa.Shard, hedgeAt)
 	go cr.exchange(ctx, attempt{shard: wa.Shard, number: cr.began(now, wa, pk.Server.ID), pk: pk, spent: spent})
 }
 
--- a/scatter/careful_test.go
+++ b/scatter/careful_test.go
@@ -11,7 +11,7 @@
 func ask(qu *Query, ms int) []Attempt {
 	was := qu.Next(at(ms), nil)
 	for _, wa := range was {
-		qu.Asked(wa.Shard, at(ms+30))
+		qu.AttemptStarted(wa.Shard, at(ms+30))
 	}
 	return was
 }
@@ -135,7 +135,7 @@
 	pl.Probe = true
 	qu := New(pl)
 	c.Assert(qu.Next(at(0), nil), qt.HasLen, 1)
-	qu.Asked(0, time.Time{})
+	qu.AttemptStarted(0, time.Time{})
 	qu.Next(pl.Deadline, nil)
 	c.Assert(qu.State(), qt.Equals, Expired)
 }
--- a/scatter/events.go
+++ b/scatter/events.go
@@ -4,7 +4,7 @@
 
 // Asked says that an attempt for a shard is under way. From hedgeAt on a second
 // one is wanted beside it; the zero time means never.
-func (qu *Query) Asked(po int, hedgeAt time.Time) {
+func (qu *Query) AttemptStarted(po int, hedgeAt time.Time) {
 	sh := &qu.shards[po]
 	if sh.flying > 0 && !qu.answered {
 		qu.hedges++
--- a/scatter/room_sim_test.go
+++ b/scatter/room_sim_test.go
@@ -111,7 +111,7 @@
 		}),
 	}
 	for sh := 1; sh < modelShards; sh++ {
-		pa.qu.Asked(sh, time.Time{})
+		pa.qu.AttemptStarted(sh, time.Time{})
 		bm.at(modelOthers, func() { bm.replied(pa, sh) })
 	}
 	bm.look(pa)
@@ -129,7 +129,7 @@
 			continue
 		}
 		bm.flying[pa.instance]++
-		pa.qu.Asked(0, time.Time{})
+		pa.qu.AttemptStarted(0, time.Time{})
 		bm.line = append(bm.line, pa)
 		bm.serve()
 	}
--- a/scatter/scatter_test.go
+++ b/scatter/scatter_test.go
@@ -24,7 +24,7 @@
 	qu := New(pl)
 	for _, wa := range qu.Next(t0, nil) {
 		qt.Assert(t, wa.Kind, qt.Equals, First)
-		qu.Asked(wa.Shard, at(30))
+		qu.AttemptStarted(wa.Shard, at(30))
 	}
 	qt.Assert(t, qu.Next(t0, nil), qt.HasLen, 0)
 	return qu
@@ -47,7 +47,7 @@
 	qu.Replied(at(10), 0, OutcomePart)
 	qt.Assert(t, qu.WakeAt(at(10)), qt.Equals, at(30))
 	qt.Assert(t, qu.Next(at(30), nil), qt.DeepEquals, []Attempt{{1, Hedge}})
-	qu.Asked(1, at(60))
+	qu.AttemptStarted(1, at(60))
 	qt.Assert(t, qu.Next(at(70), nil), qt.HasLen, 0, qt.Commentf("two backend servers at most"))
 	qu.Replied(at(75), 1, OutcomePart)
 	qt.Assert(t, qu.State(), qt.Equals, Answered)
@@ -63,7 +63,7 @@
 	qu.Replied(at(12), 1, OutcomePart)
 	qu.Next(at(89), nil)
 	qt.Assert(t, qu.State(), qt.Equals, Running)
-	qu.Asked(2, time.Time{})
+	qu.AttemptStarted(2, time.Time{})
 	qt.Assert(t, qu.WakeAt(at(89)), qt.Equals, at(90))
 	qu.Next(at(90), nil)
 	qt.Assert(t, qu.State(), qt.Equals, Answered)
@@ -88,7 +88,7 @@
 	qu := begun(t, plan(3, 3))
 	qu.Replied(at(10), 0, OutcomeFailed)
 	qt.Assert(t, qu.Next(at(10), nil), qt.DeepEquals, []Attempt{{0, Retry}})
-	qu.Asked(0, at(40))
+	qu.AttemptStarted(0, at(40))
 	qu.Replied(at(20), 0, OutcomeLost)
 	qt.Assert(t, qu.State(), qt.Equals, Failed)
 	qt.Assert(t, qu.Cause(0), qt.Equals, CauseLost)
@@ -112,7 +112,7 @@
 		qt.Assert(t, qu.State(), qt.Equals, Running)
 		now += 20
 		qt.Assert(t, qu.Next(at(now), nil), qt.DeepEquals, []Attempt{{0, Retry}})
-		qu.Asked(0, time.Time{})
+		qu.AttemptStarted(0, time.Time{})
 	}
 	qu.Replied(at(now), 0, OutcomeNotRun)
 	qt.Assert(t, qu.State(), qt.Equals, Failed)
@@ -133,7 +133,7 @@
 	qu = begun(t, pl)
 	qu.Replied(at(10), 0, OutcomeNotRun)
 	qt.Assert(t, qu.Next(at(10), nil), qt.DeepEquals, []Attempt{{0, Retry}})
-	qu.Asked(0, time.Time{})
+	qu.AttemptStarted(0, time.Time{})
 	qu.Replied(at(20), 0, OutcomeFailed)
 	qt.Assert(t, qu.State(), qt.Equals, Failed)
 	qt.Assert(t, qu.MayHaveRun(), qt.IsTrue)
@@ -178,7 +178,7 @@
 		qt.Assert(t, qu.Next(at(next-1), nil), qt.HasLen, 0)
 		now = next
 		qt.Assert(t, qu.Next(at(now), nil), qt.DeepEquals, []Attempt{{0, First}})
-		qu.Asked(0, at(now+30))
+		qu.AttemptStarted(0, at(now+30))
 	}
 	qu.Replied(at(now), 0, OutcomePart)
 	qt.Assert(t, qu.State(), qt.Equals, Answered)
@@ -196,7 +196,7 @@
 // answered then, not at the look after it.
 func TestWaitForRoom(t *testing.T) {
 	busy := func(qu *Query, now time.Time, po int) {
-		qu.Asked(po, now.Add(30*time.Millisecond))
+		qu.AttemptStarted(po, now.Add(30*time.Millisecond))
 		qu.Replied(now, po, OutcomeNoConnection)
 	}
 	noServer := func(qu *Query, now time.Time, po int) {
@@ -233,7 +233,7 @@
 					tt.short(qu, t0, last)
 					continue
 				}
-				qu.Asked(wa.Shard, time.Time{})
+				qu.AttemptStarted(wa.Shard, time.Time{})
 				qu.Replied(t0, wa.Shard, OutcomePart)
 			}
 			now := t0
@@ -259,7 +259,7 @@
 	}
 	qu.Room(at(3), 1)
 	qt.Assert(t, qu.Next(at(3), nil), qt.DeepEquals, []Attempt{{1, First}})
-	qu.Asked(1, at(30))
+	qu.AttemptStarted(1, at(30))
 	qu.Room(at(4), 1)
 	qt.Assert(t, qu.Next(at(4), nil), qt.HasLen, 0)
 	qu.Replied(at(5), 1, OutcomePart)
@@ -281,7 +281,7 @@
 		for _, wa := range qu.Next(now, nil) {
 			if wa.Shard == 0 {
 				looks = append(looks, now.Sub(t0)/time.Millisecond)
-				qu.Asked(0, time.Time{})
+				qu.AttemptStarted(0, time.Time{})
 				qu.Replied(now, 0, OutcomeNoConnection)
 				continue
 			}
@@ -324,7 +324,7 @@
 				qu.Nobody(t0, sh, CauseNoServer, at(20))
 			}
 			for _, wa := range qu.Next(t0, nil) {
-				qu.Asked(wa.Shard, time.Time{})
+				qu.AttemptStarted(wa.Shard, time.Time{})
 			}
 			now := 0
 			for _, ev := range tt.events {
@@ -362,7 +362,7 @@
 	pl.NoServerDeadline, pl.NoConnectionDeadline = at(90), at(600)
 	for ca, want := range map[Cause]State{CauseNoConnection: Running, CauseNoServer: Failed} {
 		qu := New(pl)
-		qu.Asked(0, time.Time{})
+		qu.AttemptStarted(0, time.Time{})
 		qu.Replied(at(10), 0, OutcomePart)
 		qu.Denied(at(89), 1, ca, at(109))
 		qu.Denied(at(90), 1, ca, at(110))
