--- a/gateway/run.go
+++ b/gateway/run.go
@@ -147,7 +147,7 @@
 		if !sv.bu.Spend(now, service) {
 			sv.re.Done(now, pk, replica.Report{Outcome: replica.Canceled})
 			cr.denied(service)
-			cr.qu.Denied(now, wa.Shard, scatter.CauseBudget, now.Add(budgetPause))
+			cr.qu.AttemptDeferred(now, wa.Shard, scatter.CauseBudget, now.Add(budgetPause))
 			return
 		}
 		spent = now
--- a/gateway/vacant.go
+++ b/gateway/vacant.go
@@ -114,13 +114,13 @@
 	case ready == 0 && pi.vacant(now, service):
 		cr.qu.Nobody(now, wa.Shard, scatter.CauseNoServer, now.Add(noServerPause))
 	case ready == 0:
-		cr.qu.Denied(now, wa.Shard, scatter.CauseNoServer, now.Add(noServerPause))
+		cr.qu.AttemptDeferred(now, wa.Shard, scatter.CauseNoServer, now.Add(noServerPause))
 	case !pi.untried(service, cr.tried[wa.Shard]):
 		// Each was tried and is not tried again. What they did is the cause.
 		cr.qu.Nobody(now, wa.Shard, scatter.CauseNone, now.Add(noServerPause))
 	case cr.ca.sv.re.AllWarmingUp(now, replica.Request{Service: service, Avoid: cr.tried[wa.Shard]}):
 		cr.qu.Nobody(now, wa.Shard, scatter.CauseCold, now.Add(noServerPause))
 	default:
-		cr.qu.Denied(now, wa.Shard, scatter.CauseNoConnection, now.Add(pause))
+		cr.qu.AttemptDeferred(now, wa.Shard, scatter.CauseNoConnection, now.Add(pause))
 	}
 }
--- a/scatter/careful_test.go
+++ b/scatter/careful_test.go
@@ -111,7 +111,7 @@
 		c := qt.New(t)
 		qu := New(pl)
 		c.Assert(qu.Next(at(0), nil), qt.DeepEquals, []Attempt{{2, First}})
-		qu.Denied(at(0), 2, CauseNoConnection, at(20))
+		qu.AttemptDeferred(at(0), 2, CauseNoConnection, at(20))
 		c.Assert(qu.WakeAt(at(0)), qt.Equals, at(0), qt.Commentf("another shard is asked at once"))
 		c.Assert(ask(qu, 0), qt.DeepEquals, []Attempt{{3, First}})
 		c.Assert(ask(qu, 20), qt.HasLen, 0)
--- a/scatter/events.go
+++ b/scatter/events.go
@@ -21,7 +21,7 @@
 // Denied says that an attempt could not be begun and may be tried again later.
 // At Offer, or Room, a shard that nobody is asked for is given up: a caller that waits
 // for nothing is better told so at once.
-func (qu *Query) Denied(now time.Time, po int, ca Cause, again time.Time) {
+func (qu *Query) AttemptDeferred(now time.Time, po int, ca Cause, again time.Time) {
 	sh := &qu.shards[po]
 	if sh.flying > 0 {
 		sh.next = again
--- a/scatter/room_sim_test.go
+++ b/scatter/room_sim_test.go
@@ -125,7 +125,7 @@
 	now := t0.Add(bm.now)
 	for range pa.qu.Next(now, nil) {
 		if bm.flying[pa.instance] >= modelConnections {
-			pa.qu.Denied(now, 0, CauseNoConnection, now.Add(20*time.Millisecond))
+			pa.qu.AttemptDeferred(now, 0, CauseNoConnection, now.Add(20*time.Millisecond))
 			continue
 		}
 		bm.flying[pa.instance]++
--- a/scatter/scatter_test.go
+++ b/scatter/scatter_test.go
@@ -145,10 +145,10 @@
 	qu := New(plan(1, 1))
 	for now := 0; now < 20; now += 10 {
 		qt.Assert(t, qu.Next(at(now), nil), qt.HasLen, 1)
-		qu.Denied(at(now), 0, CauseNoServer, at(now+10))
+		qu.AttemptDeferred(at(now), 0, CauseNoServer, at(now+10))
 		qt.Assert(t, qu.State(), qt.Equals, Running)
 	}
-	qu.Denied(at(20), 0, CauseNoServer, at(30))
+	qu.AttemptDeferred(at(20), 0, CauseNoServer, at(30))
 	qt.Assert(t, qu.State(), qt.Equals, Failed)
 	qt.Assert(t, qu.MayHaveRun(), qt.IsFalse)
 	qt.Assert(t, qu.Cause(0), qt.Equals, CauseNoServer)
@@ -159,7 +159,7 @@
 func TestHedgeDenied(t *testing.T) {
 	qu := begun(t, plan(1, 1))
 	qt.Assert(t, qu.Next(at(30), nil), qt.DeepEquals, []Attempt{{0, Hedge}})
-	qu.Denied(at(30), 0, CauseBudget, at(55))
+	qu.AttemptDeferred(at(30), 0, CauseBudget, at(55))
 	qt.Assert(t, qu.WakeAt(at(30)), qt.Equals, at(55))
 	qu.Replied(at(40), 0, OutcomePart)
 	qt.Assert(t, qu.State(), qt.Equals, Answered)
@@ -200,10 +200,10 @@
 		qu.Replied(now, po, OutcomeNoConnection)
 	}
 	noServer := func(qu *Query, now time.Time, po int) {
-		qu.Denied(now, po, CauseNoServer, now.Add(13*time.Millisecond))
+		qu.AttemptDeferred(now, po, CauseNoServer, now.Add(13*time.Millisecond))
 	}
 	noRoom := func(qu *Query, now time.Time, po int) {
-		qu.Denied(now, po, CauseNoConnection, now.Add(20*time.Millisecond))
+		qu.AttemptDeferred(now, po, CauseNoConnection, now.Add(20*time.Millisecond))
 	}
 	tests := []struct {
 		name   string
@@ -255,7 +255,7 @@
 func TestRoom(t *testing.T) {
 	qu := New(plan(2, 2))
 	for sh := range 2 {
-		qu.Denied(t0, sh, CauseNoConnection, at(20))
+		qu.AttemptDeferred(t0, sh, CauseNoConnection, at(20))
 	}
 	qu.Room(at(3), 1)
 	qt.Assert(t, qu.Next(at(3), nil), qt.DeepEquals, []Attempt{{1, First}})
@@ -275,7 +275,7 @@
 	pl := plan(2, 1)
 	pl.NoServerDeadline, pl.PartialDeadline = at(188), at(188)
 	qu := New(pl)
-	qu.Denied(t0, 1, CauseNoServer, at(188))
+	qu.AttemptDeferred(t0, 1, CauseNoServer, at(188))
 	var looks []time.Duration
 	for now := t0; qu.State() == Running; now = qu.WakeAt(now) {
 		for _, wa := range qu.Next(now, nil) {
@@ -285,7 +285,7 @@
 				qu.Replied(now, 0, OutcomeNoConnection)
 				continue
 			}
-			qu.Denied(now, 1, CauseNoServer, at(188))
+			qu.AttemptDeferred(now, 1, CauseNoServer, at(188))
 		}
 	}
 	qt.Assert(t, looks, qt.DeepEquals, []time.Duration{0, 5, 15, 35, 75, 115, 155, 188})
@@ -364,8 +364,8 @@
 		qu := New(pl)
 		qu.AttemptStarted(0, time.Time{})
 		qu.Replied(at(10), 0, OutcomePart)
-		qu.Denied(at(89), 1, ca, at(109))
-		qu.Denied(at(90), 1, ca, at(110))
+		qu.AttemptDeferred(at(89), 1, ca, at(109))
+		qu.AttemptDeferred(at(90), 1, ca, at(110))
 		qt.Assert(t, qu.State(), qt.Equals, want, qt.Commentf("%v", ca))
 	}
 }
