--- a/gateway/vacant.go
+++ b/gateway/vacant.go
@@ -89,7 +89,7 @@
 	pi := sv.seen.Load()
 	for sh, service := range cr.services {
 		if pi.vacant(now, service) {
-			cr.qu.Nobody(now, sh, scatter.CauseNoServer, now)
+			cr.qu.NoServerLeft(now, sh, scatter.CauseNoServer, now)
 		}
 	}
 	for sh, service := range cr.services {
@@ -112,14 +112,14 @@
 	}()
 	switch ready := cr.ca.sv.re.NumReady(service); {
 	case ready == 0 && pi.vacant(now, service):
-		cr.qu.Nobody(now, wa.Shard, scatter.CauseNoServer, now.Add(noServerPause))
+		cr.qu.NoServerLeft(now, wa.Shard, scatter.CauseNoServer, now.Add(noServerPause))
 	case ready == 0:
 		cr.qu.AttemptDeferred(now, wa.Shard, scatter.CauseNoServer, now.Add(noServerPause))
 	case !pi.untried(service, cr.tried[wa.Shard]):
 		// Each was tried and is not tried again. What they did is the cause.
-		cr.qu.Nobody(now, wa.Shard, scatter.CauseNone, now.Add(noServerPause))
+		cr.qu.NoServerLeft(now, wa.Shard, scatter.CauseNone, now.Add(noServerPause))
 	case cr.ca.sv.re.AllWarmingUp(now, replica.Request{Service: service, Avoid: cr.tried[wa.Shard]}):
-		cr.qu.Nobody(now, wa.Shard, scatter.CauseCold, now.Add(noServerPause))
+		cr.qu.NoServerLeft(now, wa.Shard, scatter.CauseCold, now.Add(noServerPause))
 	default:
 		cr.qu.AttemptDeferred(now, wa.Shard, scatter.CauseNoConnection, now.Add(pause))
 	}
--- a/scatter/events.go
+++ b/scatter/events.go
@@ -53,7 +53,7 @@
 // expected. Unless an attempt is under way, the shard is given up at once: held
 // until Offer, an answer would come late for a part that can't come. Beside an
 // attempt it only means that there is no hedge before the given time.
-func (qu *Query) Nobody(now time.Time, po int, ca Cause, again time.Time) {
+func (qu *Query) NoServerLeft(now time.Time, po int, ca Cause, again time.Time) {
 	sh := &qu.shards[po]
 	if sh.flying > 0 {
 		sh.next = again
--- a/scatter/scatter_test.go
+++ b/scatter/scatter_test.go
@@ -321,7 +321,7 @@
 			pl.NoServerDeadline, pl.MaxAttempts = pl.PartialDeadline, 1
 			qu := New(pl)
 			for _, sh := range tt.nobody {
-				qu.Nobody(t0, sh, CauseNoServer, at(20))
+				qu.NoServerLeft(t0, sh, CauseNoServer, at(20))
 			}
 			for _, wa := range qu.Next(t0, nil) {
 				qu.AttemptStarted(wa.Shard, time.Time{})
@@ -345,12 +345,12 @@
 func TestNobodyLeftAfter(t *testing.T) {
 	qu := begun(t, plan(1, 1))
 	qt.Assert(t, qu.Next(at(30), nil), qt.DeepEquals, []Attempt{{0, Hedge}})
-	qu.Nobody(at(30), 0, CauseNotRun, at(50))
+	qu.NoServerLeft(at(30), 0, CauseNotRun, at(50))
 	qt.Assert(t, qu.State(), qt.Equals, Running)
 	qt.Assert(t, qu.WakeAt(at(30)), qt.Equals, at(50))
 	qu.Replied(at(40), 0, OutcomeNotRun)
 	qt.Assert(t, qu.Next(at(40), nil), qt.DeepEquals, []Attempt{{0, Retry}})
-	qu.Nobody(at(40), 0, CauseNotRun, at(60))
+	qu.NoServerLeft(at(40), 0, CauseNotRun, at(60))
 	qt.Assert(t, qu.State(), qt.Equals, Failed)
 	qt.Assert(t, qu.MayHaveRun(), qt.IsFalse)
 }
