--- a/gateway/queue.go
+++ b/gateway/queue.go
@@ -143,7 +143,7 @@
 // roomFor takes that there is room for a shard.
 func (cr *carrier) roomFor(sh int) {
 	if cr.qu.NeedsAttempt(sh) {
-		cr.qu.Room(cr.ca.sv.ts.Now(), sh)
+		cr.qu.RetryNow(cr.ca.sv.ts.Now(), sh)
 		return
 	}
 	cr.unqueue(sh)
--- a/scatter/events.go
+++ b/scatter/events.go
@@ -66,7 +66,7 @@
 
 // Room says that a shard which waits for a server or a connection need not wait
 // any more.
-func (qu *Query) Room(now time.Time, po int) {
+func (qu *Query) RetryNow(now time.Time, po int) {
 	sh := &qu.shards[po]
 	if sh.flying == 0 && now.Before(sh.next) {
 		sh.next = now
--- a/scatter/scatter_test.go
+++ b/scatter/scatter_test.go
@@ -257,15 +257,15 @@
 	for sh := range 2 {
 		qu.AttemptDeferred(t0, sh, CauseNoConnection, at(20))
 	}
-	qu.Room(at(3), 1)
+	qu.RetryNow(at(3), 1)
 	qt.Assert(t, qu.Next(at(3), nil), qt.DeepEquals, []Attempt{{1, First}})
 	qu.AttemptStarted(1, at(30))
-	qu.Room(at(4), 1)
+	qu.RetryNow(at(4), 1)
 	qt.Assert(t, qu.Next(at(4), nil), qt.HasLen, 0)
 	qu.Replied(at(5), 1, OutcomePart)
-	qu.Room(at(6), 1)
+	qu.RetryNow(at(6), 1)
 	qt.Assert(t, qu.Next(at(6), nil), qt.HasLen, 0)
-	qu.Room(at(7), 0)
+	qu.RetryNow(at(7), 0)
 	qt.Assert(t, qu.Next(at(7), nil), qt.DeepEquals, []Attempt{{0, First}})
 }
 
