--- a/gateway/run.go
+++ b/gateway/run.go
@@ -270,7 +270,7 @@
 	if !cr.qu.HasPart(en.shard) && en.rs.Outcome == upstream.Answered && !unsigned(en.rs.Reply) {
 		cr.replies[en.shard] = en.rs.Reply
 	}
-	cr.qu.Replied(cr.ca.sv.ts.Now(), en.shard, cr.ca.reply(en.rs))
+	cr.qu.AttemptEnded(cr.ca.sv.ts.Now(), en.shard, cr.ca.reply(en.rs))
 	if en.rs.Outcome == upstream.NoConnection && cr.qu.NeedsAttempt(en.shard) {
 		cr.join(en.shard)
 	}
--- a/scatter/careful_test.go
+++ b/scatter/careful_test.go
@@ -27,7 +27,7 @@
 	c.Assert(ask(qu, 31), qt.HasLen, 0)
 	c.Assert(qu.WakeAt(at(31)).After(at(31)), qt.IsTrue, qt.Commentf("it must not wake for hedges that may not be"))
 	for sh := 3; sh < 10; sh++ {
-		qu.Replied(at(56), sh, OutcomeLost)
+		qu.AttemptEnded(at(56), sh, OutcomeLost)
 		if sh == 3 {
 			c.Assert(ask(qu, 56), qt.DeepEquals, []Attempt{{3, Retry}}, qt.Commentf("one server may always break off"))
 		} else {
@@ -35,11 +35,11 @@
 		}
 	}
 	for sh := range 3 {
-		qu.Replied(at(57), sh, OutcomeLost)
-		qu.Replied(at(58), sh, OutcomeLost)
+		qu.AttemptEnded(at(57), sh, OutcomeLost)
+		qu.AttemptEnded(at(58), sh, OutcomeLost)
 	}
 	c.Assert(ask(qu, 60), qt.HasLen, 0)
-	qu.Replied(at(90), 3, OutcomeLost)
+	qu.AttemptEnded(at(90), 3, OutcomeLost)
 	c.Assert(qu.State(), qt.Equals, Failed, qt.Commentf("too many shards have had all their attempts"))
 }
 
@@ -50,14 +50,14 @@
 	pl := plan(4, 1)
 	pl.MaxAttempts = 5
 	qu := begun(t, pl)
-	qu.Replied(at(10), 0, OutcomeLost)
-	qu.Replied(at(10), 1, OutcomeLost)
-	qu.Replied(at(10), 2, OutcomeNotRun)
+	qu.AttemptEnded(at(10), 0, OutcomeLost)
+	qu.AttemptEnded(at(10), 1, OutcomeLost)
+	qu.AttemptEnded(at(10), 2, OutcomeNotRun)
 	c.Assert(ask(qu, 10), qt.HasLen, 0)
-	qu.Replied(at(11), 3, OutcomeNotRun)
+	qu.AttemptEnded(at(11), 3, OutcomeNotRun)
 	c.Assert(ask(qu, 11), qt.DeepEquals, []Attempt{{0, Retry}})
 	c.Assert(ask(qu, 11), qt.HasLen, 0)
-	qu.Replied(at(20), 0, OutcomeLost)
+	qu.AttemptEnded(at(20), 0, OutcomeLost)
 	c.Assert(qu.State(), qt.Equals, Failed)
 }
 
@@ -67,12 +67,12 @@
 func TestAnswerProvesTheQuery(t *testing.T) {
 	c := qt.New(t)
 	qu := begun(t, plan(4, 4))
-	qu.Replied(at(10), 0, OutcomeLost)
-	qu.Replied(at(10), 1, OutcomeLost)
+	qu.AttemptEnded(at(10), 0, OutcomeLost)
+	qu.AttemptEnded(at(10), 1, OutcomeLost)
 	c.Assert(ask(qu, 10), qt.HasLen, 0)
-	qu.Replied(at(11), 2, OutcomeFailed)
+	qu.AttemptEnded(at(11), 2, OutcomeFailed)
 	c.Assert(ask(qu, 11), qt.HasLen, 0)
-	qu.Replied(at(12), 3, OutcomePart)
+	qu.AttemptEnded(at(12), 3, OutcomePart)
 	c.Assert(ask(qu, 12), qt.DeepEquals, []Attempt{{0, Retry}, {1, Retry}, {2, Retry}})
 }
 
@@ -88,23 +88,23 @@
 		c.Assert(ask(qu, 29), qt.HasLen, 0)
 		c.Assert(ask(qu, 31), qt.HasLen, 0, qt.Commentf("no hedge"))
 		c.Assert(qu.WakeAt(at(31)), qt.Equals, pl.Deadline)
-		qu.Replied(at(56), 2, OutcomeLost)
+		qu.AttemptEnded(at(56), 2, OutcomeLost)
 		c.Assert(qu.State(), qt.Equals, Failed)
 	})
 	t.Run("answers", func(t *testing.T) {
 		c := qt.New(t)
 		qu := New(pl)
 		ask(qu, 0)
-		qu.Replied(at(8), 2, OutcomePart)
+		qu.AttemptEnded(at(8), 2, OutcomePart)
 		c.Assert(ask(qu, 8), qt.DeepEquals, []Attempt{{3, First}, {0, First}, {1, First}})
 	})
 	t.Run("is refused", func(t *testing.T) {
 		c := qt.New(t)
 		qu := New(pl)
 		ask(qu, 0)
-		qu.Replied(at(1), 2, OutcomeNotRun)
+		qu.AttemptEnded(at(1), 2, OutcomeNotRun)
 		c.Assert(ask(qu, 1), qt.DeepEquals, []Attempt{{2, Retry}}, qt.Commentf("who refuses says nothing"))
-		qu.Replied(at(2), 2, OutcomeNotRun)
+		qu.AttemptEnded(at(2), 2, OutcomeNotRun)
 		c.Assert(ask(qu, 2), qt.DeepEquals, []Attempt{{3, First}})
 	})
 	t.Run("nobody is there", func(t *testing.T) {
@@ -122,7 +122,7 @@
 		one.Shards, one.MinParts, one.FirstShard, one.Repeatable = 1, 1, 0, false
 		qu := New(one)
 		c.Assert(ask(qu, 0), qt.HasLen, 1)
-		qu.Replied(at(5), 0, OutcomeLost)
+		qu.AttemptEnded(at(5), 0, OutcomeLost)
 		c.Assert(qu.State(), qt.Equals, Failed)
 		c.Assert(qu.MayHaveRun(), qt.IsTrue)
 	})
--- a/scatter/events.go
+++ b/scatter/events.go
@@ -74,7 +74,7 @@
 }
 
 // Replied says how an attempt ended, and settles the query if that decides it.
-func (qu *Query) Replied(now time.Time, po int, re Outcome) {
+func (qu *Query) AttemptEnded(now time.Time, po int, re Outcome) {
 	sh := &qu.shards[po]
 	sh.flying--
 	qu.flying--
--- a/scatter/room_sim_test.go
+++ b/scatter/room_sim_test.go
@@ -162,7 +162,7 @@
 	if pa.over {
 		return
 	}
-	pa.qu.Replied(t0.Add(bm.now), sh, OutcomePart)
+	pa.qu.AttemptEnded(t0.Add(bm.now), sh, OutcomePart)
 	bm.ended(pa)
 }
 
--- a/scatter/scatter_test.go
+++ b/scatter/scatter_test.go
@@ -34,7 +34,7 @@
 	qu := begun(t, plan(3, 2))
 	for sh := range 3 {
 		qt.Assert(t, qu.State(), qt.Equals, Running)
-		qu.Replied(at(10), sh, OutcomePart)
+		qu.AttemptEnded(at(10), sh, OutcomePart)
 	}
 	qt.Assert(t, qu.State(), qt.Equals, Answered)
 	qt.Assert(t, qu.NumParts(), qt.Equals, 3)
@@ -44,14 +44,14 @@
 // once the request is overdue, and takes whichever part comes first.
 func TestHedge(t *testing.T) {
 	qu := begun(t, plan(2, 2))
-	qu.Replied(at(10), 0, OutcomePart)
+	qu.AttemptEnded(at(10), 0, OutcomePart)
 	qt.Assert(t, qu.WakeAt(at(10)), qt.Equals, at(30))
 	qt.Assert(t, qu.Next(at(30), nil), qt.DeepEquals, []Attempt{{1, Hedge}})
 	qu.AttemptStarted(1, at(60))
 	qt.Assert(t, qu.Next(at(70), nil), qt.HasLen, 0, qt.Commentf("two backend servers at most"))
-	qu.Replied(at(75), 1, OutcomePart)
+	qu.AttemptEnded(at(75), 1, OutcomePart)
 	qt.Assert(t, qu.State(), qt.Equals, Answered)
-	qu.Replied(at(80), 1, OutcomePart)
+	qu.AttemptEnded(at(80), 1, OutcomePart)
 	qt.Assert(t, qu.NumParts(), qt.Equals, 2, qt.Commentf("the later part counts once"))
 }
 
@@ -59,8 +59,8 @@
 // doesn't come; just before the aim it gets what is in.
 func TestHold(t *testing.T) {
 	qu := begun(t, plan(3, 2))
-	qu.Replied(at(10), 0, OutcomePart)
-	qu.Replied(at(12), 1, OutcomePart)
+	qu.AttemptEnded(at(10), 0, OutcomePart)
+	qu.AttemptEnded(at(12), 1, OutcomePart)
 	qu.Next(at(89), nil)
 	qt.Assert(t, qu.State(), qt.Equals, Running)
 	qu.AttemptStarted(2, time.Time{})
@@ -75,10 +75,10 @@
 // it enough ends the query.
 func TestHoldBelowLeast(t *testing.T) {
 	qu := begun(t, plan(3, 2))
-	qu.Replied(at(10), 0, OutcomePart)
+	qu.AttemptEnded(at(10), 0, OutcomePart)
 	qu.Next(at(95), nil)
 	qt.Assert(t, qu.State(), qt.Equals, Running)
-	qu.Replied(at(120), 1, OutcomePart)
+	qu.AttemptEnded(at(120), 1, OutcomePart)
 	qt.Assert(t, qu.State(), qt.Equals, Answered)
 }
 
@@ -86,10 +86,10 @@
 // rest, so the caller is told at once.
 func TestFailsAtOnce(t *testing.T) {
 	qu := begun(t, plan(3, 3))
-	qu.Replied(at(10), 0, OutcomeFailed)
+	qu.AttemptEnded(at(10), 0, OutcomeFailed)
 	qt.Assert(t, qu.Next(at(10), nil), qt.DeepEquals, []Attempt{{0, Retry}})
 	qu.AttemptStarted(0, at(40))
-	qu.Replied(at(20), 0, OutcomeLost)
+	qu.AttemptEnded(at(20), 0, OutcomeLost)
 	qt.Assert(t, qu.State(), qt.Equals, Failed)
 	qt.Assert(t, qu.Cause(0), qt.Equals, CauseLost)
 	qt.Assert(t, qu.Cause(1), qt.Equals, CauseTimeout)
@@ -108,13 +108,13 @@
 	qu := begun(t, plan(1, 1))
 	now := 1
 	for range refusals {
-		qu.Replied(at(now), 0, OutcomeNotRun)
+		qu.AttemptEnded(at(now), 0, OutcomeNotRun)
 		qt.Assert(t, qu.State(), qt.Equals, Running)
 		now += 20
 		qt.Assert(t, qu.Next(at(now), nil), qt.DeepEquals, []Attempt{{0, Retry}})
 		qu.AttemptStarted(0, time.Time{})
 	}
-	qu.Replied(at(now), 0, OutcomeNotRun)
+	qu.AttemptEnded(at(now), 0, OutcomeNotRun)
 	qt.Assert(t, qu.State(), qt.Equals, Failed)
 	qt.Assert(t, qu.MayHaveRun(), qt.IsFalse)
 }
@@ -126,15 +126,15 @@
 	pl.Repeatable = false
 	qu := begun(t, pl)
 	qt.Assert(t, qu.Next(at(500), nil), qt.HasLen, 0, qt.Commentf("no hedge"))
-	qu.Replied(at(510), 0, OutcomeLost)
+	qu.AttemptEnded(at(510), 0, OutcomeLost)
 	qt.Assert(t, qu.State(), qt.Equals, Failed)
 	qt.Assert(t, qu.MayHaveRun(), qt.IsTrue)
 
 	qu = begun(t, pl)
-	qu.Replied(at(10), 0, OutcomeNotRun)
+	qu.AttemptEnded(at(10), 0, OutcomeNotRun)
 	qt.Assert(t, qu.Next(at(10), nil), qt.DeepEquals, []Attempt{{0, Retry}})
 	qu.AttemptStarted(0, time.Time{})
-	qu.Replied(at(20), 0, OutcomeFailed)
+	qu.AttemptEnded(at(20), 0, OutcomeFailed)
 	qt.Assert(t, qu.State(), qt.Equals, Failed)
 	qt.Assert(t, qu.MayHaveRun(), qt.IsTrue)
 }
@@ -161,7 +161,7 @@
 	qt.Assert(t, qu.Next(at(30), nil), qt.DeepEquals, []Attempt{{0, Hedge}})
 	qu.AttemptDeferred(at(30), 0, CauseBudget, at(55))
 	qt.Assert(t, qu.WakeAt(at(30)), qt.Equals, at(55))
-	qu.Replied(at(40), 0, OutcomePart)
+	qu.AttemptEnded(at(40), 0, OutcomePart)
 	qt.Assert(t, qu.State(), qt.Equals, Answered)
 }
 
@@ -172,7 +172,7 @@
 	qu := begun(t, plan(1, 1))
 	now := 0
 	for _, next := range []int{5, 15} {
-		qu.Replied(at(now), 0, OutcomeNoConnection)
+		qu.AttemptEnded(at(now), 0, OutcomeNoConnection)
 		qt.Assert(t, qu.State(), qt.Equals, Running)
 		qt.Assert(t, qu.WakeAt(at(now)), qt.Equals, at(next))
 		qt.Assert(t, qu.Next(at(next-1), nil), qt.HasLen, 0)
@@ -180,11 +180,11 @@
 		qt.Assert(t, qu.Next(at(now), nil), qt.DeepEquals, []Attempt{{0, First}})
 		qu.AttemptStarted(0, at(now+30))
 	}
-	qu.Replied(at(now), 0, OutcomePart)
+	qu.AttemptEnded(at(now), 0, OutcomePart)
 	qt.Assert(t, qu.State(), qt.Equals, Answered)
 
 	qu = begun(t, plan(1, 1))
-	qu.Replied(at(20), 0, OutcomeNoConnection)
+	qu.AttemptEnded(at(20), 0, OutcomeNoConnection)
 	qt.Assert(t, qu.State(), qt.Equals, Failed, qt.Commentf("told at once when no connection comes free"))
 	qt.Assert(t, qu.MayHaveRun(), qt.IsFalse)
 	qt.Assert(t, qu.Cause(0), qt.Equals, CauseNoConnection)
@@ -197,7 +197,7 @@
 func TestWaitForRoom(t *testing.T) {
 	busy := func(qu *Query, now time.Time, po int) {
 		qu.AttemptStarted(po, now.Add(30*time.Millisecond))
-		qu.Replied(now, po, OutcomeNoConnection)
+		qu.AttemptEnded(now, po, OutcomeNoConnection)
 	}
 	noServer := func(qu *Query, now time.Time, po int) {
 		qu.AttemptDeferred(now, po, CauseNoServer, now.Add(13*time.Millisecond))
@@ -234,7 +234,7 @@
 					continue
 				}
 				qu.AttemptStarted(wa.Shard, time.Time{})
-				qu.Replied(t0, wa.Shard, OutcomePart)
+				qu.AttemptEnded(t0, wa.Shard, OutcomePart)
 			}
 			now := t0
 			for qu.State() == Running {
@@ -262,7 +262,7 @@
 	qu.AttemptStarted(1, at(30))
 	qu.RetryNow(at(4), 1)
 	qt.Assert(t, qu.Next(at(4), nil), qt.HasLen, 0)
-	qu.Replied(at(5), 1, OutcomePart)
+	qu.AttemptEnded(at(5), 1, OutcomePart)
 	qu.RetryNow(at(6), 1)
 	qt.Assert(t, qu.Next(at(6), nil), qt.HasLen, 0)
 	qu.RetryNow(at(7), 0)
@@ -282,7 +282,7 @@
 			if wa.Shard == 0 {
 				looks = append(looks, now.Sub(t0)/time.Millisecond)
 				qu.AttemptStarted(0, time.Time{})
-				qu.Replied(now, 0, OutcomeNoConnection)
+				qu.AttemptEnded(now, 0, OutcomeNoConnection)
 				continue
 			}
 			qu.AttemptDeferred(now, 1, CauseNoServer, at(188))
@@ -330,7 +330,7 @@
 			for _, ev := range tt.events {
 				qt.Assert(t, qu.State(), qt.Equals, Running)
 				now = ev.at
-				qu.Replied(at(now), ev.shard, ev.reply)
+				qu.AttemptEnded(at(now), ev.shard, ev.reply)
 			}
 			qt.Assert(t, qu.State(), qt.Equals, tt.end)
 			qt.Assert(t, now, qt.Equals, tt.until)
@@ -348,7 +348,7 @@
 	qu.NoServerLeft(at(30), 0, CauseNotRun, at(50))
 	qt.Assert(t, qu.State(), qt.Equals, Running)
 	qt.Assert(t, qu.WakeAt(at(30)), qt.Equals, at(50))
-	qu.Replied(at(40), 0, OutcomeNotRun)
+	qu.AttemptEnded(at(40), 0, OutcomeNotRun)
 	qt.Assert(t, qu.Next(at(40), nil), qt.DeepEquals, []Attempt{{0, Retry}})
 	qu.NoServerLeft(at(40), 0, CauseNotRun, at(60))
 	qt.Assert(t, qu.State(), qt.Equals, Failed)
@@ -363,7 +363,7 @@
 	for ca, want := range map[Cause]State{CauseNoConnection: Running, CauseNoServer: Failed} {
 		qu := New(pl)
 		qu.AttemptStarted(0, time.Time{})
-		qu.Replied(at(10), 0, OutcomePart)
+		qu.AttemptEnded(at(10), 0, OutcomePart)
 		qu.AttemptDeferred(at(89), 1, ca, at(109))
 		qu.AttemptDeferred(at(90), 1, ca, at(110))
 		qt.Assert(t, qu.State(), qt.Equals, want, qt.Commentf("%v", ca))
