--- a/emulate/caller.go
+++ b/emulate/caller.go
@@ -160,7 +160,7 @@
 	}
 	want := parts[0]
 	if ex.TopK > 0 {
-		want = scatter.Greatest(parts, RecordBytes, ex.TopK)
+		want = scatter.MergeTopK(parts, RecordBytes, ex.TopK)
 	}
 	if !bytes.Equal(an.Body, want) {
 		return fmt.Errorf("the body of request %s is not made of its parts", qu.ID)
--- a/emulate/soak/answers.go
+++ b/emulate/soak/answers.go
@@ -137,7 +137,7 @@
 		parts = append(parts, emulate.Records(service, rq.Path, ju.cf.Servers.Records))
 	}
 	if rq.Group == groupMerged {
-		return bytes.Equal(body, scatter.Greatest(parts, emulate.RecordBytes, ju.cf.Merged.TopK))
+		return bytes.Equal(body, scatter.MergeTopK(parts, emulate.RecordBytes, ju.cf.Merged.TopK))
 	}
 	return len(parts) == 1 && bytes.Equal(body, parts[0])
 }
--- a/emulate/soak/judge_test.go
+++ b/emulate/soak/judge_test.go
@@ -75,7 +75,7 @@
 		an.Stamps = append(an.Stamps, emulate.Stamp(se, id))
 		parts = append(parts, emulate.Records(se[:1], "/merged/x", 3))
 	}
-	an.Body = scatter.Greatest(parts, emulate.RecordBytes, 4)
+	an.Body = scatter.MergeTopK(parts, emulate.RecordBytes, 4)
 	return an
 }
 
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -84,7 +84,7 @@
 		stamps = append(stamps, rp.Stamp...)
 		parts = append(parts, rp.Body)
 	}
-	body := scatter.Greatest(parts, ca.ro.Merge.RecordBytes, ca.ro.Merge.TopK)
+	body := scatter.MergeTopK(parts, ca.ro.Merge.RecordBytes, ca.ro.Merge.TopK)
 	hd.Set(ca.sv.cf.Names.Parts, string(stamps))
 	hd.Set(ca.sv.cf.Names.Missing, strconv.Itoa(ca.missed))
 	hd.Set("Content-Length", strconv.Itoa(len(body)))
--- a/scatter/bench_test.go
+++ b/scatter/bench_test.go
@@ -19,7 +19,7 @@
 		be.Run(fmt.Sprintf("Most=%d", most), func(be *testing.B) {
 			be.ReportAllocs()
 			for be.Loop() {
-				Greatest(parts, 16, most)
+				MergeTopK(parts, 16, most)
 			}
 		})
 	}
--- a/scatter/merge.go
+++ b/scatter/merge.go
@@ -8,7 +8,7 @@
 // Greatest returns the greatest records of the parts in falling order, compared
 // byte by byte; equal records all count. A remainder shorter than a record is
 // none. The parts are not changed.
-func Greatest(parts [][]byte, record, most int) []byte {
+func MergeTopK(parts [][]byte, record, most int) []byte {
 	if most <= 0 || record <= 0 {
 		return nil
 	}
--- a/scatter/merge_test.go
+++ b/scatter/merge_test.go
@@ -30,7 +30,7 @@
 			for _, pa := range tt.parts {
 				parts = append(parts, []byte(pa))
 			}
-			qt.Assert(t, string(Greatest(parts, tt.record, tt.most)), qt.Equals, tt.want)
+			qt.Assert(t, string(MergeTopK(parts, tt.record, tt.most)), qt.Equals, tt.want)
 		})
 	}
 }
@@ -45,7 +45,7 @@
 		}
 		slices.SortFunc(all, func(aa, bb []byte) int { return bytes.Compare(bb, aa) })
 		want := bytes.Join(all[:min(most, len(all))], nil)
-		if got := Greatest(parts, 4, most); !bytes.Equal(got, want) {
+		if got := MergeTopK(parts, 4, most); !bytes.Equal(got, want) {
 			rt.Fatalf("want %x, got %x", want, got)
 		}
 	})
