--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -57,7 +57,7 @@
 func (ca *call) serveShards() {
 	ro := ca.ro
 	defer func() { ca.sv.merging.Add(int64(ca.sv.ts.Now().Sub(ca.start))) }()
-	cr, ok := ca.carry(ca.plan(len(ro.Shards), scatter.Least(len(ro.Shards), ro.Merge.LeastShare)), ro.Shards)
+	cr, ok := ca.carry(ca.plan(len(ro.Shards), scatter.MinParts(len(ro.Shards), ro.Merge.LeastShare)), ro.Shards)
 	if !ok {
 		ca.left()
 		return
--- a/scatter/merge.go
+++ b/scatter/merge.go
@@ -49,7 +49,7 @@
 }
 
 // Least returns how many of the shards an answer needs for a share of them.
-func Least(shards int, share float64) int {
+func MinParts(shards int, share float64) int {
 	// The tolerance keeps 0.9 of 10 shards at 9 although 0.9*10 may come out a
 	// little above it.
 	const tolerance = 1e-9
--- a/scatter/merge_test.go
+++ b/scatter/merge_test.go
@@ -70,6 +70,6 @@
 		{100, 0.29, 29},
 	}
 	for _, tt := range tests {
-		qt.Check(t, Least(tt.shards, tt.share), qt.Equals, tt.want, qt.Commentf("%d shards, %v", tt.shards, tt.share))
+		qt.Check(t, MinParts(tt.shards, tt.share), qt.Equals, tt.want, qt.Commentf("%d shards, %v", tt.shards, tt.share))
 	}
 }
