--- a/admit/admit.go
+++ b/admit/admit.go
@@ -55,7 +55,7 @@
 // and can come back. Admitted beyond what the backend servers can take, it waits
 // with all others until all are late: callers then see hardly any answer in time
 // although the servers are busy all along.
-func (li *Limiter) Enter(name string) bool {
+func (li *Limiter) Acquire(name string) bool {
 	li.mu.Lock()
 	defer li.mu.Unlock()
 	gr := li.group(name)
--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -15,12 +15,12 @@
 	c := qt.New(t)
 	li := New(3)
 	for range 3 {
-		c.Assert(li.Enter("a"), qt.IsTrue)
+		c.Assert(li.Acquire("a"), qt.IsTrue)
 	}
-	c.Assert(li.Enter("a"), qt.IsFalse)
-	c.Assert(li.Enter("b"), qt.IsTrue)
+	c.Assert(li.Acquire("a"), qt.IsFalse)
+	c.Assert(li.Acquire("b"), qt.IsTrue)
 	li.Leave(start, "a", false)
-	c.Assert(li.Enter("a"), qt.IsTrue)
+	c.Assert(li.Acquire("a"), qt.IsTrue)
 }
 
 // Requests that were admitted together are refused together by the backend
@@ -29,7 +29,7 @@
 	c := qt.New(t)
 	li := New(100)
 	for range 40 {
-		li.Enter("a")
+		li.Acquire("a")
 	}
 	for range 10 {
 		li.Leave(start, "a", true)
@@ -84,7 +84,7 @@
 			if rn.Float64() >= float64(slots)/work {
 				continue
 			}
-			if li != nil && !li.Enter("a") {
+			if li != nil && !li.Acquire("a") {
 				continue
 			}
 			first := 0
@@ -112,7 +112,7 @@
 
 func TestForget(t *testing.T) {
 	li := New(10)
-	qt.Assert(t, li.Enter("busy"), qt.IsTrue)
+	qt.Assert(t, li.Acquire("busy"), qt.IsTrue)
 	for nth := range 3 * mostGroups {
 		li.Leave(start, fmt.Sprint(nth), true)
 	}
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -77,7 +77,7 @@
 	if len(services) == 0 {
 		services = []string{ca.sv.pk.Pick(ro)}
 	}
-	if !ca.sv.ad.Enter(services[0]) {
+	if !ca.sv.ad.Acquire(services[0]) {
 		ca.refuse(refusalBusy, ca.comeBack())
 		return
 	}
