--- a/admit/admit.go
+++ b/admit/admit.go
@@ -68,7 +68,7 @@
 
 // Leave says that a request is over, and whether it met backend servers that had
 // no room.
-func (li *Limiter) Leave(now time.Time, name string, overloaded bool) {
+func (li *Limiter) Release(now time.Time, name string, overloaded bool) {
 	li.mu.Lock()
 	defer li.mu.Unlock()
 	gr := li.group(name)
--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -19,7 +19,7 @@
 	}
 	c.Assert(li.Acquire("a"), qt.IsFalse)
 	c.Assert(li.Acquire("b"), qt.IsTrue)
-	li.Leave(start, "a", false)
+	li.Release(start, "a", false)
 	c.Assert(li.Acquire("a"), qt.IsTrue)
 }
 
@@ -32,14 +32,14 @@
 		li.Acquire("a")
 	}
 	for range 10 {
-		li.Leave(start, "a", true)
+		li.Release(start, "a", true)
 	}
 	c.Assert(li.Limit("a"), qt.Equals, 34)
-	li.Leave(start.Add(cutPause), "a", true)
+	li.Release(start.Add(cutPause), "a", true)
 	c.Assert(li.Limit("a"), qt.Equals, 25)
 	for range 100 {
 		start := start.Add(time.Hour)
-		li.Leave(start, "a", true)
+		li.Release(start, "a", true)
 	}
 	c.Assert(li.Limit("a") >= least, qt.IsTrue)
 }
@@ -76,7 +76,7 @@
 				continue
 			}
 			if li != nil {
-				li.Leave(start.Add(time.Duration(ms)*time.Millisecond), "a", en.overloaded)
+				li.Release(start.Add(time.Duration(ms)*time.Millisecond), "a", en.overloaded)
 			}
 		}
 		ends = rest
@@ -114,7 +114,7 @@
 	li := New(10)
 	qt.Assert(t, li.Acquire("busy"), qt.IsTrue)
 	for nth := range 3 * mostGroups {
-		li.Leave(start, fmt.Sprint(nth), true)
+		li.Release(start, fmt.Sprint(nth), true)
 	}
 	qt.Assert(t, len(li.groups) <= mostGroups, qt.IsTrue)
 	qt.Assert(t, li.groups["busy"].active, qt.Equals, 1)
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -82,7 +82,7 @@
 		return
 	}
 	defer func() {
-		ca.sv.ad.Leave(ca.sv.ts.Now(), services[0], ca.overloaded())
+		ca.sv.ad.Release(ca.sv.ts.Now(), services[0], ca.overloaded())
 		ca.recycle()
 	}()
 	if len(ro.Shards) > 0 {
