--- a/budget/budget.go
+++ b/budget/budget.go
@@ -69,7 +69,7 @@
 // SetEntries says how many entry instances share the slack. It is divided by
 // the highest count of the last two windows: an instance that is out of sight
 // may still spend its part.
-func (bu *Budget) SetEntries(now time.Time, count int) {
+func (bu *Budget) SetNumEntries(now time.Time, count int) {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
 	bu.entries.set(bu.bucket(now), count)
--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -61,7 +61,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			bu := New(tt.cf, start)
 			if tt.entries > 0 {
-				bu.SetEntries(start, tt.entries)
+				bu.SetNumEntries(start, tt.entries)
 			}
 			arrive(bu, after(tt.arrived), tt.requests)
 			qt.Assert(t, spendAll(bu, after(tt.at)), qt.Equals, tt.want)
@@ -73,7 +73,7 @@
 	c := qt.New(t)
 	bu := New(plain(), start)
 	c.Assert(bu.Left(after(20), "s"), qt.Equals, 0.0)
-	bu.SetEntries(start, 5)
+	bu.SetNumEntries(start, 5)
 	c.Assert(bu.Left(after(20), "s"), qt.Equals, 1.0)
 	for range 5 {
 		c.Assert(bu.Spend(after(20), "s"), qt.IsTrue)
@@ -89,7 +89,7 @@
 func TestWindowSlides(t *testing.T) {
 	c := qt.New(t)
 	bu := New(plain(), start)
-	bu.SetEntries(start, 1)
+	bu.SetNumEntries(start, 1)
 	c.Assert(spendAll(bu, after(20)), qt.Equals, 50)
 	for _, at := range []float64{20.1, 25, 29.9, 30} {
 		c.Assert(spendAll(bu, after(at)), qt.Equals, 0, qt.Commentf("at %v s", at))
@@ -103,28 +103,28 @@
 func TestEntriesOutOfSight(t *testing.T) {
 	c := qt.New(t)
 	bu := New(plain(), start)
-	bu.SetEntries(after(0), 10)
-	bu.SetEntries(after(20), 5)
+	bu.SetNumEntries(after(0), 10)
+	bu.SetNumEntries(after(20), 5)
 	c.Assert(bu.Spend(after(39), "a"), qt.IsTrue)
 	c.Assert(spendAll(bu, after(39.9)), qt.Equals, 5)
 	c.Assert(spendAll(bu, after(55)), qt.Equals, 10)
-	bu.SetEntries(after(70), 50)
+	bu.SetNumEntries(after(70), 50)
 	c.Assert(spendAll(bu, after(70)), qt.Equals, 1)
 }
 
 func TestEntriesAfterSilence(t *testing.T) {
 	c := qt.New(t)
 	bu := New(plain(), start)
-	bu.SetEntries(after(0), 10)
+	bu.SetNumEntries(after(0), 10)
 	c.Assert(spendAll(bu, after(1000)), qt.Equals, 5)
-	bu.SetEntries(after(1000), 0)
+	bu.SetNumEntries(after(1000), 0)
 	c.Assert(spendAll(bu, after(1015)), qt.Equals, 5)
 }
 
 func TestReturn(t *testing.T) {
 	c := qt.New(t)
 	bu := New(plain(), start)
-	bu.SetEntries(start, 50)
+	bu.SetNumEntries(start, 50)
 	c.Assert(bu.Spend(after(20), "s"), qt.IsTrue)
 	c.Assert(bu.Spend(after(21), "s"), qt.IsFalse)
 	bu.Return(after(21), after(20), "s")
@@ -142,7 +142,7 @@
 func TestTimeOfOvertakenCalls(t *testing.T) {
 	c := qt.New(t)
 	bu := New(plain(), start)
-	bu.SetEntries(start, 1)
+	bu.SetNumEntries(start, 1)
 	c.Assert(spendAll(bu, after(20)), qt.Equals, 50)
 	c.Assert(spendAll(bu, after(19)), qt.Equals, 0)
 	c.Assert(spendAll(bu, after(9)), qt.Equals, 0)
@@ -165,7 +165,7 @@
 
 func TestNoAllocations(t *testing.T) {
 	bu := New(plain(), start)
-	bu.SetEntries(start, 3)
+	bu.SetNumEntries(start, 3)
 	now := after(20)
 	bu.Arrival(now, "s")
 	got := testing.AllocsPerRun(1000, func() {
@@ -173,7 +173,7 @@
 		bu.Arrival(now, "s")
 		bu.Spend(now, "s")
 		bu.Left(now, "s")
-		bu.SetEntries(now, 4)
+		bu.SetNumEntries(now, 4)
 	})
 	qt.Assert(t, got, qt.Equals, 0.0)
 }
@@ -190,7 +190,7 @@
 		}
 		bu := New(cf, start)
 		entries := rapid.IntRange(1, 20).Draw(rt, "entries")
-		bu.SetEntries(start, entries)
+		bu.SetNumEntries(start, entries)
 		var requests, extras []time.Time
 		now := start
 		for range rapid.IntRange(1, 300).Draw(rt, "steps") {
@@ -234,7 +234,7 @@
 	var bus []*Budget
 	for range count {
 		bu := New(cf, start)
-		bu.SetEntries(start, count)
+		bu.SetNumEntries(start, count)
 		bus = append(bus, bu)
 	}
 	var requests, extras []time.Time
@@ -242,7 +242,7 @@
 		now := start.Add(time.Duration(ms) * time.Millisecond)
 		if ms == 20_000 {
 			bus[0] = New(cf, now)
-			bus[0].SetEntries(now, count)
+			bus[0].SetNumEntries(now, count)
 		}
 		for ix, bu := range bus {
 			if (ms/25+ix)%3 == 0 {
@@ -261,7 +261,7 @@
 
 func TestConcurrentUse(t *testing.T) {
 	bu := New(plain(), start)
-	bu.SetEntries(start, 1)
+	bu.SetNumEntries(start, 1)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	total := 0
@@ -286,7 +286,7 @@
 
 func BenchmarkSpend(b *testing.B) {
 	bu := New(plain(), start)
-	bu.SetEntries(start, 9)
+	bu.SetNumEntries(start, 9)
 	now := after(20)
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -137,7 +137,7 @@
 // SetEntries takes over how many entry instances share the backend servers.
 func (sv *Server) SetEntries(count int) {
 	now := sv.ts.Now()
-	sv.bu.SetEntries(now, count)
+	sv.bu.SetNumEntries(now, count)
 	sv.mu.Lock()
 	sv.entriesKnown(sv.entries.now, count)
 	sv.entries = sv.counted(sv.entries, now, count)
--- a/replica/sim_test.go
+++ b/replica/sim_test.go
@@ -170,7 +170,7 @@
 			bu:     budget.New(budget.Config{Ratio: tr.ratio, Slack: tr.slack, Window: 10 * time.Second, Share: tr.share}, simStart),
 			centre: centre,
 		}
-		me.bu.SetEntries(simStart, tr.entries)
+		me.bu.SetNumEntries(simStart, tr.entries)
 		me.tb.Update(simStart, records)
 		sm.members = append(sm.members, me)
 	}
