--- a/budget/budget.go
+++ b/budget/budget.go
@@ -77,7 +77,7 @@
 
 // Arrival counts a request for the service. Its first arrival at a backend
 // server is free.
-func (bu *Budget) Arrival(now time.Time, service string) {
+func (bu *Budget) CountRequest(now time.Time, service string) {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
 	bu.service(now, service).request()
--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -29,7 +29,7 @@
 
 func arrive(bu *Budget, now time.Time, count int) {
 	for range count {
-		bu.Arrival(now, "s")
+		bu.CountRequest(now, "s")
 	}
 }
 
@@ -154,11 +154,11 @@
 	c := qt.New(t)
 	bu := New(plain(), start)
 	for ix := range 1000 {
-		bu.Arrival(after(0), fmt.Sprint(ix))
+		bu.CountRequest(after(0), fmt.Sprint(ix))
 	}
-	bu.Arrival(after(15), "kept")
+	bu.CountRequest(after(15), "kept")
 	c.Assert(bu.services, qt.HasLen, 1001)
-	bu.Arrival(after(26), "new") // A sweep at 15 s found nothing; the next is due 10 s later.
+	bu.CountRequest(after(26), "new") // A sweep at 15 s found nothing; the next is due 10 s later.
 	c.Assert(bu.services, qt.HasLen, 2)
 	c.Assert(bu.services["kept"], qt.IsNotNil)
 }
@@ -167,10 +167,10 @@
 	bu := New(plain(), start)
 	bu.SetNumEntries(start, 3)
 	now := after(20)
-	bu.Arrival(now, "s")
+	bu.CountRequest(now, "s")
 	got := testing.AllocsPerRun(1000, func() {
 		now = now.Add(7 * time.Millisecond)
-		bu.Arrival(now, "s")
+		bu.CountRequest(now, "s")
 		bu.Spend(now, "s")
 		bu.Left(now, "s")
 		bu.SetNumEntries(now, 4)
@@ -196,7 +196,7 @@
 		for range rapid.IntRange(1, 300).Draw(rt, "steps") {
 			now = now.Add(time.Duration(rapid.Int64Range(0, int64(cf.Window/8)).Draw(rt, "gap")))
 			for range rapid.IntRange(0, 20).Draw(rt, "requests") {
-				bu.Arrival(now, "s")
+				bu.CountRequest(now, "s")
 				requests = append(requests, now)
 			}
 			for range rapid.IntRange(0, 5).Draw(rt, "extras") {
@@ -246,7 +246,7 @@
 		}
 		for ix, bu := range bus {
 			if (ms/25+ix)%3 == 0 {
-				bu.Arrival(now, "s")
+				bu.CountRequest(now, "s")
 				requests = append(requests, now)
 			}
 			for bu.Spend(now, "s") {
@@ -290,7 +290,7 @@
 	now := after(20)
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
-		bu.Arrival(now, "s")
+		bu.CountRequest(now, "s")
 		bu.Spend(now, "s")
 	}
 }
--- a/gateway/vacant.go
+++ b/gateway/vacant.go
@@ -94,7 +94,7 @@
 	}
 	for sh, service := range cr.services {
 		if cr.qu.NeedsAttempt(sh) {
-			sv.bu.Arrival(cr.ca.start, service)
+			sv.bu.CountRequest(cr.ca.start, service)
 		}
 	}
 }
--- a/replica/sim_test.go
+++ b/replica/sim_test.go
@@ -348,7 +348,7 @@
 func (fa *simFan) begin() {
 	sm := fa.sm
 	sm.requests++
-	fa.en.bu.Arrival(sm.clock(), fa.ask().Service)
+	fa.en.bu.CountRequest(sm.clock(), fa.ask().Service)
 	at := fa.send()
 	if sm.policy == randomly {
 		return
