--- a/budget/budget.go
+++ b/budget/budget.go
@@ -99,7 +99,7 @@
 // Return gives back what was spent at the given time for an arrival that did
 // not happen, because nothing was sent. Nothing is given back for a time that
 // has left the window.
-func (bu *Budget) Return(now, spent time.Time, service string) {
+func (bu *Budget) Refund(now, spent time.Time, service string) {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
 	se := bu.service(now, service)
--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -127,13 +127,13 @@
 	bu.SetNumEntries(start, 50)
 	c.Assert(bu.Spend(after(20), "s"), qt.IsTrue)
 	c.Assert(bu.Spend(after(21), "s"), qt.IsFalse)
-	bu.Return(after(21), after(20), "s")
+	bu.Refund(after(21), after(20), "s")
 	c.Assert(bu.Spend(after(21), "s"), qt.IsTrue)
-	bu.Return(after(21), after(20), "s")
+	bu.Refund(after(21), after(20), "s")
 	c.Assert(bu.Spend(after(21), "s"), qt.IsFalse)
-	bu.Return(after(40), after(21), "s")
-	bu.Return(after(40), after(50), "s")
-	bu.Return(after(40), start.Add(-time.Hour), "s")
+	bu.Refund(after(40), after(21), "s")
+	bu.Refund(after(40), after(50), "s")
+	bu.Refund(after(40), start.Add(-time.Hour), "s")
 	c.Assert(spendAll(bu, after(40)), qt.Equals, 1)
 }
 
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -199,7 +199,7 @@
 		sv.qu.wake(se.Service, se.ID)
 	}
 	if !at.spent.IsZero() && !arrives(rs) {
-		sv.bu.Return(now, at.spent, se.Service)
+		sv.bu.Refund(now, at.spent, se.Service)
 	}
 	sv.mt.ended(ctx, cr.services[at.shard], rs)
 	if rs.Outcome == upstream.Answered && !sv.qa.Empty() {
