--- a/budget/budget.go
+++ b/budget/budget.go
@@ -108,7 +108,7 @@
 
 // Left returns the part of the service's bound that is left, from 0 to 1; zero
 // if the bound doesn't allow a single extra arrival.
-func (bu *Budget) Left(now time.Time, service string) float64 {
+func (bu *Budget) RemainingFraction(now time.Time, service string) float64 {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
 	se := bu.service(now, service)
--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -72,17 +72,17 @@
 func TestLeft(t *testing.T) {
 	c := qt.New(t)
 	bu := New(plain(), start)
-	c.Assert(bu.Left(after(20), "s"), qt.Equals, 0.0)
+	c.Assert(bu.RemainingFraction(after(20), "s"), qt.Equals, 0.0)
 	bu.SetNumEntries(start, 5)
-	c.Assert(bu.Left(after(20), "s"), qt.Equals, 1.0)
+	c.Assert(bu.RemainingFraction(after(20), "s"), qt.Equals, 1.0)
 	for range 5 {
 		c.Assert(bu.Spend(after(20), "s"), qt.IsTrue)
 	}
-	c.Assert(bu.Left(after(20), "s"), qt.Equals, 0.5)
-	c.Assert(bu.Left(after(20), "other"), qt.Equals, 1.0)
+	c.Assert(bu.RemainingFraction(after(20), "s"), qt.Equals, 0.5)
+	c.Assert(bu.RemainingFraction(after(20), "other"), qt.Equals, 1.0)
 	spendAll(bu, after(20))
-	c.Assert(bu.Left(after(20), "s"), qt.Equals, 0.0)
-	c.Assert(bu.Left(after(31), "s"), qt.Equals, 1.0)
+	c.Assert(bu.RemainingFraction(after(20), "s"), qt.Equals, 0.0)
+	c.Assert(bu.RemainingFraction(after(31), "s"), qt.Equals, 1.0)
 }
 
 // What is spent returns when its window has passed, not a moment sooner.
@@ -172,7 +172,7 @@
 		now = now.Add(7 * time.Millisecond)
 		bu.CountRequest(now, "s")
 		bu.Spend(now, "s")
-		bu.Left(now, "s")
+		bu.RemainingFraction(now, "s")
 		bu.SetNumEntries(now, 4)
 	})
 	qt.Assert(t, got, qt.Equals, 0.0)
@@ -270,7 +270,7 @@
 			spent := 0
 			for ix := range 200 {
 				now := after(20 + float64(ix)/100)
-				bu.Left(now, "s")
+				bu.RemainingFraction(now, "s")
 				if bu.Spend(now, "s") {
 					spent++
 				}
--- a/gateway/fault_test.go
+++ b/gateway/fault_test.go
@@ -379,7 +379,7 @@
 		}
 		arrivals := rg.le.of("")
 		qt.Assert(t, arrivals, qt.HasLen, 10, qt.Commentf("there is one backend server"))
-		qt.Assert(t, rg.bu.Left(rg.ts.Now(), "s"), qt.Equals, 1.0)
+		qt.Assert(t, rg.bu.RemainingFraction(rg.ts.Now(), "s"), qt.Equals, 1.0)
 	})
 }
 
