--- a/budget/budget.go
+++ b/budget/budget.go
@@ -32,7 +32,7 @@
 	// is rounded up to a multiple of 40 ns.
 	Window time.Duration
 	// Share is the part of both that is used; zero or less counts as all of it.
-	Share float64
+	Fraction float64
 }
 
 // Budget counts requests and extra arrivals. In any span of one window that
@@ -59,8 +59,8 @@
 	if cf.Window <= 0 {
 		cf.Window = defaultWindow
 	}
-	if cf.Share <= 0 {
-		cf.Share = 1
+	if cf.Fraction <= 0 {
+		cf.Fraction = 1
 	}
 	width := (cf.Window + bucketCount - 1) / bucketCount
 	return &Budget{cf: cf, width: width, start: now, services: make(map[string]*service)}
@@ -126,7 +126,7 @@
 		grown := min(1, float64(bu.latest)/float64(bu.cf.Window))
 		slack = grown * float64(bu.cf.Slack) / float64(count)
 	}
-	return bu.cf.Share * (bu.cf.Ratio*float64(se.requests) + slack)
+	return bu.cf.Fraction * (bu.cf.Ratio*float64(se.requests) + slack)
 }
 
 // bucket returns the index of the bucket of now. Time never goes back: callers
--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -16,7 +16,7 @@
 	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-func plain() Config { return Config{Ratio: 0.2, Slack: 50, Window: 10 * time.Second, Share: 1} }
+func plain() Config { return Config{Ratio: 0.2, Slack: 50, Window: 10 * time.Second, Fraction: 1} }
 
 // spendAll spends what the budget has and returns how much that was.
 func spendAll(bu *Budget, now time.Time) int {
@@ -47,9 +47,9 @@
 		{"slack of five entries", plain(), 5, 0, 20, 20, 10},
 		{"less than one extra", plain(), 60, 0, 20, 20, 0},
 		{"ratio and slack", plain(), 5, 100, 20, 20, 30},
-		{"share of both", Config{Ratio: 0.2, Slack: 50, Window: 10 * time.Second, Share: 0.5}, 5, 100, 20, 20, 15},
+		{"share of both", Config{Ratio: 0.2, Slack: 50, Window: 10 * time.Second, Fraction: 0.5}, 5, 100, 20, 20, 15},
 		{"no share is all", Config{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}, 5, 100, 20, 20, 30},
-		{"no window is 10 s", Config{Ratio: 0.2, Share: 1}, 1, 100, 20, 29.5, 20},
+		{"no window is 10 s", Config{Ratio: 0.2, Fraction: 1}, 1, 100, 20, 29.5, 20},
 		{"requests inside the window", plain(), 0, 100, 20, 29.7, 20},
 		{"requests out of the window", plain(), 0, 100, 20, 30.3, 0},
 		{"no slack at the start", plain(), 1, 0, 0, 0, 0},
@@ -183,10 +183,10 @@
 func TestBound(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cf := Config{
-			Ratio:  rapid.Float64Range(0, 1).Draw(rt, "ratio"),
-			Slack:  rapid.IntRange(0, 100).Draw(rt, "slack"),
-			Window: time.Duration(rapid.IntRange(1, 20).Draw(rt, "window")) * time.Second,
-			Share:  rapid.Float64Range(0.1, 1).Draw(rt, "share"),
+			Ratio:    rapid.Float64Range(0, 1).Draw(rt, "ratio"),
+			Slack:    rapid.IntRange(0, 100).Draw(rt, "slack"),
+			Window:   time.Duration(rapid.IntRange(1, 20).Draw(rt, "window")) * time.Second,
+			Fraction: rapid.Float64Range(0.1, 1).Draw(rt, "share"),
 		}
 		bu := New(cf, start)
 		entries := rapid.IntRange(1, 20).Draw(rt, "entries")
@@ -205,7 +205,7 @@
 				}
 				extras = append(extras, now)
 				grown := min(1, float64(now.Sub(start))/float64(cf.Window))
-				bound := cf.Share * (cf.Ratio*float64(within(requests, now, cf.Window)) + grown*float64(cf.Slack)/float64(entries))
+				bound := cf.Fraction * (cf.Ratio*float64(within(requests, now, cf.Window)) + grown*float64(cf.Slack)/float64(entries))
 				if spent := within(extras, now, cf.Window); float64(spent) > bound+1e-9 {
 					rt.Fatalf("%d extra arrivals in the window, the bound is %v", spent, bound)
 				}
@@ -230,7 +230,7 @@
 func TestManyInstances(t *testing.T) {
 	const count = 9
 	c := qt.New(t)
-	cf := Config{Ratio: 0.2, Slack: 58, Window: 10 * time.Second, Share: 0.85}
+	cf := Config{Ratio: 0.2, Slack: 58, Window: 10 * time.Second, Fraction: 0.85}
 	var bus []*Budget
 	for range count {
 		bu := New(cf, start)
--- a/gateway/property_test.go
+++ b/gateway/property_test.go
@@ -80,7 +80,7 @@
 func newWorld(t *testing.T, nw network, seed uint64) *world {
 	wd := &world{we: &weather{rn: rand.New(rand.NewPCG(seed, 1)), faults: faultList}}
 	_, wd.we.real = nw.(loopback)
-	wd.rig = newRig(t, nw, setup{budget: budget.Config{Ratio: 0.2, Slack: 50, Window: 10 * time.Second, Share: 0.85}})
+	wd.rig = newRig(t, nw, setup{budget: budget.Config{Ratio: 0.2, Slack: 50, Window: 10 * time.Second, Fraction: 0.85}})
 	wd.any = wd.we.act
 	for _, service := range worldServices {
 		wd.serve(service, 3)
--- a/replica/sim_test.go
+++ b/replica/sim_test.go
@@ -167,7 +167,7 @@
 		centre := fmt.Sprintf("centre-%d", en%len(tr.speeds))
 		me := &simEntry{
 			tb:     New(Config{DataCentre: centre, Seed: tr.seed + uint64(en)}),
-			bu:     budget.New(budget.Config{Ratio: tr.ratio, Slack: tr.slack, Window: 10 * time.Second, Share: tr.share}, simStart),
+			bu:     budget.New(budget.Config{Ratio: tr.ratio, Slack: tr.slack, Window: 10 * time.Second, Fraction: tr.share}, simStart),
 			centre: centre,
 		}
 		me.bu.SetNumEntries(simStart, tr.entries)
--- a/tier/entry.go
+++ b/tier/entry.go
@@ -97,7 +97,7 @@
 func newEntry(se Settings, sh *shared, di Dialect, lc link.Config, up *upstream.Client, ts *timer.Service, lg *zap.Logger) *entry {
 	now := ts.Now()
 	re := replica.New(replica.Config{DataCentre: se.DataCentre, Seed: uint64(now.UnixNano())})
-	bu := budget.New(budget.Config{Ratio: se.Budget.Ratio, Slack: int(se.Budget.Slack), Window: se.Budget.Window, Share: budgetShare}, now)
+	bu := budget.New(budget.Config{Ratio: se.Budget.Ratio, Slack: int(se.Budget.Slack), Window: se.Budget.Window, Fraction: budgetShare}, now)
 	qa := quarantine.New()
 	en := &entry{tbs: di.Tables(), re: re, qa: qa, ts: ts, lg: lg}
 	en.gw = gateway.New(gateway.Config{
