--- a/roster/groups.go
+++ b/roster/groups.go
@@ -30,7 +30,7 @@
 type place struct{ key, dataCentre string }
 
 // With returns what is decided after a look at the instances that are ready.
-func (gs Groups) With(now time.Time, groups []Group, ins []Instance) Groups {
+func (gs Groups) Update(now time.Time, groups []Group, ins []Instance) Groups {
 	by := byDataCentre(ins)
 	out := Groups{
 		sizes: make(map[place]Size), chosen: make(map[place][]Instance), ready: make(map[string]int),
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -137,7 +137,7 @@
 	var gs Groups
 	look := func(load float64) {
 		now = now.Add(shrinkPause)
-		gs = gs.With(now, groups, fleet(centres, load))
+		gs = gs.Update(now, groups, fleet(centres, load))
 	}
 	count := func(key, centre string) int {
 		return len(gs.Addresses(key, centre))
@@ -164,12 +164,12 @@
 	centres := map[string]int{"a": 37, "b": 41, "c": 2}
 	var gs Groups
 	for ix := range 12 {
-		gs = gs.With(start.Add(time.Duration(ix)*shrinkPause), groups, fleet(centres, 0.1))
+		gs = gs.Update(start.Add(time.Duration(ix)*shrinkPause), groups, fleet(centres, 0.1))
 	}
 	back := Restore(start.Add(time.Minute), gs.Note())
 	// The instances come back by and by; those of one data centre are there first.
 	for _, here := range []map[string]int{{}, {"b": 5}, {"b": 41}, centres} {
-		back = back.With(start.Add(time.Minute), groups, fleet(here, 0))
+		back = back.Update(start.Add(time.Minute), groups, fleet(here, 0))
 	}
 	c.Assert(back.Addresses("wide", "a"), qt.HasLen, 17)
 	c.Assert(back.Note(), qt.DeepEquals, gs.Note())
@@ -182,7 +182,7 @@
 	c := qt.New(t)
 	groups := []Group{{Key: "wide", Limit: 123}}
 	look := func(gs Groups, at time.Time, centres map[string]int) (Groups, int) {
-		gs = gs.With(at, groups, fleet(centres, 2)) // They carry more than they should.
+		gs = gs.Update(at, groups, fleet(centres, 2)) // They carry more than they should.
 		return gs, len(gs.Addresses("wide", "a"))
 	}
 	gs, count := look(Groups{}, start, map[string]int{"a": 80, "b": 80})
@@ -198,7 +198,7 @@
 	c := qt.New(t)
 	var gs Groups
 	for ix := range 30 {
-		gs = gs.With(start.Add(time.Duration(ix)*shrinkPause), []Group{{Key: "wide", Limit: 41}}, fleet(map[string]int{"a": 3, "b": 3, "c": 3}, 0))
+		gs = gs.Update(start.Add(time.Duration(ix)*shrinkPause), []Group{{Key: "wide", Limit: 41}}, fleet(map[string]int{"a": 3, "b": 3, "c": 3}, 0))
 	}
 	c.Assert(gs.Addresses("wide", "a"), qt.HasLen, 0)
 	c.Assert(gs.Sharers(), qt.Equals, 9)
@@ -214,6 +214,6 @@
 	ins := fleet(centres, 0.5)
 	var gs Groups
 	for ix := 0; b.Loop(); ix++ {
-		gs = gs.With(start.Add(time.Duration(ix)*time.Second), []Group{{Key: "wide", Limit: 400}}, ins)
+		gs = gs.Update(start.Add(time.Duration(ix)*time.Second), []Group{{Key: "wide", Limit: 400}}, ins)
 	}
 }
--- a/tier/roster.go
+++ b/tier/roster.go
@@ -93,7 +93,7 @@
 	}
 	was := de.chosen.Sharers()
 	ins := ro.instances()
-	de.chosen = de.chosen.With(now, de.list, ins)
+	de.chosen = de.chosen.Update(now, de.list, ins)
 	ro.decided.Store(&de)
 	if sharers := de.chosen.Sharers(); sharers != was {
 		ro.lg.Info("entry-instances-chosen", zap.Int("Sharers", sharers), zap.Int("Before", was), zap.Int("Ready", len(ins)))
