--- a/roster/groups.go
+++ b/roster/groups.go
@@ -80,21 +80,21 @@
 }
 
 // Noted is a size as it is noted for the next start.
-type Noted struct {
+type SavedSize struct {
 	Key, DataCentre string
 	Members         int
 }
 
 // Note returns the sizes, in the order of their keys and data centres.
-func (gs Groups) Note() []Noted {
-	out := make([]Noted, 0, len(gs.sizes))
+func (gs Groups) Note() []SavedSize {
+	out := make([]SavedSize, 0, len(gs.sizes))
 	for pl, si := range gs.sizes {
 		if si.members == 0 {
 			continue
 		}
-		out = append(out, Noted{Key: pl.key, DataCentre: pl.dataCentre, Members: si.members})
+		out = append(out, SavedSize{Key: pl.key, DataCentre: pl.dataCentre, Members: si.members})
 	}
-	slices.SortFunc(out, func(a, b Noted) int {
+	slices.SortFunc(out, func(a, b SavedSize) int {
 		return cmp.Or(strings.Compare(a.Key, b.Key), strings.Compare(a.DataCentre, b.DataCentre))
 	})
 	return out
@@ -105,7 +105,7 @@
 // After a loss of power of all, backend servers still count the connections of before and
 // reset what is beyond their limit. Were as many instances chosen as there may be, they
 // would open twice the connections that the load needs, in just these seconds.
-func Restore(now time.Time, nos []Noted) Groups {
+func Restore(now time.Time, nos []SavedSize) Groups {
 	gs := Groups{sizes: make(map[place]Size), seen: make(map[string]time.Time)}
 	for _, no := range nos {
 		if no.Members > 0 {
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -173,7 +173,7 @@
 	}
 	c.Assert(back.Addresses("wide", "a"), qt.HasLen, 17)
 	c.Assert(back.Note(), qt.DeepEquals, gs.Note())
-	c.Assert(Restore(start, []Noted{{Key: "wide", DataCentre: "a"}}).Note(), qt.HasLen, 0)
+	c.Assert(Restore(start, []SavedSize{{Key: "wide", DataCentre: "a"}}).Note(), qt.HasLen, 0)
 }
 
 // A data centre is cut off. The others don't take over its part of the connections, which
--- a/tier/entrylist_test.go
+++ b/tier/entrylist_test.go
@@ -44,7 +44,7 @@
 			}
 		}
 		me.write(entriesName, nes)
-		me.write(chosenName, []roster.Noted{{Key: "wide", DataCentre: "cusco", Members: 2}, {Key: "wide", DataCentre: "lima", Members: 2}})
+		me.write(chosenName, []roster.SavedSize{{Key: "wide", DataCentre: "cusco", Members: 2}, {Key: "wide", DataCentre: "lima", Members: 2}})
 		me.restore(time.Second)
 		got := me.invitees("lima")
 		c.Assert(got, qt.HasLen, 12)
--- a/tier/memory.go
+++ b/tier/memory.go
@@ -63,7 +63,7 @@
 // restore reads the notes of backend servers, of requests under which they ended, and of
 // how many entry instances callers were led to, if there are any.
 func (me memory) restore(announcement time.Duration) {
-	var nos []roster.Noted
+	var nos []roster.SavedSize
 	if me.read(chosenName, &nos) {
 		me.ro.restore(nos)
 	}
--- a/tier/memory_test.go
+++ b/tier/memory_test.go
@@ -66,7 +66,7 @@
 		me := newMemory(dir)
 		me.restore(time.Second)
 		go func() { _ = me.serve(t.Context(), 7740) }()
-		nos := []roster.Noted{{Key: "wide.example", DataCentre: "lima", Members: 9}}
+		nos := []roster.SavedSize{{Key: "wide.example", DataCentre: "lima", Members: 9}}
 		time.Sleep(2 * memoryPeriod)
 		me.ro.restore(nos) // As a look decides.
 		time.Sleep(2 * memoryPeriod)
--- a/tier/roster.go
+++ b/tier/roster.go
@@ -53,12 +53,12 @@
 }
 
 // restore takes over the sizes that were noted before this start.
-func (ro *rosters) restore(nos []roster.Noted) {
+func (ro *rosters) restore(nos []roster.SavedSize) {
 	ro.decided.Store(&decision{chosen: roster.Restore(ro.ts.Now(), nos)})
 }
 
 // note returns the sizes that are to be noted for the next start.
-func (ro *rosters) note() []roster.Noted { return ro.decided.Load().chosen.Note() }
+func (ro *rosters) note() []roster.SavedSize { return ro.decided.Load().chosen.Note() }
 
 // setDocument takes over a configuration. It is read at the next look, since its
 // commit waits for this.
