--- a/roster/groups.go
+++ b/roster/groups.go
@@ -86,7 +86,7 @@
 }
 
 // Note returns the sizes, in the order of their keys and data centres.
-func (gs Groups) Note() []SavedSize {
+func (gs Groups) SavedSizes() []SavedSize {
 	out := make([]SavedSize, 0, len(gs.sizes))
 	for pl, si := range gs.sizes {
 		if si.members == 0 {
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -166,14 +166,14 @@
 	for ix := range 12 {
 		gs = gs.Update(start.Add(time.Duration(ix)*shrinkPause), groups, fleet(centres, 0.1))
 	}
-	back := Restore(start.Add(time.Minute), gs.Note())
+	back := Restore(start.Add(time.Minute), gs.SavedSizes())
 	// The instances come back by and by; those of one data centre are there first.
 	for _, here := range []map[string]int{{}, {"b": 5}, {"b": 41}, centres} {
 		back = back.Update(start.Add(time.Minute), groups, fleet(here, 0))
 	}
 	c.Assert(back.Addresses("wide", "a"), qt.HasLen, 17)
-	c.Assert(back.Note(), qt.DeepEquals, gs.Note())
-	c.Assert(Restore(start, []SavedSize{{Key: "wide", DataCentre: "a"}}).Note(), qt.HasLen, 0)
+	c.Assert(back.SavedSizes(), qt.DeepEquals, gs.SavedSizes())
+	c.Assert(Restore(start, []SavedSize{{Key: "wide", DataCentre: "a"}}).SavedSizes(), qt.HasLen, 0)
 }
 
 // A data centre is cut off. The others don't take over its part of the connections, which
--- a/tier/roster.go
+++ b/tier/roster.go
@@ -58,7 +58,7 @@
 }
 
 // note returns the sizes that are to be noted for the next start.
-func (ro *rosters) note() []roster.SavedSize { return ro.decided.Load().chosen.Note() }
+func (ro *rosters) note() []roster.SavedSize { return ro.decided.Load().chosen.SavedSizes() }
 
 // setDocument takes over a configuration. It is read at the next look, since its
 // commit waits for this.
