--- a/roster/groups.go
+++ b/roster/groups.go
@@ -46,7 +46,7 @@
 			pl := place{gr.Key, centre}
 			si := gs.sizes[pl]
 			if here := by[centre]; len(here) > 0 {
-				si = si.With(now, bo, total(here))
+				si = si.Next(now, bo, total(here))
 				out.chosen[pl] = Choose(gr.Key, here, si.Members())
 			}
 			out.sizes[pl] = si
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -82,7 +82,7 @@
 // With returns the size after a look at what all instances carry together, as the sum of
 // their Loads. The first look chooses as many as there may be: how much they will carry
 // isn't known, and while nobody carries anything it stays so.
-func (si Size) With(now time.Time, bo Bounds, load float64) Size {
+func (si Size) Next(now time.Time, bo Bounds, load float64) Size {
 	want := min(max(int(math.Ceil(load)), bo.Least), bo.Most)
 	switch {
 	case si.members == 0:
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -55,7 +55,7 @@
 	var si Size
 	look := func(after time.Duration, load float64) int {
 		now = now.Add(after)
-		si = si.With(now, bo, load)
+		si = si.Next(now, bo, load)
 		return si.Members()
 	}
 	c.Assert(look(0, 0), qt.Equals, 19)
