--- a/roster/groups.go
+++ b/roster/groups.go
@@ -9,8 +9,8 @@
 
 // Group is the callers of the same backend servers.
 type Group struct {
-	Key   string // Key names the group; it stays while its backend servers do.
-	Limit int    // Limit is how many connections each of these servers takes; 0 if any number.
+	Key            string // Key names the group; it stays while its backend servers do.
+	MaxConnections int    // Limit is how many connections each of these servers takes; 0 if any number.
 }
 
 // Groups is what was decided for several groups in all data centres. It is immutable; the
@@ -40,7 +40,7 @@
 		out.ready[centre], out.seen[centre] = len(here), now
 	}
 	for _, gr := range groups {
-		bo := NewBounds(gr.Limit, len(out.seen))
+		bo := NewBounds(gr.MaxConnections, len(out.seen))
 		count := 0
 		for centre := range out.seen {
 			pl := place{gr.Key, centre}
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -132,7 +132,7 @@
 func TestGroups(t *testing.T) {
 	c := qt.New(t)
 	centres := map[string]int{"a": 37, "b": 41, "c": 2}
-	groups := []Group{{Key: "wide", Limit: 123}, {Key: "plain", Limit: 1200}}
+	groups := []Group{{Key: "wide", MaxConnections: 123}, {Key: "plain", MaxConnections: 1200}}
 	now := start
 	var gs Groups
 	look := func(load float64) {
@@ -160,7 +160,7 @@
 // carries anything yet, and not twice as many.
 func TestSizesAreNoted(t *testing.T) {
 	c := qt.New(t)
-	groups := []Group{{Key: "wide", Limit: 123}}
+	groups := []Group{{Key: "wide", MaxConnections: 123}}
 	centres := map[string]int{"a": 37, "b": 41, "c": 2}
 	var gs Groups
 	for ix := range 12 {
@@ -180,7 +180,7 @@
 // its instances go on using; once it has been away for long they do.
 func TestDataCentreAway(t *testing.T) {
 	c := qt.New(t)
-	groups := []Group{{Key: "wide", Limit: 123}}
+	groups := []Group{{Key: "wide", MaxConnections: 123}}
 	look := func(gs Groups, at time.Time, centres map[string]int) (Groups, int) {
 		gs = gs.Update(at, groups, fleet(centres, 2)) // They carry more than they should.
 		return gs, len(gs.Addresses("wide", "a"))
@@ -198,7 +198,7 @@
 	c := qt.New(t)
 	var gs Groups
 	for ix := range 30 {
-		gs = gs.Update(start.Add(time.Duration(ix)*shrinkPause), []Group{{Key: "wide", Limit: 41}}, fleet(map[string]int{"a": 3, "b": 3, "c": 3}, 0))
+		gs = gs.Update(start.Add(time.Duration(ix)*shrinkPause), []Group{{Key: "wide", MaxConnections: 41}}, fleet(map[string]int{"a": 3, "b": 3, "c": 3}, 0))
 	}
 	c.Assert(gs.Addresses("wide", "a"), qt.HasLen, 0)
 	c.Assert(gs.Sharers(), qt.Equals, 9)
@@ -214,6 +214,6 @@
 	ins := fleet(centres, 0.5)
 	var gs Groups
 	for ix := 0; b.Loop(); ix++ {
-		gs = gs.Update(start.Add(time.Duration(ix)*time.Second), []Group{{Key: "wide", Limit: 400}}, ins)
+		gs = gs.Update(start.Add(time.Duration(ix)*time.Second), []Group{{Key: "wide", MaxConnections: 400}}, ins)
 	}
 }
--- a/tier/roster.go
+++ b/tier/roster.go
@@ -164,7 +164,7 @@
 			continue
 		}
 		if gr, known := gs[first]; !known || ro.Host < gr.Key {
-			gs[first] = roster.Group{Key: ro.Host, Limit: se.MaxConnections}
+			gs[first] = roster.Group{Key: ro.Host, MaxConnections: se.MaxConnections}
 		}
 	}
 	return gs
--- a/tier/roster_test.go
+++ b/tier/roster_test.go
@@ -89,7 +89,7 @@
 		c.Assert(err, qt.IsNil)
 		return tb
 	}
-	want := []roster.Group{{Key: "a-two.example", Limit: 10}}
+	want := []roster.Group{{Key: "a-two.example", MaxConnections: 10}}
 	for _, service := range []string{"s1", "later-s1"} {
 		tb := wide(service)
 		gs := groupsOf(tb)
