--- a/roster/roster.go
+++ b/roster/roster.go
@@ -54,18 +54,18 @@
 }
 
 // Bounds are how many instances may be chosen in one data centre.
-type Bounds struct{ Min, Most int }
+type Bounds struct{ Min, Max int }
 
 // NewBounds returns the bounds of a data centre for backend servers that take so many
 // connections, where dataCentres have entry instances. A limit of 0 is none.
 func NewBounds(limit, dataCentres int) Bounds {
 	if limit <= 0 || dataCentres <= 0 {
-		return Bounds{Min: math.MaxInt32, Most: math.MaxInt32}
+		return Bounds{Min: math.MaxInt32, Max: math.MaxInt32}
 	}
 	held := ConnectionShare * float64(limit) / float64(dataCentres)
 	return Bounds{
-		Min:  max(leastMembers, int(held/enoughConnections)),
-		Most: max(leastMembers, int(held)),
+		Min: max(leastMembers, int(held/enoughConnections)),
+		Max: max(leastMembers, int(held)),
 	}
 }
 
@@ -83,14 +83,14 @@
 // their Loads. The first look chooses as many as there may be: how much they will carry
 // isn't known, and while nobody carries anything it stays so.
 func (si Size) Next(now time.Time, bo Bounds, load float64) Size {
-	want := min(max(int(math.Ceil(load)), bo.Min), bo.Most)
+	want := min(max(int(math.Ceil(load)), bo.Min), bo.Max)
 	switch {
 	case si.members == 0:
-		return Size{members: bo.Most, shrunk: now}
+		return Size{members: bo.Max, shrunk: now}
 	case want >= si.members:
 		return Size{members: want, shrunk: now}
-	case si.members > bo.Most:
-		return Size{members: bo.Most, shrunk: now}
+	case si.members > bo.Max:
+		return Size{members: bo.Max, shrunk: now}
 	case load == 0 || si.members-want < leastExcess || now.Sub(si.shrunk) < shrinkPause:
 		return si
 	default:
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -50,7 +50,7 @@
 // come late.
 func TestSize(t *testing.T) {
 	c := qt.New(t)
-	bo := Bounds{Min: 9, Most: 19}
+	bo := Bounds{Min: 9, Max: 19}
 	now := start
 	var si Size
 	look := func(after time.Duration, load float64) int {
@@ -70,7 +70,7 @@
 	c.Assert(look(time.Millisecond, 12.2), qt.Equals, 13)
 	c.Assert(look(time.Millisecond, 100), qt.Equals, 19)
 	c.Assert(look(time.Millisecond, 3), qt.Equals, 19)
-	bo = Bounds{Min: 3, Most: 6} // A new version says that servers take fewer connections.
+	bo = Bounds{Min: 3, Max: 6} // A new version says that servers take fewer connections.
 	c.Assert(look(time.Millisecond, 100), qt.Equals, 6)
 }
 
