--- a/gateway/share.go
+++ b/gateway/share.go
@@ -84,7 +84,7 @@
 		most := 1
 		if limit := sv.limit(tb, name); limit > 0 {
 			most = max(1, int(part*float64(limit)/float64(entries)))
-			if roster.ConnectionShare*float64(limit) < float64(entries) {
+			if roster.ConnectionFraction*float64(limit) < float64(entries) {
 				sc.add(sv.cf.Name, sv.cf.DataCentre, ses)
 			}
 		}
@@ -147,7 +147,7 @@
 	case age < youngFor:
 		return youngShare
 	default:
-		return roster.ConnectionShare
+		return roster.ConnectionFraction
 	}
 }
 
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -24,7 +24,7 @@
 	// instances may hold together. The rest is for those that are not chosen, and for
 	// connections of which the server hasn't seen the end yet. Who divides connections
 	// among them goes by it, too.
-	ConnectionShare = 0.8
+	ConnectionFraction = 0.8
 	// enoughConnections is how many connections to each backend server an instance should
 	// have room for. With one, a second request to the same server waits or goes to a
 	// slower one, and is most often the first on a new connection.
@@ -62,7 +62,7 @@
 	if limit <= 0 || dataCentres <= 0 {
 		return Bounds{Min: math.MaxInt32, Max: math.MaxInt32}
 	}
-	held := ConnectionShare * float64(limit) / float64(dataCentres)
+	held := ConnectionFraction * float64(limit) / float64(dataCentres)
 	return Bounds{
 		Min: max(leastMembers, int(held/enoughConnections)),
 		Max: max(leastMembers, int(held)),
