--- a/evacuation/evacuation.go
+++ b/evacuation/evacuation.go
@@ -15,7 +15,7 @@
 
 const (
 	// NameLimit is the longest name of a data centre in bytes.
-	NameLimit = 64
+	MaxNameLength = 64
 	// mostDataCentres bounds the data centres that are evacuated at one time.
 	mostDataCentres = 64
 )
@@ -84,8 +84,8 @@
 	switch {
 	case dataCentre == "":
 		fault = "it is empty"
-	case len(dataCentre) > NameLimit:
-		fault = fmt.Sprintf("it has more than %d bytes", NameLimit)
+	case len(dataCentre) > MaxNameLength:
+		fault = fmt.Sprintf("it has more than %d bytes", MaxNameLength)
 	case !utf8.ValidString(dataCentre):
 		fault = "it isn't UTF-8"
 	case strings.ContainsFunc(dataCentre, func(ru rune) bool { return !unicode.IsGraphic(ru) || unicode.IsSpace(ru) || ru == '/' }):
