--- a/evacuation/evacuation.go
+++ b/evacuation/evacuation.go
@@ -79,7 +79,7 @@
 
 // Check returns an error if a text can't be the name of a data centre. It is a
 // *result.Error with the code Invalid.
-func Check(dataCentre string) error {
+func CheckName(dataCentre string) error {
 	fault := ""
 	switch {
 	case dataCentre == "":
--- a/evacuation/evacuation_test.go
+++ b/evacuation/evacuation_test.go
@@ -80,11 +80,11 @@
 
 func TestCheck(t *testing.T) {
 	for _, name := range []string{"miraflores", "halle-bad-tölz", strings.Repeat("a", MaxNameLength)} {
-		qt.Assert(t, Check(name), qt.IsNil)
+		qt.Assert(t, CheckName(name), qt.IsNil)
 	}
 	for _, name := range []string{"", "a b", "a/b", "a\x00", "a\n", "\xff", strings.Repeat("a", MaxNameLength+1)} {
 		var re *result.Error
-		qt.Assert(t, errors.As(Check(name), &re), qt.IsTrue, qt.Commentf("%q", name))
+		qt.Assert(t, errors.As(CheckName(name), &re), qt.IsTrue, qt.Commentf("%q", name))
 		qt.Assert(t, re.Code, qt.Equals, result.Invalid)
 	}
 }
--- a/fleet/evacuate.go
+++ b/fleet/evacuate.go
@@ -24,7 +24,7 @@
 // The error is a *result.Error: Invalid if the order can't be followed, ControlUnavailable
 // if the outcome is unknown.
 func (nd *Node) Evacuate(ctx context.Context, dataCentre string, evacuate bool) (evacuation.Set, error) {
-	if err := evacuation.Check(dataCentre); err != nil {
+	if err := evacuation.CheckName(dataCentre); err != nil {
 		return evacuation.Set{}, err
 	}
 	or := evacuation.Order{DataCentre: dataCentre, Evacuate: evacuate, Base: nd.evacuations.Load().Revision}
--- a/tier/control.go
+++ b/tier/control.go
@@ -181,7 +181,7 @@
 // known returns an error if the settings list the data centres and lack one.
 func (co *control) known(dataCentre string) error {
 	all := co.sh.se.Load().DataCentres
-	if err := evacuation.Check(dataCentre); err != nil || len(all) == 0 {
+	if err := evacuation.CheckName(dataCentre); err != nil || len(all) == 0 {
 		return err
 	}
 	if _, ok := all[dataCentre]; ok {
