--- a/evacuation/evacuation.go
+++ b/evacuation/evacuation.go
@@ -27,7 +27,7 @@
 }
 
 // Order evacuates a data centre or withdraws that.
-type Order struct {
+type Change struct {
 	DataCentre string `cbor:"1,keyasint"`
 	Evacuate   bool   `cbor:"2,keyasint,omitempty"` // Evacuate is false for a withdrawal.
 	// Base is the revision of the Set that the order is based on.
@@ -58,7 +58,7 @@
 //
 // A delayed order may arrive after the one that reversed it, and applied then would evacuate
 // the data centre for good. So an order changes only the revision that it is based on.
-func (st Set) With(or Order) (Set, Outcome) {
+func (st Set) With(or Change) (Set, Outcome) {
 	at, has := slices.BinarySearch(st.DataCentres, or.DataCentre)
 	switch {
 	case has == or.Evacuate:
--- a/evacuation/evacuation_test.go
+++ b/evacuation/evacuation_test.go
@@ -15,18 +15,18 @@
 	st := Set{Revision: 7, DataCentres: []string{"north", "south"}}
 	tests := []struct {
 		name    string
-		order   Order
+		order   Change
 		outcome Outcome
 		want    Set
 	}{
-		{"evacuate", Order{"east", true, 7}, InForce, Set{8, []string{"east", "north", "south"}}},
-		{"withdraw", Order{"north", false, 7}, InForce, Set{8, []string{"south"}}},
-		{"evacuated already", Order{"north", true, 7}, InForce, st},
-		{"evacuated already, given on an older set", Order{"north", true, 2}, InForce, st},
-		{"withdrawn already", Order{"east", false, 2}, InForce, st},
-		{"overtaken", Order{"east", true, 6}, Stale, st},
-		{"overtaken withdrawal", Order{"south", false, 6}, Stale, st},
-		{"given on a set that isn't known here", Order{"east", true, 8}, Stale, st},
+		{"evacuate", Change{"east", true, 7}, InForce, Set{8, []string{"east", "north", "south"}}},
+		{"withdraw", Change{"north", false, 7}, InForce, Set{8, []string{"south"}}},
+		{"evacuated already", Change{"north", true, 7}, InForce, st},
+		{"evacuated already, given on an older set", Change{"north", true, 2}, InForce, st},
+		{"withdrawn already", Change{"east", false, 2}, InForce, st},
+		{"overtaken", Change{"east", true, 6}, Stale, st},
+		{"overtaken withdrawal", Change{"south", false, 6}, Stale, st},
+		{"given on a set that isn't known here", Change{"east", true, 8}, Stale, st},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -42,9 +42,9 @@
 func TestFull(t *testing.T) {
 	var st Set
 	for nth := range mostDataCentres {
-		st, _ = st.With(Order{DataCentre: strings.Repeat("a", nth+1), Evacuate: true, Base: st.Revision})
+		st, _ = st.With(Change{DataCentre: strings.Repeat("a", nth+1), Evacuate: true, Base: st.Revision})
 	}
-	got, outcome := st.With(Order{DataCentre: "b", Evacuate: true, Base: st.Revision})
+	got, outcome := st.With(Change{DataCentre: "b", Evacuate: true, Base: st.Revision})
 	qt.Assert(t, outcome, qt.Equals, Full)
 	qt.Assert(t, got, qt.DeepEquals, st)
 }
@@ -55,13 +55,13 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		names := []string{"a", "b", "c"}
 		var st Set
-		var sent []Order
+		var sent []Change
 		want := map[string]bool{}
 		for range rapid.IntRange(1, 40).Draw(rt, "steps") {
 			if len(sent) > 0 && rapid.Bool().Draw(rt, "late") {
 				st, _ = st.With(rapid.SampledFrom(sent).Draw(rt, "which"))
 			} else {
-				or := Order{rapid.SampledFrom(names).Draw(rt, "name"), rapid.Bool().Draw(rt, "evacuate"), st.Revision}
+				or := Change{rapid.SampledFrom(names).Draw(rt, "name"), rapid.Bool().Draw(rt, "evacuate"), st.Revision}
 				var outcome Outcome
 				if st, outcome = st.With(or); outcome != InForce {
 					rt.Fatalf("an order on the newest set: %v", outcome)
--- a/fleet/evacuate.go
+++ b/fleet/evacuate.go
@@ -27,7 +27,7 @@
 	if err := evacuation.CheckName(dataCentre); err != nil {
 		return evacuation.Set{}, err
 	}
-	or := evacuation.Order{DataCentre: dataCentre, Evacuate: evacuate, Base: nd.evacuations.Load().Revision}
+	or := evacuation.Change{DataCentre: dataCentre, Evacuate: evacuate, Base: nd.evacuations.Load().Revision}
 	for {
 		an, err := nd.ask(ctx, opEvacuate, func(request uint64) peer.Message {
 			return EvacuationOrder{Request: request, Order: or}
@@ -53,7 +53,7 @@
 // ordering is an order that waits until it is applied.
 type ordering struct {
 	id    uint64
-	order evacuation.Order
+	order evacuation.Change
 	since time.Time
 	reply func(Answer)
 }
--- a/fleet/message.go
+++ b/fleet/message.go
@@ -84,7 +84,7 @@
 // EvacuationOrder asks the leader to commit an order. Answer comes once it is applied.
 type EvacuationOrder struct {
 	Request uint64
-	Order   evacuation.Order
+	Order   evacuation.Change
 }
 
 // Evacuations are committed evacuations, from a leader to those that don't vote.
--- a/fleet/state.go
+++ b/fleet/state.go
@@ -33,8 +33,8 @@
 // orderCommand is an order in the log. The leader that appended it finds who waits for it
 // by ID.
 type orderCommand struct {
-	ID    uint64           `cbor:"1,keyasint"`
-	Order evacuation.Order `cbor:"2,keyasint"`
+	ID    uint64            `cbor:"1,keyasint"`
+	Order evacuation.Change `cbor:"2,keyasint"`
 }
 
 // fields counts the fields that are set.
