--- a/evacuation/evacuation.go
+++ b/evacuation/evacuation.go
@@ -31,7 +31,7 @@
 	DataCentre string `cbor:"1,keyasint"`
 	Evacuate   bool   `cbor:"2,keyasint,omitempty"` // Evacuate is false for a withdrawal.
 	// Base is the revision of the Set that the order is based on.
-	Base uint64 `cbor:"3,keyasint,omitempty"`
+	BaseRevision uint64 `cbor:"3,keyasint,omitempty"`
 }
 
 // Outcome says what became of an order.
@@ -63,7 +63,7 @@
 	switch {
 	case has == or.Evacuate:
 		return st, InForce
-	case or.Base != st.Revision:
+	case or.BaseRevision != st.Revision:
 		return st, Stale
 	case or.Evacuate && len(st.DataCentres) >= mostDataCentres:
 		return st, Full
--- a/evacuation/evacuation_test.go
+++ b/evacuation/evacuation_test.go
@@ -42,9 +42,9 @@
 func TestFull(t *testing.T) {
 	var st Set
 	for nth := range mostDataCentres {
-		st, _ = st.With(Change{DataCentre: strings.Repeat("a", nth+1), Evacuate: true, Base: st.Revision})
+		st, _ = st.With(Change{DataCentre: strings.Repeat("a", nth+1), Evacuate: true, BaseRevision: st.Revision})
 	}
-	got, outcome := st.With(Change{DataCentre: "b", Evacuate: true, Base: st.Revision})
+	got, outcome := st.With(Change{DataCentre: "b", Evacuate: true, BaseRevision: st.Revision})
 	qt.Assert(t, outcome, qt.Equals, Full)
 	qt.Assert(t, got, qt.DeepEquals, st)
 }
--- a/fleet/evacuate.go
+++ b/fleet/evacuate.go
@@ -27,7 +27,7 @@
 	if err := evacuation.CheckName(dataCentre); err != nil {
 		return evacuation.Set{}, err
 	}
-	or := evacuation.Change{DataCentre: dataCentre, Evacuate: evacuate, Base: nd.evacuations.Load().Revision}
+	or := evacuation.Change{DataCentre: dataCentre, Evacuate: evacuate, BaseRevision: nd.evacuations.Load().Revision}
 	for {
 		an, err := nd.ask(ctx, opEvacuate, func(request uint64) peer.Message {
 			return EvacuationOrder{Request: request, Order: or}
@@ -42,7 +42,7 @@
 		case ctx.Err() != nil:
 			return evacuation.Set{}, &result.Error{Code: result.ControlUnavailable, Op: opEvacuate, Detail: "other orders came between", Err: ctx.Err()}
 		}
-		or.Base = an.Evacuations.Revision
+		or.BaseRevision = an.Evacuations.Revision
 	}
 }
 
@@ -83,7 +83,7 @@
 	th.orders = slices.Delete(th.orders, at, at+1)
 	st := th.vo.sm.Evacuations
 	th.nd.lg.Info("evacuation-committed", zap.String("DataCentre", or.order.DataCentre), zap.Bool("Evacuate", or.order.Evacuate),
-		zap.Stringer("Outcome", outcome), zap.Uint64("Base", or.order.Base), zap.Uint64("Revision", st.Revision),
+		zap.Stringer("Outcome", outcome), zap.Uint64("Base", or.order.BaseRevision), zap.Uint64("Revision", st.Revision),
 		zap.Strings("Evacuated", st.DataCentres), zap.Int64("Millis", th.now().Sub(or.since).Milliseconds()))
 	or.reply(Answer{OK: true, Outcome: outcome, Evacuations: st})
 }
