--- a/emulate/emulate_test.go
+++ b/emulate/emulate_test.go
@@ -269,7 +269,7 @@
 	if ca.err != nil {
 		return ca.err
 	}
-	ca.evacuated, _ = ca.evacuated.With(evacuation.Change{DataCentre: dataCentre, Evacuate: evacuate, BaseRevision: ca.evacuated.Revision})
+	ca.evacuated, _ = ca.evacuated.Apply(evacuation.Change{DataCentre: dataCentre, Evacuate: evacuate, BaseRevision: ca.evacuated.Revision})
 	return nil
 }
 
--- a/evacuation/evacuation.go
+++ b/evacuation/evacuation.go
@@ -58,7 +58,7 @@
 //
 // A delayed order may arrive after the one that reversed it, and applied then would evacuate
 // the data centre for good. So an order changes only the revision that it is based on.
-func (st Set) With(or Change) (Set, Outcome) {
+func (st Set) Apply(or Change) (Set, Outcome) {
 	at, has := slices.BinarySearch(st.DataCentres, or.DataCentre)
 	switch {
 	case has == or.Evacuate:
--- a/evacuation/evacuation_test.go
+++ b/evacuation/evacuation_test.go
@@ -30,7 +30,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			got, outcome := st.With(tt.order)
+			got, outcome := st.Apply(tt.order)
 			qt.Assert(t, outcome, qt.Equals, tt.outcome)
 			qt.Assert(t, got, qt.DeepEquals, tt.want)
 			qt.Assert(t, st, qt.DeepEquals, Set{Revision: 7, DataCentres: []string{"north", "south"}})
@@ -42,9 +42,9 @@
 func TestFull(t *testing.T) {
 	var st Set
 	for nth := range mostDataCentres {
-		st, _ = st.With(Change{DataCentre: strings.Repeat("a", nth+1), Evacuate: true, BaseRevision: st.Revision})
+		st, _ = st.Apply(Change{DataCentre: strings.Repeat("a", nth+1), Evacuate: true, BaseRevision: st.Revision})
 	}
-	got, outcome := st.With(Change{DataCentre: "b", Evacuate: true, BaseRevision: st.Revision})
+	got, outcome := st.Apply(Change{DataCentre: "b", Evacuate: true, BaseRevision: st.Revision})
 	qt.Assert(t, outcome, qt.Equals, Full)
 	qt.Assert(t, got, qt.DeepEquals, st)
 }
@@ -59,11 +59,11 @@
 		want := map[string]bool{}
 		for range rapid.IntRange(1, 40).Draw(rt, "steps") {
 			if len(sent) > 0 && rapid.Bool().Draw(rt, "late") {
-				st, _ = st.With(rapid.SampledFrom(sent).Draw(rt, "which"))
+				st, _ = st.Apply(rapid.SampledFrom(sent).Draw(rt, "which"))
 			} else {
 				or := Change{rapid.SampledFrom(names).Draw(rt, "name"), rapid.Bool().Draw(rt, "evacuate"), st.Revision}
 				var outcome Outcome
-				if st, outcome = st.With(or); outcome != InForce {
+				if st, outcome = st.Apply(or); outcome != InForce {
 					rt.Fatalf("an order on the newest set: %v", outcome)
 				}
 				sent = append(sent, or)
--- a/fleet/state.go
+++ b/fleet/state.go
@@ -102,7 +102,7 @@
 		st.Members = append(st.Members, *cm.Member)
 		slices.SortFunc(st.Members, compareMembers)
 	case cm.Evacuation != nil:
-		st.Evacuations, _ = st.Evacuations.With(cm.Evacuation.Order)
+		st.Evacuations, _ = st.Evacuations.Apply(cm.Evacuation.Order)
 	}
 	return st
 }
--- a/fleet/voter.go
+++ b/fleet/voter.go
@@ -183,7 +183,7 @@
 	vo.sm = vo.sm.with(cm)
 	th.learnState()
 	if cm.Evacuation != nil {
-		_, outcome := before.With(cm.Evacuation.Order)
+		_, outcome := before.Apply(cm.Evacuation.Order)
 		th.ordered(cm.Evacuation.ID, outcome)
 	}
 }
