--- a/feed/publisher.go
+++ b/feed/publisher.go
@@ -44,7 +44,7 @@
 	// Members gives the control instances until SetMembers is called; nil means none.
 	Members func() []Member
 	// Quarantine holds the requests under which servers ended; nil means a new book.
-	Quarantine *quarantine.Book
+	Quarantine *quarantine.Tracker
 }
 
 // Publisher tells the entry instances that have a link to this control instance
@@ -76,7 +76,7 @@
 
 	documents documents
 	outliers  outliers
-	qa        *quarantine.Book
+	qa        *quarantine.Tracker
 }
 
 // subscriber is one link of an entry instance.
--- a/feed/world_test.go
+++ b/feed/world_test.go
@@ -312,7 +312,7 @@
 	su   *Subscriber
 	stop context.CancelFunc
 	done chan struct{}
-	qa   *quarantine.Book
+	qa   *quarantine.Tracker
 
 	mu       sync.Mutex
 	seeds    []string
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -69,7 +69,7 @@
 	bu *budget.Budget
 	pk *route.Picker
 	ad *admit.Limiter
-	qa *quarantine.Book
+	qa *quarantine.Tracker
 	qu *queue
 
 	started time.Time
@@ -95,7 +95,7 @@
 }
 
 // New returns a gateway that refuses all requests until it has a table.
-func New(cf Config, ts *timer.Service, lg *zap.Logger, up *upstream.Client, re *replica.Balancer, bu *budget.Budget, qa *quarantine.Book) *Server {
+func New(cf Config, ts *timer.Service, lg *zap.Logger, up *upstream.Client, re *replica.Balancer, bu *budget.Budget, qa *quarantine.Tracker) *Server {
 	sv := &Server{
 		cf: cf, ts: ts, lg: lg, up: up, re: re, bu: bu, qa: qa,
 		pk: route.NewPicker(), ad: admit.New(max(1, cf.MostActive)), qu: newQueue(),
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -27,7 +27,7 @@
 // What speaks against a request is that nobody ever answers it. Whoever does, any
 // server at any instance, clears it at once: so a request that was only there when others
 // ended, and a popular one that a lost rack took along, run again after one probe.
-type Book struct {
+type Tracker struct {
 	size     atomic.Int64
 	pressing chan struct{}
 
@@ -39,21 +39,21 @@
 }
 
 // New returns an empty book.
-func New() *Book {
-	return &Book{
+func New() *Tracker {
+	return &Tracker{
 		pressing: make(chan struct{}, 1),
 		entries:  make(map[Key]*entry), news: make(map[Key]struct{}), services: make(map[string]outage),
 	}
 }
 
 // Empty reports whether nothing is held against any request. It takes no lock.
-func (bo *Book) Empty() bool { return bo.size.Load() == 0 }
+func (bo *Tracker) Empty() bool { return bo.size.Load() == 0 }
 
 // Pressing gets a value when something has changed.
-func (bo *Book) Pressing() <-chan struct{} { return bo.pressing }
+func (bo *Tracker) Pressing() <-chan struct{} { return bo.pressing }
 
 // Judge says how a request may run, and if it is refused, for how long.
-func (bo *Book) Judge(now time.Time, key Key) (Verdict, time.Duration) {
+func (bo *Tracker) Judge(now time.Time, key Key) (Verdict, time.Duration) {
 	if bo.Empty() {
 		return Pass, 0
 	}
@@ -78,7 +78,7 @@
 // request then. A probe doesn't speak against its request if its service had lost another
 // one before and has answered nobody since: then servers end, or cut off their callers,
 // whatever they run.
-func (bo *Book) Lose(now time.Time, lo Loss) Record {
+func (bo *Tracker) Lose(now time.Time, lo Loss) Record {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
 	en := bo.open(now, lo.Key)
@@ -103,7 +103,7 @@
 
 // Served takes in that a service has answered some request. It need not be told while the
 // book is empty.
-func (bo *Book) Served(service string) {
+func (bo *Tracker) Served(service string) {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
 	delete(bo.services, service)
@@ -111,7 +111,7 @@
 
 // Answered takes in that a server has answered the request, and reports whether that
 // clears it.
-func (bo *Book) Answered(now time.Time, key Key) bool {
+func (bo *Tracker) Answered(now time.Time, key Key) bool {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
 	en, ok := bo.entries[key]
@@ -125,7 +125,7 @@
 
 // Hear takes in what another instance knows, and returns what of it was new. That is not
 // in News: the control instances tell it to all.
-func (bo *Book) Hear(now time.Time, rcs []Record) []Record {
+func (bo *Tracker) Hear(now time.Time, rcs []Record) []Record {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
 	var out []Record
@@ -140,7 +140,7 @@
 
 // hear takes in one record and reports whether it was new. Between losses and an answer
 // the later one holds.
-func (bo *Book) hear(now time.Time, rc Record) bool {
+func (bo *Tracker) hear(now time.Time, rc Record) bool {
 	at := now.Add(-time.Duration(rc.Ago) * time.Millisecond)
 	if now.Sub(at) >= rc.lifetime() || !rc.Cleared && len(rc.Losses) == 0 {
 		return false
@@ -163,7 +163,7 @@
 }
 
 // open returns the entry of a request, a new one if there is none that still holds.
-func (bo *Book) open(now time.Time, key Key) *entry {
+func (bo *Tracker) open(now time.Time, key Key) *entry {
 	bo.sweep(now)
 	en, ok := bo.entries[key]
 	if ok && !en.Cleared && !en.outlived(now) {
@@ -179,13 +179,13 @@
 }
 
 // tell notes that there is something to tell of a request.
-func (bo *Book) tell(key Key) {
+func (bo *Tracker) tell(key Key) {
 	bo.news[key] = struct{}{}
 	bo.changed()
 }
 
 // changed notes that something has changed.
-func (bo *Book) changed() {
+func (bo *Tracker) changed() {
 	select {
 	case bo.pressing <- struct{}{}:
 	default:
@@ -193,7 +193,7 @@
 }
 
 // sweep drops what has run out, now and then.
-func (bo *Book) sweep(now time.Time) {
+func (bo *Tracker) sweep(now time.Time) {
 	if now.Sub(bo.swept) < sweepPeriod {
 		return
 	}
@@ -211,7 +211,7 @@
 // evict drops the entry that matters least: of those with the fewest losses, the oldest.
 // Nobody can push out a refused request, or one that is nearly, by making many others
 // suspect.
-func (bo *Book) evict() {
+func (bo *Tracker) evict() {
 	var least *entry
 	for _, en := range bo.entries {
 		if least == nil || cmp.Or(cmp.Compare(len(en.Losses), len(least.Losses)), en.at.Compare(least.at)) < 0 {
@@ -221,14 +221,14 @@
 	bo.drop(least.Key)
 }
 
-func (bo *Book) drop(key Key) {
+func (bo *Tracker) drop(key Key) {
 	delete(bo.entries, key)
 	delete(bo.news, key)
 	bo.size.Store(int64(len(bo.entries)))
 }
 
 // News returns what has changed since the last call.
-func (bo *Book) News(now time.Time) []Record {
+func (bo *Tracker) News(now time.Time) []Record {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
 	var out []Record
@@ -240,7 +240,7 @@
 }
 
 // Records returns all that has not run out, for whoever knows nothing yet.
-func (bo *Book) Records(now time.Time) []Record {
+func (bo *Tracker) Records(now time.Time) []Record {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
 	var out []Record
@@ -259,7 +259,7 @@
 }
 
 // Count returns how many requests have a verdict.
-func (bo *Book) Count(ve Verdict) int {
+func (bo *Tracker) Count(ve Verdict) int {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
 	count := 0
--- a/quarantine/book_test.go
+++ b/quarantine/book_test.go
@@ -32,13 +32,13 @@
 	return Loss{Key: ke, Attempt: fmt.Sprint(attempts), Began: began, Probe: true, Service: "s", Servers: []string{server}}
 }
 
-func verdict(bo *Book, now time.Time, ke Key) Verdict {
+func verdict(bo *Tracker, now time.Time, ke Key) Verdict {
 	ve, _ := bo.Judge(now, ke)
 	return ve
 }
 
 // refused makes a book refuse a request.
-func refused(bo *Book, now time.Time, ke Key) {
+func refused(bo *Tracker, now time.Time, ke Key) {
 	bo.Lose(now, first(ke, "a"))
 	bo.Lose(now, probe(ke, now, "b"))
 	bo.Lose(now, probe(ke, now, "c"))
@@ -169,7 +169,7 @@
 func TestInstancesAddUp(t *testing.T) {
 	c := qt.New(t)
 	control := New()
-	bos := []*Book{New(), New(), New()}
+	bos := []*Tracker{New(), New(), New()}
 	share := func(now time.Time) {
 		for _, bo := range bos {
 			control.Hear(now, bo.News(now))
--- a/tier/entry.go
+++ b/tier/entry.go
@@ -47,7 +47,7 @@
 	su   *feed.Subscriber
 	door *door
 	re   *replica.Balancer
-	qa   *quarantine.Book
+	qa   *quarantine.Tracker
 	ts   *timer.Service
 	lg   *zap.Logger
 	st   *standing
--- a/tier/memory.go
+++ b/tier/memory.go
@@ -55,7 +55,7 @@
 	pu  *feed.Publisher
 	ot  *others
 	ro  *rosters
-	qa  *quarantine.Book
+	qa  *quarantine.Tracker
 	ts  *timer.Service
 	lg  *zap.Logger
 }
