--- a/feed/suspects_test.go
+++ b/feed/suspects_test.go
@@ -20,7 +20,7 @@
 }
 
 func (en *entry) verdict() quarantine.Verdict {
-	ve, _ := en.qa.Judge(en.wo.ts.Now(), fatal)
+	ve, _ := en.qa.Check(en.wo.ts.Now(), fatal)
 	return ve
 }
 
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -36,7 +36,7 @@
 	if qa.Empty() {
 		return true
 	}
-	ve, left := qa.Judge(ca.start, ca.content())
+	ve, left := qa.Check(ca.start, ca.content())
 	switch ve {
 	case quarantine.Refuse:
 		ca.sv.mt.refused.Inc()
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -53,7 +53,7 @@
 func (bo *Tracker) Pressing() <-chan struct{} { return bo.pressing }
 
 // Judge says how a request may run, and if it is refused, for how long.
-func (bo *Tracker) Judge(now time.Time, key Key) (Verdict, time.Duration) {
+func (bo *Tracker) Check(now time.Time, key Key) (Verdict, time.Duration) {
 	if bo.Empty() {
 		return Pass, 0
 	}
--- a/quarantine/book_test.go
+++ b/quarantine/book_test.go
@@ -33,7 +33,7 @@
 }
 
 func verdict(bo *Tracker, now time.Time, ke Key) Verdict {
-	ve, _ := bo.Judge(now, ke)
+	ve, _ := bo.Check(now, ke)
 	return ve
 }
 
@@ -56,7 +56,7 @@
 	bo.Lose(at(time.Second), probe(ke, at(time.Second), "e"))
 	c.Assert(verdict(bo, at(2*time.Second), ke), qt.Equals, Probe)
 	bo.Lose(at(2*time.Second), probe(ke, at(2*time.Second), "f"))
-	ve, left := bo.Judge(at(3*time.Second), ke)
+	ve, left := bo.Check(at(3*time.Second), ke)
 	c.Assert(ve, qt.Equals, Refuse)
 	c.Assert(left, qt.Equals, holdFor-time.Second)
 	c.Assert(verdict(bo, at(3*time.Second), key(2)), qt.Equals, Pass)
--- a/tier/memory_test.go
+++ b/tier/memory_test.go
@@ -104,7 +104,7 @@
 			time.Sleep(tt.after)
 			me = newMemory(dir)
 			me.restore(time.Second)
-			ve, _ := me.qa.Judge(me.ts.Now(), key)
+			ve, _ := me.qa.Check(me.ts.Now(), key)
 			c.Check(ve, qt.Equals, tt.want, qt.Commentf("%v", tt.after))
 		}
 	})
