--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -76,7 +76,7 @@
 	if len(ended) == 0 {
 		return
 	}
-	rc := qa.Lose(ca.sv.ts.Now(), quarantine.Loss{
+	rc := qa.RecordLoss(ca.sv.ts.Now(), quarantine.Loss{
 		Key: ca.content(), Attempt: ca.id, Began: ca.start, Probe: ca.probe, Service: ca.onlyService(), Servers: ended,
 	})
 	// The line of the request itself holds its id beside the content.
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -78,7 +78,7 @@
 // request then. A probe doesn't speak against its request if its service had lost another
 // one before and has answered nobody since: then servers end, or cut off their callers,
 // whatever they run.
-func (bo *Tracker) Lose(now time.Time, lo Loss) Record {
+func (bo *Tracker) RecordLoss(now time.Time, lo Loss) Record {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
 	en := bo.open(now, lo.Key)
--- a/quarantine/book_test.go
+++ b/quarantine/book_test.go
@@ -39,9 +39,9 @@
 
 // refused makes a book refuse a request.
 func refused(bo *Tracker, now time.Time, ke Key) {
-	bo.Lose(now, first(ke, "a"))
-	bo.Lose(now, probe(ke, now, "b"))
-	bo.Lose(now, probe(ke, now, "c"))
+	bo.RecordLoss(now, first(ke, "a"))
+	bo.RecordLoss(now, probe(ke, now, "b"))
+	bo.RecordLoss(now, probe(ke, now, "c"))
 }
 
 // A request ends the servers that run it and comes again and again. The first attempt may
@@ -51,11 +51,11 @@
 	bo := New()
 	ke := key(1)
 	c.Assert(verdict(bo, start, ke), qt.Equals, Pass)
-	bo.Lose(at(0), first(ke, "a", "b", "c", "d"))
+	bo.RecordLoss(at(0), first(ke, "a", "b", "c", "d"))
 	c.Assert(verdict(bo, at(time.Second), ke), qt.Equals, Probe)
-	bo.Lose(at(time.Second), probe(ke, at(time.Second), "e"))
+	bo.RecordLoss(at(time.Second), probe(ke, at(time.Second), "e"))
 	c.Assert(verdict(bo, at(2*time.Second), ke), qt.Equals, Probe)
-	bo.Lose(at(2*time.Second), probe(ke, at(2*time.Second), "f"))
+	bo.RecordLoss(at(2*time.Second), probe(ke, at(2*time.Second), "f"))
 	ve, left := bo.Check(at(3*time.Second), ke)
 	c.Assert(ve, qt.Equals, Refuse)
 	c.Assert(left, qt.Equals, holdFor-time.Second)
@@ -70,7 +70,7 @@
 	bo := New()
 	ke := key(1)
 	for nth := range 50 {
-		bo.Lose(at(time.Duration(nth)*time.Millisecond), first(ke, fmt.Sprint("a", nth), fmt.Sprint("b", nth)))
+		bo.RecordLoss(at(time.Duration(nth)*time.Millisecond), first(ke, fmt.Sprint("a", nth), fmt.Sprint("b", nth)))
 	}
 	c.Assert(verdict(bo, at(time.Second), ke), qt.Equals, Probe)
 	c.Assert(bo.Answered(at(time.Second), ke), qt.IsTrue)
@@ -92,7 +92,7 @@
 				lo = first(key(nth), fmt.Sprint("s", round, nth))
 				lo.Service = "s"
 			}
-			bo.Lose(now.Add(time.Duration(nth)*time.Millisecond), lo)
+			bo.RecordLoss(now.Add(time.Duration(nth)*time.Millisecond), lo)
 		}
 	}
 	for nth := range 5 {
@@ -105,13 +105,13 @@
 func TestLossesOfOthersDoNotExcuse(t *testing.T) {
 	c := qt.New(t)
 	bo := New()
-	bo.Lose(at(0), first(key(1), "a", "b", "c"))
+	bo.RecordLoss(at(0), first(key(1), "a", "b", "c"))
 	for round := 1; round <= 2; round++ {
 		now := at(time.Duration(round) * time.Second)
 		beside := first(key(10+round), "x")
 		beside.Service = "s"
-		bo.Lose(now.Add(time.Millisecond), beside)
-		bo.Lose(now.Add(2*time.Millisecond), probe(key(1), now, fmt.Sprint("d", round)))
+		bo.RecordLoss(now.Add(time.Millisecond), beside)
+		bo.RecordLoss(now.Add(2*time.Millisecond), probe(key(1), now, fmt.Sprint("d", round)))
 		bo.Served("s")
 	}
 	c.Assert(verdict(bo, at(time.Minute), key(1)), qt.Equals, Refuse)
@@ -124,7 +124,7 @@
 	bo := New()
 	for nth := range 10 {
 		now := at(time.Duration(nth) * time.Second)
-		bo.Lose(now, probe(key(1), now, "a"))
+		bo.RecordLoss(now, probe(key(1), now, "a"))
 	}
 	c.Assert(verdict(bo, at(time.Minute), key(1)), qt.Equals, Probe)
 }
@@ -135,11 +135,11 @@
 	c := qt.New(t)
 	bo := New()
 	refused(bo, at(0), key(1))
-	bo.Lose(at(0), first(key(2), "x"))
+	bo.RecordLoss(at(0), first(key(2), "x"))
 	c.Assert(verdict(bo, at(holdFor-1), key(1)), qt.Equals, Refuse)
 	c.Assert(verdict(bo, at(holdFor), key(1)), qt.Equals, Probe)
 	c.Assert(verdict(bo, at(holdFor), key(2)), qt.Equals, Pass)
-	bo.Lose(at(holdFor), probe(key(1), at(holdFor), "z"))
+	bo.RecordLoss(at(holdFor), probe(key(1), at(holdFor), "z"))
 	c.Assert(verdict(bo, at(2*holdFor-1), key(1)), qt.Equals, Refuse)
 	c.Assert(bo.Records(at(3*holdFor)), qt.HasLen, 0)
 	c.Assert(verdict(bo, at(3*holdFor), key(1)), qt.Equals, Pass)
@@ -152,10 +152,10 @@
 	c := qt.New(t)
 	bo := New()
 	refused(bo, at(0), key(0))
-	bo.Lose(at(0), first(key(1), "a"))
-	bo.Lose(at(0), probe(key(1), at(0), "b"))
+	bo.RecordLoss(at(0), first(key(1), "a"))
+	bo.RecordLoss(at(0), probe(key(1), at(0), "b"))
 	for nth := range 3 * mostRecords {
-		bo.Lose(at(time.Second), first(key(2+nth), "a"))
+		bo.RecordLoss(at(time.Second), first(key(2+nth), "a"))
 	}
 	c.Assert(bo.Records(at(time.Second)), qt.HasLen, mostRecords)
 	c.Assert(len(bo.News(at(time.Second))) <= mostRecords, qt.IsTrue)
@@ -180,12 +180,12 @@
 			c.Assert(bo.News(now), qt.HasLen, 0)
 		}
 	}
-	bos[0].Lose(at(0), first(key(1), "a"))
+	bos[0].RecordLoss(at(0), first(key(1), "a"))
 	control.Hear(at(0), bos[0].News(at(0)))
 	bos[1].Hear(at(0), control.Records(at(0)))
 	bos[2].Hear(at(0), control.Records(at(0)))
-	bos[1].Lose(at(time.Second), probe(key(1), at(time.Second), "b"))
-	bos[2].Lose(at(time.Second), probe(key(1), at(time.Second), "c"))
+	bos[1].RecordLoss(at(time.Second), probe(key(1), at(time.Second), "b"))
+	bos[2].RecordLoss(at(time.Second), probe(key(1), at(time.Second), "c"))
 	share(at(time.Second))
 	for _, bo := range bos {
 		c.Assert(verdict(bo, at(2*time.Second), key(1)), qt.Equals, Refuse)
