--- a/gateway/run.go
+++ b/gateway/run.go
@@ -203,7 +203,7 @@
 	}
 	sv.mt.ended(ctx, cr.services[at.shard], rs)
 	if rs.Outcome == upstream.Answered && !sv.qa.Empty() {
-		sv.qa.Served(se.Service)
+		sv.qa.ServiceAnswered(se.Service)
 	}
 	select {
 	case cr.ends <- ended{at.shard, at.number, rs}:
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -103,7 +103,7 @@
 
 // Served takes in that a service has answered some request. It need not be told while the
 // book is empty.
-func (bo *Tracker) Served(service string) {
+func (bo *Tracker) ServiceAnswered(service string) {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
 	delete(bo.services, service)
--- a/quarantine/book_test.go
+++ b/quarantine/book_test.go
@@ -112,7 +112,7 @@
 		beside.Service = "s"
 		bo.RecordLoss(now.Add(time.Millisecond), beside)
 		bo.RecordLoss(now.Add(2*time.Millisecond), probe(key(1), now, fmt.Sprint("d", round)))
-		bo.Served("s")
+		bo.ServiceAnswered("s")
 	}
 	c.Assert(verdict(bo, at(time.Minute), key(1)), qt.Equals, Refuse)
 	c.Assert(verdict(bo, at(time.Minute), key(11)), qt.Equals, Probe)
