--- a/feed/suspects_test.go
+++ b/feed/suspects_test.go
@@ -46,7 +46,7 @@
 		wo.after(soon)
 		check(c, quarantine.Refuse, ens...)
 		now := wo.ts.Now()
-		c.Assert(ens[3].qa.Answered(now, fatal), qt.IsTrue)
+		c.Assert(ens[3].qa.RequestAnswered(now, fatal), qt.IsTrue)
 		ens[3].su.SendSuspects(ens[3].qa.News(now))
 		wo.after(soon)
 		check(c, quarantine.Pass, ens...)
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -67,7 +67,7 @@
 func (ca *call) learn() {
 	qa := ca.sv.qa
 	if ca.anyAnswer() {
-		if !qa.Empty() && qa.Answered(ca.sv.ts.Now(), ca.content()) {
+		if !qa.Empty() && qa.RequestAnswered(ca.sv.ts.Now(), ca.content()) {
 			ca.sv.lg.Info(eventCleared, zap.Stringer("Content", ca.content()))
 		}
 		return
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -111,7 +111,7 @@
 
 // Answered takes in that a server has answered the request, and reports whether that
 // clears it.
-func (bo *Tracker) Answered(now time.Time, key Key) bool {
+func (bo *Tracker) RequestAnswered(now time.Time, key Key) bool {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
 	en, ok := bo.entries[key]
--- a/quarantine/book_test.go
+++ b/quarantine/book_test.go
@@ -73,8 +73,8 @@
 		bo.RecordLoss(at(time.Duration(nth)*time.Millisecond), first(ke, fmt.Sprint("a", nth), fmt.Sprint("b", nth)))
 	}
 	c.Assert(verdict(bo, at(time.Second), ke), qt.Equals, Probe)
-	c.Assert(bo.Answered(at(time.Second), ke), qt.IsTrue)
-	c.Assert(bo.Answered(at(time.Second), ke), qt.IsFalse)
+	c.Assert(bo.RequestAnswered(at(time.Second), ke), qt.IsTrue)
+	c.Assert(bo.RequestAnswered(at(time.Second), ke), qt.IsFalse)
 	c.Assert(verdict(bo, at(time.Second), ke), qt.Equals, Pass)
 }
 
@@ -199,7 +199,7 @@
 	bo, away := New(), New()
 	refused(away, at(0), key(1))
 	bo.Hear(at(0), away.News(at(0)))
-	bo.Answered(at(time.Second), key(1))
+	bo.RequestAnswered(at(time.Second), key(1))
 	c.Assert(bo.Hear(at(2*time.Second), away.Records(at(2*time.Second))), qt.HasLen, 0)
 	c.Assert(verdict(bo, at(2*time.Second), key(1)), qt.Equals, Pass)
 	away.Hear(at(2*time.Second), bo.Records(at(2*time.Second)))
