--- a/feed/suspects.go
+++ b/feed/suspects.go
@@ -12,7 +12,7 @@
 // milliseconds, and not to the same instance.
 func (pu *Publisher) Suspect(from string, rcs []quarantine.Record) []quarantine.Record {
 	now := pu.ts.Now()
-	news := pu.qa.Hear(now, rcs)
+	news := pu.qa.Merge(now, rcs)
 	if len(news) == 0 {
 		return nil
 	}
--- a/feed/world_test.go
+++ b/feed/world_test.go
@@ -448,7 +448,7 @@
 }
 
 func (en *entry) SuspectsHeard(_ string, rcs []quarantine.Record) []quarantine.Record {
-	return en.qa.Hear(time.Now(), rcs)
+	return en.qa.Merge(time.Now(), rcs)
 }
 
 // findings returns what the entry instance was told of outliers.
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -125,7 +125,7 @@
 
 // Hear takes in what another instance knows, and returns what of it was new. That is not
 // in News: the control instances tell it to all.
-func (bo *Tracker) Hear(now time.Time, rcs []Record) []Record {
+func (bo *Tracker) Merge(now time.Time, rcs []Record) []Record {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
 	var out []Record
--- a/quarantine/book_test.go
+++ b/quarantine/book_test.go
@@ -172,18 +172,18 @@
 	bos := []*Tracker{New(), New(), New()}
 	share := func(now time.Time) {
 		for _, bo := range bos {
-			control.Hear(now, bo.News(now))
+			control.Merge(now, bo.News(now))
 		}
 		for _, bo := range bos {
-			c.Assert(bo.Hear(now, control.Records(now)) == nil, qt.IsFalse)
-			c.Assert(bo.Hear(now, control.Records(now)), qt.HasLen, 0)
+			c.Assert(bo.Merge(now, control.Records(now)) == nil, qt.IsFalse)
+			c.Assert(bo.Merge(now, control.Records(now)), qt.HasLen, 0)
 			c.Assert(bo.News(now), qt.HasLen, 0)
 		}
 	}
 	bos[0].RecordLoss(at(0), first(key(1), "a"))
-	control.Hear(at(0), bos[0].News(at(0)))
-	bos[1].Hear(at(0), control.Records(at(0)))
-	bos[2].Hear(at(0), control.Records(at(0)))
+	control.Merge(at(0), bos[0].News(at(0)))
+	bos[1].Merge(at(0), control.Records(at(0)))
+	bos[2].Merge(at(0), control.Records(at(0)))
 	bos[1].RecordLoss(at(time.Second), probe(key(1), at(time.Second), "b"))
 	bos[2].RecordLoss(at(time.Second), probe(key(1), at(time.Second), "c"))
 	share(at(time.Second))
@@ -198,11 +198,11 @@
 	c := qt.New(t)
 	bo, away := New(), New()
 	refused(away, at(0), key(1))
-	bo.Hear(at(0), away.News(at(0)))
+	bo.Merge(at(0), away.News(at(0)))
 	bo.RequestAnswered(at(time.Second), key(1))
-	c.Assert(bo.Hear(at(2*time.Second), away.Records(at(2*time.Second))), qt.HasLen, 0)
+	c.Assert(bo.Merge(at(2*time.Second), away.Records(at(2*time.Second))), qt.HasLen, 0)
 	c.Assert(verdict(bo, at(2*time.Second), key(1)), qt.Equals, Pass)
-	away.Hear(at(2*time.Second), bo.Records(at(2*time.Second)))
+	away.Merge(at(2*time.Second), bo.Records(at(2*time.Second)))
 	c.Assert(verdict(away, at(2*time.Second), key(1)), qt.Equals, Pass)
 }
 
@@ -221,10 +221,10 @@
 		}
 		one, two := New(), New()
 		for _, rc := range rcs {
-			one.Hear(start, []Record{rc})
+			one.Merge(start, []Record{rc})
 		}
 		for _, ix := range rapid.Permutation(indices(len(rcs))).Draw(rt, "order") {
-			two.Hear(start, []Record{rcs[ix], rcs[ix]})
+			two.Merge(start, []Record{rcs[ix], rcs[ix]})
 		}
 		for nth := range 3 {
 			if a, b := verdict(one, start, key(nth)), verdict(two, start, key(nth)); a != b {
--- a/tier/entry.go
+++ b/tier/entry.go
@@ -183,7 +183,7 @@
 
 // SuspectsHeard takes over what all instances know of requests under which servers ended.
 func (en *entry) SuspectsHeard(_ string, rcs []quarantine.Record) []quarantine.Record {
-	return en.qa.Hear(en.ts.Now(), rcs)
+	return en.qa.Merge(en.ts.Now(), rcs)
 }
 
 // tellSuspects tells at once of requests under which servers ended here, until the context
--- a/tier/memory.go
+++ b/tier/memory.go
@@ -199,6 +199,6 @@
 	for ix := range no.Records {
 		no.Records[ix].Ago = uint32(min(int64(no.Records[ix].Ago)+down, math.MaxUint32))
 	}
-	news := me.qa.Hear(now, no.Records)
+	news := me.qa.Merge(now, no.Records)
 	me.lg.Info("suspects-restored", zap.Int("Suspects", len(news)))
 }
