--- a/feed/suspects_test.go
+++ b/feed/suspects_test.go
@@ -16,7 +16,7 @@
 func (en *entry) lose(probe bool, attempt string, servers ...string) {
 	now := en.wo.ts.Now()
 	en.qa.RecordLoss(now, quarantine.Loss{Key: fatal, Attempt: attempt, Began: now, Probe: probe, Servers: servers})
-	en.su.SendSuspects(en.qa.News(now))
+	en.su.SendSuspects(en.qa.TakeUpdates(now))
 }
 
 func (en *entry) verdict() quarantine.Verdict {
@@ -47,7 +47,7 @@
 		check(c, quarantine.Refuse, ens...)
 		now := wo.ts.Now()
 		c.Assert(ens[3].qa.RequestAnswered(now, fatal), qt.IsTrue)
-		ens[3].su.SendSuspects(ens[3].qa.News(now))
+		ens[3].su.SendSuspects(ens[3].qa.TakeUpdates(now))
 		wo.after(soon)
 		check(c, quarantine.Pass, ens...)
 	})
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -228,7 +228,7 @@
 }
 
 // News returns what has changed since the last call.
-func (bo *Tracker) News(now time.Time) []Record {
+func (bo *Tracker) TakeUpdates(now time.Time) []Record {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
 	var out []Record
--- a/quarantine/book_test.go
+++ b/quarantine/book_test.go
@@ -158,7 +158,7 @@
 		bo.RecordLoss(at(time.Second), first(key(2+nth), "a"))
 	}
 	c.Assert(bo.Records(at(time.Second)), qt.HasLen, mostRecords)
-	c.Assert(len(bo.News(at(time.Second))) <= mostRecords, qt.IsTrue)
+	c.Assert(len(bo.TakeUpdates(at(time.Second))) <= mostRecords, qt.IsTrue)
 	c.Assert(verdict(bo, at(time.Second), key(0)), qt.Equals, Refuse)
 	c.Assert(verdict(bo, at(time.Second), key(1)), qt.Equals, Probe)
 	c.Assert(bo.Count(Refuse), qt.Equals, 1)
@@ -172,16 +172,16 @@
 	bos := []*Tracker{New(), New(), New()}
 	share := func(now time.Time) {
 		for _, bo := range bos {
-			control.Merge(now, bo.News(now))
+			control.Merge(now, bo.TakeUpdates(now))
 		}
 		for _, bo := range bos {
 			c.Assert(bo.Merge(now, control.Records(now)) == nil, qt.IsFalse)
 			c.Assert(bo.Merge(now, control.Records(now)), qt.HasLen, 0)
-			c.Assert(bo.News(now), qt.HasLen, 0)
+			c.Assert(bo.TakeUpdates(now), qt.HasLen, 0)
 		}
 	}
 	bos[0].RecordLoss(at(0), first(key(1), "a"))
-	control.Merge(at(0), bos[0].News(at(0)))
+	control.Merge(at(0), bos[0].TakeUpdates(at(0)))
 	bos[1].Merge(at(0), control.Records(at(0)))
 	bos[2].Merge(at(0), control.Records(at(0)))
 	bos[1].RecordLoss(at(time.Second), probe(key(1), at(time.Second), "b"))
@@ -198,7 +198,7 @@
 	c := qt.New(t)
 	bo, away := New(), New()
 	refused(away, at(0), key(1))
-	bo.Merge(at(0), away.News(at(0)))
+	bo.Merge(at(0), away.TakeUpdates(at(0)))
 	bo.RequestAnswered(at(time.Second), key(1))
 	c.Assert(bo.Merge(at(2*time.Second), away.Records(at(2*time.Second))), qt.HasLen, 0)
 	c.Assert(verdict(bo, at(2*time.Second), key(1)), qt.Equals, Pass)
--- a/tier/entry.go
+++ b/tier/entry.go
@@ -194,7 +194,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-en.qa.Pressing():
-			en.su.SendSuspects(en.qa.News(en.ts.Now()))
+			en.su.SendSuspects(en.qa.TakeUpdates(en.ts.Now()))
 		}
 	}
 }
