--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -50,7 +50,7 @@
 func (bo *Tracker) Empty() bool { return bo.size.Load() == 0 }
 
 // Pressing gets a value when something has changed.
-func (bo *Tracker) Pressing() <-chan struct{} { return bo.pressing }
+func (bo *Tracker) Changed() <-chan struct{} { return bo.pressing }
 
 // Judge says how a request may run, and if it is refused, for how long.
 func (bo *Tracker) Check(now time.Time, key Key) (Verdict, time.Duration) {
--- a/tier/entry.go
+++ b/tier/entry.go
@@ -193,7 +193,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-en.qa.Pressing():
+		case <-en.qa.Changed():
 			en.su.SendSuspects(en.qa.TakeUpdates(en.ts.Now()))
 		}
 	}
--- a/tier/memory.go
+++ b/tier/memory.go
@@ -110,7 +110,7 @@
 		me.lg.Warn("folder-not-made", zap.String("Folder", me.dir), zap.Error(err))
 	}
 	var noted [2]uint64
-	suspects := me.qa.Pressing()
+	suspects := me.qa.Changed()
 	chosen := me.ro.note()
 	el := newEntryList(me.ts.Now(), me.entries())
 	for {
@@ -124,7 +124,7 @@
 			suspects = nil
 			continue
 		case <-su.C:
-			suspects = me.qa.Pressing()
+			suspects = me.qa.Changed()
 		}
 		if ses, changes := me.servers(noted); changes != noted {
 			me.write(serversName, ses)
