--- a/feed/suspects.go
+++ b/feed/suspects.go
@@ -53,6 +53,6 @@
 func suspectFields(rc quarantine.Record) []zap.Field {
 	return []zap.Field{
 		zap.Stringer("Content", rc.Key), zap.Stringer("Verdict", rc.Verdict()),
-		zap.Int("Losses", len(rc.Losses)), zap.Strings("Servers", rc.Servers), zap.Uint32("AgoMillis", rc.Ago),
+		zap.Int("Losses", len(rc.Losses)), zap.Strings("Servers", rc.Servers), zap.Uint32("AgoMillis", rc.AgeMillis),
 	}
 }
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -141,7 +141,7 @@
 // hear takes in one record and reports whether it was new. Between losses and an answer
 // the later one holds.
 func (bo *Tracker) hear(now time.Time, rc Record) bool {
-	at := now.Add(-time.Duration(rc.Ago) * time.Millisecond)
+	at := now.Add(-time.Duration(rc.AgeMillis) * time.Millisecond)
 	if now.Sub(at) >= rc.lifetime() || !rc.Cleared && len(rc.Losses) == 0 {
 		return false
 	}
--- a/quarantine/book_test.go
+++ b/quarantine/book_test.go
@@ -212,7 +212,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		var rcs []Record
 		for range rapid.IntRange(1, 12).Draw(rt, "records") {
-			rc := Record{Key: key(rapid.IntRange(0, 2).Draw(rt, "key")), Ago: uint32(rapid.IntRange(0, 5).Draw(rt, "ago"))}
+			rc := Record{Key: key(rapid.IntRange(0, 2).Draw(rt, "key")), AgeMillis: uint32(rapid.IntRange(0, 5).Draw(rt, "ago"))}
 			for range rapid.IntRange(0, 2).Draw(rt, "losses") {
 				rc.Losses = append(rc.Losses, uint64(rapid.IntRange(0, 2).Draw(rt, "loss")))
 				rc.Servers = append(rc.Servers, fmt.Sprint(rapid.IntRange(0, 2).Draw(rt, "server")))
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -66,7 +66,7 @@
 	Cleared bool     `cbor:"4,keyasint,omitempty"` // Cleared says that a server has answered the request.
 	// Ago is how long ago the last loss, or the answer, was, in milliseconds. Instances
 	// need no common clock.
-	Ago uint32 `cbor:"5,keyasint,omitempty"`
+	AgeMillis uint32 `cbor:"5,keyasint,omitempty"`
 }
 
 // Verdict returns the verdict of a record that has not run out.
@@ -106,7 +106,7 @@
 func (en *entry) told(now time.Time) Record {
 	rc := en.Record
 	rc.Losses, rc.Servers = slices.Clone(rc.Losses), slices.Clone(rc.Servers)
-	rc.Ago = uint32(max(0, now.Sub(en.at)).Milliseconds())
+	rc.AgeMillis = uint32(max(0, now.Sub(en.at)).Milliseconds())
 	return rc
 }
 
--- a/tier/memory.go
+++ b/tier/memory.go
@@ -197,7 +197,7 @@
 	// A clock that was set back makes them no younger than they were.
 	down := max(0, now.UnixMilli()-no.At)
 	for ix := range no.Records {
-		no.Records[ix].Ago = uint32(min(int64(no.Records[ix].Ago)+down, math.MaxUint32))
+		no.Records[ix].AgeMillis = uint32(min(int64(no.Records[ix].AgeMillis)+down, math.MaxUint32))
 	}
 	news := me.qa.Merge(now, no.Records)
 	me.lg.Info("suspects-restored", zap.Int("Suspects", len(news)))
