--- a/feed/suspects_test.go
+++ b/feed/suspects_test.go
@@ -15,7 +15,7 @@
 // lose makes an entry instance see an attempt that servers ended under, and tell.
 func (en *entry) lose(probe bool, attempt string, servers ...string) {
 	now := en.wo.ts.Now()
-	en.qa.RecordLoss(now, quarantine.Loss{Key: fatal, Attempt: attempt, Began: now, Probe: probe, Servers: servers})
+	en.qa.RecordLoss(now, quarantine.Loss{Key: fatal, Attempt: attempt, Start: now, Probe: probe, Servers: servers})
 	en.su.SendSuspects(en.qa.TakeUpdates(now))
 }
 
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -77,7 +77,7 @@
 		return
 	}
 	rc := qa.RecordLoss(ca.sv.ts.Now(), quarantine.Loss{
-		Key: ca.content(), Attempt: ca.id, Began: ca.start, Probe: ca.probe, Service: ca.onlyService(), Servers: ended,
+		Key: ca.content(), Attempt: ca.id, Start: ca.start, Probe: ca.probe, Service: ca.onlyService(), Servers: ended,
 	})
 	// The line of the request itself holds its id beside the content.
 	ca.sv.lg.Warn(eventSuspected, zap.Stringer("Content", ca.content()), zap.Bool("Probe", ca.probe),
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -16,7 +16,7 @@
 	key := quarantine.Content{Method: http.MethodGet, Host: host, URI: uri}.Key()
 	for nth := range losses {
 		now := rg.ts.Now()
-		rg.gw.qa.RecordLoss(now, quarantine.Loss{Key: key, Attempt: strconv.Itoa(nth), Began: now, Probe: nth > 0, Servers: []string{strconv.Itoa(nth)}})
+		rg.gw.qa.RecordLoss(now, quarantine.Loss{Key: key, Attempt: strconv.Itoa(nth), Start: now, Probe: nth > 0, Servers: []string{strconv.Itoa(nth)}})
 	}
 }
 
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -83,7 +83,7 @@
 	defer bo.mu.Unlock()
 	en := bo.open(now, lo.Key)
 	ou := bo.services[lo.Service]
-	excused := lo.Probe && ou.before(lo.Began, lo.Key)
+	excused := lo.Probe && ou.before(lo.Start, lo.Key)
 	if lo.Service != "" {
 		ou.add(now, lo.Key)
 		bo.services[lo.Service] = ou
--- a/quarantine/book_test.go
+++ b/quarantine/book_test.go
@@ -29,7 +29,7 @@
 // probe is the loss of a probe that began at a time.
 func probe(ke Key, began time.Time, server string) Loss {
 	attempts++
-	return Loss{Key: ke, Attempt: fmt.Sprint(attempts), Began: began, Probe: true, Service: "s", Servers: []string{server}}
+	return Loss{Key: ke, Attempt: fmt.Sprint(attempts), Start: began, Probe: true, Service: "s", Servers: []string{server}}
 }
 
 func verdict(bo *Tracker, now time.Time, ke Key) Verdict {
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -52,7 +52,7 @@
 type Loss struct {
 	Key     Key
 	Attempt string // Attempt is the id of the attempt.
-	Began   time.Time
+	Start   time.Time
 	Probe   bool     // Probe says that one server alone was asked.
 	Service string   // Service is the one whose servers ended, if it was only one.
 	Servers []string // Servers are the ids of those that ended.
--- a/tier/memory_test.go
+++ b/tier/memory_test.go
@@ -93,7 +93,7 @@
 		key := quarantine.Content{URI: "/a"}.Key()
 		for nth, server := range []string{"a", "b", "c"} {
 			now := me.ts.Now()
-			me.qa.RecordLoss(now, quarantine.Loss{Key: key, Attempt: server, Began: now, Probe: nth > 0, Servers: []string{server}})
+			me.qa.RecordLoss(now, quarantine.Loss{Key: key, Attempt: server, Start: now, Probe: nth > 0, Servers: []string{server}})
 		}
 		synctest.Wait() // No time passes.
 
