--- a/feed/outliers.go
+++ b/feed/outliers.go
@@ -119,6 +119,6 @@
 func findingFields(fi outlier.Finding) []zap.Field {
 	return []zap.Field{
 		zap.String("ID", fi.ID), zap.Float32("Slowness", fi.Slowness),
-		zap.Float32("Failures", fi.Failures), zap.Bool("Clear", fi.Clear()),
+		zap.Float32("Failures", fi.Failures), zap.Bool("Clear", fi.Healthy()),
 	}
 }
--- a/outlier/detector.go
+++ b/outlier/detector.go
@@ -139,7 +139,7 @@
 		if idle {
 			fi = Finding{ID: id}
 		}
-		if fi.news(se.told) || !fi.Clear() && now.Sub(se.toldAt) >= again {
+		if fi.news(se.told) || !fi.Healthy() && now.Sub(se.toldAt) >= again {
 			se.told, se.toldAt = fi, now
 			out = append(out, fi)
 		}
--- a/outlier/detector_test.go
+++ b/outlier/detector_test.go
@@ -84,7 +84,7 @@
 	fe.run(1200*ms, Sample{ID: "a", Served: 1, Failed: 1})
 	c.Assert(fe.last(), qt.Equals, Finding{ID: "a", Failures: 0.5})
 	fe.run(time.Second, usual())
-	c.Assert(fe.last().Clear(), qt.IsTrue)
+	c.Assert(fe.last().Healthy(), qt.IsTrue)
 }
 
 // One request in a hundred takes five times as long at sound servers, and a single
@@ -110,7 +110,7 @@
 		fe.now = fe.now.Add(100 * ms)
 		fe.out = append(fe.out, fe.de.Findings(fe.now)...)
 	}
-	c.Assert(fe.last().Clear(), qt.IsTrue)
+	c.Assert(fe.last().Healthy(), qt.IsTrue)
 	c.Assert(fe.de.servers, qt.HasLen, 0)
 }
 
@@ -183,5 +183,5 @@
 		fe.de.Add(fe.now, "e1", []Sample{{ID: "a", Count: 1}})
 	}
 	fe.out = append(fe.out, fe.de.Findings(fe.now)...)
-	c.Assert(fe.last().Clear(), qt.IsTrue)
+	c.Assert(fe.last().Healthy(), qt.IsTrue)
 }
--- a/outlier/outlier.go
+++ b/outlier/outlier.go
@@ -41,7 +41,7 @@
 }
 
 // Clear reports whether the backend server is neither slow nor failing any more.
-func (fi Finding) Clear() bool { return fi.Slowness == 0 && fi.Failures == 0 }
+func (fi Finding) Healthy() bool { return fi.Slowness == 0 && fi.Failures == 0 }
 
 // Like reports whether a finding says much the same as another one of its server.
 func (fi Finding) Like(other Finding) bool { return !fi.news(other) }
--- a/replica/news.go
+++ b/replica/news.go
@@ -150,7 +150,7 @@
 			se.failures = 0
 		}
 		se.found, se.until = fi, at+outlier.Lifetime
-		if fi.Clear() {
+		if fi.Healthy() {
 			se.until = never
 		}
 	}
