--- a/feed/outliers.go
+++ b/feed/outliers.go
@@ -103,7 +103,7 @@
 	now := su.ts.Now()
 	var news []outlier.Finding
 	for _, fi := range fis {
-		if was, ok := su.heard[fi.ID]; ok && was.so != so && now.Sub(was.at) < echo && fi.Like(was.fi) {
+		if was, ok := su.heard[fi.ID]; ok && was.so != so && now.Sub(was.at) < echo && fi.SimilarTo(was.fi) {
 			continue
 		}
 		su.heard[fi.ID] = heard{fi: fi, at: now, so: so}
--- a/outlier/outlier.go
+++ b/outlier/outlier.go
@@ -44,7 +44,7 @@
 func (fi Finding) Healthy() bool { return fi.Slowness == 0 && fi.Failures == 0 }
 
 // Like reports whether a finding says much the same as another one of its server.
-func (fi Finding) Like(other Finding) bool { return !fi.news(other) }
+func (fi Finding) SimilarTo(other Finding) bool { return !fi.news(other) }
 
 // Lifetime is how long a finding holds from when it was last told.
 const Lifetime = 5 * time.Second
