--- a/feed/outliers_test.go
+++ b/feed/outliers_test.go
@@ -14,7 +14,7 @@
 // backend server took some times as long as usual.
 func (wo *world) see(ens []*entry, length time.Duration, id string, times float64) {
 	const period = 300 * time.Millisecond
-	sa := outlier.Sample{ID: id, Count: 1, Log: float32(math.Log(times)), Served: 1}
+	sa := outlier.Sample{ID: id, Count: 1, LogSum: float32(math.Log(times)), Served: 1}
 	if times >= outlier.SlowFactor {
 		sa.Slow = 1
 	}
--- a/outlier/bench_test.go
+++ b/outlier/bench_test.go
@@ -12,7 +12,7 @@
 func samples(count int) []Sample {
 	sas := make([]Sample, count)
 	for ix := range sas {
-		sas[ix] = Sample{ID: fmt.Sprintf("i-%010x", ix), Count: 2, Log: 0.31, Served: 2}
+		sas[ix] = Sample{ID: fmt.Sprintf("i-%010x", ix), Count: 2, LogSum: 0.31, Served: 2}
 	}
 	return sas
 }
--- a/outlier/detector.go
+++ b/outlier/detector.go
@@ -82,10 +82,10 @@
 			de.servers[sa.ID] = se
 		}
 		se.seen = now
-		if sa.Count > 0 && !math.IsNaN(float64(sa.Log)) {
+		if sa.Count > 0 && !math.IsNaN(float64(sa.LogSum)) {
 			most := mostSlow * float64(sa.Count)
-			sa.Log = float32(max(-most, min(most, float64(sa.Log))))
-			se.slow.add(now, from, float64(sa.Log), sa.Count)
+			sa.LogSum = float32(max(-most, min(most, float64(sa.LogSum))))
+			se.slow.add(now, from, float64(sa.LogSum), sa.Count)
 			se.spell.add(now, from, sa)
 		}
 		se.failing.add(now, from, float64(sa.Failed), sa.Served+sa.Failed)
--- a/outlier/detector_test.go
+++ b/outlier/detector_test.go
@@ -42,7 +42,7 @@
 func usual() Sample { return Sample{ID: "a", Count: 1, Served: 1} }
 
 func slow(times float64) Sample {
-	return Sample{ID: "a", Count: 1, Log: float32(math.Log(times)), Served: 1, Slow: 1}
+	return Sample{ID: "a", Count: 1, LogSum: float32(math.Log(times)), Served: 1, Slow: 1}
 }
 
 // A backend server turns nine times slower while each entry instance sends it a
@@ -119,7 +119,7 @@
 	c := qt.New(t)
 	de := New()
 	for ix := range mostServers + 10 {
-		de.Add(time.Unix(1000, 0), "e1", []Sample{{ID: fmt.Sprint(ix), Count: 1, Log: float32(math.NaN())}})
+		de.Add(time.Unix(1000, 0), "e1", []Sample{{ID: fmt.Sprint(ix), Count: 1, LogSum: float32(math.NaN())}})
 	}
 	c.Assert(de.servers, qt.HasLen, mostServers)
 }
@@ -158,7 +158,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			c := qt.New(t)
 			fe := newFeeder()
-			sa := Sample{ID: "a", Count: 4, Log: 4 * float32(math.Log(5)), Slow: 4, OldestSlow: tc.oldest, NewestSlow: tc.newest}
+			sa := Sample{ID: "a", Count: 4, LogSum: 4 * float32(math.Log(5)), Slow: 4, OldestSlow: tc.oldest, NewestSlow: tc.newest}
 			fe.de.Add(fe.now, "e1", []Sample{sa})
 			fe.de.Add(fe.now, "e2", []Sample{sa})
 			fe.out = fe.de.Findings(fe.now)
--- a/outlier/outlier.go
+++ b/outlier/outlier.go
@@ -16,7 +16,7 @@
 type Sample struct {
 	ID     string  `cbor:"1,keyasint"`
 	Count  uint32  `cbor:"2,keyasint,omitempty"` // Count is how many latencies are in Log.
-	Log    float32 `cbor:"3,keyasint,omitempty"` // Log sums the natural logarithms of latency against the median of its work.
+	LogSum float32 `cbor:"3,keyasint,omitempty"` // Log sums the natural logarithms of latency against the median of its work.
 	Served uint32  `cbor:"4,keyasint,omitempty"` // Served counts the requests that were answered.
 	Failed uint32  `cbor:"5,keyasint,omitempty"` // Failed counts those that were refused, failed or found no connection.
 
--- a/outlier/spell.go
+++ b/outlier/spell.go
@@ -79,7 +79,7 @@
 	}
 	sp.again = 0
 	sp.slow += sa.Slow
-	sp.log += float64(sa.Log)
+	sp.log += float64(sa.LogSum)
 	sp.reporters.add(from, 0, sa.Slow, mostReporters)
 }
 
--- a/replica/news.go
+++ b/replica/news.go
@@ -34,7 +34,7 @@
 	}
 	ratio = min(max(ratio, 1/mostRatio), mostRatio)
 	se.news.Count++
-	se.news.Log += float32(math.Log(ratio))
+	se.news.LogSum += float32(math.Log(ratio))
 	if ratio < outlier.SlowFactor {
 		se.quickSent = max(se.quickSent, fl.start)
 		return
