--- a/feed/outliers.go
+++ b/feed/outliers.go
@@ -110,7 +110,7 @@
 		su.lo.info(now, "outlier-heard", append(findingFields(fi), zap.String("Control", so.name))...)
 		news = append(news, fi)
 	}
-	maps.DeleteFunc(su.heard, func(_ string, he heard) bool { return now.Sub(he.at) >= outlier.Lifetime })
+	maps.DeleteFunc(su.heard, func(_ string, he heard) bool { return now.Sub(he.at) >= outlier.FindingTTL })
 	if len(news) > 0 {
 		su.ob.OutliersFound(news)
 	}
--- a/outlier/detector.go
+++ b/outlier/detector.go
@@ -32,7 +32,7 @@
 	movedSlow    = 0.3
 	movedFailing = 0.2
 	// again is after how long a finding is told again, so that it doesn't run out.
-	again = Lifetime / 2
+	again = FindingTTL / 2
 	// forget is after how long without samples a server is forgotten.
 	forget = 10 * time.Second
 	// mostTellers bounds the entry instances that are told apart in a span. Where more
--- a/outlier/outlier.go
+++ b/outlier/outlier.go
@@ -47,4 +47,4 @@
 func (fi Finding) SimilarTo(other Finding) bool { return !fi.news(other) }
 
 // Lifetime is how long a finding holds from when it was last told.
-const Lifetime = 5 * time.Second
+const FindingTTL = 5 * time.Second
--- a/replica/news.go
+++ b/replica/news.go
@@ -149,7 +149,7 @@
 		if fi.Failures == 0 && se.found.Failures > 0 {
 			se.failures = 0
 		}
-		se.found, se.until = fi, at+outlier.Lifetime
+		se.found, se.until = fi, at+outlier.FindingTTL
 		if fi.Healthy() {
 			se.until = never
 		}
--- a/replica/news_test.go
+++ b/replica/news_test.go
@@ -37,7 +37,7 @@
 	be.settle("a", "b")
 	be.tb.ApplyFindings(be.now, []outlier.Finding{{ID: "a", Failures: 0.5}})
 	c.Assert(be.share("a") < 0.1, qt.IsTrue)
-	be.pass(outlier.Lifetime)
+	be.pass(outlier.FindingTTL)
 	c.Assert(be.share("a") > 0.3, qt.IsTrue)
 }
 
