--- a/emulate/dialect.go
+++ b/emulate/dialect.go
@@ -32,8 +32,8 @@
 var _ tier.Dialect = Dialect{}
 
 // Names returns the header names.
-func (Dialect) Names() gateway.Names {
-	return gateway.Names{
+func (Dialect) Names() gateway.HeaderNames {
+	return gateway.HeaderNames{
 		RequestID: headerRequestID, Deadline: headerDeadline, Expect: headerExpect,
 		Stamp: headerStamp, NotRun: headerNotRun, Load: headerLoad,
 		Instance: headerServer, Parts: headerParts, Missing: headerMissing,
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -26,7 +26,7 @@
 )
 
 // Names are the header names that callers and backend servers use.
-type Names struct {
+type HeaderNames struct {
 	RequestID string // RequestID names one attempt of a caller.
 	Deadline  string // Deadline is the time the caller waits, in milliseconds.
 	Expect    string // Expect names the backend server that a request is meant for.
@@ -39,7 +39,7 @@
 }
 
 // Upstream returns the names that exchanges with backend servers use.
-func (na Names) Upstream() upstream.Names {
+func (na HeaderNames) Upstream() upstream.Names {
 	return upstream.Names{
 		RequestID: na.RequestID, Deadline: na.Deadline, Expect: na.Expect,
 		Stamp: na.Stamp, NotRun: na.NotRun, Load: na.Load,
@@ -48,7 +48,7 @@
 
 // Config is what a gateway is told once.
 type Config struct {
-	Names          Names
+	Names          HeaderNames
 	Name           string        // Name is this instance's, and differs from the others'.
 	DataCentre     string        // DataCentre is where this instance runs.
 	CallerDistance time.Duration // CallerDistance is the one-way time to a caller.
--- a/gateway/lines_test.go
+++ b/gateway/lines_test.go
@@ -30,7 +30,7 @@
 )
 
 // lineNames are the header names of the tests of lines.
-var lineNames = Names{
+var lineNames = HeaderNames{
 	RequestID: "Id", Deadline: "Wait", Expect: "Expect-Server", Stamp: "Stamp", NotRun: "Not-Run",
 	Load: "Load", Parts: "Parts", Missing: "Missing",
 }
--- a/tier/dialect.go
+++ b/tier/dialect.go
@@ -18,7 +18,7 @@
 // configuration, and the calls of operators, backend servers and callers.
 type Dialect interface {
 	// Names returns the header names.
-	Names() gateway.Names
+	Names() gateway.HeaderNames
 	// Tables returns what reads accepted configurations one after the other.
 	Tables() Tables
 	// ControlHandler serves operators and backend servers.
