--- a/emulate/dialect.go
+++ b/emulate/dialect.go
@@ -34,7 +34,7 @@
 // Names returns the header names.
 func (Dialect) Names() gateway.HeaderNames {
 	return gateway.HeaderNames{
-		RequestID: headerRequestID, Deadline: headerDeadline, Expect: headerExpect,
+		RequestID: headerRequestID, Deadline: headerDeadline, ExpectServer: headerExpect,
 		Stamp: headerStamp, NotRun: headerNotRun, Load: headerLoad,
 		Instance: headerServer, Parts: headerParts, Missing: headerMissing,
 	}
--- a/gateway/backend_test.go
+++ b/gateway/backend_test.go
@@ -183,7 +183,7 @@
 // choose returns what is done with the request. What is meant for another
 // server, or has no id, is refused.
 func (wo *work) choose() act {
-	if wo.rq.Header.Get(names.Expect) != wo.be.id {
+	if wo.rq.Header.Get(names.ExpectServer) != wo.be.id {
 		return moved
 	}
 	if wo.ar.id == "" {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -27,21 +27,21 @@
 
 // Names are the header names that callers and backend servers use.
 type HeaderNames struct {
-	RequestID string // RequestID names one attempt of a caller.
-	Deadline  string // Deadline is the time the caller waits, in milliseconds.
-	Expect    string // Expect names the backend server that a request is meant for.
-	Stamp     string // Stamp proves which backend server ran a request.
-	NotRun    string // NotRun says that a backend server did not run a request.
-	Load      string // Load is what a backend server says of its load.
-	Instance  string // Instance is a backend server's name.
-	Parts     string // Parts lists the stamps of a merged answer.
-	Missing   string // Missing counts the parts that a merged answer lacks.
+	RequestID    string // RequestID names one attempt of a caller.
+	Deadline     string // Deadline is the time the caller waits, in milliseconds.
+	ExpectServer string // Expect names the backend server that a request is meant for.
+	Stamp        string // Stamp proves which backend server ran a request.
+	NotRun       string // NotRun says that a backend server did not run a request.
+	Load         string // Load is what a backend server says of its load.
+	Instance     string // Instance is a backend server's name.
+	Parts        string // Parts lists the stamps of a merged answer.
+	Missing      string // Missing counts the parts that a merged answer lacks.
 }
 
 // Upstream returns the names that exchanges with backend servers use.
 func (na HeaderNames) Upstream() upstream.Names {
 	return upstream.Names{
-		RequestID: na.RequestID, Deadline: na.Deadline, Expect: na.Expect,
+		RequestID: na.RequestID, Deadline: na.Deadline, Expect: na.ExpectServer,
 		Stamp: na.Stamp, NotRun: na.NotRun, Load: na.Load,
 	}
 }
--- a/gateway/lines_test.go
+++ b/gateway/lines_test.go
@@ -31,7 +31,7 @@
 
 // lineNames are the header names of the tests of lines.
 var lineNames = HeaderNames{
-	RequestID: "Id", Deadline: "Wait", Expect: "Expect-Server", Stamp: "Stamp", NotRun: "Not-Run",
+	RequestID: "Id", Deadline: "Wait", ExpectServer: "Expect-Server", Stamp: "Stamp", NotRun: "Not-Run",
 	Load: "Load", Parts: "Parts", Missing: "Missing",
 }
 
--- a/gateway/pass_test.go
+++ b/gateway/pass_test.go
@@ -19,7 +19,7 @@
 	out := http.Header{}
 	for name := range he {
 		switch name {
-		case names.RequestID, names.Deadline, names.Expect:
+		case names.RequestID, names.Deadline, names.ExpectServer:
 			out[name] = he[name]
 			delete(he, name)
 		}
@@ -61,7 +61,7 @@
 		{name: "headers of the connection", as: ask{uri: "/a", lines: []string{
 			"Connection: keep-alive, X-Hop", "Keep-Alive: timeout=3", "X-Hop: 1", "Te: trailers", "Proxy-Authorization: x", "Upgrade: h2c", "X-End: 1",
 		}}, lines: []string{"X-End: 1"}},
-		{name: "headers of the gateway", as: ask{uri: "/a", lines: []string{names.Expect + ": somebody-else"}}, lines: []string{}},
+		{name: "headers of the gateway", as: ask{uri: "/a", lines: []string{names.ExpectServer + ": somebody-else"}}, lines: []string{}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -75,7 +75,7 @@
 				qt.Assert(t, ars, qt.HasLen, 1)
 				ours := own(ars[0].header)
 				qt.Assert(t, ours[names.RequestID], qt.DeepEquals, []string{an.id})
-				qt.Assert(t, ours[names.Expect], qt.DeepEquals, []string{be.id})
+				qt.Assert(t, ours[names.ExpectServer], qt.DeepEquals, []string{be.id})
 				lines := tt.lines
 				if lines == nil {
 					lines = tt.as.lines
--- a/gateway/rig_test.go
+++ b/gateway/rig_test.go
@@ -28,7 +28,7 @@
 
 // names are the header names of the tests.
 var names = HeaderNames{
-	RequestID: "Request-Id", Deadline: "Deadline-Ms", Expect: "Expect-Server", Stamp: "Stamp", NotRun: "Not-Run",
+	RequestID: "Request-Id", Deadline: "Deadline-Ms", ExpectServer: "Expect-Server", Stamp: "Stamp", NotRun: "Not-Run",
 	Load: "Load", Instance: "Server-Id", Parts: "Part-Stamps", Missing: "Missing-Parts",
 }
 
