--- a/emulate/dialect.go
+++ b/emulate/dialect.go
@@ -35,7 +35,7 @@
 func (Dialect) Names() gateway.HeaderNames {
 	return gateway.HeaderNames{
 		RequestID: headerRequestID, Deadline: headerDeadline, ExpectServer: headerExpect,
-		Stamp: headerStamp, NotRun: headerNotRun, Load: headerLoad,
+		Stamp: headerStamp, NotRun: headerNotRun, ServerLoad: headerLoad,
 		Instance: headerServer, Parts: headerParts, Missing: headerMissing,
 	}
 }
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -172,7 +172,7 @@
 	}
 	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\n%s: q-8f14e45fceea167a\r\n%s: 3e1b.07.5a2.600.%d.c9f2a4d1\r\n%s: 3,0,8,100\r\n"+
 		"Content-Type: application/octet-stream\r\nContent-Length: %d\r\nKeep-Alive: timeout=15\r\n\r\n%s",
-		names.RequestID, names.Stamp, sh, names.Load, len(body), body)
+		names.RequestID, names.Stamp, sh, names.ServerLoad, len(body), body)
 }
 
 // standIn answers the requests on a connection.
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -32,7 +32,7 @@
 	ExpectServer string // Expect names the backend server that a request is meant for.
 	Stamp        string // Stamp proves which backend server ran a request.
 	NotRun       string // NotRun says that a backend server did not run a request.
-	Load         string // Load is what a backend server says of its load.
+	ServerLoad   string // Load is what a backend server says of its load.
 	Instance     string // Instance is a backend server's name.
 	Parts        string // Parts lists the stamps of a merged answer.
 	Missing      string // Missing counts the parts that a merged answer lacks.
@@ -42,7 +42,7 @@
 func (na HeaderNames) Upstream() upstream.Names {
 	return upstream.Names{
 		RequestID: na.RequestID, Deadline: na.Deadline, Expect: na.ExpectServer,
-		Stamp: na.Stamp, NotRun: na.NotRun, Load: na.Load,
+		Stamp: na.Stamp, NotRun: na.NotRun, Load: na.ServerLoad,
 	}
 }
 
--- a/gateway/merge_test.go
+++ b/gateway/merge_test.go
@@ -465,7 +465,7 @@
 			for _, sh := range shs {
 				rg.serve(sh, 1-min(ix, 1), says(func(re *reply) {
 					re.body = strings.Repeat(rec(fmt.Sprint(sh, ix)), count)
-					re.lines = append(re.lines, names.Load+": 3,9,8")
+					re.lines = append(re.lines, names.ServerLoad+": 3,9,8")
 				}))
 			}
 			rg.table(route.Route{Prefix: "/", Shards: shs, Merge: route.Merge{TopK: 3 * count, LeastShare: 1}})
