--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -34,7 +34,7 @@
 	NotRun       string // NotRun says that a backend server did not run a request.
 	ServerLoad   string // Load is what a backend server says of its load.
 	Instance     string // Instance is a backend server's name.
-	Parts        string // Parts lists the stamps of a merged answer.
+	PartStamps   string // Parts lists the stamps of a merged answer.
 	Missing      string // Missing counts the parts that a merged answer lacks.
 }
 
--- a/gateway/ledger_test.go
+++ b/gateway/ledger_test.go
@@ -244,7 +244,7 @@
 			le.tb.Errorf("%s was answered %d with Retry-After %q", id, an.status, an.header.Get("Retry-After"))
 		}
 	}
-	if an.header.Get(names.Parts) != "" {
+	if an.header.Get(names.PartStamps) != "" {
 		le.checkParts(id, an, ros)
 		return
 	}
@@ -299,7 +299,7 @@
 // stampsOf returns the stamps of a merged answer's parts.
 func stampsOf(an *answer) []string {
 	var out []string
-	for _, va := range an.header[names.Parts] {
+	for _, va := range an.header[names.PartStamps] {
 		for stamp := range strings.SplitSeq(va, ",") {
 			out = append(out, strings.TrimSpace(stamp))
 		}
--- a/gateway/property_test.go
+++ b/gateway/property_test.go
@@ -170,7 +170,7 @@
 		case as.got == nil || as.got.err != nil:
 		case as.got.status != http.StatusOK:
 			bad++
-		case as.got.header.Get(names.Parts) != "":
+		case as.got.header.Get(names.PartStamps) != "":
 			merged++
 			good++
 		default:
