--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -86,7 +86,7 @@
 	}
 	body := scatter.MergeTopK(parts, ca.ro.Merge.RecordBytes, ca.ro.Merge.TopK)
 	hd.Set(ca.sv.cf.Names.PartStamps, string(stamps))
-	hd.Set(ca.sv.cf.Names.Missing, strconv.Itoa(ca.missed))
+	hd.Set(ca.sv.cf.Names.MissingParts, strconv.Itoa(ca.missed))
 	hd.Set("Content-Length", strconv.Itoa(len(body)))
 	hd["Content-Type"] = nil
 	hd["Date"] = nil
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -97,7 +97,7 @@
 	}
 	wr := &benchWriter{hd: make(http.Header)}
 	rg.gw.ServeHTTP(wr, rq)
-	if wr.status != http.StatusOK || wr.hd.Get(names.Missing) != "0" {
+	if wr.status != http.StatusOK || wr.hd.Get(names.MissingParts) != "0" {
 		be.Fatal(wr.status, wr.hd)
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -35,7 +35,7 @@
 	ServerLoad   string // Load is what a backend server says of its load.
 	Instance     string // Instance is a backend server's name.
 	PartStamps   string // Parts lists the stamps of a merged answer.
-	Missing      string // Missing counts the parts that a merged answer lacks.
+	MissingParts string // Missing counts the parts that a merged answer lacks.
 }
 
 // Upstream returns the names that exchanges with backend servers use.
--- a/gateway/ledger_test.go
+++ b/gateway/ledger_test.go
@@ -278,8 +278,8 @@
 		in = append(in, is.service)
 		parts = append(parts, is.body)
 	}
-	missing, err := strconv.Atoi(an.header.Get(names.Missing))
-	if an.header.Get(names.Missing) == "" {
+	missing, err := strconv.Atoi(an.header.Get(names.MissingParts))
+	if an.header.Get(names.MissingParts) == "" {
 		missing, err = 0, nil
 	}
 	fits := err == nil && slices.ContainsFunc(ros, func(ro *route.Route) bool {
@@ -292,7 +292,7 @@
 			string(an.body) == greatest(parts, ro.Merge.RecordBytes, ro.Merge.TopK)
 	})
 	if !fits || an.status != http.StatusOK || len(in) == 0 {
-		le.tb.Errorf("%s was answered %d with the parts of %s, %q missing and %d bytes, which fits no configuration", id, an.status, in, an.header.Get(names.Missing), len(an.body))
+		le.tb.Errorf("%s was answered %d with the parts of %s, %q missing and %d bytes, which fits no configuration", id, an.status, in, an.header.Get(names.MissingParts), len(an.body))
 	}
 }
 
--- a/gateway/lines_test.go
+++ b/gateway/lines_test.go
@@ -32,7 +32,7 @@
 // lineNames are the header names of the tests of lines.
 var lineNames = HeaderNames{
 	RequestID: "Id", Deadline: "Wait", ExpectServer: "Expect-Server", Stamp: "Stamp", NotRun: "Not-Run",
-	ServerLoad: "Load", PartStamps: "Parts", Missing: "Missing",
+	ServerLoad: "Load", PartStamps: "Parts", MissingParts: "Missing",
 }
 
 // syncBuffer is a buffer that may be written while it is read.
--- a/gateway/merge_test.go
+++ b/gateway/merge_test.go
@@ -32,7 +32,7 @@
 // checkMissing fails the test unless so many parts are left out.
 func checkMissing(t *testing.T, an *answer, count int) {
 	t.Helper()
-	qt.Assert(t, an.header[names.Missing], qt.DeepEquals, []string{fmt.Sprint(count)})
+	qt.Assert(t, an.header[names.MissingParts], qt.DeepEquals, []string{fmt.Sprint(count)})
 }
 
 // A caller gets the hits of a query in a wrong order, or not the best ones, or
--- a/gateway/warmup_test.go
+++ b/gateway/warmup_test.go
@@ -53,6 +53,6 @@
 		rg.cool("b")
 		an := rg.get("/a", http.StatusOK)
 		qt.Assert(t, an.took < 50*time.Millisecond, qt.IsTrue, qt.Commentf("%v", an.took))
-		qt.Assert(t, an.header.Get(names.Missing), qt.Equals, "1")
+		qt.Assert(t, an.header.Get(names.MissingParts), qt.Equals, "1")
 	})
 }
