--- a/gateway/call.go
+++ b/gateway/call.go
@@ -141,7 +141,7 @@
 	}
 	pl.PartialDeadline, pl.NoServerDeadline = pl.Deadline, pl.Deadline
 	if ca.ro.Aim > 0 {
-		aim := ca.start.Add(ca.ro.Aim - 2*ca.sv.cf.CallerDistance)
+		aim := ca.start.Add(ca.ro.Aim - 2*ca.sv.cf.CallerDelay)
 		pl.PartialDeadline = aim.Add(-ca.sv.cf.HoldMargin)
 		pl.NoServerDeadline = ca.start.Add(ca.ro.Aim / offerPart)
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -48,12 +48,12 @@
 
 // Config is what a gateway is told once.
 type Config struct {
-	Names          HeaderNames
-	Name           string        // Name is this instance's, and differs from the others'.
-	DataCentre     string        // DataCentre is where this instance runs.
-	CallerDistance time.Duration // CallerDistance is the one-way time to a caller.
-	HoldMargin     time.Duration // HoldMargin is kept between the end of a hold and a route's aim.
-	MostActive     int           // MostActive bounds the requests under way.
+	Names       HeaderNames
+	Name        string        // Name is this instance's, and differs from the others'.
+	DataCentre  string        // DataCentre is where this instance runs.
+	CallerDelay time.Duration // CallerDistance is the one-way time to a caller.
+	HoldMargin  time.Duration // HoldMargin is kept between the end of a hold and a route's aim.
+	MostActive  int           // MostActive bounds the requests under way.
 	// Warmup holds the Overage and Slack of requests to cold backend servers; the rest of
 	// it each service names.
 	Warmup warmup.Limit
--- a/gateway/lines.go
+++ b/gateway/lines.go
@@ -122,7 +122,7 @@
 
 // late reports whether the answer reaches the caller later than the route aims for.
 func (ca *call) late(took time.Duration) bool {
-	return ca.ro != nil && ca.ro.Aim > 0 && took > ca.ro.Aim-2*ca.sv.cf.CallerDistance
+	return ca.ro != nil && ca.ro.Aim > 0 && took > ca.ro.Aim-2*ca.sv.cf.CallerDelay
 }
 
 // story is the line of a request.
@@ -242,7 +242,7 @@
 	if !st.late || st.ca.status >= http.StatusInternalServerError {
 		return false
 	}
-	due := st.ca.ro.Aim - 2*st.ca.sv.cf.CallerDistance
+	due := st.ca.ro.Aim - 2*st.ca.sv.cf.CallerDelay
 	for _, no := range st.ca.cr.notes {
 		if int(no.shard) == sh && no.ended && no.outcome == upstream.Answered && no.at+no.took <= due {
 			return false
