--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -53,7 +53,7 @@
 	DataCentre  string        // DataCentre is where this instance runs.
 	CallerDelay time.Duration // CallerDistance is the one-way time to a caller.
 	HoldMargin  time.Duration // HoldMargin is kept between the end of a hold and a route's aim.
-	MostActive  int           // MostActive bounds the requests under way.
+	MaxInFlight int           // MostActive bounds the requests under way.
 	// Warmup holds the Overage and Slack of requests to cold backend servers; the rest of
 	// it each service names.
 	Warmup warmup.Limit
@@ -98,7 +98,7 @@
 func New(cf Config, ts *timer.Service, lg *zap.Logger, up *upstream.Client, re *replica.Balancer, bu *budget.Budget, qa *quarantine.Tracker) *Server {
 	sv := &Server{
 		cf: cf, ts: ts, lg: lg, up: up, re: re, bu: bu, qa: qa,
-		pk: route.NewPicker(), ad: admit.New(max(1, cf.MostActive)), qu: newQueue(),
+		pk: route.NewPicker(), ad: admit.New(max(1, cf.MaxInFlight)), qu: newQueue(),
 		limits: make(map[string]int), expected: make(map[string]time.Time),
 	}
 	sv.shares.Store(&map[string]int{})
@@ -181,7 +181,7 @@
 		ca.refuse(refusalNoTable, retryNoTable)
 	case sv.refuse.Load():
 		ca.refuse(refusalStopping, retryStopping)
-	case active > int64(sv.cf.MostActive):
+	case active > int64(sv.cf.MaxInFlight):
 		ca.refuse(refusalBusy, retryBusy)
 	default:
 		ca.tb = tb
--- a/gateway/lines_test.go
+++ b/gateway/lines_test.go
@@ -99,7 +99,7 @@
 	up := upstream.New(upstream.Config{Names: lineNames.Upstream(), Connect: lo.connect}, ts, zap.NewNop())
 	t.Cleanup(up.Close)
 	bu := budget.New(budget.Config{Ratio: 100, Slack: 100}, ts.Now().Add(-time.Hour))
-	cf := Config{Names: lineNames, CallerDelay: 3 * time.Millisecond, HoldMargin: time.Millisecond, MostActive: 100}
+	cf := Config{Names: lineNames, CallerDelay: 3 * time.Millisecond, HoldMargin: time.Millisecond, MaxInFlight: 100}
 	lo.sv = New(cf, ts, lg, up, replica.New(replica.Config{}), bu, quarantine.New())
 	lo.sv.SetEntries(1)
 	return lo
--- a/tier/entry.go
+++ b/tier/entry.go
@@ -102,7 +102,7 @@
 	en := &entry{tbs: di.Tables(), re: re, qa: qa, ts: ts, lg: lg}
 	en.gw = gateway.New(gateway.Config{
 		Names: di.Names(), Name: se.Name, DataCentre: se.DataCentre,
-		CallerDelay: se.Timing.CallerDistance, HoldMargin: holdMargin, MostActive: mostActive,
+		CallerDelay: se.Timing.CallerDistance, HoldMargin: holdMargin, MaxInFlight: mostActive,
 		Warmup: warmup.Limit{BurstFactor: se.Warmup.Overage, Slack: se.Warmup.Slack},
 	}, ts, lg, up, re, bu, qa)
 	en.su = feed.NewSubscriber(feed.SubscriberConfig{
