--- a/gateway/fault_test.go
+++ b/gateway/fault_test.go
@@ -451,7 +451,7 @@
 				rg.serve("s", 2)
 				time.Sleep(time.Minute)
 				qt.Assert(t, rg.le.of(""), qt.HasLen, tt.want)
-				qt.Assert(t, rg.gw.Active(), qt.Equals, 0)
+				qt.Assert(t, rg.gw.InFlight(), qt.Equals, 0)
 			})
 		})
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -165,7 +165,7 @@
 func (sv *Server) Merging() time.Duration { return time.Duration(sv.merging.Load()) }
 
 // Active returns how many requests are under way.
-func (sv *Server) Active() int { return int(sv.active.Load()) }
+func (sv *Server) InFlight() int { return int(sv.active.Load()) }
 
 // ServeHTTP answers one request of a caller.
 func (sv *Server) ServeHTTP(wr http.ResponseWriter, rq *http.Request) {
@@ -192,7 +192,7 @@
 
 // WaitIdle waits until no request is under way or the context ends.
 func (sv *Server) WaitIdle(ctx context.Context) error {
-	for sv.Active() > 0 {
+	for sv.InFlight() > 0 {
 		if err := sv.ts.Sleep(ctx, idlePoll); err != nil {
 			return err
 		}
--- a/gateway/lines.go
+++ b/gateway/lines.go
@@ -161,7 +161,7 @@
 		oe.AddString("Content", ca.content().String())
 	}
 	if ca.status >= http.StatusInternalServerError {
-		oe.AddInt("Active", ca.sv.Active())
+		oe.AddInt("Active", ca.sv.InFlight())
 		oe.AddInt64("NewsMillis", ca.sv.newsAge(ca.start).Milliseconds())
 	}
 	if ca.cr == nil {
--- a/gateway/meters.go
+++ b/gateway/meters.go
@@ -74,7 +74,7 @@
 	mt.set = metrics.NewSet()
 	mt.routes.Store(&map[string]*routeMeters{})
 	mt.services.Store(&map[string]*serviceMeters{})
-	mt.set.NewGauge("balsamwinch_requests_active", func() float64 { return float64(sv.Active()) })
+	mt.set.NewGauge("balsamwinch_requests_active", func() float64 { return float64(sv.InFlight()) })
 	mt.set.NewGauge("balsamwinch_configuration_version", func() float64 {
 		if tb := sv.Table(); tb != nil {
 			return float64(tb.Version())
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -58,7 +58,7 @@
 		qt.Assert(t, an.close, qt.IsTrue)
 		qt.Assert(t, rg.le.of(an.id), qt.HasLen, 0)
 
-		qt.Assert(t, rg.gw.Active(), qt.Equals, 2)
+		qt.Assert(t, rg.gw.InFlight(), qt.Equals, 2)
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		qt.Assert(t, rg.gw.WaitIdle(ctx), qt.ErrorIs, context.Canceled)
@@ -71,7 +71,7 @@
 		rg.checkStatus(<-one, http.StatusOK)
 		rg.checkStatus(<-two, http.StatusOK)
 		<-idle
-		qt.Assert(t, rg.gw.Active(), qt.Equals, 0)
+		qt.Assert(t, rg.gw.InFlight(), qt.Equals, 0)
 	})
 }
 
--- a/tier/entry.go
+++ b/tier/entry.go
@@ -123,7 +123,7 @@
 	start := ts.Now()
 	en.st.leave()
 	en.gw.CloseAfterAnswer()
-	en.lg.Info("instance-stopping", zap.Int("Active", en.gw.Active()), zap.Duration("Within", within), trail.AtOnce())
+	en.lg.Info("instance-stopping", zap.Int("Active", en.gw.InFlight()), zap.Duration("Within", within), trail.AtOnce())
 	ctx := context.Background()
 	_ = ts.Sleep(ctx, within-answerWithin-exitBefore)
 	en.gw.Refuse()
@@ -131,7 +131,7 @@
 	defer cancel()
 	err := en.gw.WaitIdle(ctx)
 	en.door.Close(ctx)
-	en.lg.Info("callers-served", zap.Int("Active", en.gw.Active()), zap.Error(err), trail.AtOnce())
+	en.lg.Info("callers-served", zap.Int("Active", en.gw.InFlight()), zap.Error(err), trail.AtOnce())
 }
 
 // ConfigurationChanged puts a configuration in force.
