--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -162,7 +162,7 @@
 
 // Merging returns for how long merged requests have been under way so far, those at one
 // time counting each.
-func (sv *Server) Merging() time.Duration { return time.Duration(sv.merging.Load()) }
+func (sv *Server) MergedRequestTime() time.Duration { return time.Duration(sv.merging.Load()) }
 
 // Active returns how many requests are under way.
 func (sv *Server) InFlight() int { return int(sv.active.Load()) }
--- a/tier/load.go
+++ b/tier/load.go
@@ -61,7 +61,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-su.C:
-			if lm.look(en.ts.Now(), en.gw.Merging()) {
+			if lm.look(en.ts.Now(), en.gw.MergedRequestTime()) {
 				en.su.SetLoad(lm.load)
 			}
 		}
