--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -155,7 +155,7 @@
 }
 
 // Refuse makes the gateway answer every further request at once with "not run".
-func (sv *Server) Refuse() { sv.refuse.Store(true) }
+func (sv *Server) RejectAll() { sv.refuse.Store(true) }
 
 // CloseAfterAnswer makes the gateway ask callers to leave after their answer.
 func (sv *Server) CloseAfterAnswer() { sv.closing.Store(true) }
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -53,7 +53,7 @@
 		one, two := rg.begin(ask{uri: "/a"}), rg.begin(ask{uri: "/m/"})
 		rg.le.awaitArrivals(3)
 		rg.gw.CloseAfterAnswer()
-		rg.gw.Refuse()
+		rg.gw.RejectAll()
 		an := rg.get("/b", http.StatusServiceUnavailable)
 		qt.Assert(t, an.close, qt.IsTrue)
 		qt.Assert(t, rg.le.of(an.id), qt.HasLen, 0)
@@ -80,7 +80,7 @@
 	onBoth(t, func(t *testing.T, nw network) {
 		rg := newRig(t, nw, setup{})
 		rg.gw.CloseAfterAnswer()
-		rg.gw.Refuse()
+		rg.gw.RejectAll()
 		qt.Assert(t, rg.get("/a", http.StatusServiceUnavailable).close, qt.IsTrue)
 		awaitIdle(rg)
 	})
--- a/tier/entry.go
+++ b/tier/entry.go
@@ -126,7 +126,7 @@
 	en.lg.Info("instance-stopping", zap.Int("Active", en.gw.InFlight()), zap.Duration("Within", within), trail.AtOnce())
 	ctx := context.Background()
 	_ = ts.Sleep(ctx, within-answerWithin-exitBefore)
-	en.gw.Refuse()
+	en.gw.RejectAll()
 	ctx, cancel := context.WithDeadline(ctx, start.Add(within-exitBefore))
 	defer cancel()
 	err := en.gw.WaitIdle(ctx)
