--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -158,7 +158,7 @@
 func (sv *Server) RejectAll() { sv.refuse.Store(true) }
 
 // CloseAfterAnswer makes the gateway ask callers to leave after their answer.
-func (sv *Server) CloseAfterAnswer() { sv.closing.Store(true) }
+func (sv *Server) CloseAfterResponse() { sv.closing.Store(true) }
 
 // Merging returns for how long merged requests have been under way so far, those at one
 // time counting each.
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -26,7 +26,7 @@
 			rg.checkStatus(an, http.StatusOK)
 			qt.Assert(t, an.close, qt.IsFalse)
 		}
-		rg.gw.CloseAfterAnswer()
+		rg.gw.CloseAfterResponse()
 		an := ca.do(ask{uri: "/a"})
 		rg.checkStatus(an, http.StatusOK)
 		qt.Assert(t, an.close, qt.IsTrue)
@@ -52,7 +52,7 @@
 		)
 		one, two := rg.begin(ask{uri: "/a"}), rg.begin(ask{uri: "/m/"})
 		rg.le.awaitArrivals(3)
-		rg.gw.CloseAfterAnswer()
+		rg.gw.CloseAfterResponse()
 		rg.gw.RejectAll()
 		an := rg.get("/b", http.StatusServiceUnavailable)
 		qt.Assert(t, an.close, qt.IsTrue)
@@ -79,7 +79,7 @@
 func TestRefuseWithoutTable(t *testing.T) {
 	onBoth(t, func(t *testing.T, nw network) {
 		rg := newRig(t, nw, setup{})
-		rg.gw.CloseAfterAnswer()
+		rg.gw.CloseAfterResponse()
 		rg.gw.RejectAll()
 		qt.Assert(t, rg.get("/a", http.StatusServiceUnavailable).close, qt.IsTrue)
 		awaitIdle(rg)
--- a/tier/entry.go
+++ b/tier/entry.go
@@ -122,7 +122,7 @@
 func (en *entry) leave(within time.Duration, ts *timer.Service) {
 	start := ts.Now()
 	en.st.leave()
-	en.gw.CloseAfterAnswer()
+	en.gw.CloseAfterResponse()
 	en.lg.Info("instance-stopping", zap.Int("Active", en.gw.InFlight()), zap.Duration("Within", within), trail.AtOnce())
 	ctx := context.Background()
 	_ = ts.Sleep(ctx, within-answerWithin-exitBefore)
