--- a/emulate/dialect.go
+++ b/emulate/dialect.go
@@ -36,7 +36,7 @@
 	return gateway.HeaderNames{
 		RequestID: headerRequestID, Deadline: headerDeadline, ExpectServer: headerExpect,
 		Stamp: headerStamp, NotRun: headerNotRun, ServerLoad: headerLoad,
-		Instance: headerServer, PartStamps: headerParts, MissingParts: headerMissing,
+		ServerID: headerServer, PartStamps: headerParts, MissingParts: headerMissing,
 	}
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -33,7 +33,7 @@
 	Stamp        string // Stamp proves which backend server ran a request.
 	NotRun       string // NotRun says that a backend server did not run a request.
 	ServerLoad   string // Load is what a backend server says of its load.
-	Instance     string // Instance is a backend server's name.
+	ServerID     string // Instance is a backend server's name.
 	PartStamps   string // Parts lists the stamps of a merged answer.
 	MissingParts string // Missing counts the parts that a merged answer lacks.
 }
--- a/gateway/rig_test.go
+++ b/gateway/rig_test.go
@@ -29,7 +29,7 @@
 // names are the header names of the tests.
 var names = HeaderNames{
 	RequestID: "Request-Id", Deadline: "Deadline-Ms", ExpectServer: "Expect-Server", Stamp: "Stamp", NotRun: "Not-Run",
-	ServerLoad: "Load", Instance: "Server-Id", PartStamps: "Part-Stamps", MissingParts: "Missing-Parts",
+	ServerLoad: "Load", ServerID: "Server-Id", PartStamps: "Part-Stamps", MissingParts: "Missing-Parts",
 }
 
 // host is the host of all routes but those that say otherwise.
