--- a/feed/documents.go
+++ b/feed/documents.go
@@ -66,7 +66,7 @@
 	if pa, ok := ds.packed[key]; ok {
 		return pa, newest.version, nil
 	}
-	do := Document{Version: newest.version, Data: newest.data}
+	do := Configuration{Version: newest.version, Data: newest.data}
 	if fe.Framed {
 		fr, err := delta.Encode(base.data, newest.data)
 		if err != nil {
--- a/feed/fetch.go
+++ b/feed/fetch.go
@@ -164,7 +164,7 @@
 }
 
 // document takes in a configuration that was fetched.
-func (su *Subscriber) document(so *source, do Document) {
+func (su *Subscriber) document(so *source, do Configuration) {
 	fe := &su.fetch
 	now := su.ts.Now()
 	if fe.asked == so {
@@ -200,7 +200,7 @@
 
 // unframed returns the configuration of a document. One without a digest is from a
 // control instance that knows no frames, and is the configuration itself.
-func (su *Subscriber) unframed(do Document) ([]byte, error) {
+func (su *Subscriber) unframed(do Configuration) ([]byte, error) {
 	if len(do.Digest) == 0 {
 		return do.Data, nil
 	}
@@ -214,7 +214,7 @@
 // wrong takes in a document that doesn't give the version which it is said to be. The
 // whole is asked for at once, and from another control instance a little later if that
 // is wrong, too.
-func (su *Subscriber) wrong(now time.Time, so *source, do Document, err error) {
+func (su *Subscriber) wrong(now time.Time, so *source, do Configuration, err error) {
 	fe := &su.fetch
 	su.lg.Warn("configuration-difference-wrong", zap.Uint64("Version", do.Version), zap.Uint64("Base", do.Base),
 		zap.Uint64("Held", su.held), zap.String("Control", so.name), zap.Error(err))
--- a/feed/fetch_test.go
+++ b/feed/fetch_test.go
@@ -213,14 +213,14 @@
 		c.Check(len(do.Digest) > 0, qt.Equals, fe.Framed)
 	}
 	su := &Subscriber{lg: zap.NewNop()}
-	got, err := su.unframed(Document{Version: 1, Data: data})
+	got, err := su.unframed(Configuration{Version: 1, Data: data})
 	c.Assert(err, qt.IsNil)
 	c.Check(bytes.Equal(got, data), qt.IsTrue)
 }
 
 // unpack returns the document that a Fetch is answered with.
-func unpack(c *qt.C, ds *documents, fe Fetch) Document {
-	var do Document
+func unpack(c *qt.C, ds *documents, fe Fetch) Configuration {
+	var do Configuration
 	play(c.TB.(*testing.T), func(c *qt.C, wo *world) {
 		near, far := newPipe(wo)
 		pa, version, err := ds.pack(near, fe)
@@ -229,7 +229,7 @@
 		c.Assert(near.SendPacked(pa), qt.IsNil)
 		ms, err := far.Receive()
 		c.Assert(err, qt.IsNil)
-		do = ms.(Document)
+		do = ms.(Configuration)
 		near.Close()
 		far.Close()
 	})
--- a/feed/message.go
+++ b/feed/message.go
@@ -118,7 +118,7 @@
 func (Fetch) Kind() peer.Kind { return kindFetch }
 
 // Document answers a Fetch.
-type Document struct {
+type Configuration struct {
 	Version uint64 `cbor:"1,keyasint"`
 	Data    []byte `cbor:"2,keyasint,omitempty"` // Data is the configuration, or its frame if there is a Digest.
 	Base    uint64 `cbor:"3,keyasint,omitempty"` // Base is the version that the frame was made against; 0 for none.
@@ -126,7 +126,7 @@
 }
 
 // Kind returns the kind of the message.
-func (Document) Kind() peer.Kind { return kindDocument }
+func (Configuration) Kind() peer.Kind { return kindDocument }
 
 // Picture is all that a control instance knows. It answers Subscribe.
 type Picture struct {
@@ -195,5 +195,5 @@
 
 // Messages returns one zero value of each message of this package, for the codec.
 func Messages() []peer.Message {
-	return []peer.Message{Subscribe{}, Standing{}, Fetch{}, Document{}, Picture{}, Update{}, Seen{}, Found{}, Invite{}, LoadReport{}}
+	return []peer.Message{Subscribe{}, Standing{}, Fetch{}, Configuration{}, Picture{}, Update{}, Seen{}, Found{}, Invite{}, LoadReport{}}
 }
--- a/feed/source.go
+++ b/feed/source.go
@@ -210,7 +210,7 @@
 		su.picture(so, me)
 	case Update:
 		su.update(so, me)
-	case Document:
+	case Configuration:
 		su.document(so, me)
 	case Found:
 		su.found(so, me.Findings)
