--- a/feed/message.go
+++ b/feed/message.go
@@ -129,7 +129,7 @@
 func (Configuration) Kind() peer.Kind { return kindDocument }
 
 // Picture is all that a control instance knows. It answers Subscribe.
-type Picture struct {
+type Snapshot struct {
 	Name    string            `cbor:"1,keyasint"` // Name of the control instance.
 	Members []Member          `cbor:"2,keyasint,omitempty"`
 	Version uint64            `cbor:"3,keyasint,omitempty"` // Version of the newest configuration; 0 for none.
@@ -145,7 +145,7 @@
 }
 
 // Kind returns the kind of the message.
-func (Picture) Kind() peer.Kind { return kindPicture }
+func (Snapshot) Kind() peer.Kind { return kindPicture }
 
 // Update is what has changed since the Picture or the last Update.
 type Update struct {
@@ -195,5 +195,5 @@
 
 // Messages returns one zero value of each message of this package, for the codec.
 func Messages() []peer.Message {
-	return []peer.Message{Subscribe{}, Standing{}, Fetch{}, Configuration{}, Picture{}, Update{}, Seen{}, Found{}, Invite{}, LoadReport{}}
+	return []peer.Message{Subscribe{}, Standing{}, Fetch{}, Configuration{}, Snapshot{}, Update{}, Seen{}, Found{}, Invite{}, LoadReport{}}
 }
--- a/feed/publisher.go
+++ b/feed/publisher.go
@@ -260,12 +260,12 @@
 	return co.SendPacked(pu.encoded.pa)
 }
 
-func (pu *Publisher) picture(now time.Time) Picture {
+func (pu *Publisher) picture(now time.Time) Snapshot {
 	members := pu.members
 	if members == nil && pu.cf.Members != nil {
 		members = sortedMembers(pu.cf.Members())
 	}
-	return Picture{
+	return Snapshot{
 		Name: pu.cf.Name, DataCentre: pu.cf.DataCentre, Members: members, Version: pu.version, Sharers: pu.sharers,
 		Entries: pu.entries(func(Entry) bool { return true }), Servers: pu.book.Records(now),
 		Suspects: pu.qa.Records(now), Evacuations: pu.evacuations,
--- a/feed/source.go
+++ b/feed/source.go
@@ -206,7 +206,7 @@
 	switch me := ev.ms.(type) {
 	case nil:
 		su.lost(so, ev.err)
-	case Picture:
+	case Snapshot:
 		su.picture(so, me)
 	case Update:
 		su.update(so, me)
@@ -219,7 +219,7 @@
 	}
 }
 
-func (su *Subscriber) picture(so *source, pi Picture) {
+func (su *Subscriber) picture(so *source, pi Snapshot) {
 	now := su.ts.Now()
 	if !so.up.Load() {
 		so.up.Store(true)
