--- a/feed/message.go
+++ b/feed/message.go
@@ -177,13 +177,13 @@
 
 // Seen tells a control instance what the entry instance saw of backend servers, and of
 // requests under which they ended.
-type Seen struct {
+type Observations struct {
 	Samples  []outlier.Sample    `cbor:"1,keyasint"`
 	Suspects []quarantine.Record `cbor:"2,keyasint,omitempty"`
 }
 
 // Kind returns the kind of the message.
-func (Seen) Kind() peer.Kind { return kindSeen }
+func (Observations) Kind() peer.Kind { return kindSeen }
 
 // Found tells the entry instances what all of them together saw.
 type Found struct {
@@ -195,5 +195,5 @@
 
 // Messages returns one zero value of each message of this package, for the codec.
 func Messages() []peer.Message {
-	return []peer.Message{Subscribe{}, Standing{}, Fetch{}, Configuration{}, Snapshot{}, Update{}, Seen{}, Found{}, Invite{}, LoadReport{}}
+	return []peer.Message{Subscribe{}, Standing{}, Fetch{}, Configuration{}, Snapshot{}, Update{}, Observations{}, Found{}, Invite{}, LoadReport{}}
 }
--- a/feed/outliers.go
+++ b/feed/outliers.go
@@ -65,7 +65,7 @@
 	su.mu.Lock()
 	defer su.mu.Unlock()
 	for _, co := range su.collectors() {
-		_ = co.Send(Seen{Samples: sas}) // The end of the link is seen where it is read.
+		_ = co.Send(Observations{Samples: sas}) // The end of the link is seen where it is read.
 	}
 }
 
--- a/feed/publisher.go
+++ b/feed/publisher.go
@@ -213,7 +213,7 @@
 			pu.send(sb, me)
 		case LoadReport:
 			pu.report(sb, float64(me.Load))
-		case Seen:
+		case Observations:
 			pu.outliers.add(pu.ts.Now(), sb.en.Name, me.Samples)
 			pu.Suspect(sb.en.Name, me.Suspects)
 		default:
--- a/feed/source.go
+++ b/feed/source.go
@@ -171,7 +171,7 @@
 	}
 	if err == nil && su.cf.Suspects != nil {
 		if rcs := su.cf.Suspects(); len(rcs) > 0 {
-			err = co.Send(Seen{Suspects: rcs})
+			err = co.Send(Observations{Suspects: rcs})
 		}
 	}
 	if err == nil {
--- a/feed/suspects.go
+++ b/feed/suspects.go
@@ -34,7 +34,7 @@
 	su.mu.Lock()
 	defer su.mu.Unlock()
 	for _, co := range su.conns {
-		_ = co.Send(Seen{Suspects: rcs}) // A link that has ended is opened again with all that is known.
+		_ = co.Send(Observations{Suspects: rcs}) // A link that has ended is opened again with all that is known.
 	}
 }
 
