--- a/feed/message.go
+++ b/feed/message.go
@@ -186,14 +186,14 @@
 func (Observations) Kind() peer.Kind { return kindSeen }
 
 // Found tells the entry instances what all of them together saw.
-type Found struct {
+type Findings struct {
 	Findings []outlier.Finding `cbor:"1,keyasint"`
 }
 
 // Kind returns the kind of the message.
-func (Found) Kind() peer.Kind { return kindFound }
+func (Findings) Kind() peer.Kind { return kindFound }
 
 // Messages returns one zero value of each message of this package, for the codec.
 func Messages() []peer.Message {
-	return []peer.Message{Subscribe{}, Standing{}, Fetch{}, Configuration{}, Snapshot{}, Update{}, Observations{}, Found{}, Invite{}, LoadReport{}}
+	return []peer.Message{Subscribe{}, Standing{}, Fetch{}, Configuration{}, Snapshot{}, Update{}, Observations{}, Findings{}, Invite{}, LoadReport{}}
 }
--- a/feed/outliers.go
+++ b/feed/outliers.go
@@ -50,7 +50,7 @@
 	for _, fi := range fis {
 		pu.lo.info(now, "outlier-found", findingFields(fi)...)
 	}
-	pu.tellAll(Found{Findings: fis})
+	pu.tellAll(Findings{Findings: fis})
 }
 
 // SendSeen sends what this entry instance saw of backend servers to the control
--- a/feed/source.go
+++ b/feed/source.go
@@ -212,7 +212,7 @@
 		su.update(so, me)
 	case Configuration:
 		su.document(so, me)
-	case Found:
+	case Findings:
 		su.found(so, me.Findings)
 	default:
 		su.lg.Warn("message-not-expected", zap.String("Address", so.address), zap.Uint16("Kind", uint16(me.Kind())))
