--- a/feed/message.go
+++ b/feed/message.go
@@ -100,12 +100,12 @@
 func (Subscribe) Kind() peer.Kind { return kindSubscribe }
 
 // Standing tells a control instance the new state of the entry instance.
-type Standing struct {
+type StateReport struct {
 	State EntryState `cbor:"1,keyasint"`
 }
 
 // Kind returns the kind of the message.
-func (Standing) Kind() peer.Kind { return kindStanding }
+func (StateReport) Kind() peer.Kind { return kindStanding }
 
 // Fetch asks a control instance for the configuration of a version or a newer one.
 type Fetch struct {
@@ -195,5 +195,5 @@
 
 // Messages returns one zero value of each message of this package, for the codec.
 func Messages() []peer.Message {
-	return []peer.Message{Subscribe{}, Standing{}, Fetch{}, Configuration{}, Snapshot{}, Update{}, Observations{}, Findings{}, Invite{}, LoadReport{}}
+	return []peer.Message{Subscribe{}, StateReport{}, Fetch{}, Configuration{}, Snapshot{}, Update{}, Observations{}, Findings{}, Invite{}, LoadReport{}}
 }
--- a/feed/publisher.go
+++ b/feed/publisher.go
@@ -207,7 +207,7 @@
 			return
 		}
 		switch me := ms.(type) {
-		case Standing:
+		case StateReport:
 			pu.stand(sb, me.State)
 		case Fetch:
 			pu.send(sb, me)
--- a/feed/subscriber.go
+++ b/feed/subscriber.go
@@ -145,7 +145,7 @@
 	}
 	su.state = es
 	for _, co := range su.conns {
-		_ = co.Send(Standing{State: es}) // A link that has ended is opened again with the new state.
+		_ = co.Send(StateReport{State: es}) // A link that has ended is opened again with the new state.
 	}
 }
 
