--- a/feed/message.go
+++ b/feed/message.go
@@ -88,12 +88,12 @@
 // Subscribe is the first message on a link, from the entry instance that opened
 // it, or from another control instance that wants to know the backend servers.
 type Subscribe struct {
-	Name       string     `cbor:"1,keyasint"`
-	DataCentre string     `cbor:"2,keyasint,omitempty"`
-	Address    string     `cbor:"3,keyasint,omitempty"`
-	State      EntryState `cbor:"4,keyasint,omitempty"`
-	Version    uint64     `cbor:"5,keyasint,omitempty"` // Version of the configuration held; 0 for none.
-	Listener   bool       `cbor:"6,keyasint,omitempty"` // Listener says that it is a control instance, which no caller is sent to.
+	Name        string     `cbor:"1,keyasint"`
+	DataCentre  string     `cbor:"2,keyasint,omitempty"`
+	Address     string     `cbor:"3,keyasint,omitempty"`
+	State       EntryState `cbor:"4,keyasint,omitempty"`
+	Version     uint64     `cbor:"5,keyasint,omitempty"` // Version of the configuration held; 0 for none.
+	FromControl bool       `cbor:"6,keyasint,omitempty"` // Listener says that it is a control instance, which no caller is sent to.
 }
 
 // Kind returns the kind of the message.
--- a/feed/publisher.go
+++ b/feed/publisher.go
@@ -229,7 +229,7 @@
 	pu.mu.Lock()
 	defer pu.mu.Unlock()
 	pu.joined++
-	sb := &subscriber{co: co, number: pu.joined, listener: first.Listener, en: Entry{
+	sb := &subscriber{co: co, number: pu.joined, listener: first.FromControl, en: Entry{
 		Name: first.Name, DataCentre: first.DataCentre, Address: first.Address, State: first.State,
 	}}
 	pu.subscribers[sb] = struct{}{}
--- a/feed/source.go
+++ b/feed/source.go
@@ -164,7 +164,7 @@
 	defer su.mu.Unlock()
 	en := su.cf.Self
 	err := co.Send(Subscribe{
-		Name: en.Name, DataCentre: en.DataCentre, Address: en.Address, State: su.state, Version: su.held, Listener: su.cf.Own != "",
+		Name: en.Name, DataCentre: en.DataCentre, Address: en.Address, State: su.state, Version: su.held, FromControl: su.cf.Own != "",
 	})
 	if err == nil && su.cf.Own == "" {
 		err = co.Send(su.reported)
--- a/tier/control.go
+++ b/tier/control.go
@@ -112,7 +112,7 @@
 		return
 	}
 	if su, ok := first.(feed.Subscribe); ok {
-		if !su.Listener {
+		if !su.FromControl {
 			co.lu.opened(su.Name, su.State)
 			defer co.lu.closed(su.Name)
 		}
