--- a/feed/documents.go
+++ b/feed/documents.go
@@ -62,12 +62,12 @@
 	}
 	newest := ds.kept[len(ds.kept)-1]
 	base := ds.find(fe.Base)
-	key := packedKey{base: base.version, framed: fe.Framed}
+	key := packedKey{base: base.version, framed: fe.AcceptDelta}
 	if pa, ok := ds.packed[key]; ok {
 		return pa, newest.version, nil
 	}
 	do := Configuration{Version: newest.version, Data: newest.data}
-	if fe.Framed {
+	if fe.AcceptDelta {
 		fr, err := delta.Encode(base.data, newest.data)
 		if err != nil {
 			return link.Packed{}, 0, err
--- a/feed/fetch.go
+++ b/feed/fetch.go
@@ -154,7 +154,7 @@
 	su.mu.Lock()
 	co := su.conns[so]
 	su.mu.Unlock()
-	fetch := Fetch{Version: so.version, Base: su.held, Framed: true}
+	fetch := Fetch{Version: so.version, Base: su.held, AcceptDelta: true}
 	if fe.whole {
 		fetch.Base = 0
 	}
--- a/feed/fetch_test.go
+++ b/feed/fetch_test.go
@@ -207,10 +207,10 @@
 	var ds documents
 	data := routes(1, 100)
 	ds.add(1, data)
-	for _, fe := range []Fetch{{Version: 1, Framed: true}, {Version: 1}} {
+	for _, fe := range []Fetch{{Version: 1, AcceptDelta: true}, {Version: 1}} {
 		do := unpack(c, &ds, fe)
-		c.Check(bytes.Equal(do.Data, data), qt.Equals, !fe.Framed)
-		c.Check(len(do.Digest) > 0, qt.Equals, fe.Framed)
+		c.Check(bytes.Equal(do.Data, data), qt.Equals, !fe.AcceptDelta)
+		c.Check(len(do.Digest) > 0, qt.Equals, fe.AcceptDelta)
 	}
 	su := &Subscriber{lg: zap.NewNop()}
 	got, err := su.unframed(Configuration{Version: 1, Data: data})
--- a/feed/message.go
+++ b/feed/message.go
@@ -109,9 +109,9 @@
 
 // Fetch asks a control instance for the configuration of a version or a newer one.
 type Fetch struct {
-	Version uint64 `cbor:"1,keyasint"`
-	Base    uint64 `cbor:"2,keyasint,omitempty"` // Base is the version that is held, to be told the difference; 0 asks for the whole.
-	Framed  bool   `cbor:"3,keyasint,omitempty"` // Framed says that the answer may be a frame of package delta.
+	Version     uint64 `cbor:"1,keyasint"`
+	Base        uint64 `cbor:"2,keyasint,omitempty"` // Base is the version that is held, to be told the difference; 0 asks for the whole.
+	AcceptDelta bool   `cbor:"3,keyasint,omitempty"` // Framed says that the answer may be a frame of package delta.
 }
 
 // Kind returns the kind of the message.
