--- a/feed/message.go
+++ b/feed/message.go
@@ -149,11 +149,11 @@
 
 // Update is what has changed since the Picture or the last Update.
 type Update struct {
-	Members *[]Member         `cbor:"1,keyasint,omitempty"` // Members is the whole new list; nil if unchanged.
-	Version uint64            `cbor:"2,keyasint,omitempty"` // Version of a newer configuration; 0 if unchanged.
-	Entries []Entry           `cbor:"3,keyasint,omitempty"` // Entries are those that are new or in another state.
-	Left    []string          `cbor:"4,keyasint,omitempty"` // Left names the entry instances whose link has ended.
-	Changes []registry.Change `cbor:"5,keyasint,omitempty"`
+	Members        *[]Member         `cbor:"1,keyasint,omitempty"` // Members is the whole new list; nil if unchanged.
+	Version        uint64            `cbor:"2,keyasint,omitempty"` // Version of a newer configuration; 0 if unchanged.
+	Entries        []Entry           `cbor:"3,keyasint,omitempty"` // Entries are those that are new or in another state.
+	RemovedEntries []string          `cbor:"4,keyasint,omitempty"` // Left names the entry instances whose link has ended.
+	Changes        []registry.Change `cbor:"5,keyasint,omitempty"`
 	// Sharers is how many entry instances callers are led to who share backend servers; 0
 	// if unchanged, or unknown.
 	Sharers int `cbor:"6,keyasint,omitempty"`
--- a/feed/publisher.go
+++ b/feed/publisher.go
@@ -349,7 +349,7 @@
 		if en, ok := pu.live[name]; ok {
 			up.Entries = append(up.Entries, en)
 		} else {
-			up.Left = append(up.Left, name)
+			up.RemovedEntries = append(up.RemovedEntries, name)
 		}
 	}
 	up.Changes = pu.pending.servers
--- a/feed/source.go
+++ b/feed/source.go
@@ -259,7 +259,7 @@
 		so.entries[en.Name] = en
 		su.dirty = true
 	}
-	for _, name := range up.Left {
+	for _, name := range up.RemovedEntries {
 		delete(so.entries, name)
 		su.dirty = true
 	}
