--- a/feed/fetch_test.go
+++ b/feed/fetch_test.go
@@ -27,7 +27,7 @@
 // apart.
 func (wo *world) publish(version uint64, data []byte, cos ...*control) {
 	for _, co := range cos {
-		co.pu.SetDocument(version, data)
+		co.pu.SetConfiguration(version, data)
 		wo.after(4 * time.Millisecond)
 	}
 }
@@ -104,8 +104,8 @@
 		wo.delay = 3 * time.Millisecond
 		far, near := wo.farAndNear()
 		en := wo.entries(1, far)[0]
-		near.pu.SetDocument(1, routes(1, 10))
-		far.pu.SetDocument(1, routes(1, 10))
+		near.pu.SetConfiguration(1, routes(1, 10))
+		far.pu.SetConfiguration(1, routes(1, 10))
 		wo.after(batchDelay + wo.delay + wo.delay/2)
 		wo.all("", near.member.Address)[0].cut.Store(true) // The Fetch is on its way.
 		wo.after(fetchWait + soon)
@@ -136,7 +136,7 @@
 				li.cut.Store(true)
 			}
 			for range missed {
-				co.pu.SetDocument(next, routes(next, 1800))
+				co.pu.SetConfiguration(next, routes(next, 1800))
 				next++
 			}
 			before := size(wo, en)
@@ -161,7 +161,7 @@
 		en := wo.entries(1, far)[0]
 		wo.publish(1, routes(1, 50), near)
 		wo.after(soon)
-		far.pu.SetDocument(1, append(routes(1, 50), '#'))
+		far.pu.SetConfiguration(1, append(routes(1, 50), '#'))
 		near.kill()
 		wo.after(soon)
 		wo.publish(2, routes(2, 50), far)
--- a/feed/invite_test.go
+++ b/feed/invite_test.go
@@ -43,7 +43,7 @@
 	play(t, func(c *qt.C, wo *world) {
 		seed, other := wo.control("seed"), wo.control("other")
 		seed.lose()
-		other.pu.SetDocument(3, []byte("three"))
+		other.pu.SetConfiguration(3, []byte("three"))
 		en := wo.entry("entry", seed.member.Address)
 		wo.after(2 * time.Second)
 		c.Assert(en.su.Connected(), qt.Equals, 0)
@@ -147,7 +147,7 @@
 	play(t, func(c *qt.C, wo *world) {
 		cos := wo.group("one", "two")
 		cos[0].pu.Announce(server("a1", 1, registry.Ready))
-		cos[0].pu.SetDocument(3, []byte("three"))
+		cos[0].pu.SetConfiguration(3, []byte("three"))
 		li := wo.listener("two", cos[0].member.Address, cos[1].member.Address)
 		wo.after(soon)
 		c.Assert(li.states(), qt.DeepEquals, []string{"a1 Ready"})
--- a/feed/publisher.go
+++ b/feed/publisher.go
@@ -157,7 +157,7 @@
 
 // SetDocument takes in a configuration that is committed. A version that is not
 // higher than the one held changes nothing. The data must not be changed later.
-func (pu *Publisher) SetDocument(version uint64, data []byte) {
+func (pu *Publisher) SetConfiguration(version uint64, data []byte) {
 	now := pu.ts.Now()
 	pu.mu.Lock()
 	defer pu.mu.Unlock()
--- a/feed/publisher_test.go
+++ b/feed/publisher_test.go
@@ -24,7 +24,7 @@
 		cos[0].pu.Announce(server("a3", 1, registry.Ready))
 		cos[0].pu.Leave("a3")
 		cos[1].pu.Announce(server("b1", 1, registry.Ready))
-		cos[1].pu.SetDocument(7, []byte("seven"))
+		cos[1].pu.SetConfiguration(7, []byte("seven"))
 		wo.after(time.Second)
 		first := wo.entry("entry-1", "one:1")
 		wo.after(soon)
@@ -118,9 +118,9 @@
 				cos[ii%3].pu.Announce(server(fmt.Sprintf("a%02d", ii), sequence, registry.Ready))
 			}
 			cos[0].pu.SetMembers(members(cos[2], cos[0], cos[1]))
-			cos[0].pu.SetDocument(5, []byte("five"))
-			cos[1].pu.SetDocument(5, []byte("five"))
-			cos[1].pu.SetDocument(3, []byte("three"))
+			cos[0].pu.SetConfiguration(5, []byte("five"))
+			cos[1].pu.SetConfiguration(5, []byte("five"))
+			cos[1].pu.SetConfiguration(3, []byte("three"))
 			for _, en := range ens {
 				en.su.SetState(Ready)
 			}
@@ -149,8 +149,8 @@
 		cos := wo.group("one", "two")
 		ens := wo.entries(3, cos[0])
 		cos[0].pu.Announce(server("a1", 1, registry.Ready))
-		cos[0].pu.SetDocument(5, []byte("five"))
-		cos[1].pu.SetDocument(5, []byte("five"))
+		cos[0].pu.SetConfiguration(5, []byte("five"))
+		cos[1].pu.SetConfiguration(5, []byte("five"))
 		wo.after(time.Second)
 		before := ens[0].counts()
 		for _, li := range wo.all("entry-00", "one:1") {
@@ -230,8 +230,8 @@
 					li.slow.Store(true)
 				}
 				for ii := range uint64(12) {
-					cos[0].pu.SetDocument(ii+1, make([]byte, bytes))
-					cos[1].pu.SetDocument(ii+1, make([]byte, bytes))
+					cos[0].pu.SetConfiguration(ii+1, make([]byte, bytes))
+					cos[1].pu.SetConfiguration(ii+1, make([]byte, bytes))
 					start := time.Now()
 					cos[0].pu.Announce(server(fmt.Sprintf("b%d", ii), 1, registry.Draining))
 					c.Check(time.Since(start), qt.Equals, time.Duration(0))
--- a/feed/subscriber_test.go
+++ b/feed/subscriber_test.go
@@ -28,7 +28,7 @@
 			}
 			data := noise(version, 1000) // It has nothing in common with the version before.
 			for _, co := range cos {
-				co.pu.SetDocument(version, data)
+				co.pu.SetConfiguration(version, data)
 				wo.after(time.Millisecond)
 			}
 			wo.after(soon - 3*time.Millisecond)
@@ -88,7 +88,7 @@
 				cos := wo.group("one", "two", "three")
 				ens := wo.entries(3, cos[2])
 				for _, co := range cos {
-					co.pu.SetDocument(1, []byte("one"))
+					co.pu.SetConfiguration(1, []byte("one"))
 					wo.after(time.Millisecond)
 				}
 				wo.after(batchDelay + wo.delay - time.Millisecond)
@@ -116,8 +116,8 @@
 		cos := wo.group("one", "two")
 		en := wo.entry("entry-1", "one:1")
 		wo.after(time.Second)
-		cos[0].pu.SetDocument(9, []byte("nine"))
-		cos[1].pu.SetDocument(8, []byte("eight"))
+		cos[0].pu.SetConfiguration(9, []byte("nine"))
+		cos[1].pu.SetConfiguration(8, []byte("eight"))
 		wo.after(batchDelay + wo.delay + wo.delay/2)
 		wo.all("", "one:1")[0].cut.Store(true) // The Fetch is on its way.
 		wo.after(fetchWait + soon)
@@ -135,10 +135,10 @@
 		cos := wo.group("one", "two")
 		en := wo.entry("entry-1", "one:1")
 		wo.after(time.Second)
-		cos[0].pu.SetDocument(8, []byte("eight"))
+		cos[0].pu.SetConfiguration(8, []byte("eight"))
 		wo.after(batchDelay + wo.delay + wo.delay/2)
 		wo.all("", "one:1")[0].slow.Store(true)
-		cos[1].pu.SetDocument(9, []byte("nine"))
+		cos[1].pu.SetConfiguration(9, []byte("nine"))
 		wo.after(fetchWait + soon)
 		c.Check(en.held(), qt.DeepEquals, []uint64{9})
 		wo.all("", "one:1")[0].slow.Store(false)
@@ -156,7 +156,7 @@
 		cos := wo.group("one", "two", "three")
 		ens := wo.entries(4, cos[0])
 		for ii := range uint64(200) { // in quick succession, and not in order
-			cos[ii%3].pu.SetDocument(1000-(ii*37)%200, fmt.Append(nil, ii))
+			cos[ii%3].pu.SetConfiguration(1000-(ii*37)%200, fmt.Append(nil, ii))
 			if ii%7 == 0 {
 				wo.after(time.Duration(ii) * time.Millisecond / 10)
 			}
@@ -171,7 +171,7 @@
 		for _, co := range cos {
 			co.kill()
 			co.start()
-			co.pu.SetDocument(900, []byte("older"))
+			co.pu.SetConfiguration(900, []byte("older"))
 		}
 		wo.after(5 * time.Second)
 		for _, en := range ens {
@@ -189,8 +189,8 @@
 		en := wo.entry("entry-1", "one:1")
 		wo.after(time.Second)
 		en.refuseVersion(5)
-		cos[0].pu.SetDocument(5, []byte("five"))
-		cos[1].pu.SetDocument(5, []byte("five"))
+		cos[0].pu.SetConfiguration(5, []byte("five"))
+		cos[1].pu.SetConfiguration(5, []byte("five"))
 		wo.after(10*refusalPause + soon)
 		tries := en.came()
 		c.Check(len(tries), qt.Equals, 11)
@@ -198,7 +198,7 @@
 			c.Check(tries[ii].Sub(tries[ii-1]) >= refusalPause, qt.IsTrue)
 		}
 		c.Check(len(en.held()), qt.Equals, 0)
-		cos[0].pu.SetDocument(6, []byte("six"))
+		cos[0].pu.SetConfiguration(6, []byte("six"))
 		wo.after(soon)
 		c.Check(en.held(), qt.DeepEquals, []uint64{6})
 		c.Check(wo.logs.FilterMessage("configuration-refused").Len(), qt.Equals, 11)
@@ -211,7 +211,7 @@
 	play(t, func(c *qt.C, wo *world) {
 		cos := wo.group("one", "two", "three")
 		en := wo.entry("entry-1", "one:1")
-		cos[0].pu.SetDocument(4, []byte("four"))
+		cos[0].pu.SetConfiguration(4, []byte("four"))
 		for ii, co := range cos {
 			co.pu.Announce(server(fmt.Sprintf("a%d", ii), 1, registry.Ready))
 		}
@@ -254,7 +254,7 @@
 		cos[0].pu.Announce(server("a0", 2, registry.Draining))
 		cos[1].pu.Leave("a1")
 		cos[2].pu.Announce(server("b0", 1, registry.Ready))
-		cos[1].pu.SetDocument(3, []byte("three"))
+		cos[1].pu.SetConfiguration(3, []byte("three"))
 		for sequence := range uint64(4) {
 			wo.after(time.Second)
 			for ii := 2; ii < 9; ii++ {
@@ -533,7 +533,7 @@
 		cos := wo.group("one", "two")
 		en := wo.entry("entry-1", "one:1", "nowhere:1")
 		wo.after(time.Second)
-		cos[1].pu.SetDocument(3, []byte("three"))
+		cos[1].pu.SetConfiguration(3, []byte("three"))
 		wo.after(time.Second)
 		cos[1].kill()
 		wo.after(10 * time.Second)
--- a/feed/tcp_test.go
+++ b/feed/tcp_test.go
@@ -108,7 +108,7 @@
 	}
 	await(c, ey.servers, func(ses map[string][]registry.Server) bool { return len(ses["svc-a"]) == 3 })
 	for _, pu := range pus {
-		pu.SetDocument(3, make([]byte, 3<<20))
+		pu.SetConfiguration(3, make([]byte, 3<<20))
 	}
 	await(c, ey.versions, func(version uint64) bool { return version == 3 })
 	conns.Range(func(co, _ any) bool {
@@ -119,6 +119,6 @@
 	await(c, ey.servers, func(ses map[string][]registry.Server) bool {
 		return len(ses["svc-a"]) == 3 && ses["svc-a"][1].State == registry.Draining
 	})
-	pus[2].SetDocument(4, []byte("four"))
+	pus[2].SetConfiguration(4, []byte("four"))
 	await(c, ey.versions, func(version uint64) bool { return version == 4 })
 }
--- a/tier/control.go
+++ b/tier/control.go
@@ -124,7 +124,7 @@
 
 // DocumentCommitted tells the entry instances of a configuration.
 func (co *control) DocumentCommitted(version uint64, data []byte) {
-	co.pu.SetDocument(version, data)
+	co.pu.SetConfiguration(version, data)
 	co.ro.setDocument(version, data)
 }
 
