--- a/feed/announcements.go
+++ b/feed/announcements.go
@@ -52,7 +52,7 @@
 
 // Known returns the backend servers that announce themselves here, and a number
 // that grows with every change of them.
-func (pu *Publisher) Known() ([]registry.Server, uint64) {
+func (pu *Publisher) Servers() ([]registry.Server, uint64) {
 	pu.mu.Lock()
 	defer pu.mu.Unlock()
 	ses := pu.book.Records(pu.ts.Now())
--- a/tier/memory.go
+++ b/tier/memory.go
@@ -147,7 +147,7 @@
 	if changes := [2]uint64{me.pu.Changes(), otherChanges}; changes == noted {
 		return nil, noted
 	}
-	own, ownChanges := me.pu.Known()
+	own, ownChanges := me.pu.Servers()
 	at := make(map[string]int)
 	for ix, se := range own {
 		at[se.ID] = ix
--- a/tier/memory_test.go
+++ b/tier/memory_test.go
@@ -26,7 +26,7 @@
 }
 
 func known(me memory) (out []string) {
-	ses, _ := me.pu.Known()
+	ses, _ := me.pu.Servers()
 	for _, se := range ses {
 		out = append(out, se.ID)
 	}
@@ -140,7 +140,7 @@
 		me = newMemory(dir)
 		me.restore(time.Second)
 		qt.Assert(t, known(me), qt.DeepEquals, []string{"a", "b", "c", "d"})
-		ses, _ := me.pu.Known()
+		ses, _ := me.pu.Servers()
 		qt.Assert(t, ses[1].Born, qt.Equals, int64(20), qt.Commentf("the later start"))
 	})
 }
