--- a/feed/announcements.go
+++ b/feed/announcements.go
@@ -60,7 +60,7 @@
 }
 
 // Changes returns the number of Known.
-func (pu *Publisher) Changes() uint64 {
+func (pu *Publisher) ServersVersion() uint64 {
 	pu.mu.Lock()
 	defer pu.mu.Unlock()
 	return pu.changes
--- a/tier/memory.go
+++ b/tier/memory.go
@@ -144,7 +144,7 @@
 // of their changes; none if these are the given ones.
 func (me memory) servers(noted [2]uint64) ([]registry.Server, [2]uint64) {
 	ses, otherChanges := me.ot.list()
-	if changes := [2]uint64{me.pu.Changes(), otherChanges}; changes == noted {
+	if changes := [2]uint64{me.pu.ServersVersion(), otherChanges}; changes == noted {
 		return nil, noted
 	}
 	own, ownChanges := me.pu.Servers()
