--- a/feed/entries.go
+++ b/feed/entries.go
@@ -11,7 +11,7 @@
 // Entries returns the entry instances that callers may be sent to: those with a
 // link to this control instance whose state is Ready, by name. The slice is
 // shared and must not be changed.
-func (pu *Publisher) Entries() []Entry { return *pu.ready.Load() }
+func (pu *Publisher) ReadyEntries() []Entry { return *pu.ready.Load() }
 
 // Linked returns the entry instances with a link to this control instance, by name.
 func (pu *Publisher) Linked() []Entry {
--- a/feed/publisher_test.go
+++ b/feed/publisher_test.go
@@ -291,12 +291,12 @@
 				cos := wo.group("one", "two", "three")
 				ens := wo.entries(3, cos[0])
 				for _, co := range cos {
-					c.Assert(described(co.pu.Entries()), qt.DeepEquals, []string{"entry-00 Ready", "entry-01 Ready", "entry-02 Ready"})
+					c.Assert(described(co.pu.ReadyEntries()), qt.DeepEquals, []string{"entry-00 Ready", "entry-01 Ready", "entry-02 Ready"})
 				}
 				tc.do(wo, ens[0])
 				wo.after(tc.wait)
 				for _, co := range cos {
-					c.Check(described(co.pu.Entries()), qt.DeepEquals, tc.want, qt.Commentf(co.member.Name))
+					c.Check(described(co.pu.ReadyEntries()), qt.DeepEquals, tc.want, qt.Commentf(co.member.Name))
 				}
 			})
 		})
@@ -359,7 +359,7 @@
 		var seen []string
 		for range 100 {
 			wo.after(soon)
-			seen = append(seen, fmt.Sprint(described(co.pu.Entries())))
+			seen = append(seen, fmt.Sprint(described(co.pu.ReadyEntries())))
 		}
 		c.Check(slices.Compact(seen), qt.DeepEquals, []string{"[entry-1 Ready]"})
 		c.Check(fresh.names(), qt.DeepEquals, []string{"entry-1 Ready"})
@@ -380,7 +380,7 @@
 			en.su.SetState(Draining) // Without waiting for what is under way.
 			wo.after(time.Second)
 			c.Check(en.su.Connected(), qt.Equals, 1)
-			c.Check(described(co.pu.Entries()), qt.DeepEquals, []string{})
+			c.Check(described(co.pu.ReadyEntries()), qt.DeepEquals, []string{})
 			c.Check(en.names(), qt.DeepEquals, []string{"entry-1 Draining"})
 		})
 	}
@@ -410,11 +410,11 @@
 		synctest.Wait()
 		c.Check(wo.logs.FilterMessage("message-not-expected").Len(), qt.Equals, 1)
 		c.Check(wo.logs.FilterMessage("configuration-not-held").Len(), qt.Equals, 1)
-		c.Check(len(pu.Entries()), qt.Equals, 1)
+		c.Check(len(pu.ReadyEntries()), qt.Equals, 1)
 		cancel()
 		<-done
 		<-cn.Done()
-		c.Check(len(pu.Entries()), qt.Equals, 0)
+		c.Check(len(pu.ReadyEntries()), qt.Equals, 0)
 	})
 }
 
--- a/feed/subscriber_test.go
+++ b/feed/subscriber_test.go
@@ -518,7 +518,7 @@
 		en.stop()
 		<-en.done
 		wo.after(0)
-		c.Check(described(co.pu.Entries()), qt.DeepEquals, []string{})
+		c.Check(described(co.pu.ReadyEntries()), qt.DeepEquals, []string{})
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
 		err := en.su.Serve(ctx)
--- a/tier/control.go
+++ b/tier/control.go
@@ -75,7 +75,7 @@
 	sp.Add(service{"feed", co.pu.Serve})
 	sp.Add(service{"roster", co.ro.serve})
 	addMemory(sp, me, se, sh, lc)
-	sp.Add(service{"look-ups", func(ctx context.Context) error { return co.lu.serve(ctx, co.pu.Entries) }})
+	sp.Add(service{"look-ups", func(ctx context.Context) error { return co.lu.serve(ctx, co.pu.ReadyEntries) }})
 	serveUntil(ctx, sp, co.leave)
 	return nil
 }
@@ -208,7 +208,7 @@
 // Addresses returns the entry instances to use: those that callers of the host are led to
 // in their data centre, or all, those of the data centre first.
 func (co *control) Addresses(host, dataCentre, _ string) ([]string, time.Duration) {
-	ready := co.pu.Entries()
+	ready := co.pu.ReadyEntries()
 	co.lu.note(ready)
 	list := co.ro.addresses(host, dataCentre, ready)
 	if len(list) == 0 {
--- a/tier/meters.go
+++ b/tier/meters.go
@@ -85,7 +85,7 @@
 		vm.WriteGaugeUint64(wr, "balsamwinch_control_voters", uint64(len(st.Voters)))
 		vm.WriteGaugeUint64(wr, "balsamwinch_control_learners", uint64(len(st.Learners)))
 		vm.WriteGaugeUint64(wr, "balsamwinch_control_links", uint64(st.Linked))
-		vm.WriteGaugeUint64(wr, "balsamwinch_entry_instances", uint64(len(pu.Entries())))
+		vm.WriteGaugeUint64(wr, "balsamwinch_entry_instances", uint64(len(pu.ReadyEntries())))
 		vm.WriteGaugeUint64(wr, "balsamwinch_entry_instances_chosen", uint64(pu.Sharers()))
 	}
 }
--- a/tier/roster.go
+++ b/tier/roster.go
@@ -47,7 +47,7 @@
 }
 
 func newRosters(tbs Tables, pu *feed.Publisher, ts *timer.Service, lg *zap.Logger) *rosters {
-	ro := &rosters{tbs: tbs, pu: pu, ts: ts, lg: lg, entries: pu.Entries}
+	ro := &rosters{tbs: tbs, pu: pu, ts: ts, lg: lg, entries: pu.ReadyEntries}
 	ro.decided.Store(&decision{})
 	return ro
 }
