--- a/feed/entries.go
+++ b/feed/entries.go
@@ -14,7 +14,7 @@
 func (pu *Publisher) ReadyEntries() []Entry { return *pu.ready.Load() }
 
 // Linked returns the entry instances with a link to this control instance, by name.
-func (pu *Publisher) Linked() []Entry {
+func (pu *Publisher) LinkedEntries() []Entry {
 	pu.mu.Lock()
 	defer pu.mu.Unlock()
 	return pu.entries(func(Entry) bool { return true })
--- a/feed/invite_test.go
+++ b/feed/invite_test.go
@@ -153,7 +153,7 @@
 		c.Assert(li.states(), qt.DeepEquals, []string{"a1 Ready"})
 		c.Assert(li.versions, qt.HasLen, 0)
 		c.Assert(cos[0].pu.ReadyEntries(), qt.HasLen, 0)
-		c.Assert(cos[0].pu.Linked(), qt.HasLen, 0)
+		c.Assert(cos[0].pu.LinkedEntries(), qt.HasLen, 0)
 		c.Assert(wo.dialed(cos[1].member.Address), qt.HasLen, 0, qt.Commentf("it is the listener itself"))
 		cos[0].pu.Leave("a1")
 		wo.after(soon)
--- a/tier/memory.go
+++ b/tier/memory.go
@@ -134,7 +134,7 @@
 			me.write(chosenName, now)
 			chosen = now
 		}
-		if el.look(me.ts.Now(), me.pu.Linked(), linkPort) {
+		if el.look(me.ts.Now(), me.pu.LinkedEntries(), linkPort) {
 			me.write(entriesName, el.noted())
 		}
 	}
