--- a/feed/load.go
+++ b/feed/load.go
@@ -16,7 +16,7 @@
 }
 
 // Load returns what an entry instance carries, as a part of what it should.
-func (pu *Publisher) Load(name string) float64 {
+func (pu *Publisher) EntryLoad(name string) float64 {
 	pu.mu.Lock()
 	defer pu.mu.Unlock()
 	if load, ok := pu.loads[name]; ok {
--- a/feed/load_test.go
+++ b/feed/load_test.go
@@ -15,23 +15,23 @@
 	play(t, func(c *qt.C, wo *world) {
 		cos := wo.group("one", "two")
 		ens := wo.entries(2, cos[0])
-		c.Assert(cos[1].pu.Load("entry-00"), qt.Equals, 0.0)
-		c.Assert(cos[1].pu.Load("entry-of-an-earlier-release"), qt.Equals, 1.0)
+		c.Assert(cos[1].pu.EntryLoad("entry-00"), qt.Equals, 0.0)
+		c.Assert(cos[1].pu.EntryLoad("entry-of-an-earlier-release"), qt.Equals, 1.0)
 		ens[0].su.SetLoad(0.25)
 		wo.after(soon)
 		for _, co := range cos {
-			c.Assert(co.pu.Load("entry-00"), qt.Equals, 0.25)
-			c.Assert(co.pu.Load("entry-01"), qt.Equals, 0.0)
+			c.Assert(co.pu.EntryLoad("entry-00"), qt.Equals, 0.25)
+			c.Assert(co.pu.EntryLoad("entry-01"), qt.Equals, 0.0)
 		}
 		cos[1].kill()
 		wo.after(time.Second)
 		cos[1].start()
 		cos[1].pu.SetMembers(members(cos...))
 		wo.after(3 * time.Second)
-		c.Assert(cos[1].pu.Load("entry-00"), qt.Equals, 0.25)
+		c.Assert(cos[1].pu.EntryLoad("entry-00"), qt.Equals, 0.25)
 		ens[0].stop()
 		wo.after(time.Second)
-		c.Assert(cos[0].pu.Load("entry-00"), qt.Equals, 1.0)
+		c.Assert(cos[0].pu.EntryLoad("entry-00"), qt.Equals, 1.0)
 	})
 }
 
--- a/tier/roster.go
+++ b/tier/roster.go
@@ -122,7 +122,7 @@
 	ens := ro.entries()
 	out := make([]roster.Instance, len(ens))
 	for ix, en := range ens {
-		out[ix] = roster.Instance{Name: en.Name, DataCentre: en.DataCentre, Address: en.Address, Load: ro.pu.Load(en.Name)}
+		out[ix] = roster.Instance{Name: en.Name, DataCentre: en.DataCentre, Address: en.Address, Load: ro.pu.EntryLoad(en.Name)}
 	}
 	return out
 }
