--- a/feed/publisher.go
+++ b/feed/publisher.go
@@ -215,7 +215,7 @@
 			pu.report(sb, float64(me.Load))
 		case Observations:
 			pu.outliers.add(pu.ts.Now(), sb.en.Name, me.Samples)
-			pu.Suspect(sb.en.Name, me.Suspects)
+			pu.AddSuspects(sb.en.Name, me.Suspects)
 		default:
 			pu.lg.Warn("message-not-expected", zap.String("Entry", sb.en.Name), zap.Uint16("Kind", uint16(me.Kind())))
 		}
--- a/feed/suspects.go
+++ b/feed/suspects.go
@@ -10,7 +10,7 @@
 // all what of it is new, and returns that. Each instance that may serve such a request must
 // know before it comes there: a caller that was answered with a failure comes again within
 // milliseconds, and not to the same instance.
-func (pu *Publisher) Suspect(from string, rcs []quarantine.Record) []quarantine.Record {
+func (pu *Publisher) AddSuspects(from string, rcs []quarantine.Record) []quarantine.Record {
 	now := pu.ts.Now()
 	news := pu.qa.Merge(now, rcs)
 	if len(news) == 0 {
--- a/tier/control.go
+++ b/tier/control.go
@@ -51,7 +51,7 @@
 		Name: se.Name, DataCentre: se.DataCentre, Silence: silentAnnouncements * se.Timing.Announcement, Quarantine: qa,
 	}, ts, lg)
 	co.ro = newRosters(di.Tables(), co.pu, ts, lg)
-	me := memory{dir: se.DataFolder, pu: co.pu, ot: &others{suspect: co.pu.Suspect}, ro: co.ro, qa: qa, ts: ts, lg: lg}
+	me := memory{dir: se.DataFolder, pu: co.pu, ot: &others{suspect: co.pu.AddSuspects}, ro: co.ro, qa: qa, ts: ts, lg: lg}
 	me.restore(se.Timing.Announcement)
 	co.nd = fleet.New(fleet.Config{
 		Name: se.Name, Address: se.LinkAddress(), Seeds: sh.linkSeeds, First: se.FirstStart, Losses: se.Losses,
