--- a/feed/outliers.go
+++ b/feed/outliers.go
@@ -58,7 +58,7 @@
 // and whose link isn't silent, the two with the lowest addresses. While some entry
 // instances have no link to one, theirs goes to another one; each then judges by less,
 // and nothing worse.
-func (su *Subscriber) SendSeen(sas []outlier.Sample) {
+func (su *Subscriber) SendSamples(sas []outlier.Sample) {
 	if len(sas) == 0 {
 		return
 	}
--- a/feed/outliers_test.go
+++ b/feed/outliers_test.go
@@ -20,7 +20,7 @@
 	}
 	for ; length > 0; length -= period {
 		for _, en := range ens {
-			en.su.SendSeen([]outlier.Sample{sa})
+			en.su.SendSamples([]outlier.Sample{sa})
 		}
 		wo.after(period)
 	}
--- a/tier/entry.go
+++ b/tier/entry.go
@@ -224,7 +224,7 @@
 			}
 		case <-su.C:
 		}
-		en.su.SendSeen(en.re.TakeSamples(en.ts.Now(), mostNews))
+		en.su.SendSamples(en.re.TakeSamples(en.ts.Now(), mostNews))
 	}
 }
 
