--- a/tier/entry.go
+++ b/tier/entry.go
@@ -140,7 +140,7 @@
 	if err != nil {
 		return &result.Error{Code: result.Invalid, Op: "read configuration", Err: err}
 	}
-	en.su.NameServices(serviceNames(tb))
+	en.su.SetServices(serviceNames(tb))
 	en.gw.SetTable(tb)
 	en.door.SetLimits(tb.Limits())
 	en.st.ready()
