--- a/feed/invite_test.go
+++ b/feed/invite_test.go
@@ -46,13 +46,13 @@
 		other.pu.SetConfiguration(3, []byte("three"))
 		en := wo.entry("entry", seed.member.Address)
 		wo.after(2 * time.Second)
-		c.Assert(en.su.Connected(), qt.Equals, 0)
+		c.Assert(en.su.NumConnected(), qt.Equals, 0)
 
 		lc := wo.config()
 		lc.Connect = wo.door(en, func() bool { return true })
 		InviteAll(wo.ctx, lc, wo.lg, Invite{Name: "other", Address: other.member.Address}, []Invitee{{"entry", "entry:7740"}}, unlinked)
 		wo.after(soon)
-		c.Assert(en.su.Connected(), qt.Equals, 1)
+		c.Assert(en.su.NumConnected(), qt.Equals, 1)
 		c.Assert(en.versions, qt.DeepEquals, []uint64{3})
 
 		// What ends is not dialled for ever: nobody else knows of it.
@@ -78,7 +78,7 @@
 		lc.Connect = wo.door(en, func() bool { return true })
 		InviteAll(wo.ctx, lc, wo.lg, Invite{Name: "second", Address: second.member.Address}, []Invitee{{"entry", "entry:7740"}}, unlinked)
 		wo.after(2 * time.Millisecond)
-		c.Assert(en.su.Connected(), qt.Equals, 2)
+		c.Assert(en.su.NumConnected(), qt.Equals, 2)
 	})
 }
 
--- a/feed/publisher_test.go
+++ b/feed/publisher_test.go
@@ -31,7 +31,7 @@
 		second := wo.entry("entry-2", "two:1")
 		wo.after(soon)
 		for _, en := range []*entry{first, second} {
-			c.Check(en.su.Connected(), qt.Equals, 2)
+			c.Check(en.su.NumConnected(), qt.Equals, 2)
 			c.Check(en.states(), qt.DeepEquals, []string{"a1 Ready", "a2 Draining", "b1 Ready"})
 			c.Check(en.names(), qt.DeepEquals, []string{"entry-1 Ready", "entry-2 Ready"})
 			c.Check(en.held(), qt.DeepEquals, []uint64{7})
@@ -379,7 +379,7 @@
 			time.Sleep(redialLeast + time.Duration(delay)*redialLeast/40)
 			en.su.SetState(Draining) // Without waiting for what is under way.
 			wo.after(time.Second)
-			c.Check(en.su.Connected(), qt.Equals, 1)
+			c.Check(en.su.NumConnected(), qt.Equals, 1)
 			c.Check(described(co.pu.ReadyEntries()), qt.DeepEquals, []string{})
 			c.Check(en.names(), qt.DeepEquals, []string{"entry-1 Draining"})
 		})
--- a/feed/source.go
+++ b/feed/source.go
@@ -95,7 +95,7 @@
 		wanted[address] = struct{}{}
 	}
 	for _, so := range su.sources {
-		if !so.up.Load() && su.Connected() > 0 {
+		if !so.up.Load() && su.NumConnected() > 0 {
 			continue
 		}
 		for _, me := range so.members {
--- a/feed/subscriber.go
+++ b/feed/subscriber.go
@@ -134,7 +134,7 @@
 
 // Connected returns the number of control instances that have told this one all
 // they know and whose link stands.
-func (su *Subscriber) Connected() int { return int(su.up.Load()) }
+func (su *Subscriber) NumConnected() int { return int(su.up.Load()) }
 
 // SetState tells all control instances the new state of this entry instance.
 func (su *Subscriber) SetState(es EntryState) {
@@ -257,7 +257,7 @@
 			su.tellServers(now)
 		}
 	}
-	if !su.dirty || su.Connected() == 0 {
+	if !su.dirty || su.NumConnected() == 0 {
 		return // If all control instances are lost, their last word is the best there is.
 	}
 	su.dirty = false
--- a/feed/subscriber_test.go
+++ b/feed/subscriber_test.go
@@ -145,7 +145,7 @@
 		wo.after(time.Second)
 		c.Check(en.held(), qt.DeepEquals, []uint64{9})
 		c.Check(en.counts().versions, qt.Equals, 1)
-		c.Check(en.su.Connected(), qt.Equals, 2)
+		c.Check(en.su.NumConnected(), qt.Equals, 2)
 	})
 }
 
@@ -175,7 +175,7 @@
 		}
 		wo.after(5 * time.Second)
 		for _, en := range ens {
-			c.Check(en.su.Connected(), qt.Equals, 3) // Though none of them names the others.
+			c.Check(en.su.NumConnected(), qt.Equals, 3) // Though none of them names the others.
 			c.Check(en.held()[len(en.held())-1], qt.Equals, uint64(1000))
 		}
 	})
@@ -220,7 +220,7 @@
 			co.lose()
 		}
 		wo.after(time.Minute)
-		c.Check(en.su.Connected(), qt.Equals, 0)
+		c.Check(en.su.NumConnected(), qt.Equals, 0)
 		c.Check(en.held(), qt.DeepEquals, []uint64{4})
 		c.Check(en.states(), qt.DeepEquals, []string{"a0 Ready", "a1 Ready", "a2 Ready"})
 		c.Check(en.names(), qt.DeepEquals, []string{"entry-1 Ready"})
@@ -230,7 +230,7 @@
 			co.start()
 		}
 		wo.after(2 * time.Second)
-		c.Check(en.su.Connected(), qt.Equals, 3)
+		c.Check(en.su.NumConnected(), qt.Equals, 3)
 		cos[1].pu.Announce(server("a1", 2, registry.Draining))
 		wo.after(testHold)
 		c.Check(en.states(), qt.DeepEquals, []string{"a1 Draining"})
@@ -262,7 +262,7 @@
 			}
 		}
 		for _, en := range ens {
-			c.Check(en.su.Connected(), qt.Equals, 3)
+			c.Check(en.su.NumConnected(), qt.Equals, 3)
 			c.Check(en.held(), qt.DeepEquals, []uint64{3})
 			c.Check(en.states(), qt.DeepEquals, []string{
 				"a0 Draining", "a2 Ready", "a3 Ready", "a4 Ready", "a5 Ready", "a6 Ready", "a7 Ready", "a8 Ready", "b0 Ready",
@@ -338,7 +338,7 @@
 		cos[0].pu.SetMembers(members(cos...))
 		wo.after(2 * time.Second)
 		for _, en := range ens {
-			c.Check(en.su.Connected(), qt.Equals, 2)
+			c.Check(en.su.NumConnected(), qt.Equals, 2)
 		}
 		dials := wo.dialed("one:1")[first:]
 		buckets := make(map[int64]int) // dials in spans of 10 ms
@@ -361,7 +361,7 @@
 		cos := wo.group("one", "two", "three")
 		en := wo.entry("entry-1", "one:1", "two:1")
 		wo.after(time.Second)
-		c.Assert(en.su.Connected(), qt.Equals, 3)
+		c.Assert(en.su.NumConnected(), qt.Equals, 3)
 		for _, co := range cos[:2] {
 			co.lose()
 		}
@@ -370,20 +370,20 @@
 			co.pu.SetMembers(members(cos[2], four, five))
 		}
 		wo.after(2 * time.Second)
-		c.Check(en.su.Connected(), qt.Equals, 3)
+		c.Check(en.su.NumConnected(), qt.Equals, 3)
 		// All links are lost at once; no seed answers any more.
 		for _, li := range wo.all("entry-1", "") {
 			_ = li.near.Close()
 		}
 		wo.after(2 * time.Second)
-		c.Check(en.su.Connected(), qt.Equals, 3)
+		c.Check(en.su.NumConnected(), qt.Equals, 3)
 		// The settings follow in the end: nobody asks for the dead seeds any more.
 		en.setSeeds("four:1")
 		wo.after(forgetAfter + 2*time.Second)
 		before := len(wo.dialed("one:1"))
 		wo.after(10 * time.Second)
 		c.Check(len(wo.dialed("one:1")), qt.Equals, before)
-		c.Check(en.su.Connected(), qt.Equals, 3)
+		c.Check(en.su.NumConnected(), qt.Equals, 3)
 	})
 }
 
@@ -409,14 +409,14 @@
 			co.pu.SetMembers(members(cos[:2]...))
 		}
 		pass(2*forgetAfter, cos[2])
-		c.Check(en.su.Connected(), qt.Equals, 3) // It lists itself still.
+		c.Check(en.su.NumConnected(), qt.Equals, 3) // It lists itself still.
 		cos[2].pu.SetMembers(members(cos[:2]...))
 		pass(2*forgetAfter, cos[2])
-		c.Check(en.su.Connected(), qt.Equals, 3)
+		c.Check(en.su.NumConnected(), qt.Equals, 3)
 		c.Check(en.states(), qt.DeepEquals, []string{"a1 Ready", "a2 Ready"})
 		cos[2].kill()
 		pass(testHold+time.Second, cos[2])
-		c.Check(en.su.Connected(), qt.Equals, 2)
+		c.Check(en.su.NumConnected(), qt.Equals, 2)
 		c.Check(en.states(), qt.DeepEquals, []string{"a1 Ready"})
 		before := len(wo.dialed("three:1"))
 		pass(2*forgetAfter, cos[2])
@@ -431,18 +431,18 @@
 		two := wo.control("two")
 		en := wo.entry("entry-1")
 		wo.after(3 * time.Second)
-		c.Check(en.su.Connected(), qt.Equals, 0)
+		c.Check(en.su.NumConnected(), qt.Equals, 0)
 		en.setSeeds("one:1", "two:1", "nowhere:1")
 		wo.after(2 * time.Second)
-		c.Check(en.su.Connected(), qt.Equals, 2)
+		c.Check(en.su.NumConnected(), qt.Equals, 2)
 		en.setSeeds("one:1")
 		wo.after(3 * time.Second)
-		c.Check(en.su.Connected(), qt.Equals, 2) // A link that stands is used.
+		c.Check(en.su.NumConnected(), qt.Equals, 2) // A link that stands is used.
 		two.kill()
 		wo.after(forgetAfter)
 		two.start()
 		wo.after(3 * time.Second)
-		c.Check(en.su.Connected(), qt.Equals, 1)
+		c.Check(en.su.NumConnected(), qt.Equals, 1)
 	})
 }
 
@@ -497,7 +497,7 @@
 		cos[1].pu.Announce(server("a1", 2, registry.Ready))
 		_ = wo.all("entry-1", "one:1")[0].near.Close()
 		wo.after(time.Second)
-		c.Check(en.su.Connected(), qt.Equals, 2)
+		c.Check(en.su.NumConnected(), qt.Equals, 2)
 		c.Check(en.states(), qt.DeepEquals, []string{"a2 Ready"})
 		for ii := range 10 * goneBound { // Nobody takes them while Serve waits.
 			en.su.MarkGone(fmt.Sprint(ii))
@@ -555,7 +555,7 @@
 		up := wo.logs.FilterMessage("control-link-up").All()[2].ContextMap()
 		c.Check(up["Control"], qt.Equals, "two")
 		c.Check(up["LostFor"].(time.Duration) >= 10*time.Second, qt.IsTrue)
-		c.Check(en.su.Connected(), qt.Equals, 2)
+		c.Check(en.su.NumConnected(), qt.Equals, 2)
 	})
 }
 
--- a/tier/meters.go
+++ b/tier/meters.go
@@ -71,7 +71,7 @@
 
 // writeLinks writes what an entry instance knows of control.
 func writeLinks(su *feed.Subscriber) MetricsWriter {
-	return func(wr io.Writer) { vm.WriteGaugeUint64(wr, "balsamwinch_control_links", uint64(su.Connected())) }
+	return func(wr io.Writer) { vm.WriteGaugeUint64(wr, "balsamwinch_control_links", uint64(su.NumConnected())) }
 }
 
 // writeGroup writes how a control instance stands in its group.
