--- a/feed/bench_test.go
+++ b/feed/bench_test.go
@@ -24,7 +24,7 @@
 		Codec: peer.NewCodec(link.Messages(), Messages()), TS: ts,
 		Dial: time.Second, Ping: time.Hour, Silence: time.Hour,
 	}
-	pu := NewPublisher(PublisherConfig{Name: "control-1", Silence: time.Hour}, ts, zap.NewNop())
+	pu := NewPublisher(PublisherConfig{Name: "control-1", SilenceTimeout: time.Hour}, ts, zap.NewNop())
 	for ii := range servers {
 		pu.Announce(server(fmt.Sprintf("a%03d", ii), 1, registry.Ready))
 	}
--- a/feed/publisher.go
+++ b/feed/publisher.go
@@ -38,9 +38,9 @@
 
 // PublisherConfig is what a publisher needs to know.
 type PublisherConfig struct {
-	Name       string        // Name of this control instance.
-	DataCentre string        // DataCentre is where it runs; entry instances there ask it first.
-	Silence    time.Duration // Silence is how long a backend server may go without an announcement.
+	Name           string        // Name of this control instance.
+	DataCentre     string        // DataCentre is where it runs; entry instances there ask it first.
+	SilenceTimeout time.Duration // Silence is how long a backend server may go without an announcement.
 	// Members gives the control instances until SetMembers is called; nil means none.
 	Members func() []Member
 	// Quarantine holds the requests under which servers ended; nil means a new book.
@@ -113,7 +113,7 @@
 func NewPublisher(cf PublisherConfig, ts *timer.Service, lg *zap.Logger) *Publisher {
 	pu := &Publisher{
 		cf: cf, ts: ts, lg: lg, lo: newBounded(lg),
-		book:        registry.NewBook(cf.Silence),
+		book:        registry.NewBook(cf.SilenceTimeout),
 		outliers:    outliers{de: outlier.New()},
 		qa:          cf.Quarantine,
 		subscribers: make(map[*subscriber]struct{}),
@@ -138,7 +138,7 @@
 // Serve removes backend servers that have fallen silent until the context ends,
 // and returns the context's error.
 func (pu *Publisher) Serve(ctx context.Context) error {
-	period := min(max(pu.cf.Silence/expiryShare, expiryLeast), expiryMost)
+	period := min(max(pu.cf.SilenceTimeout/expiryShare, expiryLeast), expiryMost)
 	tick := pu.ts.Subscribe(period)
 	defer tick.Stop()
 	judge := pu.ts.Subscribe(judgePeriod)
--- a/feed/publisher_test.go
+++ b/feed/publisher_test.go
@@ -390,7 +390,7 @@
 func TestHandleEnds(t *testing.T) {
 	play(t, func(c *qt.C, wo *world) {
 		pu := NewPublisher(PublisherConfig{
-			Name: "one", Silence: testQuiet,
+			Name: "one", SilenceTimeout: testQuiet,
 			Members: func() []Member { return []Member{{Name: "b", Address: "b:1"}, {Name: "a", Address: "a:1"}} },
 		}, wo.ts, wo.lg)
 		far, near := net.Pipe()
--- a/feed/tcp_test.go
+++ b/feed/tcp_test.go
@@ -77,7 +77,7 @@
 	for ii := range 3 {
 		li, err := net.Listen("tcp4", "127.0.0.1:0")
 		c.Assert(err, qt.IsNil)
-		pu := NewPublisher(PublisherConfig{Name: fmt.Sprint("control-", ii), Silence: time.Minute}, ts, zap.NewNop())
+		pu := NewPublisher(PublisherConfig{Name: fmt.Sprint("control-", ii), SilenceTimeout: time.Minute}, ts, zap.NewNop())
 		ms = append(ms, Member{Name: fmt.Sprint("control-", ii), Address: li.Addr().String()})
 		pus = append(pus, pu)
 		wg.Go(func() { _ = pu.Serve(ctx) })
--- a/feed/world_test.go
+++ b/feed/world_test.go
@@ -206,7 +206,7 @@
 func (co *control) start() {
 	wo := co.wo
 	ctx, cancel := context.WithCancel(wo.ctx)
-	pu := NewPublisher(PublisherConfig{Name: co.member.Name, DataCentre: wo.places[co.member.Name], Silence: testQuiet}, wo.ts, wo.lg)
+	pu := NewPublisher(PublisherConfig{Name: co.member.Name, DataCentre: wo.places[co.member.Name], SilenceTimeout: testQuiet}, wo.ts, wo.lg)
 	wo.mu.Lock()
 	co.pu, co.stop, co.dark, co.stalled = pu, cancel, false, false
 	wo.mu.Unlock()
--- a/tier/control.go
+++ b/tier/control.go
@@ -48,7 +48,7 @@
 	co := &control{sh: sh, lu: newLookUps(ts, lg), lg: lg, ts: ts}
 	qa := quarantine.New()
 	co.pu = feed.NewPublisher(feed.PublisherConfig{
-		Name: se.Name, DataCentre: se.DataCentre, Silence: silentAnnouncements * se.Timing.Announcement, Quarantine: qa,
+		Name: se.Name, DataCentre: se.DataCentre, SilenceTimeout: silentAnnouncements * se.Timing.Announcement, Quarantine: qa,
 	}, ts, lg)
 	co.ro = newRosters(di.Tables(), co.pu, ts, lg)
 	me := memory{dir: se.DataFolder, pu: co.pu, ot: &others{suspect: co.pu.AddSuspects}, ro: co.ro, qa: qa, ts: ts, lg: lg}
--- a/tier/memory_test.go
+++ b/tier/memory_test.go
@@ -21,7 +21,7 @@
 // folder.
 func newMemory(dir string) memory {
 	ts := timer.New()
-	pu := feed.NewPublisher(feed.PublisherConfig{Name: "one", Silence: 4 * time.Second}, ts, zap.NewNop())
+	pu := feed.NewPublisher(feed.PublisherConfig{Name: "one", SilenceTimeout: 4 * time.Second}, ts, zap.NewNop())
 	return memory{dir: dir, pu: pu, ot: &others{}, ro: newRosters(nil, pu, ts, zap.NewNop()), qa: quarantine.New(), ts: ts, lg: zap.NewNop()}
 }
 
--- a/tier/roster_test.go
+++ b/tier/roster_test.go
@@ -52,7 +52,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		ts := timer.New()
-		pu := feed.NewPublisher(feed.PublisherConfig{Name: "one", Silence: time.Second}, ts, zap.NewNop())
+		pu := feed.NewPublisher(feed.PublisherConfig{Name: "one", SilenceTimeout: time.Second}, ts, zap.NewNop())
 		ens := someEntries(40)
 		ro := newRosters(fixedTables{wideTable(c)}, pu, ts, zap.NewNop())
 		ro.entries = func() []feed.Entry { return ens }
@@ -107,7 +107,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		ts := timer.New()
-		pu := feed.NewPublisher(feed.PublisherConfig{Name: "one", Silence: time.Second}, ts, zap.NewNop())
+		pu := feed.NewPublisher(feed.PublisherConfig{Name: "one", SilenceTimeout: time.Second}, ts, zap.NewNop())
 		ro := newRosters(fixedTables{wideTable(c)}, pu, ts, zap.NewNop())
 		ens := someEntries(40)
 		ro.entries = func() []feed.Entry { return ens }
