--- a/feed/subscriber.go
+++ b/feed/subscriber.go
@@ -64,10 +64,10 @@
 
 // SubscriberConfig is what a subscriber needs to know.
 type SubscriberConfig struct {
-	Self  Entry           // Self is this entry instance, with the state that it starts in.
-	Seeds func() []string // Seeds gives addresses of control instances as IP:port; asked once a second.
-	Link  link.Config     // Link says how links are made.
-	Hold  time.Duration   // Hold is how long a backend server stays that no control instance hears any more.
+	Self             Entry           // Self is this entry instance, with the state that it starts in.
+	Seeds            func() []string // Seeds gives addresses of control instances as IP:port; asked once a second.
+	Link             link.Config     // Link says how links are made.
+	RetentionTimeout time.Duration   // Hold is how long a backend server stays that no control instance hears any more.
 	// Own is the address of the control instance that the subscriber belongs to, which
 	// needs no link to itself; empty for an entry instance.
 	Own string
@@ -128,7 +128,7 @@
 		conns:   make(map[*source]*link.Conn),
 		gone:    make(map[string]struct{}),
 		invites: make(map[string]time.Time),
-		un:      registry.NewUnion(cf.Hold),
+		un:      registry.NewUnion(cf.RetentionTimeout),
 	}
 }
 
@@ -186,7 +186,7 @@
 	su.alarm, su.alarmAt = su.ts.Timeout(seedPeriod, su.nudge), time.Time{}
 	defer su.alarm.Stop()
 	su.up.Store(0)
-	tick := su.ts.Subscribe(min(max(su.cf.Hold/holdShare, tickLeast), tickMost))
+	tick := su.ts.Subscribe(min(max(su.cf.RetentionTimeout/holdShare, tickLeast), tickMost))
 	defer tick.Stop()
 	start := func(so *source) {
 		kept, cancel := context.WithCancel(ctx)
--- a/feed/tcp_test.go
+++ b/feed/tcp_test.go
@@ -99,7 +99,7 @@
 	ey := &eye{versions: make(chan uint64, 100), servers: make(chan map[string][]registry.Server, 100)}
 	su := NewSubscriber(SubscriberConfig{
 		Self: Entry{Name: "entry-1", State: Ready}, Seeds: func() []string { return []string{ms[0].Address} },
-		Link: cf, Hold: time.Minute,
+		Link: cf, RetentionTimeout: time.Minute,
 	}, ts, zap.NewNop(), ey)
 	wg.Go(func() { _ = su.Serve(ctx) })
 
--- a/feed/world_test.go
+++ b/feed/world_test.go
@@ -346,7 +346,7 @@
 	en := &entry{wo: wo, name: name, seeds: seeds, done: make(chan struct{}), qa: quarantine.New()}
 	cf := wo.config()
 	cf.Connect = func(ctx context.Context, address string) (net.Conn, error) { return wo.connect(ctx, name, address) }
-	sc.Seeds, sc.Link, sc.Hold = en.giveSeeds, cf, testHold
+	sc.Seeds, sc.Link, sc.RetentionTimeout = en.giveSeeds, cf, testHold
 	if sc.Own == "" {
 		sc.Suspects = func() []quarantine.Record { return en.qa.Records(wo.ts.Now()) }
 	}
--- a/tier/entry.go
+++ b/tier/entry.go
@@ -107,7 +107,7 @@
 	}, ts, lg, up, re, bu, qa)
 	en.su = feed.NewSubscriber(feed.SubscriberConfig{
 		Self:  feed.Entry{Name: se.Name, DataCentre: se.DataCentre, Address: se.Listen.Callers, State: feed.Starting},
-		Seeds: sh.linkSeeds, Link: lc, Hold: serverHold,
+		Seeds: sh.linkSeeds, Link: lc, RetentionTimeout: serverHold,
 		Suspects: func() []quarantine.Record { return qa.Records(ts.Now()) },
 	}, ts, lg, en)
 	en.st = &standing{tell: en.su.SetState}
