--- a/feed/fetch.go
+++ b/feed/fetch.go
@@ -103,7 +103,7 @@
 // fetch now.
 func (su *Subscriber) candidate(now time.Time) *source {
 	fe := &su.fetch
-	if su.cf.Own != "" {
+	if su.cf.OwnAddress != "" {
 		return nil // A control instance has the configuration from its group.
 	}
 	var best *source
--- a/feed/source.go
+++ b/feed/source.go
@@ -104,7 +104,7 @@
 			}
 		}
 	}
-	delete(wanted, su.cf.Own)
+	delete(wanted, su.cf.OwnAddress)
 	return wanted
 }
 
@@ -164,9 +164,9 @@
 	defer su.mu.Unlock()
 	en := su.cf.Self
 	err := co.Send(Subscribe{
-		Name: en.Name, DataCentre: en.DataCentre, Address: en.Address, State: su.state, Version: su.held, FromControl: su.cf.Own != "",
+		Name: en.Name, DataCentre: en.DataCentre, Address: en.Address, State: su.state, Version: su.held, FromControl: su.cf.OwnAddress != "",
 	})
-	if err == nil && su.cf.Own == "" {
+	if err == nil && su.cf.OwnAddress == "" {
 		err = co.Send(su.reported)
 	}
 	if err == nil && su.cf.Suspects != nil {
--- a/feed/subscriber.go
+++ b/feed/subscriber.go
@@ -70,7 +70,7 @@
 	RetentionTimeout time.Duration   // Hold is how long a backend server stays that no control instance hears any more.
 	// Own is the address of the control instance that the subscriber belongs to, which
 	// needs no link to itself; empty for an entry instance.
-	Own string
+	OwnAddress string
 	// Suspects gives what the own instance knows of requests under which servers ended,
 	// for a control instance whose link has come up; nil for nothing.
 	Suspects func() []quarantine.Record
--- a/feed/suspects_test.go
+++ b/feed/suspects_test.go
@@ -83,7 +83,7 @@
 func TestSuspectGoesRoundACut(t *testing.T) {
 	play(t, func(c *qt.C, wo *world) {
 		cos := wo.group("one", "two")
-		li := wo.subscribe(SubscriberConfig{Self: Entry{Name: "one"}, Own: "one:1"}, []string{cos[1].member.Address})
+		li := wo.subscribe(SubscriberConfig{Self: Entry{Name: "one"}, OwnAddress: "one:1"}, []string{cos[1].member.Address})
 		ens := wo.entries(2, cos[0])
 		for _, ln := range wo.all(ens[0].name, cos[0].member.Address) {
 			ln.cut.Store(true)
--- a/feed/world_test.go
+++ b/feed/world_test.go
@@ -338,7 +338,7 @@
 
 // listener makes what a control instance hears of the others with, and starts it.
 func (wo *world) listener(name string, seeds ...string) *entry {
-	return wo.subscribe(SubscriberConfig{Self: Entry{Name: name}, Own: name + ":1"}, seeds)
+	return wo.subscribe(SubscriberConfig{Self: Entry{Name: name}, OwnAddress: name + ":1"}, seeds)
 }
 
 func (wo *world) subscribe(sc SubscriberConfig, seeds []string) *entry {
@@ -347,7 +347,7 @@
 	cf := wo.config()
 	cf.Connect = func(ctx context.Context, address string) (net.Conn, error) { return wo.connect(ctx, name, address) }
 	sc.Seeds, sc.Link, sc.RetentionTimeout = en.giveSeeds, cf, testHold
-	if sc.Own == "" {
+	if sc.OwnAddress == "" {
 		sc.Suspects = func() []quarantine.Record { return en.qa.Records(wo.ts.Now()) }
 	}
 	en.su = NewSubscriber(sc, wo.ts, wo.lg, en)
--- a/tier/control.go
+++ b/tier/control.go
@@ -84,7 +84,7 @@
 // instances that were noted before this start.
 func addMemory(sp *suture.Supervisor, me memory, se Settings, sh *shared, lc link.Config) {
 	su := feed.NewSubscriber(feed.SubscriberConfig{
-		Self: feed.Entry{Name: se.Name, DataCentre: se.DataCentre}, Seeds: sh.linkSeeds, Link: lc, RetentionTimeout: serverHold, Own: se.LinkAddress(),
+		Self: feed.Entry{Name: se.Name, DataCentre: se.DataCentre}, Seeds: sh.linkSeeds, Link: lc, RetentionTimeout: serverHold, OwnAddress: se.LinkAddress(),
 	}, me.ts, me.lg, me.ot)
 	invitees := me.invitees(se.DataCentre)
 	sp.Add(service{"others", su.Serve})
