--- a/feed/announcements.go
+++ b/feed/announcements.go
@@ -30,7 +30,7 @@
 		pu.left(now, se.ID, pu.book.Announce(now, se))
 		return
 	}
-	if pu.book.Foreign(se) {
+	if pu.book.Implausible(se) {
 		pu.lo.info(now, "announcement-ignored", append(serverFields(se), zap.String("Detail", "not this backend server's own word"))...)
 		return
 	}
--- a/registry/book.go
+++ b/registry/book.go
@@ -101,7 +101,7 @@
 // another service than the same incarnation did, or says no start while most servers
 // in the book do. Such a one would take a server out of its service, or show one that
 // isn't there; callers would get fewer parts.
-func (bk *Book) Foreign(se Server) bool {
+func (bk *Book) Implausible(se Server) bool {
 	bk.mu.Lock()
 	defer bk.mu.Unlock()
 	return bk.foreign(se)
--- a/registry/start_test.go
+++ b/registry/start_test.go
@@ -71,9 +71,9 @@
 	other.Service = "t"
 	bk := NewBook(silence)
 	c.Assert(bk.Announce(t0, born(ready("a", 1), 10)), qt.IsTrue)
-	c.Assert(bk.Foreign(other), qt.IsTrue, qt.Commentf("another service in one start"))
+	c.Assert(bk.Implausible(other), qt.IsTrue, qt.Commentf("another service in one start"))
 	c.Assert(bk.Announce(t0, other), qt.IsFalse)
-	c.Assert(bk.Foreign(ready("x", 1)), qt.IsTrue, qt.Commentf("no start where all others say theirs"))
+	c.Assert(bk.Implausible(ready("x", 1)), qt.IsTrue, qt.Commentf("no start where all others say theirs"))
 	c.Assert(bk.Announce(t0, ready("x", 1)), qt.IsFalse)
 	c.Assert(bk.Records(t0), qt.DeepEquals, []Server{born(ready("a", 1), 10)})
 	c.Assert(bk.Announce(t0, born(other, 20)), qt.IsTrue, qt.Commentf("another service after a start"))
@@ -81,14 +81,14 @@
 	// Where servers don't say when they started, one that does is no reason to doubt them.
 	bk = NewBook(silence)
 	for _, se := range []Server{ready("a", 1), ready("b", 1), born(ready("x", 1), 10), ready("c", 1)} {
-		c.Assert(bk.Foreign(se), qt.IsFalse)
+		c.Assert(bk.Implausible(se), qt.IsFalse)
 		c.Assert(bk.Announce(t0, se), qt.IsTrue)
 	}
 	c.Assert(bk.Announce(t0, ready("a", 2)), qt.IsFalse)
 	c.Assert(bk.Records(t0)[0], qt.Equals, ready("a", 2))
 	// As they fall silent, what was counted of them goes, too.
 	run(bk, t0, t0.Add(2*silence))
-	c.Assert(bk.Foreign(ready("d", 1)), qt.IsFalse)
+	c.Assert(bk.Implausible(ready("d", 1)), qt.IsFalse)
 }
 
 // Two control instances hear of a backend server that starts again, in different
