--- a/feed/publisher.go
+++ b/feed/publisher.go
@@ -59,7 +59,7 @@
 
 	mu          sync.Mutex
 	lo          *bounded
-	book        *registry.Book
+	book        *registry.Catalog
 	members     []Member
 	version     uint64
 	subscribers map[*subscriber]struct{}
--- a/registry/book.go
+++ b/registry/book.go
@@ -24,7 +24,7 @@
 // Its times are those in which the process was running: a gap of more than half
 // the silence between two calls counts as nothing, because the process was
 // suspended then and could not hear. So Expire must be called more often.
-type Book struct {
+type Catalog struct {
 	silence time.Duration
 
 	mu     sync.Mutex
@@ -44,8 +44,8 @@
 
 // NewBook returns an empty book. A server that hasn't announced itself for the
 // silence is dropped.
-func NewBook(silence time.Duration) *Book {
-	return &Book{
+func NewBook(silence time.Duration) *Catalog {
+	return &Catalog{
 		silence: silence,
 		wa:      watch{gap: silence / 2},
 		heard:   make(map[string]*heard),
@@ -63,7 +63,7 @@
 // A later incarnation replaces the earlier one whole. Were the id enough, a server
 // that starts again would stay Draining, or away for good, until all instances have
 // started again, too. What is said late by an earlier incarnation is ignored.
-func (bk *Book) Announce(now time.Time, se Server) (changed bool) {
+func (bk *Catalog) Announce(now time.Time, se Server) (changed bool) {
 	bk.mu.Lock()
 	defer bk.mu.Unlock()
 	at := bk.wa.look(now)
@@ -88,7 +88,7 @@
 }
 
 // begin puts an incarnation that wasn't heard before in the place of its id.
-func (bk *Book) begin(at time.Duration, se Server) bool {
+func (bk *Catalog) begin(at time.Duration, se Server) bool {
 	bk.drop(se.ID)
 	if !bk.add(at, se) {
 		return false
@@ -101,20 +101,20 @@
 // another service than the same incarnation did, or says no start while most servers
 // in the book do. Such a one would take a server out of its service, or show one that
 // isn't there; callers would get fewer parts.
-func (bk *Book) Implausible(se Server) bool {
+func (bk *Catalog) Implausible(se Server) bool {
 	bk.mu.Lock()
 	defer bk.mu.Unlock()
 	return bk.foreign(se)
 }
 
-func (bk *Book) foreign(se Server) bool {
+func (bk *Catalog) foreign(se Server) bool {
 	if he, ok := bk.heard[se.ID]; ok && he.server.Born == se.Born && he.server.Service != se.Service {
 		return true
 	}
 	return se.Born == 0 && 2*bk.births > len(bk.heard)
 }
 
-func (bk *Book) add(at time.Duration, se Server) bool {
+func (bk *Catalog) add(at time.Duration, se Server) bool {
 	if len(bk.heard) >= mostHeard {
 		return false
 	}
@@ -127,7 +127,7 @@
 }
 
 // drop takes a server out of the book.
-func (bk *Book) drop(id string) {
+func (bk *Catalog) drop(id string) {
 	if he, ok := bk.heard[id]; ok {
 		if he.server.Born != 0 {
 			bk.births--
@@ -139,7 +139,7 @@
 // Restore takes in what a book held before its process ended. What isn't
 // announced again within keep is dropped; nothing is overwritten that was
 // announced since.
-func (bk *Book) Restore(now time.Time, ses []Server, keep time.Duration) {
+func (bk *Catalog) Restore(now time.Time, ses []Server, keep time.Duration) {
 	bk.mu.Lock()
 	defer bk.mu.Unlock()
 	at := bk.wa.look(now)
@@ -157,14 +157,14 @@
 // reports whether it is news. The id is remembered as Gone for 10 minutes, also one
 // never heard before, so that an announcement which arrives after it changes nothing;
 // of more than 10000 such ids the oldest are forgotten.
-func (bk *Book) Leave(now time.Time, id string) (changed bool) {
+func (bk *Catalog) Leave(now time.Time, id string) (changed bool) {
 	bk.mu.Lock()
 	defer bk.mu.Unlock()
 	return bk.leave(bk.wa.look(now), id, 0)
 }
 
 // leave takes that an incarnation has left; 0 stands for the one that is known.
-func (bk *Book) leave(at time.Duration, id string, born int64) bool {
+func (bk *Catalog) leave(at time.Duration, id string, born int64) bool {
 	if was, ok := bk.left.get(id); ok && born <= was.Born || id == "" {
 		return false
 	}
@@ -182,7 +182,7 @@
 }
 
 // Left returns the record of a server that has left.
-func (bk *Book) Left(id string) (Server, bool) {
+func (bk *Catalog) Left(id string) (Server, bool) {
 	bk.mu.Lock()
 	defer bk.mu.Unlock()
 	return bk.left.get(id)
@@ -190,7 +190,7 @@
 
 // Expire drops the servers that have been silent for too long and returns their
 // ids, sorted. They aren't Gone: another control instance may hear them.
-func (bk *Book) Expire(now time.Time) []string {
+func (bk *Catalog) Expire(now time.Time) []string {
 	bk.mu.Lock()
 	defer bk.mu.Unlock()
 	at := bk.wa.look(now)
@@ -208,7 +208,7 @@
 
 // Records returns the servers that left in the last 60 seconds and then those
 // in the book, in the order in which they were first heard.
-func (bk *Book) Records(now time.Time) []Server {
+func (bk *Catalog) Records(now time.Time) []Server {
 	bk.mu.Lock()
 	defer bk.mu.Unlock()
 	at := bk.wa.look(now)
--- a/registry/book_test.go
+++ b/registry/book_test.go
@@ -28,7 +28,7 @@
 
 // run lets a book expire every tick from one time to another and returns what
 // it dropped, with the time since the start.
-func run(bk *Book, from, to time.Time) []string {
+func run(bk *Catalog, from, to time.Time) []string {
 	var dropped []string
 	for now := from; !now.After(to); now = now.Add(tick) {
 		for _, id := range bk.Expire(now) {
@@ -120,12 +120,12 @@
 func TestBookSuspended(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		wake func(bk *Book, now time.Time) // wake is the first call after the gap.
+		wake func(bk *Catalog, now time.Time) // wake is the first call after the gap.
 	}{
-		{"expire", func(bk *Book, now time.Time) { bk.Expire(now) }},
-		{"announce", func(bk *Book, now time.Time) { bk.Announce(now, ready("c", 1)) }},
-		{"leave", func(bk *Book, now time.Time) { bk.Leave(now, "c") }},
-		{"records", func(bk *Book, now time.Time) { bk.Records(now) }},
+		{"expire", func(bk *Catalog, now time.Time) { bk.Expire(now) }},
+		{"announce", func(bk *Catalog, now time.Time) { bk.Announce(now, ready("c", 1)) }},
+		{"leave", func(bk *Catalog, now time.Time) { bk.Leave(now, "c") }},
+		{"records", func(bk *Catalog, now time.Time) { bk.Records(now) }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := qt.New(t)
