--- a/feed/publisher.go
+++ b/feed/publisher.go
@@ -113,7 +113,7 @@
 func NewPublisher(cf PublisherConfig, ts *timer.Service, lg *zap.Logger) *Publisher {
 	pu := &Publisher{
 		cf: cf, ts: ts, lg: lg, lo: newBounded(lg),
-		book:        registry.NewBook(cf.SilenceTimeout),
+		book:        registry.NewCatalog(cf.SilenceTimeout),
 		outliers:    outliers{de: outlier.New()},
 		qa:          cf.Quarantine,
 		subscribers: make(map[*subscriber]struct{}),
--- a/registry/bench_test.go
+++ b/registry/bench_test.go
@@ -53,7 +53,7 @@
 }
 
 func BenchmarkBookAnnounce(b *testing.B) {
-	bk := NewBook(silence)
+	bk := NewCatalog(silence)
 	se := ready("a", 0)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/registry/book.go
+++ b/registry/book.go
@@ -44,7 +44,7 @@
 
 // NewBook returns an empty book. A server that hasn't announced itself for the
 // silence is dropped.
-func NewBook(silence time.Duration) *Catalog {
+func NewCatalog(silence time.Duration) *Catalog {
 	return &Catalog{
 		silence: silence,
 		wa:      watch{gap: silence / 2},
--- a/registry/book_test.go
+++ b/registry/book_test.go
@@ -81,7 +81,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := qt.New(t)
-			bk := NewBook(silence)
+			bk := NewCatalog(silence)
 			for ix, st := range tc.steps {
 				changed := false
 				if st.server.State == Gone && st.server.Sequence == 0 {
@@ -98,7 +98,7 @@
 
 func TestBookExpire(t *testing.T) {
 	c := qt.New(t)
-	bk := NewBook(silence)
+	bk := NewCatalog(silence)
 	bk.Announce(t0, ready("b", 1))
 	bk.Announce(t0, ready("a", 1))
 	bk.Announce(t0, ready("c", 1))
@@ -129,7 +129,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := qt.New(t)
-			bk := NewBook(silence)
+			bk := NewCatalog(silence)
 			bk.Announce(t0, ready("a", 1))
 			c.Assert(run(bk, t0, t0.Add(2*time.Second)), qt.HasLen, 0)
 			bk.Announce(t0.Add(2*time.Second), ready("b", 1))
@@ -145,7 +145,7 @@
 // for as long as the id is remembered, and the memory must stay bounded.
 func TestBookLeft(t *testing.T) {
 	c := qt.New(t)
-	bk := NewBook(silence)
+	bk := NewCatalog(silence)
 	bk.Announce(t0, ready("a", 1))
 	c.Assert(bk.Leave(t0, "a"), qt.IsTrue)
 	now := t0
@@ -165,7 +165,7 @@
 
 func TestBookBounds(t *testing.T) {
 	c := qt.New(t)
-	bk := NewBook(silence)
+	bk := NewCatalog(silence)
 	for ix := range mostLeft + 1 {
 		c.Assert(bk.Leave(t0, fmt.Sprint(ix)), qt.IsTrue)
 	}
@@ -173,7 +173,7 @@
 	c.Assert(bk.Announce(t0, ready("1", 1)), qt.IsFalse)
 	c.Assert(bk.Announce(t0, ready("0", 1)), qt.IsTrue, qt.Commentf("the oldest is forgotten"))
 
-	bk = NewBook(silence)
+	bk = NewCatalog(silence)
 	for ix := range mostHeard {
 		c.Assert(bk.Announce(t0, ready(fmt.Sprint(ix), 1)), qt.IsTrue)
 	}
@@ -187,7 +187,7 @@
 func TestBookModel(t *testing.T) {
 	ids := rapid.SampledFrom([]string{"a", "b", "c"})
 	rapid.Check(t, func(t *rapid.T) {
-		bk, now := NewBook(silence), t0
+		bk, now := NewCatalog(silence), t0
 		sequence, state, at := map[string]uint64{}, map[string]State{}, map[string]time.Time{}
 		t.Repeat(map[string]func(*rapid.T){
 			"announce": func(t *rapid.T) {
@@ -250,7 +250,7 @@
 
 // TestBookConcurrent lets the race detector look at every call.
 func TestBookConcurrent(t *testing.T) {
-	bk := NewBook(silence)
+	bk := NewCatalog(silence)
 	var wg sync.WaitGroup
 	for worker := range 4 {
 		wg.Go(func() {
@@ -278,7 +278,7 @@
 func TestBookRestore(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	bk := NewBook(4 * time.Second)
+	bk := NewCatalog(4 * time.Second)
 	bk.Leave(now, "left")
 	bk.Announce(now, Server{ID: "new", Address: "a", Sequence: 9, State: Draining})
 	bk.Restore(now, []Server{
--- a/registry/start_test.go
+++ b/registry/start_test.go
@@ -47,7 +47,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := qt.New(t)
-			bk := NewBook(silence)
+			bk := NewCatalog(silence)
 			for ix, st := range tc.steps {
 				changed := false
 				if st.server.State == Gone && st.server.Sequence == 0 && st.server.Born == 0 {
@@ -69,7 +69,7 @@
 	c := qt.New(t)
 	other := born(ready("a", 99), 10)
 	other.Service = "t"
-	bk := NewBook(silence)
+	bk := NewCatalog(silence)
 	c.Assert(bk.Announce(t0, born(ready("a", 1), 10)), qt.IsTrue)
 	c.Assert(bk.Implausible(other), qt.IsTrue, qt.Commentf("another service in one start"))
 	c.Assert(bk.Announce(t0, other), qt.IsFalse)
@@ -79,7 +79,7 @@
 	c.Assert(bk.Announce(t0, born(other, 20)), qt.IsTrue, qt.Commentf("another service after a start"))
 
 	// Where servers don't say when they started, one that does is no reason to doubt them.
-	bk = NewBook(silence)
+	bk = NewCatalog(silence)
 	for _, se := range []Server{ready("a", 1), ready("b", 1), born(ready("x", 1), 10), ready("c", 1)} {
 		c.Assert(bk.Implausible(se), qt.IsFalse)
 		c.Assert(bk.Announce(t0, se), qt.IsTrue)
