--- a/feed/subscriber.go
+++ b/feed/subscriber.go
@@ -151,7 +151,7 @@
 
 // NameServices takes over which services the configuration in force uses. It is called
 // by the observer as that changes.
-func (su *Subscriber) SetServices(services map[string]bool) { su.un.Name(services) }
+func (su *Subscriber) SetServices(services map[string]bool) { su.un.SetServices(services) }
 
 // MarkGone takes in that the process at a backend server's address has said that
 // it is not that server. The server does not come back.
--- a/registry/union.go
+++ b/registry/union.go
@@ -141,7 +141,7 @@
 // Name takes which services are in use. A server of another service stays listed, but
 // never in the place of one of these that has the same address. The map must not be
 // changed later.
-func (un *Union) Name(services map[string]bool) {
+func (un *Union) SetServices(services map[string]bool) {
 	un.mu.Lock()
 	defer un.mu.Unlock()
 	un.named = services
