--- a/feed/source.go
+++ b/feed/source.go
@@ -80,7 +80,7 @@
 		}
 		so.cancel()
 		delete(su.sources, address)
-		su.un.Forget(address)
+		su.un.RemoveSource(address)
 		su.dirty = true
 		su.lg.Info("control-forgotten", zap.String("Address", address), zap.String("Control", so.name))
 	}
--- a/registry/union.go
+++ b/registry/union.go
@@ -125,7 +125,7 @@
 
 // Forget takes that the source is no member any more. What only it held leaves
 // after the time hold.
-func (un *Union) Forget(source string) {
+func (un *Union) RemoveSource(source string) {
 	un.mu.Lock()
 	defer un.mu.Unlock()
 	so, ok := un.sources[source]
--- a/registry/union_test.go
+++ b/registry/union_test.go
@@ -51,7 +51,7 @@
 }
 
 func forget(source string) step {
-	return func(wo *world) { wo.un.Forget(source) }
+	return func(wo *world) { wo.un.RemoveSource(source) }
 }
 
 func markGone(id string) step {
@@ -530,7 +530,7 @@
 				case 30:
 					un.Disconnect(now, source)
 				case 40:
-					un.Forget(source)
+					un.RemoveSource(source)
 				}
 				un.Expire(now)
 				un.Version()
