--- a/quorum/hello.go
+++ b/quorum/hello.go
@@ -70,7 +70,7 @@
 // had acknowledged: it would help to elect a leader that lacks a committed
 // entry, or two leaders in one term. The boot number alone does not show it, as
 // the copy counts on from its own number.
-func (se sighting) older(he Hello) string {
+func (se sighting) older(he ClearanceRequest) string {
 	switch {
 	case he.Start == se.start:
 		return ""
@@ -84,7 +84,7 @@
 	return ""
 }
 
-func (sp *step) onHello(from ID, he Hello) {
+func (sp *step) onHello(from ID, he ClearanceRequest) {
 	re := HelloReply{Header: sp.header(), Asker: he.Start}
 	if po, ok := sp.findSighting(from); ok {
 		re.Refusal = sp.seen[po].older(he)
@@ -191,7 +191,7 @@
 }
 
 func (sp *step) sayHello(to ID) {
-	sp.send(to, Hello{Header: sp.header(), LastIndex: sp.log.last()})
+	sp.send(to, ClearanceRequest{Header: sp.header(), LastIndex: sp.log.last()})
 }
 
 func (sp *step) onHelloReply(from ID, re HelloReply) {
--- a/quorum/message.go
+++ b/quorum/message.go
@@ -23,7 +23,7 @@
 
 // Hello asks whether the sender, which has just started, may vote and
 // acknowledge.
-type Hello struct {
+type ClearanceRequest struct {
 	Header
 	LastIndex uint64
 }
@@ -90,7 +90,7 @@
 type HandOver struct{ Header }
 
 // Kind returns KindHello.
-func (Hello) Kind() peer.Kind { return KindHello }
+func (ClearanceRequest) Kind() peer.Kind { return KindHello }
 
 // Kind returns KindHelloReply.
 func (HelloReply) Kind() peer.Kind { return KindHelloReply }
@@ -117,7 +117,7 @@
 // events carry the messages as values, not as pointers.
 func Messages() []peer.Message {
 	return []peer.Message{
-		Hello{},
+		ClearanceRequest{},
 		HelloReply{},
 		VoteRequest{},
 		VoteReply{},
--- a/quorum/step.go
+++ b/quorum/step.go
@@ -78,7 +78,7 @@
 		return
 	}
 	switch ms := ms.(type) {
-	case Hello:
+	case ClearanceRequest:
 		sp.onHello(from, ms)
 	case HelloReply:
 		sp.onHelloReply(from, ms)
