--- a/quorum/hello.go
+++ b/quorum/hello.go
@@ -85,7 +85,7 @@
 }
 
 func (sp *step) onHello(from ID, he ClearanceRequest) {
-	re := HelloReply{Header: sp.header(), Asker: he.Start}
+	re := ClearanceReply{Header: sp.header(), Asker: he.Start}
 	if po, ok := sp.findSighting(from); ok {
 		re.Refusal = sp.seen[po].older(he)
 	}
@@ -127,7 +127,7 @@
 // A voter that was down while others were replaced knows a set of which no
 // majority may be left: it would ask the disks that are gone for ever, and the
 // one that holds the newest log could not lead without its vote.
-func (sp *step) noteAhead(re HelloReply) {
+func (sp *step) noteAhead(re ClearanceReply) {
 	term, index := sp.log.lastTerm(), sp.log.last()
 	if sp.ahead.term != 0 {
 		term, index = sp.ahead.term, sp.ahead.index
@@ -194,7 +194,7 @@
 	sp.send(to, ClearanceRequest{Header: sp.header(), LastIndex: sp.log.last()})
 }
 
-func (sp *step) onHelloReply(from ID, re HelloReply) {
+func (sp *step) onHelloReply(from ID, re ClearanceReply) {
 	sp.recognise(from, re.Header)
 	if re.Asker != sp.start || sp.cleared {
 		return
--- a/quorum/message.go
+++ b/quorum/message.go
@@ -29,7 +29,7 @@
 }
 
 // HelloReply clears the asker unless Refusal or Removed is set.
-type HelloReply struct {
+type ClearanceReply struct {
 	Header
 	Asker   uint64 // Asker is the Start of the Hello.
 	Refusal string // Refusal says what was seen of the asker that its disk lacks.
@@ -93,7 +93,7 @@
 func (ClearanceRequest) Kind() peer.Kind { return KindHello }
 
 // Kind returns KindHelloReply.
-func (HelloReply) Kind() peer.Kind { return KindHelloReply }
+func (ClearanceReply) Kind() peer.Kind { return KindHelloReply }
 
 // Kind returns KindVoteRequest.
 func (VoteRequest) Kind() peer.Kind { return KindVoteRequest }
@@ -118,7 +118,7 @@
 func Messages() []peer.Message {
 	return []peer.Message{
 		ClearanceRequest{},
-		HelloReply{},
+		ClearanceReply{},
 		VoteRequest{},
 		VoteReply{},
 		Append{},
--- a/quorum/step.go
+++ b/quorum/step.go
@@ -80,7 +80,7 @@
 	switch ms := ms.(type) {
 	case ClearanceRequest:
 		sp.onHello(from, ms)
-	case HelloReply:
+	case ClearanceReply:
 		sp.onHelloReply(from, ms)
 	case VoteRequest:
 		if sp.admit(from, ms.Header) {
