--- a/quorum/message.go
+++ b/quorum/message.go
@@ -4,7 +4,7 @@
 
 // The kinds of the messages between voters.
 const (
-	KindHello peer.Kind = peer.KindQuorum + iota
+	KindClearanceRequest peer.Kind = peer.KindQuorum + iota
 	KindHelloReply
 	KindVoteRequest
 	KindVoteReply
@@ -90,7 +90,7 @@
 type HandOver struct{ Header }
 
 // Kind returns KindHello.
-func (ClearanceRequest) Kind() peer.Kind { return KindHello }
+func (ClearanceRequest) Kind() peer.Kind { return KindClearanceRequest }
 
 // Kind returns KindHelloReply.
 func (ClearanceReply) Kind() peer.Kind { return KindHelloReply }
