--- a/quorum/message.go
+++ b/quorum/message.go
@@ -5,7 +5,7 @@
 // The kinds of the messages between voters.
 const (
 	KindClearanceRequest peer.Kind = peer.KindQuorum + iota
-	KindHelloReply
+	KindClearanceReply
 	KindVoteRequest
 	KindVoteReply
 	KindAppend
@@ -93,7 +93,7 @@
 func (ClearanceRequest) Kind() peer.Kind { return KindClearanceRequest }
 
 // Kind returns KindHelloReply.
-func (ClearanceReply) Kind() peer.Kind { return KindHelloReply }
+func (ClearanceReply) Kind() peer.Kind { return KindClearanceReply }
 
 // Kind returns KindVoteRequest.
 func (VoteRequest) Kind() peer.Kind { return KindVoteRequest }
