--- a/fleet/neighbours.go
+++ b/fleet/neighbours.go
@@ -94,7 +94,7 @@
 func (th *thread) greet() {
 	for _, pa := range th.nd.li.known() {
 		if id := pa.report.ID; id != "" && !th.inSet(id) {
-			th.step(quorum.Greet{Now: th.now(), To: id})
+			th.step(quorum.RequestClearance{Now: th.now(), To: id})
 		}
 	}
 }
--- a/quorum/quorum.go
+++ b/quorum/quorum.go
@@ -105,7 +105,7 @@
 // Greet makes a member that is not cleared yet ask another instance too, which the
 // voter set on its disk may lack. A leader that has removed it says so. At all
 // others it does nothing.
-type Greet struct {
+type RequestClearance struct {
 	Now time.Time
 	To  ID
 }
@@ -137,15 +137,15 @@
 // that has caught up; the voter never stands for election again.
 type Resign struct{ Now time.Time }
 
-func (Tick) isEvent()          {}
-func (Received) isEvent()      {}
-func (Propose) isEvent()       {}
-func (Probe) isEvent()         {}
-func (Greet) isEvent()         {}
-func (ChangeVoters) isEvent()  {}
-func (Compacted) isEvent()     {}
-func (SnapshotReady) isEvent() {}
-func (Resign) isEvent()        {}
+func (Tick) isEvent()             {}
+func (Received) isEvent()         {}
+func (Propose) isEvent()          {}
+func (Probe) isEvent()            {}
+func (RequestClearance) isEvent() {}
+func (ChangeVoters) isEvent()     {}
+func (Compacted) isEvent()        {}
+func (SnapshotReady) isEvent()    {}
+func (Resign) isEvent()           {}
 
 // Action is what the executor has to do. Actions are performed in order, and a
 // Save or Restore is durable before any later action is begun.
--- a/quorum/scenario_test.go
+++ b/quorum/scenario_test.go
@@ -57,7 +57,7 @@
 	"putback":  func(wo *world, ids []ID, _ uint64) { wo.nodes[wo.find(ids[0])].disk, wo.aged = wo.copies[ids[0]], true },
 	"newcomer": func(wo *world, ids []ID, _ uint64) { wo.add(ids[0], nil) },
 	"propose":  func(wo *world, ids []ID, nu uint64) { wo.propose(ids[0], nu) },
-	"greet":    func(wo *world, ids []ID, _ uint64) { wo.step(wo.find(ids[0]), Greet{wo.now, ids[1]}, -1) },
+	"greet":    func(wo *world, ids []ID, _ uint64) { wo.step(wo.find(ids[0]), RequestClearance{wo.now, ids[1]}, -1) },
 	"add":      func(wo *world, ids []ID, _ uint64) { wo.change(ids[0], "") },
 	"remove":   func(wo *world, ids []ID, _ uint64) { wo.change("", ids[0]) },
 	"both":     func(wo *world, ids []ID, _ uint64) { wo.change(ids[0], ids[1]) },
--- a/quorum/step.go
+++ b/quorum/step.go
@@ -41,7 +41,7 @@
 	case Probe:
 		sp.now = ev.Now
 		sp.probe()
-	case Greet:
+	case RequestClearance:
 		sp.now = ev.Now
 		sp.greet(ev.To)
 	case ChangeVoters:
