--- a/quorum/election.go
+++ b/quorum/election.go
@@ -148,7 +148,7 @@
 	sp.stand(false)
 }
 
-func (sp *step) onHandOver(from ID, ho HandOver) {
+func (sp *step) onHandOver(from ID, ho TransferLeadership) {
 	if sp.role != Follower || ho.Term != sp.hard.Term || from != sp.leader || sp.resigning {
 		return
 	}
--- a/quorum/lease.go
+++ b/quorum/lease.go
@@ -132,7 +132,7 @@
 	vs := sp.Voters()
 	for _, pr := range sp.members {
 		if vs.HasVoter(pr.id) && pr.matched == sp.log.last() && sp.inContact(pr) {
-			sp.send(pr.id, HandOver{Header: sp.header()})
+			sp.send(pr.id, TransferLeadership{Header: sp.header()})
 			sp.stepDown()
 			return
 		}
--- a/quorum/message.go
+++ b/quorum/message.go
@@ -87,7 +87,7 @@
 }
 
 // HandOver tells a voter that the leader has stepped down in its favour.
-type HandOver struct{ Header }
+type TransferLeadership struct{ Header }
 
 // Kind returns KindHello.
 func (ClearanceRequest) Kind() peer.Kind { return KindClearanceRequest }
@@ -111,7 +111,7 @@
 func (Snapshot) Kind() peer.Kind { return KindSnapshot }
 
 // Kind returns KindHandOver.
-func (HandOver) Kind() peer.Kind { return KindHandOver }
+func (TransferLeadership) Kind() peer.Kind { return KindHandOver }
 
 // Messages returns one zero value of each message, for the codec. Received
 // events carry the messages as values, not as pointers.
@@ -124,6 +124,6 @@
 		Append{},
 		AppendReply{},
 		Snapshot{},
-		HandOver{},
+		TransferLeadership{},
 	}
 }
--- a/quorum/step.go
+++ b/quorum/step.go
@@ -102,7 +102,7 @@
 		if sp.admitLeader(from, ms.Header) {
 			sp.onSnapshot(from, ms)
 		}
-	case HandOver:
+	case TransferLeadership:
 		if sp.admit(from, ms.Header) {
 			sp.onHandOver(from, ms)
 		}
