--- a/quorum/message.go
+++ b/quorum/message.go
@@ -11,7 +11,7 @@
 	KindAppend
 	KindAppendReply
 	KindSnapshot
-	KindHandOver
+	KindTransferLeadership
 )
 
 // Header begins every message. All that it states is durable at the sender.
@@ -111,7 +111,7 @@
 func (Snapshot) Kind() peer.Kind { return KindSnapshot }
 
 // Kind returns KindHandOver.
-func (TransferLeadership) Kind() peer.Kind { return KindHandOver }
+func (TransferLeadership) Kind() peer.Kind { return KindTransferLeadership }
 
 // Messages returns one zero value of each message, for the codec. Received
 // events carry the messages as values, not as pointers.
