--- a/fleet/voter.go
+++ b/fleet/voter.go
@@ -107,7 +107,7 @@
 		th.send(ac)
 	case quorum.Apply:
 		th.apply(ac.Entries)
-	case quorum.Refused:
+	case quorum.ProposalRejected:
 		th.nd.lg.Info("change-refused", zap.Stringer("Reason", ac.Reason), zap.String("Leader", string(ac.Leader)))
 	case quorum.NeedSnapshot:
 		th.sendSnapshot(ac.To)
--- a/instance/proposals.go
+++ b/instance/proposals.go
@@ -90,7 +90,7 @@
 	vo.proposed[ac.Tag] = pd
 }
 
-func (vo *voter) refused(ac quorum.Refused) {
+func (vo *voter) refused(ac quorum.ProposalRejected) {
 	pd, ok := vo.proposed[ac.Tag]
 	if !ok {
 		return
--- a/instance/voter.go
+++ b/instance/voter.go
@@ -186,7 +186,7 @@
 		vo.send(ac)
 	case quorum.Apply:
 		vo.apply(ac.Entries)
-	case quorum.Refused:
+	case quorum.ProposalRejected:
 		vo.refused(ac)
 	case quorum.NeedSnapshot:
 		vo.sendSnapshot(ac.To)
--- a/quorum/quorum.go
+++ b/quorum/quorum.go
@@ -176,7 +176,7 @@
 type Appended struct{ Tag, Index, Term uint64 }
 
 // Refused says that a proposal was not appended.
-type Refused struct {
+type ProposalRejected struct {
 	Tag    uint64
 	Leader ID // Leader is the leader if one is known.
 	Reason Reason
@@ -202,14 +202,14 @@
 	Reason string
 }
 
-func (Save) isAction()         {}
-func (Send) isAction()         {}
-func (Apply) isAction()        {}
-func (Appended) isAction()     {}
-func (Refused) isAction()      {}
-func (NeedSnapshot) isAction() {}
-func (Restore) isAction()      {}
-func (RoleChanged) isAction()  {}
+func (Save) isAction()             {}
+func (Send) isAction()             {}
+func (Apply) isAction()            {}
+func (Appended) isAction()         {}
+func (ProposalRejected) isAction() {}
+func (NeedSnapshot) isAction()     {}
+func (Restore) isAction()          {}
+func (RoleChanged) isAction()      {}
 
 // Reason says why a proposal was refused.
 type Reason uint8
--- a/quorum/step.go
+++ b/quorum/step.go
@@ -154,5 +154,5 @@
 }
 
 func (sp *step) refuseProposal(tag uint64, re Reason) {
-	sp.act(Refused{Tag: tag, Leader: sp.leader, Reason: re})
+	sp.act(ProposalRejected{Tag: tag, Leader: sp.leader, Reason: re})
 }
--- a/quorum/world_test.go
+++ b/quorum/world_test.go
@@ -173,7 +173,7 @@
 		if want := wo.committed[ac.Index-1].Term; ac.Term != want || string(ac.Data) != fmt.Sprint(ac.Index) {
 			wo.fail("%s restores snapshot %q up to %d of term %d, want term %d", no.id, ac.Data, ac.Index, ac.Term, want)
 		}
-	case Refused:
+	case ProposalRejected:
 		wo.reason = ac.Reason
 	}
 }
