--- a/instance/proposals.go
+++ b/instance/proposals.go
@@ -81,7 +81,7 @@
 	})
 }
 
-func (vo *voter) appended(ac quorum.Appended) {
+func (vo *voter) appended(ac quorum.ProposalAppended) {
 	pd, ok := vo.proposed[ac.Tag]
 	if !ok {
 		return
--- a/instance/voter.go
+++ b/instance/voter.go
@@ -166,7 +166,7 @@
 	st, acs := quorum.Step(vo.st, ev)
 	vo.st = st
 	for _, ac := range acs {
-		if ap, ok := ac.(quorum.Appended); ok {
+		if ap, ok := ac.(quorum.ProposalAppended); ok {
 			vo.appended(ap)
 		}
 	}
--- a/quorum/leader.go
+++ b/quorum/leader.go
@@ -81,7 +81,7 @@
 		sp.refuseProposal(ev.Tag, ReasonResigning)
 	default:
 		sp.appendOwn(EntryCommand, ev.Data)
-		sp.act(Appended{Tag: ev.Tag, Index: sp.log.last(), Term: sp.hard.Term})
+		sp.act(ProposalAppended{Tag: ev.Tag, Index: sp.log.last(), Term: sp.hard.Term})
 	}
 }
 
--- a/quorum/quorum.go
+++ b/quorum/quorum.go
@@ -173,7 +173,7 @@
 // Appended says where the leader appended a proposal. It is committed once Apply
 // gives an entry with this index and term; another term at the index says that
 // the proposal was lost.
-type Appended struct{ Tag, Index, Term uint64 }
+type ProposalAppended struct{ Tag, Index, Term uint64 }
 
 // Refused says that a proposal was not appended.
 type ProposalRejected struct {
@@ -205,7 +205,7 @@
 func (Save) isAction()             {}
 func (Send) isAction()             {}
 func (Apply) isAction()            {}
-func (Appended) isAction()         {}
+func (ProposalAppended) isAction() {}
 func (ProposalRejected) isAction() {}
 func (NeedSnapshot) isAction()     {}
 func (Restore) isAction()          {}
--- a/quorum/voters.go
+++ b/quorum/voters.go
@@ -130,7 +130,7 @@
 		vs = vs.WithLearner(ev.Add)
 	}
 	sp.appendVoters(vs)
-	sp.act(Appended{Tag: ev.Tag, Index: sp.log.last(), Term: sp.hard.Term})
+	sp.act(ProposalAppended{Tag: ev.Tag, Index: sp.log.last(), Term: sp.hard.Term})
 }
 
 // refuseChange returns why a change is refused, or 0.
