--- a/fleet/voter.go
+++ b/fleet/voter.go
@@ -65,7 +65,7 @@
 		Seed:      th.nd.start ^ uint64(now.UnixNano()),
 		MaxBatch:  maxBatch,
 		Boot:      vo.boot,
-	}, quorum.Stored{
+	}, quorum.StoredState{
 		Hard:           hs,
 		SnapshotIndex:  sn.Index,
 		SnapshotTerm:   sn.Term,
--- a/instance/voter.go
+++ b/instance/voter.go
@@ -99,7 +99,7 @@
 	now := vo.th.ts.Now()
 	vo.formed = true
 	ti := vo.th.cf.Timing
-	vo.st = quorum.New(quorumConfig(vo.id, vo.boot, ti.Election, ti.Heartbeat), quorum.Stored{
+	vo.st = quorum.New(quorumConfig(vo.id, vo.boot, ti.Election, ti.Heartbeat), quorum.StoredState{
 		Hard:           hs,
 		SnapshotIndex:  sn.Index,
 		SnapshotTerm:   sn.Term,
--- a/instance/voter_test.go
+++ b/instance/voter_test.go
@@ -23,7 +23,7 @@
 		id := quorum.ID(fmt.Sprint("voter-", ix))
 		alone := quorum.VoterSet{Voters: []quorum.ID{id}} // It needs no clearance from others.
 
-		st := quorum.New(quorumConfig(id, 1, election, election/5), quorum.Stored{SnapshotIndex: 1, SnapshotTerm: 1, SnapshotVoters: alone}, now)
+		st := quorum.New(quorumConfig(id, 1, election, election/5), quorum.StoredState{SnapshotIndex: 1, SnapshotTerm: 1, SnapshotVoters: alone}, now)
 		at, ok := st.NextTick()
 		c.Assert(ok, qt.IsTrue)
 		t.Log(st.Role(), at.Sub(now))
--- a/quorum/quorum.go
+++ b/quorum/quorum.go
@@ -53,7 +53,7 @@
 
 // Stored is what the executor recovered from its disk. At the first start of
 // all, SnapshotVoters names the first voters and the rest is zero.
-type Stored struct {
+type StoredState struct {
 	Hard                        HardState
 	SnapshotIndex, SnapshotTerm uint64
 	SnapshotVoters              VoterSet
--- a/quorum/quorum_test.go
+++ b/quorum/quorum_test.go
@@ -37,7 +37,7 @@
 // A disk holds the first snapshot only, so that no term was saved yet. A start
 // must not fall behind the term that an earlier start has sent.
 func TestTermOfFirstSnapshot(t *testing.T) {
-	sd := Stored{SnapshotIndex: 1, SnapshotTerm: 3}
+	sd := StoredState{SnapshotIndex: 1, SnapshotTerm: 3}
 	qt.Assert(t, New(Config{Self: "a", Election: testElection}, sd, time.Unix(0, 0)).Term(), qt.Equals, uint64(3))
 }
 
--- a/quorum/state.go
+++ b/quorum/state.go
@@ -48,7 +48,7 @@
 // New returns the state after a start from what the disk holds. A member is
 // Uncleared until the others have cleared it; one that is not in the voter set
 // or whose disk was refused is an Outsider.
-func New(cf Config, sd Stored, now time.Time) State {
+func New(cf Config, sd StoredState, now time.Time) State {
 	if cf.MaxBatch == 0 {
 		cf.MaxBatch = defaultBatch
 	}
--- a/quorum/world_test.go
+++ b/quorum/world_test.go
@@ -13,7 +13,7 @@
 // disk is what survives a crash of a node.
 type disk struct {
 	boot   uint64
-	stored Stored
+	stored StoredState
 	taken  int // taken is the step at which a copy was made.
 }
 
@@ -73,7 +73,7 @@
 }
 
 func (wo *world) add(id ID, voters []ID) {
-	no := node{id: id, disk: disk{stored: Stored{SnapshotVoters: VoterSet{Voters: voters}}}}
+	no := node{id: id, disk: disk{stored: StoredState{SnapshotVoters: VoterSet{Voters: voters}}}}
 	wo.nodes = append(wo.nodes, no)
 	wo.start(len(wo.nodes) - 1)
 }
@@ -168,7 +168,7 @@
 		}
 	case Restore:
 		hs := no.disk.stored.Hard
-		no.disk.stored = Stored{hs, ac.Index, ac.Term, ac.Voters, nil}
+		no.disk.stored = StoredState{hs, ac.Index, ac.Term, ac.Voters, nil}
 		no.applied = ac.Index
 		if want := wo.committed[ac.Index-1].Term; ac.Term != want || string(ac.Data) != fmt.Sprint(ac.Index) {
 			wo.fail("%s restores snapshot %q up to %d of term %d, want term %d", no.id, ac.Data, ac.Index, ac.Term, want)
@@ -223,7 +223,7 @@
 	if !no.up || no.applied <= sd.SnapshotIndex {
 		return
 	}
-	*sd = Stored{
+	*sd = StoredState{
 		sd.Hard, no.applied, wo.committed[no.applied-1].Term, no.st.VotersAt(no.applied),
 		sd.Entries[no.applied-sd.SnapshotIndex:],
 	}
