--- a/quorum/election.go
+++ b/quorum/election.go
@@ -7,8 +7,8 @@
 
 // resetElection draws a new time at which to campaign unless a leader is heard.
 func (sp *step) resetElection() {
-	extra := time.Duration(sp.random.Uint64() % uint64(sp.cf.Election))
-	sp.electionAt = sp.now.Add(sp.cf.Election + extra)
+	extra := time.Duration(sp.random.Uint64() % uint64(sp.cf.ElectionTimeout))
+	sp.electionAt = sp.now.Add(sp.cf.ElectionTimeout + extra)
 }
 
 // campaign asks whether a majority would vote for this voter. The term does not
--- a/quorum/hello.go
+++ b/quorum/hello.go
@@ -247,12 +247,12 @@
 	for _, an := range sp.answers {
 		byLeader = byLeader || an.id == an.leader
 		// One that doesn't answer any more may have heard the leader's last word.
-		fresh := sp.now.Before(an.at.Add(sp.cf.Election))
+		fresh := sp.now.Before(an.at.Add(sp.cf.ElectionTimeout))
 		waitsForLeader = waitsForLeader || an.leader != "" && fresh
 	}
 	majority := slices.ContainsFunc(sp.sets(), sp.majorityAnswered)
 	all := !slices.ContainsFunc(sp.asked(), func(id ID) bool { return !sp.answered(id) })
-	waited := !sp.now.Before(sp.startedAt.Add(2*sp.cf.Election)) && !waitsForLeader
+	waited := !sp.now.Before(sp.startedAt.Add(2*sp.cf.ElectionTimeout)) && !waitsForLeader
 	switch {
 	case byLeader && (majority || !sp.Voters().HasVoter(sp.cf.Self)):
 		sp.clear()
--- a/quorum/leader.go
+++ b/quorum/leader.go
@@ -188,7 +188,7 @@
 // one may still be on its way.
 func (sp *step) needSnapshot(pr *progress) {
 	pr.next = sp.log.snapshotIndex + 1
-	if pr.snapshotAt != never && sp.sent()-pr.snapshotAt < int64(2*sp.cf.Election) {
+	if pr.snapshotAt != never && sp.sent()-pr.snapshotAt < int64(2*sp.cf.ElectionTimeout) {
 		return
 	}
 	pr.snapshotAt = sp.sent()
--- a/quorum/lease.go
+++ b/quorum/lease.go
@@ -17,7 +17,7 @@
 	if st.role != Leader || st.contact.IsZero() {
 		return time0
 	}
-	return st.contact.Add(st.cf.Election * leaseNumerator / leaseDenominator)
+	return st.contact.Add(st.cf.ElectionTimeout * leaseNumerator / leaseDenominator)
 }
 
 // Contact returns when the newest Append was sent that a majority of the voters
@@ -54,7 +54,7 @@
 	if sp.role == Leader {
 		since = sp.contact
 	}
-	return !since.IsZero() && sp.now.Before(since.Add(sp.cf.Election))
+	return !since.IsZero() && sp.now.Before(since.Add(sp.cf.ElectionTimeout))
 }
 
 // sent returns the time now as it is put in messages.
@@ -65,7 +65,7 @@
 // inContact reports whether a member acknowledged something sent within the
 // Election time.
 func (sp *step) inContact(pr progress) bool {
-	return pr.acked != never && sp.sent()-pr.acked < int64(sp.cf.Election)
+	return pr.acked != never && sp.sent()-pr.acked < int64(sp.cf.ElectionTimeout)
 }
 
 // updateContact finds the newest time at which something was sent that a
@@ -110,12 +110,12 @@
 	if sp.contact.After(since) {
 		since = sp.contact
 	}
-	return !sp.now.Before(since.Add(2 * sp.cf.Election))
+	return !sp.now.Before(since.Add(2 * sp.cf.ElectionTimeout))
 }
 
 func (sp *step) resign() {
 	sp.resigning = true
-	sp.resignAt = sp.now.Add(sp.cf.Election)
+	sp.resignAt = sp.now.Add(sp.cf.ElectionTimeout)
 	if sp.role != Leader {
 		sp.fire(eventStepDown)
 		return
--- a/quorum/quorum_test.go
+++ b/quorum/quorum_test.go
@@ -38,7 +38,7 @@
 // must not fall behind the term that an earlier start has sent.
 func TestTermOfFirstSnapshot(t *testing.T) {
 	sd := StoredState{SnapshotIndex: 1, SnapshotTerm: 3}
-	qt.Assert(t, New(Config{Self: "a", Election: testElection}, sd, time.Unix(0, 0)).Term(), qt.Equals, uint64(3))
+	qt.Assert(t, New(Config{Self: "a", ElectionTimeout: testElection}, sd, time.Unix(0, 0)).Term(), qt.Equals, uint64(3))
 }
 
 // Two steps from one state must not see each other's entries, also where a chunk
