--- a/fleet/voter.go
+++ b/fleet/voter.go
@@ -59,12 +59,12 @@
 	vo.appliedIndex, vo.appliedTerm = sn.Index, sn.Term
 	vo.snapshotSize = len(sn.Data)
 	vo.st = quorum.New(quorum.Config{
-		Self:            vo.id,
-		ElectionTimeout: th.nd.cf.Election,
-		Heartbeat:       th.nd.cf.Heartbeat,
-		Seed:            th.nd.start ^ uint64(now.UnixNano()),
-		MaxBatch:        maxBatch,
-		Boot:            vo.boot,
+		Self:              vo.id,
+		ElectionTimeout:   th.nd.cf.Election,
+		HeartbeatInterval: th.nd.cf.Heartbeat,
+		Seed:              th.nd.start ^ uint64(now.UnixNano()),
+		MaxBatch:          maxBatch,
+		Boot:              vo.boot,
 	}, quorum.StoredState{
 		Hard:           hs,
 		SnapshotIndex:  sn.Index,
--- a/instance/voter.go
+++ b/instance/voter.go
@@ -116,11 +116,11 @@
 // together, term after term; with two left of three the leases ran out meanwhile.
 func quorumConfig(id quorum.ID, boot uint64, election, heartbeat time.Duration) quorum.Config {
 	return quorum.Config{
-		Self:            id,
-		ElectionTimeout: election,
-		Heartbeat:       heartbeat,
-		Seed:            rand.Uint64(),
-		Boot:            boot,
+		Self:              id,
+		ElectionTimeout:   election,
+		HeartbeatInterval: heartbeat,
+		Seed:              rand.Uint64(),
+		Boot:              boot,
 	}
 }
 
--- a/quorum/hello.go
+++ b/quorum/hello.go
@@ -176,7 +176,7 @@
 	if sp.now.Before(sp.heartbeatAt) {
 		return
 	}
-	sp.heartbeatAt = sp.now.Add(sp.cf.Heartbeat)
+	sp.heartbeatAt = sp.now.Add(sp.cf.HeartbeatInterval)
 	for _, id := range sp.asked() {
 		sp.sayHello(id)
 	}
--- a/quorum/leader.go
+++ b/quorum/leader.go
@@ -29,7 +29,7 @@
 	sp.syncMembers()
 	sp.appendOwn(EntryNoop, nil)
 	sp.updateContact()
-	sp.heartbeatAt = sp.now.Add(sp.cf.Heartbeat)
+	sp.heartbeatAt = sp.now.Add(sp.cf.HeartbeatInterval)
 }
 
 // syncMembers makes the members fit the newest voter set.
@@ -102,7 +102,7 @@
 }
 
 func (sp *step) broadcast() {
-	sp.heartbeatAt = sp.now.Add(sp.cf.Heartbeat)
+	sp.heartbeatAt = sp.now.Add(sp.cf.HeartbeatInterval)
 	for po := range sp.members {
 		sp.sendAppend(&sp.members[po])
 	}
--- a/quorum/quorum.go
+++ b/quorum/quorum.go
@@ -16,12 +16,12 @@
 
 // Config is what a voter is started with.
 type Config struct {
-	Self            ID
-	ElectionTimeout time.Duration // Election is the base timeout; each wait is random in [Election, 2*Election).
-	Heartbeat       time.Duration // Heartbeat is the time between two heartbeats of a leader.
-	Seed            uint64        // Seed starts the random waits, with the time that is given to New, so that a time is no seed.
-	MaxBatch        int           // MaxBatch bounds the entries in one message; 64 if zero.
-	Boot            uint64        // Boot counts the starts from this disk, from 1; it is synced before New.
+	Self              ID
+	ElectionTimeout   time.Duration // Election is the base timeout; each wait is random in [Election, 2*Election).
+	HeartbeatInterval time.Duration // Heartbeat is the time between two heartbeats of a leader.
+	Seed              uint64        // Seed starts the random waits, with the time that is given to New, so that a time is no seed.
+	MaxBatch          int           // MaxBatch bounds the entries in one message; 64 if zero.
+	Boot              uint64        // Boot counts the starts from this disk, from 1; it is synced before New.
 }
 
 // EntryType says what an entry of the log is for.
--- a/quorum/world_test.go
+++ b/quorum/world_test.go
@@ -98,7 +98,7 @@
 	no.up, no.since, no.print = true, wo.steps, 0
 	no.applied = no.disk.stored.SnapshotIndex
 	no.st = New(Config{
-		Self: no.id, ElectionTimeout: testElection, Heartbeat: testHeartbeat,
+		Self: no.id, ElectionTimeout: testElection, HeartbeatInterval: testHeartbeat,
 		Seed: uint64(wo.steps)<<8 + uint64(no.id[0]), MaxBatch: 3, Boot: no.disk.boot,
 	}, no.disk.stored, wo.now)
 }
