--- a/instance/voter.go
+++ b/instance/voter.go
@@ -297,7 +297,7 @@
 // until its lease ends, and it has applied an entry of its own term, and with it
 // all that earlier leaders committed.
 func (vo *voter) leads(now time.Time) bool {
-	return vo.formed && vo.role == quorum.Leader && vo.appliedTerm == vo.st.Term() && now.Before(vo.st.LeaseUntil())
+	return vo.formed && vo.role == quorum.Leader && vo.appliedTerm == vo.st.Term() && now.Before(vo.st.LeaseExpiry())
 }
 
 // roleChanged starts a new book of leases when this voter becomes the leader,
--- a/quorum/lease.go
+++ b/quorum/lease.go
@@ -13,7 +13,7 @@
 // LeaseUntil returns until when no other leader can exist. It is the zero time
 // if the voter does not lead or has not heard from a majority yet. A leader that
 // hands over has no lease from then on.
-func (st State) LeaseUntil() time.Time {
+func (st State) LeaseExpiry() time.Time {
 	if st.role != Leader || st.contact.IsZero() {
 		return time0
 	}
--- a/quorum/scenario_test.go
+++ b/quorum/scenario_test.go
@@ -135,7 +135,7 @@
 			continue
 		}
 		fmt.Fprintf(&out, "%s: %s, leader %q, term %d, log (%d,%d], commit %d, voters %v, lease %v", no.id, st.Role(), st.Leader(),
-			st.Term(), st.log.snapshotIndex, st.Last(), st.Commit(), st.Voters(), wo.now.Before(st.LeaseUntil()))
+			st.Term(), st.log.snapshotIndex, st.Last(), st.Commit(), st.Voters(), wo.now.Before(st.LeaseExpiry()))
 		for _, pr := range st.Members() {
 			fmt.Fprintf(&out, ", %s holds %d", pr.ID, pr.Matched)
 		}
--- a/quorum/world_test.go
+++ b/quorum/world_test.go
@@ -251,7 +251,7 @@
 		if no.st.Term() > st.Term() {
 			older, newer = st, no.st
 		}
-		if older.Term() < newer.Term() && newer.Role() == Leader && wo.now.Before(older.LeaseUntil()) {
+		if older.Term() < newer.Term() && newer.Role() == Leader && wo.now.Before(older.LeaseExpiry()) {
 			wo.fail("%s leads term %d within the lease of %s", newer.cf.Self, newer.Term(), older.cf.Self)
 		}
 	}
