--- a/fleet/census.go
+++ b/fleet/census.go
@@ -129,7 +129,7 @@
 	vo := th.vo
 	// A leader that doesn't hear a majority can't change anything and knows nothing
 	// of the others.
-	if now.Sub(vo.st.Contact()) >= th.nd.cf.Election {
+	if now.Sub(vo.st.LastQuorumContact()) >= th.nd.cf.Election {
 		return
 	}
 	vs := vo.st.Voters()
--- a/fleet/lead.go
+++ b/fleet/lead.go
@@ -142,7 +142,7 @@
 	if !vo.st.TermOpen() || vo.appliedIndex != vo.st.Commit() {
 		return
 	}
-	contact := vo.st.Contact()
+	contact := vo.st.LastQuorumContact()
 	th.reads = slices.DeleteFunc(th.reads, func(rd reading) bool {
 		if !contact.After(rd.since) {
 			return false
--- a/quorum/lease.go
+++ b/quorum/lease.go
@@ -23,7 +23,7 @@
 // Contact returns when the newest Append was sent that a majority of the voters
 // has acknowledged. It is the zero time if the voter does not lead or has not
 // heard from a majority yet. It never falls while a voter leads.
-func (st State) Contact() time.Time {
+func (st State) LastQuorumContact() time.Time {
 	if st.role != Leader {
 		return time0
 	}
--- a/quorum/quorum_test.go
+++ b/quorum/quorum_test.go
@@ -75,7 +75,7 @@
 	c.Assert(wo.answered, qt.Equals, 0)
 	wo.deliverAll()
 	c.Assert(wo.answered, qt.Equals, 1)
-	c.Assert(wo.state("c").Contact().IsZero(), qt.IsTrue)
+	c.Assert(wo.state("c").LastQuorumContact().IsZero(), qt.IsTrue)
 	c.Assert(wo.fault, qt.Equals, "")
 }
 
