--- a/fleet/census.go
+++ b/fleet/census.go
@@ -123,7 +123,7 @@
 
 // manage changes the voters by one if that is due.
 func (th *thread) manage(now time.Time) {
-	if !th.leads() || !th.vo.st.TermOpen() {
+	if !th.leads() || !th.vo.st.CommittedInTerm() {
 		return
 	}
 	vo := th.vo
--- a/fleet/lead.go
+++ b/fleet/lead.go
@@ -139,7 +139,7 @@
 // all that earlier leaders have acknowledged.
 func (th *thread) settleReads() {
 	vo := th.vo
-	if !vo.st.TermOpen() || vo.appliedIndex != vo.st.Commit() {
+	if !vo.st.CommittedInTerm() || vo.appliedIndex != vo.st.Commit() {
 		return
 	}
 	contact := vo.st.LastQuorumContact()
@@ -256,7 +256,7 @@
 // name puts the addresses of voters and learners into the log where it lacks
 // them, so that all know each other after a restart.
 func (th *thread) name(now time.Time) {
-	if !th.leads() || !th.vo.st.TermOpen() {
+	if !th.leads() || !th.vo.st.CommittedInTerm() {
 		return
 	}
 	for _, me := range th.linked() {
--- a/quorum/lease.go
+++ b/quorum/lease.go
@@ -32,7 +32,7 @@
 
 // TermOpen reports whether the voter leads and has committed an entry of its own
 // term, and with it all that earlier leaders committed.
-func (st State) TermOpen() bool {
+func (st State) CommittedInTerm() bool {
 	return st.role == Leader && st.termOpen()
 }
 
--- a/quorum/world_test.go
+++ b/quorum/world_test.go
@@ -277,7 +277,7 @@
 // checkReads answers the reads that a leader is sure of.
 func (wo *world) checkReads(st State) {
 	wo.reads = slices.DeleteFunc(slices.Clone(wo.reads), func(rn readNote) bool {
-		if rn.id != st.cf.Self || !st.TermOpen() || !st.LastQuorumContact().After(rn.since) {
+		if rn.id != st.cf.Self || !st.CommittedInTerm() || !st.LastQuorumContact().After(rn.since) {
 			return false
 		}
 		if st.Commit() < uint64(rn.committed) {
