--- a/quorum/scenario_test.go
+++ b/quorum/scenario_test.go
@@ -73,7 +73,7 @@
 		wo.until(func() bool { return wo.memberOf(ids[0]).Matched == nu })
 	},
 	"until-acked": func(wo *world, ids []ID, _ uint64) {
-		wo.until(func() bool { return !wo.memberOf(ids[0]).Contact.IsZero() })
+		wo.until(func() bool { return !wo.memberOf(ids[0]).LastContact.IsZero() })
 	},
 	"until-voter": func(wo *world, ids []ID, _ uint64) {
 		wo.until(func() bool { return wo.state(wo.leader()).Voters().HasVoter(ids[0]) })
--- a/quorum/state.go
+++ b/quorum/state.go
@@ -132,9 +132,9 @@
 
 // Progress is what a leader knows of another member.
 type Progress struct {
-	ID      ID
-	Matched uint64    // Matched is up to where the member's log is known to be equal.
-	Contact time.Time // Contact is when the newest message that it acknowledged was sent.
+	ID          ID
+	Matched     uint64    // Matched is up to where the member's log is known to be equal.
+	LastContact time.Time // Contact is when the newest message that it acknowledged was sent.
 }
 
 // Members returns what a leader knows of the others; nothing if it doesn't lead.
@@ -145,7 +145,7 @@
 		if pr.acked != never {
 			contact = st.startedAt.Add(time.Duration(pr.acked))
 		}
-		ps = append(ps, Progress{ID: pr.id, Matched: pr.matched, Contact: contact})
+		ps = append(ps, Progress{ID: pr.id, Matched: pr.matched, LastContact: contact})
 	}
 	return ps
 }
