--- a/quorum/quorum.go
+++ b/quorum/quorum.go
@@ -216,14 +216,14 @@
 
 // The reasons of Refused.
 const (
-	ReasonNotLeader     Reason = iota + 1 // The voter does not lead.
-	ReasonResigning                       // The leader is about to hand over.
-	ReasonChangePending                   // Another voter change is not committed yet.
-	ReasonTermNotOpen                     // The leader has not yet committed an entry of its term.
-	ReasonAlreadyMember                   // The newcomer is a voter or learner already.
-	ReasonNotMember                       // The member to remove is neither voter nor learner.
-	ReasonIsLeader                        // The leader can't be removed; Resign makes it hand over first.
-	ReasonBadChange                       // Not exactly one of Add and Remove is set.
+	ReasonNotLeader      Reason = iota + 1 // The voter does not lead.
+	ReasonResigning                        // The leader is about to hand over.
+	ReasonChangePending                    // Another voter change is not committed yet.
+	ReasonNoCommitInTerm                   // The leader has not yet committed an entry of its term.
+	ReasonAlreadyMember                    // The newcomer is a voter or learner already.
+	ReasonNotMember                        // The member to remove is neither voter nor learner.
+	ReasonIsLeader                         // The leader can't be removed; Resign makes it hand over first.
+	ReasonBadChange                        // Not exactly one of Add and Remove is set.
 )
 
 // String returns the reason in a few words.
@@ -235,7 +235,7 @@
 		return "the leader is handing over"
 	case ReasonChangePending:
 		return "another voter change is pending"
-	case ReasonTermNotOpen:
+	case ReasonNoCommitInTerm:
 		return "the leader has not committed an entry of its term yet"
 	case ReasonAlreadyMember:
 		return "already a member"
--- a/quorum/voters.go
+++ b/quorum/voters.go
@@ -144,7 +144,7 @@
 	case (ev.Add == "") == (ev.Remove == ""):
 		return ReasonBadChange
 	case !sp.termOpen():
-		return ReasonTermNotOpen
+		return ReasonNoCommitInTerm
 	case sp.changePending():
 		return ReasonChangePending
 	case vs.HasVoter(ev.Add) || vs.HasLearner(ev.Add):
