--- a/quorum/quorum.go
+++ b/quorum/quorum.go
@@ -223,7 +223,7 @@
 	ReasonAlreadyMember                    // The newcomer is a voter or learner already.
 	ReasonNotMember                        // The member to remove is neither voter nor learner.
 	ReasonIsLeader                         // The leader can't be removed; Resign makes it hand over first.
-	ReasonBadChange                        // Not exactly one of Add and Remove is set.
+	ReasonInvalidChange                    // Not exactly one of Add and Remove is set.
 )
 
 // String returns the reason in a few words.
@@ -243,7 +243,7 @@
 		return "not a member"
 	case ReasonIsLeader:
 		return "the leader can't be removed, it has to resign first"
-	case ReasonBadChange:
+	case ReasonInvalidChange:
 		return "exactly one of add and remove must be named"
 	}
 	return "no reason"
--- a/quorum/voters.go
+++ b/quorum/voters.go
@@ -142,7 +142,7 @@
 	case sp.resigning:
 		return ReasonResigning
 	case (ev.Add == "") == (ev.Remove == ""):
-		return ReasonBadChange
+		return ReasonInvalidChange
 	case !sp.termOpen():
 		return ReasonNoCommitInTerm
 	case sp.changePending():
