--- a/fleet/disk.go
+++ b/fleet/disk.go
@@ -70,7 +70,7 @@
 	if err != nil {
 		return err
 	}
-	jo, rc, err := wal.OpenOn(th.nd.fsys, th.path(logName), th.nd.lg)
+	jo, rc, err := wal.OpenFS(th.nd.fsys, th.path(logName), th.nd.lg)
 	if err != nil {
 		return err
 	}
--- a/wal/open.go
+++ b/wal/open.go
@@ -36,11 +36,11 @@
 // offset, and nothing was changed; with StorageFailed if the disk failed or
 // another process has the folder open.
 func Open(dir string, lg *zap.Logger) (*Journal, Recovered, error) {
-	return OpenOn(system{}, dir, lg)
+	return OpenFS(system{}, dir, lg)
 }
 
 // OpenOn is Open on a given file system.
-func OpenOn(fsys FileSystem, dir string, lg *zap.Logger) (*Journal, Recovered, error) {
+func OpenFS(fsys FileSystem, dir string, lg *zap.Logger) (*Journal, Recovered, error) {
 	return open(fsys, dir, lg, segmentBytes)
 }
 
