--- a/fleet/disk.go
+++ b/fleet/disk.go
@@ -110,7 +110,7 @@
 	if err != nil {
 		return err
 	}
-	return wal.Replace(th.nd.fsys, th.nd.cf.Dir, firstName, data)
+	return wal.WriteFileAtomic(th.nd.fsys, th.nd.cf.Dir, firstName, data)
 }
 
 // marked returns the seeds of the first start, or nil if the disk is not marked.
--- a/fleet/note.go
+++ b/fleet/note.go
@@ -29,7 +29,7 @@
 // The folder is synced, since a name that is lost brings back the older note. A
 // note that can't be written is no reason to stop.
 func (th *thread) note(do *document) {
-	if err := wal.Replace(th.nd.fsys, th.nd.cf.Dir, noteName, mustEncode(do)); err != nil {
+	if err := wal.WriteFileAtomic(th.nd.fsys, th.nd.cf.Dir, noteName, mustEncode(do)); err != nil {
 		th.nd.lg.Warn("note-not-written", zap.Uint64("Version", do.Version), zap.Error(err))
 	}
 }
@@ -37,7 +37,7 @@
 // noteEvacuations keeps committed evacuations likewise. Without them, requests would go to
 // an evacuated data centre after a stop of all until a leader is found.
 func (th *thread) noteEvacuations(st evacuation.Set) {
-	if err := wal.Replace(th.nd.fsys, th.nd.cf.Dir, evacuationsNoteName, mustEncode(st)); err != nil {
+	if err := wal.WriteFileAtomic(th.nd.fsys, th.nd.cf.Dir, evacuationsNoteName, mustEncode(st)); err != nil {
 		th.nd.lg.Warn("note-not-written", zap.Uint64("Revision", st.Revision), zap.Error(err))
 	}
 }
--- a/tier/memory.go
+++ b/tier/memory.go
@@ -168,7 +168,7 @@
 func (me memory) write(name string, value any) {
 	data, err := cbor.Marshal(value)
 	if err == nil {
-		err = wal.Replace(wal.System(), me.dir, name, data)
+		err = wal.WriteFileAtomic(wal.System(), me.dir, name, data)
 	}
 	if err != nil {
 		me.lg.Warn("note-not-written", zap.String("Name", name), zap.Error(err))
--- a/wal/open.go
+++ b/wal/open.go
@@ -221,7 +221,7 @@
 	if err != nil {
 		return err
 	}
-	if err := Replace(op.jo.fsys, op.jo.dir, identityName, data); err != nil {
+	if err := WriteFileAtomic(op.jo.fsys, op.jo.dir, identityName, data); err != nil {
 		return err
 	}
 	op.found.DiskID, op.found.Boot = disk, boot
--- a/wal/replace.go
+++ b/wal/replace.go
@@ -11,7 +11,7 @@
 // Replace gives a file in a folder new content, by way of a temporary file that is synced
 // before it takes the name. After a power loss at any point the file holds the old content
 // or the new; once Replace has returned without an error, the new.
-func Replace(fsys FileSystem, dir, name string, data []byte) error {
+func WriteFileAtomic(fsys FileSystem, dir, name string, data []byte) error {
 	path := filepath.Join(dir, name)
 	fi, err := fsys.Create(path + temporarySuffix)
 	if err != nil {
--- a/wal/replace_test.go
+++ b/wal/replace_test.go
@@ -15,7 +15,7 @@
 	errDisk := errors.New("the disk fails")
 	for good := range 10 {
 		di := newDisk()
-		c.Assert(Replace(di, "data", "note", []byte("old")), qt.IsNil)
+		c.Assert(WriteFileAtomic(di, "data", "note", []byte("old")), qt.IsNil)
 		steps := 0
 		di.fail = func(string, string) error {
 			if steps++; steps > good {
@@ -23,7 +23,7 @@
 			}
 			return nil
 		}
-		err := Replace(di, "data", "note", []byte("new"))
+		err := WriteFileAtomic(di, "data", "note", []byte("new"))
 		left := di.crash(func(unsynced []byte) []byte { return unsynced[:len(unsynced)/2] })
 		got, readErr := left.ReadFile("data/note")
 		c.Assert(readErr, qt.IsNil)
