--- a/fleet/census.go
+++ b/fleet/census.go
@@ -129,7 +129,7 @@
 	vo := th.vo
 	// A leader that doesn't hear a majority can't change anything and knows nothing
 	// of the others.
-	if now.Sub(vo.st.LastQuorumContact()) >= th.nd.cf.Election {
+	if now.Sub(vo.st.LastQuorumContact()) >= th.nd.cf.ElectionTimeout {
 		return
 	}
 	vs := vo.st.Voters()
@@ -140,7 +140,7 @@
 		self:     vo.id,
 		voters:   vs,
 		wanted:   th.nd.cf.wanted(),
-		election: th.nd.cf.Election,
+		election: th.nd.cf.ElectionTimeout,
 		silence:  func(id quorum.ID) time.Duration { return th.silence(now, id) },
 		asking:   th.asking(now),
 	}
--- a/fleet/lead.go
+++ b/fleet/lead.go
@@ -271,7 +271,7 @@
 	if !slices.ContainsFunc(vs.Voters, of) && !slices.ContainsFunc(vs.Learners, of) {
 		return
 	}
-	if th.vo.sm.address(me.Name) == me.Address || now.Sub(th.leading.named[me.Name]) < th.nd.cf.Election {
+	if th.vo.sm.address(me.Name) == me.Address || now.Sub(th.leading.named[me.Name]) < th.nd.cf.ElectionTimeout {
 		return
 	}
 	th.leading.named[me.Name] = now
--- a/fleet/voter.go
+++ b/fleet/voter.go
@@ -60,7 +60,7 @@
 	vo.snapshotSize = len(sn.Data)
 	vo.st = quorum.New(quorum.Config{
 		Self:              vo.id,
-		ElectionTimeout:   th.nd.cf.Election,
+		ElectionTimeout:   th.nd.cf.ElectionTimeout,
 		HeartbeatInterval: th.nd.cf.Heartbeat,
 		Seed:              th.nd.start ^ uint64(now.UnixNano()),
 		MaxBatch:          maxBatch,
