--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -52,9 +52,9 @@
 	Losses int
 	Dir    string // Dir is the data folder.
 
-	ElectionTimeout time.Duration // Election is the base of the election timeouts; 600 ms if zero.
-	Heartbeat       time.Duration // Heartbeat is the time between two heartbeats of a leader; 120 ms if zero.
-	Link            link.Config   // Link is for the links that this instance opens; its codec knows Messages.
+	ElectionTimeout   time.Duration // Election is the base of the election timeouts; 600 ms if zero.
+	HeartbeatInterval time.Duration // Heartbeat is the time between two heartbeats of a leader; 120 ms if zero.
+	Link              link.Config   // Link is for the links that this instance opens; its codec knows Messages.
 }
 
 // wanted returns how many voters there should be.
@@ -124,8 +124,8 @@
 	if cf.ElectionTimeout == 0 {
 		cf.ElectionTimeout = defaultElection
 	}
-	if cf.Heartbeat == 0 {
-		cf.Heartbeat = defaultHeartbeat
+	if cf.HeartbeatInterval == 0 {
+		cf.HeartbeatInterval = defaultHeartbeat
 	}
 	nd := &Node{
 		cf:     cf,
--- a/fleet/group_test.go
+++ b/fleet/group_test.go
@@ -176,15 +176,15 @@
 	cf := link.Config{Codec: gr.codec, TS: gr.ts, Dial: 500 * time.Millisecond, Ping: 100 * time.Millisecond, Silence: time.Second}
 	in.ob = &recorder{}
 	nd := New(Config{
-		Name:            in.name,
-		Address:         in.address,
-		Seeds:           in.seedList,
-		First:           first,
-		Losses:          gr.losses,
-		Dir:             in.dir,
-		ElectionTimeout: testElection,
-		Heartbeat:       testHeartbeat,
-		Link:            cf,
+		Name:              in.name,
+		Address:           in.address,
+		Seeds:             in.seedList,
+		First:             first,
+		Losses:            gr.losses,
+		Dir:               in.dir,
+		ElectionTimeout:   testElection,
+		HeartbeatInterval: testHeartbeat,
+		Link:              cf,
 	}, gr.ts, gr.lg.Named(in.name), in.ob)
 	nd.fsys = in.disk
 	in.mu.Lock()
--- a/fleet/voter.go
+++ b/fleet/voter.go
@@ -61,7 +61,7 @@
 	vo.st = quorum.New(quorum.Config{
 		Self:              vo.id,
 		ElectionTimeout:   th.nd.cf.ElectionTimeout,
-		HeartbeatInterval: th.nd.cf.Heartbeat,
+		HeartbeatInterval: th.nd.cf.HeartbeatInterval,
 		Seed:              th.nd.start ^ uint64(now.UnixNano()),
 		MaxBatch:          maxBatch,
 		Boot:              vo.boot,
--- a/tier/control.go
+++ b/tier/control.go
@@ -55,7 +55,7 @@
 	me.restore(se.Timing.Announcement)
 	co.nd = fleet.New(fleet.Config{
 		Name: se.Name, Address: se.LinkAddress(), Seeds: sh.linkSeeds, First: se.FirstStart, Losses: se.Losses,
-		Dir: se.DataFolder, ElectionTimeout: se.Timing.Election, Heartbeat: se.Timing.Heartbeat, Link: lc,
+		Dir: se.DataFolder, ElectionTimeout: se.Timing.Election, HeartbeatInterval: se.Timing.Heartbeat, Link: lc,
 	}, ts, lg, co)
 	li, err := listen(se.LinkAddress())
 	if err != nil {
