--- a/fleet/disk.go
+++ b/fleet/disk.go
@@ -255,7 +255,7 @@
 		}
 	}
 	slices.SortFunc(fo.Members, compareMembers)
-	enough := len(fo.Voters) > max(0, cf.Losses) || missing == 0 && len(fo.Voters) == len(vo.first)
+	enough := len(fo.Voters) > max(0, cf.MaxFailures) || missing == 0 && len(fo.Voters) == len(vo.first)
 	waited := now.Sub(th.started) >= formationPatience && 2*len(fo.Voters) > min(wanted, len(vo.first))
 	return fo, enough && (missing == 0 || waited)
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -49,8 +49,8 @@
 	First bool
 	// Losses is how many control instances may be lost at once, their disks
 	// included; 2*Losses+1 voters are wanted.
-	Losses int
-	Dir    string // Dir is the data folder.
+	MaxFailures int
+	Dir         string // Dir is the data folder.
 
 	ElectionTimeout   time.Duration // Election is the base of the election timeouts; 600 ms if zero.
 	HeartbeatInterval time.Duration // Heartbeat is the time between two heartbeats of a leader; 120 ms if zero.
@@ -58,7 +58,7 @@
 }
 
 // wanted returns how many voters there should be.
-func (cf Config) wanted() int { return 2*max(0, cf.Losses) + 1 }
+func (cf Config) wanted() int { return 2*max(0, cf.MaxFailures) + 1 }
 
 // Member is a control instance and the address of its links.
 type Member struct {
--- a/fleet/group_test.go
+++ b/fleet/group_test.go
@@ -180,7 +180,7 @@
 		Address:           in.address,
 		Seeds:             in.seedList,
 		First:             first,
-		Losses:            gr.losses,
+		MaxFailures:       gr.losses,
 		Dir:               in.dir,
 		ElectionTimeout:   testElection,
 		HeartbeatInterval: testHeartbeat,
