--- a/fleet/disk.go
+++ b/fleet/disk.go
@@ -90,7 +90,7 @@
 // otherwise at its next one, and without the mark it would wait for a group that
 // nobody forms.
 func (th *thread) mark() error {
-	if !th.nd.cf.First {
+	if !th.nd.cf.FirstStart {
 		return nil
 	}
 	names, err := th.nd.fsys.ReadDir(th.nd.cf.Dir)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -46,7 +46,7 @@
 
 	// First says that the whole system starts for the first time, with empty
 	// disks. Only then may a group be formed.
-	First bool
+	FirstStart bool
 	// Losses is how many control instances may be lost at once, their disks
 	// included; 2*Losses+1 voters are wanted.
 	MaxFailures int
--- a/fleet/group_test.go
+++ b/fleet/group_test.go
@@ -179,7 +179,7 @@
 		Name:              in.name,
 		Address:           in.address,
 		Seeds:             in.seedList,
-		First:             first,
+		FirstStart:        first,
 		MaxFailures:       gr.losses,
 		Dir:               in.dir,
 		ElectionTimeout:   testElection,
--- a/tier/control.go
+++ b/tier/control.go
@@ -54,7 +54,7 @@
 	me := memory{dir: se.DataFolder, pu: co.pu, ot: &others{suspect: co.pu.AddSuspects}, ro: co.ro, qa: qa, ts: ts, lg: lg}
 	me.restore(se.Timing.Announcement)
 	co.nd = fleet.New(fleet.Config{
-		Name: se.Name, Address: se.LinkAddress(), Seeds: sh.linkSeeds, First: se.FirstStart, MaxFailures: se.Losses,
+		Name: se.Name, Address: se.LinkAddress(), Seeds: sh.linkSeeds, FirstStart: se.FirstStart, MaxFailures: se.Losses,
 		Dir: se.DataFolder, ElectionTimeout: se.Timing.Election, HeartbeatInterval: se.Timing.Heartbeat, Link: lc,
 	}, ts, lg, co)
 	li, err := listen(se.LinkAddress())
