--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -30,7 +30,7 @@
 )
 
 // DocumentLimit is the size of the largest document in bytes.
-const DocumentLimit = 1 << 20
+const MaxDocumentBytes = 1 << 20
 
 // The times used where the Config leaves them zero.
 const (
@@ -178,7 +178,7 @@
 // other until the context ends; the error is then a *result.Error with the code
 // ControlUnavailable, and the outcome is unknown.
 func (nd *Node) Propose(ctx context.Context, version uint64, data []byte) error {
-	if len(data) > DocumentLimit {
+	if len(data) > MaxDocumentBytes {
 		return &result.Error{Code: result.Invalid, Op: opPropose, Detail: "the document is larger than DocumentLimit"}
 	}
 	if version <= nd.newest.Load().Version {
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -74,7 +74,7 @@
 	gr := newGroup(t, 1)
 	in := gr.add("a")
 	in.run(false)
-	err := in.nd.Propose(gr.ctx, 1, make([]byte, DocumentLimit+1))
+	err := in.nd.Propose(gr.ctx, 1, make([]byte, MaxDocumentBytes+1))
 	var re *result.Error
 	gr.c.Assert(errors.As(err, &re), qt.IsTrue)
 	gr.c.Assert(re.Code, qt.Equals, result.Invalid)
--- a/tier/dialect_test.go
+++ b/tier/dialect_test.go
@@ -34,6 +34,6 @@
 		qt.Check(t, AcceptStatus(tt.err), qt.Equals, tt.want, qt.Commentf("%v", tt.err))
 	}
 	nd := fleet.New(fleet.Config{Name: "control-1", Dir: t.TempDir()}, timer.New(), zap.NewNop(), nil)
-	err := nd.Propose(t.Context(), 7, make([]byte, fleet.DocumentLimit+1))
+	err := nd.Propose(t.Context(), 7, make([]byte, fleet.MaxDocumentBytes+1))
 	qt.Assert(t, AcceptStatus(err), qt.Equals, http.StatusRequestEntityTooLarge)
 }
