--- a/fleet/dial.go
+++ b/fleet/dial.go
@@ -72,7 +72,7 @@
 		switch ms := ms.(type) {
 		case Welcome:
 			return ms.Report, nil
-		case Notice:
+		case ReportUpdate:
 			return ms.Report, nil
 		}
 	}
@@ -112,7 +112,7 @@
 // another line to it: the report may have gone to the one that ended.
 func (nd *Node) tellAgain(name string) {
 	if ot := nd.li.find(name); ot != nil {
-		_ = ot.co.Send(Notice{Report: *nd.report.Load()}) // The end of a line is seen where it is read.
+		_ = ot.co.Send(ReportUpdate{Report: *nd.report.Load()}) // The end of a line is seen where it is read.
 	}
 }
 
@@ -125,7 +125,7 @@
 		if err := li.co.Send(Welcome{Report: *nd.report.Load()}); err != nil {
 			return err
 		}
-	} else if err := li.co.Send(Notice{Report: *nd.report.Load()}); err != nil {
+	} else if err := li.co.Send(ReportUpdate{Report: *nd.report.Load()}); err != nil {
 		return err
 	}
 	if superfluous == li {
@@ -148,7 +148,7 @@
 // the node's goroutine, which may hang in a write to its disk.
 func (nd *Node) received(li *line, ms peer.Message) {
 	switch ms := ms.(type) {
-	case Notice:
+	case ReportUpdate:
 		nd.li.note(li, ms.Report, nd.ts.Now())
 		nd.poke()
 	case Routed:
--- a/fleet/lines_test.go
+++ b/fleet/lines_test.go
@@ -50,7 +50,7 @@
 
 // names reports whether a message is a report that names a member.
 func names(ms any, member string) bool {
-	no, ok := ms.(Notice)
+	no, ok := ms.(ReportUpdate)
 	if !ok {
 		return false
 	}
--- a/fleet/message.go
+++ b/fleet/message.go
@@ -53,7 +53,7 @@
 type Welcome struct{ Report Report }
 
 // Notice says that a report has changed. Instances that aren't voters repeat it.
-type Notice struct{ Report Report }
+type ReportUpdate struct{ Report Report }
 
 // Routed carries a message of the replicated log to one disk.
 type Routed struct {
@@ -112,7 +112,7 @@
 func (Welcome) Kind() peer.Kind { return KindWelcome }
 
 // Kind returns KindNotice.
-func (Notice) Kind() peer.Kind { return KindNotice }
+func (ReportUpdate) Kind() peer.Kind { return KindNotice }
 
 // Kind returns KindRouted.
 func (Routed) Kind() peer.Kind { return KindRouted }
@@ -140,7 +140,7 @@
 	return []peer.Message{
 		Join{},
 		Welcome{},
-		Notice{},
+		ReportUpdate{},
 		Routed{},
 		Document{},
 		Proposal{},
--- a/fleet/neighbours.go
+++ b/fleet/neighbours.go
@@ -106,11 +106,11 @@
 	re.Sequence = th.nd.sequence.Add(1)
 	th.nd.report.Store(&re)
 	if li := th.nd.li.find(th.leaderName()); li != nil {
-		_ = li.co.Send(Notice{Report: re})
+		_ = li.co.Send(ReportUpdate{Report: re})
 		return
 	}
 	for _, li := range th.nd.li.each() {
-		_ = li.co.Send(Notice{Report: re})
+		_ = li.co.Send(ReportUpdate{Report: re})
 	}
 }
 
--- a/fleet/thread.go
+++ b/fleet/thread.go
@@ -267,7 +267,7 @@
 	re.Sequence = th.nd.sequence.Add(1)
 	th.nd.report.Store(&re)
 	for _, li := range th.nd.li.each() {
-		_ = li.co.Send(Notice{Report: re})
+		_ = li.co.Send(ReportUpdate{Report: re})
 	}
 }
 
