--- a/fleet/message.go
+++ b/fleet/message.go
@@ -10,7 +10,7 @@
 const (
 	KindJoin peer.Kind = peer.KindFleet + iota
 	KindWelcome
-	KindNotice
+	KindReportUpdate
 	KindRouted
 	KindDocument
 	KindProposal
@@ -112,7 +112,7 @@
 func (Welcome) Kind() peer.Kind { return KindWelcome }
 
 // Kind returns KindNotice.
-func (ReportUpdate) Kind() peer.Kind { return KindNotice }
+func (ReportUpdate) Kind() peer.Kind { return KindReportUpdate }
 
 // Kind returns KindRouted.
 func (Routed) Kind() peer.Kind { return KindRouted }
