--- a/fleet/dial.go
+++ b/fleet/dial.go
@@ -70,7 +70,7 @@
 			return Report{}, err
 		}
 		switch ms := ms.(type) {
-		case Welcome:
+		case JoinReply:
 			return ms.Report, nil
 		case ReportUpdate:
 			return ms.Report, nil
@@ -90,7 +90,7 @@
 	case jo.Report.Name == nd.cf.Name:
 		// The dialler has dialled itself, or two instances have one name. It learns
 		// that from the answer and closes the link.
-		_ = co.Send(Welcome{Report: *nd.report.Load()})
+		_ = co.Send(JoinReply{Report: *nd.report.Load()})
 		_, _ = co.Receive()
 	default:
 		nd.serve(&line{co: co, name: jo.Report.Name, start: jo.Report.Start}, jo.Report)
@@ -122,7 +122,7 @@
 	// The report is read after the line was noted: a change that comes between is
 	// either in it or sent to the line.
 	if !li.outgoing {
-		if err := li.co.Send(Welcome{Report: *nd.report.Load()}); err != nil {
+		if err := li.co.Send(JoinReply{Report: *nd.report.Load()}); err != nil {
 			return err
 		}
 	} else if err := li.co.Send(ReportUpdate{Report: *nd.report.Load()}); err != nil {
--- a/fleet/lines_test.go
+++ b/fleet/lines_test.go
@@ -21,7 +21,7 @@
 	c.Assert(co.Send(Join{Report: re}), qt.IsNil)
 	ms, err := co.Receive()
 	c.Assert(err, qt.IsNil)
-	_, ok := ms.(Welcome)
+	_, ok := ms.(JoinReply)
 	c.Assert(ok, qt.IsTrue)
 	return co
 }
--- a/fleet/message.go
+++ b/fleet/message.go
@@ -50,7 +50,7 @@
 type Join struct{ Report Report }
 
 // Welcome answers Join.
-type Welcome struct{ Report Report }
+type JoinReply struct{ Report Report }
 
 // Notice says that a report has changed. Instances that aren't voters repeat it.
 type ReportUpdate struct{ Report Report }
@@ -109,7 +109,7 @@
 func (Join) Kind() peer.Kind { return KindJoin }
 
 // Kind returns KindWelcome.
-func (Welcome) Kind() peer.Kind { return KindWelcome }
+func (JoinReply) Kind() peer.Kind { return KindWelcome }
 
 // Kind returns KindNotice.
 func (ReportUpdate) Kind() peer.Kind { return KindReportUpdate }
@@ -139,7 +139,7 @@
 func Messages() []peer.Message {
 	return []peer.Message{
 		Join{},
-		Welcome{},
+		JoinReply{},
 		ReportUpdate{},
 		Routed{},
 		Document{},
