--- a/fleet/message.go
+++ b/fleet/message.go
@@ -9,7 +9,7 @@
 // The kinds of the messages between control instances.
 const (
 	KindJoin peer.Kind = peer.KindFleet + iota
-	KindWelcome
+	KindJoinReply
 	KindReportUpdate
 	KindRouted
 	KindDocument
@@ -109,7 +109,7 @@
 func (Join) Kind() peer.Kind { return KindJoin }
 
 // Kind returns KindWelcome.
-func (JoinReply) Kind() peer.Kind { return KindWelcome }
+func (JoinReply) Kind() peer.Kind { return KindJoinReply }
 
 // Kind returns KindNotice.
 func (ReportUpdate) Kind() peer.Kind { return KindReportUpdate }
