--- a/fleet/dial.go
+++ b/fleet/dial.go
@@ -151,7 +151,7 @@
 	case ReportUpdate:
 		nd.li.note(li, ms.Report, nd.ts.Now())
 		nd.poke()
-	case Routed:
+	case Envelope:
 		nd.post(routed{from: li.name, ms: ms}, len(ms.Frame))
 	case Document:
 		nd.post(learned{do: &document{Version: ms.Version, Data: ms.Data}}, len(ms.Data))
--- a/fleet/event.go
+++ b/fleet/event.go
@@ -25,7 +25,7 @@
 // routed is a message of the log from an instance.
 type routed struct {
 	from string
-	ms   Routed
+	ms   Envelope
 }
 
 // learned is a document that a leader says is committed.
--- a/fleet/message.go
+++ b/fleet/message.go
@@ -56,7 +56,7 @@
 type ReportUpdate struct{ Report Report }
 
 // Routed carries a message of the replicated log to one disk.
-type Routed struct {
+type Envelope struct {
 	From, To quorum.ID
 	Frame    []byte
 }
@@ -115,7 +115,7 @@
 func (ReportUpdate) Kind() peer.Kind { return KindReportUpdate }
 
 // Kind returns KindRouted.
-func (Routed) Kind() peer.Kind { return KindRouted }
+func (Envelope) Kind() peer.Kind { return KindRouted }
 
 // Kind returns KindDocument.
 func (Document) Kind() peer.Kind { return KindDocument }
@@ -141,7 +141,7 @@
 		Join{},
 		JoinReply{},
 		ReportUpdate{},
-		Routed{},
+		Envelope{},
 		Document{},
 		Proposal{},
 		Reading{},
--- a/fleet/voter.go
+++ b/fleet/voter.go
@@ -128,7 +128,7 @@
 		th.nd.lg.Error("message-not-encoded", zap.Error(err))
 		return
 	}
-	_ = li.co.Send(Routed{From: th.vo.id, To: ac.To, Frame: frame}) // It may be lost.
+	_ = li.co.Send(Envelope{From: th.vo.id, To: ac.To, Frame: frame}) // It may be lost.
 }
 
 // routed passes a message of the log on, if it is meant for this disk and comes
