--- a/fleet/message.go
+++ b/fleet/message.go
@@ -11,7 +11,7 @@
 	KindJoin peer.Kind = peer.KindFleet + iota
 	KindJoinReply
 	KindReportUpdate
-	KindRouted
+	KindEnvelope
 	KindDocument
 	KindProposal
 	KindReading
@@ -115,7 +115,7 @@
 func (ReportUpdate) Kind() peer.Kind { return KindReportUpdate }
 
 // Kind returns KindRouted.
-func (Envelope) Kind() peer.Kind { return KindRouted }
+func (Envelope) Kind() peer.Kind { return KindEnvelope }
 
 // Kind returns KindDocument.
 func (Document) Kind() peer.Kind { return KindDocument }
