--- a/fleet/dial.go
+++ b/fleet/dial.go
@@ -157,7 +157,7 @@
 		nd.post(learned{do: &document{Version: ms.Version, Data: ms.Data}}, len(ms.Data))
 	case Proposal:
 		nd.demand(li, ms.Request, ms, len(ms.Data))
-	case Reading:
+	case ReadRequest:
 		nd.demand(li, ms.Request, ms, 0)
 	case EvacuationOrder:
 		nd.demand(li, ms.Request, ms, len(ms.Order.DataCentre))
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -199,7 +199,7 @@
 func (nd *Node) Read(ctx context.Context) (version uint64, data []byte, err error) {
 	held := nd.newest.Load()
 	an, err := nd.ask(ctx, opRead, func(request uint64) peer.Message {
-		return Reading{Request: request, Held: held.Version}
+		return ReadRequest{Request: request, Held: held.Version}
 	})
 	if err != nil {
 		return 0, nil, err
--- a/fleet/lead.go
+++ b/fleet/lead.go
@@ -55,7 +55,7 @@
 	switch ms := ev.ms.(type) {
 	case Proposal:
 		th.proposal(ms, ev.reply)
-	case Reading:
+	case ReadRequest:
 		th.reading(ms, ev.reply)
 	case EvacuationOrder:
 		th.order(ms, ev.reply)
@@ -88,7 +88,7 @@
 }
 
 // reading notes a read and asks the voters whether this instance still leads.
-func (th *thread) reading(ms Reading, reply func(Answer)) {
+func (th *thread) reading(ms ReadRequest, reply func(Answer)) {
 	switch {
 	case !th.leads():
 		th.refuse(reply, reasonNotLeader)
--- a/fleet/message.go
+++ b/fleet/message.go
@@ -76,7 +76,7 @@
 }
 
 // Reading asks the leader for the committed document.
-type Reading struct {
+type ReadRequest struct {
 	Request uint64
 	Held    uint64 // Held is the version that need not be sent again.
 }
@@ -124,7 +124,7 @@
 func (Proposal) Kind() peer.Kind { return KindProposal }
 
 // Kind returns KindReading.
-func (Reading) Kind() peer.Kind { return KindReading }
+func (ReadRequest) Kind() peer.Kind { return KindReading }
 
 // Kind returns KindAnswer.
 func (Answer) Kind() peer.Kind { return KindAnswer }
@@ -144,7 +144,7 @@
 		Envelope{},
 		Document{},
 		Proposal{},
-		Reading{},
+		ReadRequest{},
 		Answer{},
 		EvacuationOrder{},
 		Evacuations{},
