--- a/fleet/message.go
+++ b/fleet/message.go
@@ -14,7 +14,7 @@
 	KindEnvelope
 	KindDocument
 	KindProposal
-	KindReading
+	KindReadRequest
 	KindAnswer
 	KindEvacuationOrder
 	KindEvacuations
@@ -124,7 +124,7 @@
 func (Proposal) Kind() peer.Kind { return KindProposal }
 
 // Kind returns KindReading.
-func (ReadRequest) Kind() peer.Kind { return KindReading }
+func (ReadRequest) Kind() peer.Kind { return KindReadRequest }
 
 // Kind returns KindAnswer.
 func (Answer) Kind() peer.Kind { return KindAnswer }
