--- a/emulate/dialect.go
+++ b/emulate/dialect.go
@@ -44,7 +44,7 @@
 func (Dialect) Table(data []byte) (*route.Table, error) { return table(data) }
 
 // Tables returns what reads one configuration after the other.
-func (di Dialect) Tables() tier.Tables { return di }
+func (di Dialect) Tables() tier.ConfigurationParser { return di }
 
 // ControlHandler serves operators and backend servers.
 func (Dialect) ControlHandler(co tier.ControlCalls) http.Handler {
--- a/tier/dialect.go
+++ b/tier/dialect.go
@@ -20,7 +20,7 @@
 	// Names returns the header names.
 	Names() gateway.HeaderNames
 	// Tables returns what reads accepted configurations one after the other.
-	Tables() Tables
+	Tables() ConfigurationParser
 	// ControlHandler serves operators and backend servers.
 	ControlHandler(co ControlCalls) http.Handler
 	// AddressHandler tells callers which entry instances to use.
@@ -31,7 +31,7 @@
 
 // Tables reads accepted configurations one after the other. Of each it may keep what the
 // next one is likely to have in common with it. It is used by one goroutine at a time.
-type Tables interface {
+type ConfigurationParser interface {
 	Table(data []byte) (*route.Table, error)
 }
 
--- a/tier/entry.go
+++ b/tier/entry.go
@@ -42,7 +42,7 @@
 
 // entry is an entry instance.
 type entry struct {
-	tbs  Tables
+	tbs  ConfigurationParser
 	gw   *gateway.Server
 	su   *feed.Subscriber
 	door *door
--- a/tier/roster.go
+++ b/tier/roster.go
@@ -24,7 +24,7 @@
 // rosters leads callers to a part of the entry instances where backend servers take few
 // connections. Until it knows a configuration it leads them to all.
 type rosters struct {
-	tbs Tables
+	tbs ConfigurationParser
 	pu  *feed.Publisher
 	ts  *timer.Service
 	lg  *zap.Logger
@@ -46,7 +46,7 @@
 	chosen roster.Groups
 }
 
-func newRosters(tbs Tables, pu *feed.Publisher, ts *timer.Service, lg *zap.Logger) *rosters {
+func newRosters(tbs ConfigurationParser, pu *feed.Publisher, ts *timer.Service, lg *zap.Logger) *rosters {
 	ro := &rosters{tbs: tbs, pu: pu, ts: ts, lg: lg, entries: pu.ReadyEntries}
 	ro.decided.Store(&decision{})
 	return ro
