--- a/emulate/dialect.go
+++ b/emulate/dialect.go
@@ -47,7 +47,7 @@
 func (di Dialect) Tables() tier.ConfigurationParser { return di }
 
 // ControlHandler serves operators and backend servers.
-func (Dialect) ControlHandler(co tier.ControlCalls) http.Handler {
+func (Dialect) ControlHandler(co tier.ControlAPI) http.Handler {
 	mx := http.NewServeMux()
 	ch := &controlHandler{co: co}
 	mx.HandleFunc("PUT /configuration", ch.write)
@@ -114,7 +114,7 @@
 const badState = "State: want Ready or Draining"
 
 type controlHandler struct {
-	co tier.ControlCalls
+	co tier.ControlAPI
 }
 
 func (ch *controlHandler) write(wr http.ResponseWriter, rq *http.Request) {
--- a/tier/dialect.go
+++ b/tier/dialect.go
@@ -22,7 +22,7 @@
 	// Tables returns what reads accepted configurations one after the other.
 	Tables() ConfigurationParser
 	// ControlHandler serves operators and backend servers.
-	ControlHandler(co ControlCalls) http.Handler
+	ControlHandler(co ControlAPI) http.Handler
 	// AddressHandler tells callers which entry instances to use.
 	AddressHandler(ad AddressCalls) http.Handler
 	// ReadyHandler tells whether this instance serves callers.
@@ -37,7 +37,7 @@
 
 // ControlCalls are what a control instance does for operators and backend
 // servers. Errors are *result.Error.
-type ControlCalls interface {
+type ControlAPI interface {
 	// Accept makes a configuration the one in force unless a higher version is
 	// held. It returns nil once a majority has it on disk.
 	Accept(ctx context.Context, version uint64, data []byte) error
--- a/tier/meters.go
+++ b/tier/meters.go
@@ -95,7 +95,7 @@
 
 // calls are those that a control instance takes.
 type calls interface {
-	ControlCalls
+	ControlAPI
 	AddressCalls
 }
 
