--- a/emulate/dialect.go
+++ b/emulate/dialect.go
@@ -61,7 +61,7 @@
 }
 
 // AddressHandler tells callers which entry instances to use.
-func (Dialect) AddressHandler(ad tier.AddressCalls) http.Handler {
+func (Dialect) AddressHandler(ad tier.AddressAPI) http.Handler {
 	mx := http.NewServeMux()
 	mx.HandleFunc("GET /addresses", func(wr http.ResponseWriter, rq *http.Request) {
 		qu := rq.URL.Query()
--- a/tier/dialect.go
+++ b/tier/dialect.go
@@ -24,7 +24,7 @@
 	// ControlHandler serves operators and backend servers.
 	ControlHandler(co ControlAPI) http.Handler
 	// AddressHandler tells callers which entry instances to use.
-	AddressHandler(ad AddressCalls) http.Handler
+	AddressHandler(ad AddressAPI) http.Handler
 	// ReadyHandler tells whether this instance serves callers.
 	ReadyHandler(ready func() bool) http.Handler
 }
@@ -96,7 +96,7 @@
 }
 
 // AddressCalls answer callers that ask where to connect.
-type AddressCalls interface {
+type AddressAPI interface {
 	// Addresses returns the entry instances to use, those in the data centre
 	// first, and for how long the answer may be kept.
 	Addresses(host, dataCentre, region string) ([]string, time.Duration)
--- a/tier/meters.go
+++ b/tier/meters.go
@@ -96,7 +96,7 @@
 // calls are those that a control instance takes.
 type calls interface {
 	ControlAPI
-	AddressCalls
+	AddressAPI
 }
 
 // counted counts the calls that a control instance takes from operators, backend
