--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -244,7 +244,7 @@
 }
 
 func (po *pool) dial(wa *waiter, address string, born int64) {
-	ctx, cancel := context.WithTimeout(context.Background(), po.cl.cf.Dial)
+	ctx, cancel := context.WithTimeout(context.Background(), po.cl.cf.DialTimeout)
 	defer cancel()
 	nc, err := po.cl.cf.Connect(ctx, address)
 	po.mu.Lock()
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -43,7 +43,7 @@
 type Config struct {
 	Names Names
 	// Dial bounds the opening of a connection; default 300 ms.
-	Dial time.Duration
+	DialTimeout time.Duration
 	// Idle is when an idle connection is closed, unless the server's stated
 	// timeout is sooner; default 30 s.
 	Idle time.Duration
@@ -58,8 +58,8 @@
 }
 
 func (cf Config) withDefaults() Config {
-	if cf.Dial <= 0 {
-		cf.Dial = defaultDial
+	if cf.DialTimeout <= 0 {
+		cf.DialTimeout = defaultDial
 	}
 	if cf.Idle <= 0 {
 		cf.Idle = defaultIdle
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -730,7 +730,7 @@
 	qc := qt.New(t)
 	ta := serve(qc, (*peerConn).answerAll)
 	dialing, goOn := make(chan struct{}), make(chan struct{})
-	cl := newClient(qc, Config{Dial: time.Minute, Connect: func(ctx context.Context, address string) (net.Conn, error) {
+	cl := newClient(qc, Config{DialTimeout: time.Minute, Connect: func(ctx context.Context, address string) (net.Conn, error) {
 		dialing <- struct{}{}
 		<-goOn
 		return connectTCP(ctx, address)
@@ -764,7 +764,7 @@
 	})
 	dialing, connected := make(chan struct{}, 2), make(chan struct{}, 1)
 	connected <- struct{}{}
-	cl := newClient(qc, Config{Dial: time.Minute, Connect: func(ctx context.Context, address string) (net.Conn, error) {
+	cl := newClient(qc, Config{DialTimeout: time.Minute, Connect: func(ctx context.Context, address string) (net.Conn, error) {
 		dialing <- struct{}{}
 		<-connected
 		return connectTCP(ctx, address)
