--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -46,7 +46,7 @@
 	DialTimeout time.Duration
 	// Idle is when an idle connection is closed, unless the server's stated
 	// timeout is sooner; default 30 s.
-	Idle time.Duration
+	IdleTimeout time.Duration
 	// Wait is how long a request may wait for a connection to come free while all
 	// that the server allows are in use; by default it doesn't.
 	Wait time.Duration
@@ -61,8 +61,8 @@
 	if cf.DialTimeout <= 0 {
 		cf.DialTimeout = defaultDial
 	}
-	if cf.Idle <= 0 {
-		cf.Idle = defaultIdle
+	if cf.IdleTimeout <= 0 {
+		cf.IdleTimeout = defaultIdle
 	}
 	if cf.ReplyBytes <= 0 {
 		cf.ReplyBytes = defaultReplyBytes
