--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -139,7 +139,7 @@
 		po.mu.Unlock()
 		return grant{cn: cn}, true
 	}
-	wait := po.cl.cf.Wait
+	wait := po.cl.cf.WaitTimeout
 	if po.open >= po.limit && po.dark && po.dialing == po.open {
 		po.mu.Unlock()
 		return grant{outcome: NotSent, err: errStillUnreachable}, true
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -49,7 +49,7 @@
 	IdleTimeout time.Duration
 	// Wait is how long a request may wait for a connection to come free while all
 	// that the server allows are in use; by default it doesn't.
-	Wait time.Duration
+	WaitTimeout time.Duration
 	// ReplyBytes bounds the body of a reply; default 8 MiB.
 	ReplyBytes int
 	// Connect opens a connection to an IP address and port; default TCP without
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -528,7 +528,7 @@
 			})
 			ta.Connections = 3
 			var cc countingConnector
-			cl := newClient(qc, Config{Connect: cc.connect, Wait: tc.wait})
+			cl := newClient(qc, Config{Connect: cc.connect, WaitTimeout: tc.wait})
 			var wg sync.WaitGroup
 			for range 16 {
 				wg.Go(func() {
@@ -569,7 +569,7 @@
 		}
 	})
 	ta.Connections = 1
-	cl := newClient(qc, Config{Wait: time.Minute})
+	cl := newClient(qc, Config{WaitTimeout: time.Minute})
 	first := async(within(t), cl, ta, get())
 	<-took
 	second := async(within(t), cl, ta, get())
@@ -593,7 +593,7 @@
 func TestWaitInVain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		qc := qt.New(t)
-		cl := newClient(qc, Config{Wait: 20 * time.Millisecond, Connect: chatter(func(pc *peerConn) {
+		cl := newClient(qc, Config{WaitTimeout: 20 * time.Millisecond, Connect: chatter(func(pc *peerConn) {
 			pc.take()
 			pc.awaitEnd()
 		}, qc)})
