--- a/upstream/reply.go
+++ b/upstream/reply.go
@@ -79,7 +79,7 @@
 	if rs.Body == http.NoBody {
 		return nil
 	}
-	most := ex.cl.cf.ReplyBytes
+	most := ex.cl.cf.MaxReplyBytes
 	if rs.ContentLength > int64(most) {
 		return errLongBody
 	}
--- a/upstream/reply_test.go
+++ b/upstream/reply_test.go
@@ -131,7 +131,7 @@
 				_ = pc.Conn.(interface{ CloseWrite() error }).CloseWrite()
 				pc.awaitEnd()
 			})
-			cl := newClient(qc, Config{ReplyBytes: 100 << 10})
+			cl := newClient(qc, Config{MaxReplyBytes: 100 << 10})
 			rq := get()
 			rq.Method = tc.method
 			re := cl.Do(within(t), ta, rq)
@@ -252,7 +252,7 @@
 				_, _ = pc.Write(in)
 			}
 		}, qc)
-		cl := newClient(qc, Config{ReplyBytes: 1 << 10, Connect: connect})
+		cl := newClient(qc, Config{MaxReplyBytes: 1 << 10, Connect: connect})
 		rq := get()
 		rq.RequestID = "id"
 		re := cl.Do(within(t), Target{ID: "i-1", Connections: 1}, rq)
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -51,7 +51,7 @@
 	// that the server allows are in use; by default it doesn't.
 	WaitTimeout time.Duration
 	// ReplyBytes bounds the body of a reply; default 8 MiB.
-	ReplyBytes int
+	MaxReplyBytes int
 	// Connect opens a connection to an IP address and port; default TCP without
 	// keep-alive probes.
 	Connect func(ctx context.Context, address string) (net.Conn, error)
@@ -64,8 +64,8 @@
 	if cf.IdleTimeout <= 0 {
 		cf.IdleTimeout = defaultIdle
 	}
-	if cf.ReplyBytes <= 0 {
-		cf.ReplyBytes = defaultReplyBytes
+	if cf.MaxReplyBytes <= 0 {
+		cf.MaxReplyBytes = defaultReplyBytes
 	}
 	if cf.Connect == nil {
 		cf.Connect = connectTCP
