--- a/gateway/share.go
+++ b/gateway/share.go
@@ -93,7 +93,7 @@
 			warmups[name] = replica.Warmup{Allowance: wa.PerSender(entries), Duration: wa.Duration}
 		}
 		for _, se := range ses {
-			targets[se.ID] = upstream.Target{ID: se.ID, Address: se.Address, Born: se.Born, Connections: most, Idle: sc.idle(se.ID)}
+			targets[se.ID] = upstream.Target{ID: se.ID, Address: se.Address, Incarnation: se.Born, Connections: most, Idle: sc.idle(se.ID)}
 		}
 	}
 	sv.scarce.Store(sc)
@@ -154,7 +154,7 @@
 // target returns how a backend server is reached.
 func (sv *Server) target(se registry.Server) upstream.Target {
 	return upstream.Target{
-		ID: se.ID, Address: se.Address, Born: se.Born,
+		ID: se.ID, Address: se.Address, Incarnation: se.Born,
 		Connections: max(1, (*sv.shares.Load())[se.Service]), Idle: sv.scarce.Load().idle(se.ID),
 	}
 }
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -202,10 +202,10 @@
 	if ta.Idle > 0 {
 		po.idleMost = min(ta.Idle, po.idleMost)
 	}
-	if po.address != ta.Address || po.born < ta.Born {
+	if po.address != ta.Address || po.born < ta.Incarnation {
 		// Connections to an earlier start are dead, some of them without a word: each
 		// would cost the request on it.
-		po.address, po.born, po.dark = ta.Address, max(po.born, ta.Born), false
+		po.address, po.born, po.dark = ta.Address, max(po.born, ta.Incarnation), false
 		po.closeIdle(func(*conn) bool { return true })
 	}
 }
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -82,7 +82,7 @@
 type Target struct {
 	ID          string
 	Address     string // Address is an IP address and port.
-	Born        int64  // Born tells a later start under the same ID and address from an earlier one; it is higher.
+	Incarnation int64  // Born tells a later start under the same ID and address from an earlier one; it is higher.
 	Connections int
 	Idle        time.Duration // Idle is when an idle connection is closed; 0 for Config.Idle.
 }
