--- a/gateway/share_test.go
+++ b/gateway/share_test.go
@@ -58,7 +58,7 @@
 		rg := newRig(t, newPipes(), setup{entries: 191})
 		rg.limited(limits, 123, route.Route{Prefix: "/", Timeout: time.Second, Targets: to("s")})
 		rg.gw.SetServers(map[string][]registry.Server{"s": {{ID: "i", Service: "s", Address: "a"}}})
-		share := func() int { return rg.gw.target(registry.Server{ID: "i", Service: "s"}).Connections }
+		share := func() int { return rg.gw.target(registry.Server{ID: "i", Service: "s"}).MaxConnections }
 		c.Assert(share(), qt.Equals, 1)
 		rg.gw.SetSharers(49)
 		c.Assert(share(), qt.Equals, 2)
--- a/upstream/bench_test.go
+++ b/upstream/bench_test.go
@@ -20,7 +20,7 @@
 func BenchmarkExchange(be *testing.B) {
 	for _, cancellable := range []bool{false, true} {
 		be.Run(fmt.Sprintf("Cancellable=%v", cancellable), func(be *testing.B) {
-			ta := Target{ID: "i-1", Address: benchServer(be), Connections: 1}
+			ta := Target{ID: "i-1", Address: benchServer(be), MaxConnections: 1}
 			cl := New(Config{Names: testNames}, timer.New(), zap.NewNop())
 			defer cl.Close()
 			ctx := context.Background()
--- a/upstream/born_test.go
+++ b/upstream/born_test.go
@@ -18,8 +18,8 @@
 				pc.say("%s", good(rq.Header.Get("Request-Id")))
 			}
 		}, qc)})
-		first := Target{ID: "i-1", Incarnation: 10, Connections: 1}
-		again := Target{ID: "i-1", Incarnation: 20, Connections: 1}
+		first := Target{ID: "i-1", Incarnation: 10, MaxConnections: 1}
+		again := Target{ID: "i-1", Incarnation: 20, MaxConnections: 1}
 		checkGood(qc, cl.Do(t.Context(), first, get()), true)
 		checkGood(qc, cl.Do(t.Context(), first, get()), false)
 		cl.Retain(map[string]Target{"i-1": again})
--- a/upstream/fake_test.go
+++ b/upstream/fake_test.go
@@ -103,7 +103,7 @@
 		_ = ln.Close()
 		wg.Wait()
 	})
-	return Target{ID: "i-1", Address: ln.Addr().String(), Connections: 4}
+	return Target{ID: "i-1", Address: ln.Addr().String(), MaxConnections: 4}
 }
 
 // newClient returns a client that is closed at the end of the test.
--- a/upstream/group_test.go
+++ b/upstream/group_test.go
@@ -61,7 +61,7 @@
 			<-goOn
 			pc.say("%s", good(rq.Header.Get("Request-Id")))
 		}, qc)})
-		ta, other := Target{ID: "i-1", Connections: 1}, Target{ID: "i-2", Connections: 1}
+		ta, other := Target{ID: "i-1", MaxConnections: 1}, Target{ID: "i-2", MaxConnections: 1}
 		first, cancelFirst := WithCancel(t.Context())
 		second, cancelSecond := WithCancel(t.Context())
 		defer cancelSecond(nil)
--- a/upstream/head_test.go
+++ b/upstream/head_test.go
@@ -92,7 +92,7 @@
 	cl := newClient(qc, Config{Connect: unreachable})
 	rq := get()
 	rq.URI = "/a b"
-	re := cl.Do(within(t), Target{ID: "i-1", Connections: 1}, rq)
+	re := cl.Do(within(t), Target{ID: "i-1", MaxConnections: 1}, rq)
 	qc.Assert(re.Outcome, qt.Equals, NotSent)
 	qc.Assert(re.Err, qt.ErrorIs, ErrRequest)
 }
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -198,7 +198,7 @@
 
 // retarget takes over the address and limit of a target.
 func (po *pool) retarget(ta Target) {
-	po.limit, po.idleMost = ta.Connections, po.cl.cf.IdleTimeout
+	po.limit, po.idleMost = ta.MaxConnections, po.cl.cf.IdleTimeout
 	if ta.Idle > 0 {
 		po.idleMost = min(ta.Idle, po.idleMost)
 	}
--- a/upstream/prepare_test.go
+++ b/upstream/prepare_test.go
@@ -46,7 +46,7 @@
 	rq := get()
 	rq.Header.Set("Accept", "a\r\nb: c")
 	cl.Prepare(rq)
-	re := cl.Do(within(t), Target{ID: "i-1", Address: "192.0.2.1:1", Connections: 1}, rq)
+	re := cl.Do(within(t), Target{ID: "i-1", Address: "192.0.2.1:1", MaxConnections: 1}, rq)
 	qc.Assert(re.Outcome, qt.Equals, NotSent)
 	qc.Assert(re.Err, qt.ErrorIs, ErrRequest)
 }
--- a/upstream/reply_test.go
+++ b/upstream/reply_test.go
@@ -255,7 +255,7 @@
 		cl := newClient(qc, Config{MaxReplyBytes: 1 << 10, Connect: connect})
 		rq := get()
 		rq.RequestID = "id"
-		re := cl.Do(within(t), Target{ID: "i-1", Connections: 1}, rq)
+		re := cl.Do(within(t), Target{ID: "i-1", MaxConnections: 1}, rq)
 		switch re.Outcome {
 		case Answered:
 			qc.Assert(re.Reply.Header["Request-Id"], qt.Not(qt.HasLen), 0)
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -80,11 +80,11 @@
 // Target says which backend server a request goes to. Connections bounds the
 // connections of this process to it, those being opened included.
 type Target struct {
-	ID          string
-	Address     string // Address is an IP address and port.
-	Incarnation int64  // Born tells a later start under the same ID and address from an earlier one; it is higher.
-	Connections int
-	Idle        time.Duration // Idle is when an idle connection is closed; 0 for Config.Idle.
+	ID             string
+	Address        string // Address is an IP address and port.
+	Incarnation    int64  // Born tells a later start under the same ID and address from an earlier one; it is higher.
+	MaxConnections int
+	Idle           time.Duration // Idle is when an idle connection is closed; 0 for Config.Idle.
 }
 
 // Request is one request to a backend server. The exchange doesn't change it,
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -69,9 +69,9 @@
 		cl := newClient(qc, Config{Connect: slow})
 		rq := get()
 		rq.Deadline = time.Now().Add(time.Second)
-		checkGood(qc, cl.Do(t.Context(), Target{ID: "i-1", Connections: 1}, rq), true)
+		checkGood(qc, cl.Do(t.Context(), Target{ID: "i-1", MaxConnections: 1}, rq), true)
 		rq.Deadline = time.Now().Add(time.Second)
-		checkGood(qc, cl.Do(t.Context(), Target{ID: "i-1", Connections: 1}, rq), false)
+		checkGood(qc, cl.Do(t.Context(), Target{ID: "i-1", MaxConnections: 1}, rq), false)
 		cl.Close()
 		synctest.Wait()
 		qc.Assert(told, qt.DeepEquals, []string{"750", "1000"})
@@ -526,7 +526,7 @@
 					pc.say("HTTP/1.1 200 OK\r\nRequest-Id: %s\r\n%sContent-Length: 0\r\n\r\n", id, end)
 				}
 			})
-			ta.Connections = 3
+			ta.MaxConnections = 3
 			var cc countingConnector
 			cl := newClient(qc, Config{Connect: cc.connect, WaitTimeout: tc.wait})
 			var wg sync.WaitGroup
@@ -568,7 +568,7 @@
 			pc.say("%s", good(rq.Header.Get("Request-Id")))
 		}
 	})
-	ta.Connections = 1
+	ta.MaxConnections = 1
 	cl := newClient(qc, Config{WaitTimeout: time.Minute})
 	first := async(within(t), cl, ta, get())
 	<-took
@@ -597,7 +597,7 @@
 			pc.take()
 			pc.awaitEnd()
 		}, qc)})
-		ta := Target{ID: "i-1", Connections: 1}
+		ta := Target{ID: "i-1", MaxConnections: 1}
 		ctx, cancel := context.WithCancel(t.Context())
 		hold := async(ctx, cl, ta, get())
 		synctest.Wait()
@@ -621,7 +621,7 @@
 		cl := newLoggingClient(qc, Config{Connect: func(ctx context.Context, address string) (net.Conn, error) {
 			return connect(ctx, address)
 		}}, lg)
-		ta := Target{ID: "i-1", Address: "192.0.2.1:1", Connections: 1}
+		ta := Target{ID: "i-1", Address: "192.0.2.1:1", MaxConnections: 1}
 		for range 3 {
 			began := time.Now()
 			re := cl.Do(t.Context(), ta, get())
@@ -664,7 +664,7 @@
 				cl := newClient(qc, Config{Connect: func(ctx context.Context, address string) (net.Conn, error) {
 					return connect(ctx, address)
 				}})
-				ta := Target{ID: "i-1", Address: "192.0.2.1:1", Connections: 1}
+				ta := Target{ID: "i-1", Address: "192.0.2.1:1", MaxConnections: 1}
 				if tc.first != nil {
 					qc.Assert(cl.Do(t.Context(), ta, get()).Outcome, qt.Equals, NotSent)
 				}
@@ -696,7 +696,7 @@
 	qc.Assert(err, qt.IsNil)
 	address := ln.Addr().String()
 	qc.Assert(ln.Close(), qt.IsNil)
-	re := newClient(qc, Config{}).Do(within(t), Target{ID: "i-1", Address: address, Connections: 1}, get())
+	re := newClient(qc, Config{}).Do(within(t), Target{ID: "i-1", Address: address, MaxConnections: 1}, get())
 	qc.Assert(re.Outcome, qt.Equals, NotSent)
 	qc.Assert(re.Err, qt.ErrorIs, ErrUnreachable)
 	qc.Assert(re.Err, qt.ErrorIs, syscall.ECONNREFUSED)
@@ -705,7 +705,7 @@
 // An address that is a name would be looked up, and could lead anywhere.
 func TestDialNoName(t *testing.T) {
 	qc := qt.New(t)
-	re := newClient(qc, Config{}).Do(within(t), Target{ID: "i-1", Address: "localhost:80", Connections: 1}, get())
+	re := newClient(qc, Config{}).Do(within(t), Target{ID: "i-1", Address: "localhost:80", MaxConnections: 1}, get())
 	qc.Assert(re.Outcome, qt.Equals, NotSent)
 	qc.Assert(re.Err, qt.ErrorIs, ErrUnreachable)
 }
@@ -718,7 +718,7 @@
 	cl := newLoggingClient(qc, Config{Connect: func(context.Context, string) (net.Conn, error) {
 		return nil, &net.OpError{Op: "dial", Err: syscall.EMFILE}
 	}}, lg)
-	re := cl.Do(within(t), Target{ID: "i-1", Connections: 1}, get())
+	re := cl.Do(within(t), Target{ID: "i-1", MaxConnections: 1}, get())
 	qc.Assert(re.Outcome, qt.Equals, NoConnection)
 	qc.Assert(errors.Is(re.Err, ErrUnreachable), qt.IsFalse)
 	qc.Assert(ob.Len(), qt.Equals, 0)
@@ -795,7 +795,7 @@
 				pc.say("HTTP/1.1 200 OK\r\nRequest-Id: %s\r\n%sContent-Length: 0\r\n\r\n", rq.Header.Get("Request-Id"), he)
 			}
 		}, qc)})
-		ta := Target{ID: "i-1", Connections: 1}
+		ta := Target{ID: "i-1", MaxConnections: 1}
 		ask := func(keep string, fresh bool) {
 			t.Helper()
 			rq := get()
@@ -834,7 +834,7 @@
 			pc.say("%s", good(id))
 			pc.answerAll()
 		}, qc)})
-		ta := Target{ID: "i-1", Connections: 3}
+		ta := Target{ID: "i-1", MaxConnections: 3}
 		var wg sync.WaitGroup
 		for range 3 {
 			wg.Go(func() { checkGood(qc, cl.Do(t.Context(), ta, get()), true) })
@@ -900,7 +900,7 @@
 	}
 	wg.Wait()
 	checkCount(qc, cl, 3, 3)
-	ta.Connections = 2
+	ta.MaxConnections = 2
 	cl.Retain(map[string]Target{"i-1": ta})
 	checkCount(qc, cl, 2, 2)
 	ta.Address = "127.0.0.1:1"
