--- a/gateway/share.go
+++ b/gateway/share.go
@@ -93,7 +93,7 @@
 			warmups[name] = replica.Warmup{Allowance: wa.PerSender(entries), Duration: wa.Duration}
 		}
 		for _, se := range ses {
-			targets[se.ID] = upstream.Target{ID: se.ID, Address: se.Address, Incarnation: se.Born, MaxConnections: most, Idle: sc.idle(se.ID)}
+			targets[se.ID] = upstream.Target{ID: se.ID, Address: se.Address, Incarnation: se.Born, MaxConnections: most, IdleTimeout: sc.idle(se.ID)}
 		}
 	}
 	sv.scarce.Store(sc)
@@ -155,6 +155,6 @@
 func (sv *Server) target(se registry.Server) upstream.Target {
 	return upstream.Target{
 		ID: se.ID, Address: se.Address, Incarnation: se.Born,
-		MaxConnections: max(1, (*sv.shares.Load())[se.Service]), Idle: sv.scarce.Load().idle(se.ID),
+		MaxConnections: max(1, (*sv.shares.Load())[se.Service]), IdleTimeout: sv.scarce.Load().idle(se.ID),
 	}
 }
--- a/upstream/idle_test.go
+++ b/upstream/idle_test.go
@@ -27,7 +27,7 @@
 						pc.say("%s", good(rq.Header.Get("Request-Id")))
 					}
 				}, qc)})
-				ta := Target{ID: "i-1", MaxConnections: 1, Idle: tc.idle}
+				ta := Target{ID: "i-1", MaxConnections: 1, IdleTimeout: tc.idle}
 				checkGood(qc, cl.Do(t.Context(), ta, get()), true)
 				time.Sleep(tc.kept - 1)
 				cl.CloseIdle(time.Now())
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -199,8 +199,8 @@
 // retarget takes over the address and limit of a target.
 func (po *pool) retarget(ta Target) {
 	po.limit, po.idleMost = ta.MaxConnections, po.cl.cf.IdleTimeout
-	if ta.Idle > 0 {
-		po.idleMost = min(ta.Idle, po.idleMost)
+	if ta.IdleTimeout > 0 {
+		po.idleMost = min(ta.IdleTimeout, po.idleMost)
 	}
 	if po.address != ta.Address || po.born < ta.Incarnation {
 		// Connections to an earlier start are dead, some of them without a word: each
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -84,7 +84,7 @@
 	Address        string // Address is an IP address and port.
 	Incarnation    int64  // Born tells a later start under the same ID and address from an earlier one; it is higher.
 	MaxConnections int
-	Idle           time.Duration // Idle is when an idle connection is closed; 0 for Config.Idle.
+	IdleTimeout    time.Duration // Idle is when an idle connection is closed; 0 for Config.Idle.
 }
 
 // Request is one request to a backend server. The exchange doesn't change it,
