--- a/gateway/lines.go
+++ b/gateway/lines.go
@@ -90,7 +90,7 @@
 // over notes how an attempt ended.
 func (cr *carrier) over(now time.Time, number int, rs upstream.Result) {
 	no := &cr.notes[number]
-	no.ended, no.outcome, no.moved, no.err = true, rs.Outcome, rs.Moved, rs.Err
+	no.ended, no.outcome, no.moved, no.err = true, rs.Outcome, rs.Misdirected, rs.Err
 	no.took = now.Sub(cr.ca.start) - no.at
 	if rs.Reply != nil {
 		no.status = uint16(rs.Reply.Status)
--- a/gateway/meters.go
+++ b/gateway/meters.go
@@ -140,7 +140,7 @@
 	switch {
 	case rs.Outcome == upstream.Answered && rs.Reply != nil && rs.Reply.Status >= 500:
 		return endedFailed
-	case rs.Moved:
+	case rs.Misdirected:
 		return endedMoved
 	case rs.Outcome == upstream.Canceled && superseded(ctx):
 		return endedSuperseded
--- a/gateway/meters_test.go
+++ b/gateway/meters_test.go
@@ -77,7 +77,7 @@
 		{free, upstream.Result{Outcome: upstream.Answered, Reply: &upstream.Reply{Status: 200}}, "Answered"},
 		{free, upstream.Result{Outcome: upstream.Answered, Reply: &upstream.Reply{Status: 503}}, "Failed"},
 		{free, upstream.Result{Outcome: upstream.NotRun}, "NotRun"},
-		{free, upstream.Result{Outcome: upstream.NotRun, Moved: true}, "Moved"},
+		{free, upstream.Result{Outcome: upstream.NotRun, Misdirected: true}, "Moved"},
 		{free, upstream.Result{Outcome: upstream.NotSent}, "NotSent"},
 		{free, upstream.Result{Outcome: upstream.Lost}, "Lost"},
 		{free, upstream.Result{Outcome: upstream.Wrong}, "Wrong"},
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -231,7 +231,7 @@
 		}
 	case upstream.NotRun:
 		re.Outcome = replica.Shed
-		if rs.Moved {
+		if rs.Misdirected {
 			re.Outcome = replica.Replaced
 		}
 	case upstream.NotSent:
--- a/upstream/reply.go
+++ b/upstream/reply.go
@@ -141,18 +141,18 @@
 	rs, na := ex.rs, &ex.cl.cf.Names
 	_, notRun := rs.Header[na.NotRun]
 	notRun = notRun && na.NotRun != ""
-	re.Moved = rs.StatusCode == http.StatusMisdirectedRequest
-	if err := ex.checkID(notRun || re.Moved); err != nil {
-		re.Outcome, re.Moved, re.Err = Wrong, false, ex.error(err)
+	re.Misdirected = rs.StatusCode == http.StatusMisdirectedRequest
+	if err := ex.checkID(notRun || re.Misdirected); err != nil {
+		re.Outcome, re.Misdirected, re.Err = Wrong, false, ex.error(err)
 		id := rs.Header.Get(na.RequestID)
 		ex.po.wrongBytes(err, []byte(id[:min(len(id), sampleBytes)]))
 		return false
 	}
 	re.Outcome = Answered
-	if notRun || re.Moved {
+	if notRun || re.Misdirected {
 		re.Outcome = NotRun
 	}
-	re.Reply = ex.reply(notRun || re.Moved)
+	re.Reply = ex.reply(notRun || re.Misdirected)
 	return true
 }
 
--- a/upstream/reply_test.go
+++ b/upstream/reply_test.go
@@ -138,7 +138,7 @@
 			qc.Assert(re.Outcome, qt.Equals, tc.outcome, qt.Commentf("%v", re.Err))
 			qc.Assert(re.Sent, qt.IsTrue)
 			qc.Assert(re.Fresh, qt.IsTrue)
-			qc.Assert(re.Moved, qt.Equals, strings.HasPrefix(tc.name, "moved"))
+			qc.Assert(re.Misdirected, qt.Equals, strings.HasPrefix(tc.name, "moved"))
 			if tc.err != "" {
 				qc.Assert(re.Reply, qt.IsNil)
 				qc.Assert(errorText(re.Err), qt.Equals, tc.err)
