--- a/upstream/exchange.go
+++ b/upstream/exchange.go
@@ -115,7 +115,7 @@
 	ex.address(ta, rq)
 	ex.setDeadline(rq.Deadline)
 	err := ex.receiveWithin(ctx)
-	re := Result{Fresh: !ex.cn.used, Sent: ex.left}
+	re := Result{NewConnection: !ex.cn.used, Sent: ex.left}
 	ex.cn.used = ex.cn.used || ex.left
 	switch {
 	case err == nil:
@@ -187,7 +187,7 @@
 	} else {
 		ex.po.release(ex.cn)
 	}
-	if re.Outcome == NotSent && !re.Fresh {
+	if re.Outcome == NotSent && !re.NewConnection {
 		return true
 	}
 	ex.cl.freeExchange(ex)
--- a/upstream/fake_test.go
+++ b/upstream/fake_test.go
@@ -139,7 +139,7 @@
 	qc.Assert(re.Err, qt.IsNil)
 	qc.Assert(re.Outcome, qt.Equals, Answered)
 	qc.Assert(re.Sent, qt.IsTrue)
-	qc.Assert(re.Fresh, qt.Equals, fresh)
+	qc.Assert(re.NewConnection, qt.Equals, fresh)
 }
 
 // checkCount fails the test unless so many connections are open and idle.
--- a/upstream/reply_test.go
+++ b/upstream/reply_test.go
@@ -137,7 +137,7 @@
 			re := cl.Do(within(t), ta, rq)
 			qc.Assert(re.Outcome, qt.Equals, tc.outcome, qt.Commentf("%v", re.Err))
 			qc.Assert(re.Sent, qt.IsTrue)
-			qc.Assert(re.Fresh, qt.IsTrue)
+			qc.Assert(re.NewConnection, qt.IsTrue)
 			qc.Assert(re.Misdirected, qt.Equals, strings.HasPrefix(tc.name, "moved"))
 			if tc.err != "" {
 				qc.Assert(re.Reply, qt.IsNil)
@@ -220,7 +220,7 @@
 			}
 			re := cl.Do(within(t), ta, rq)
 			// Bodies up to here went out in one buffer and never cost a connection.
-			checkGood(qc, re, seen == 0 || (size > outBytes && re.Fresh))
+			checkGood(qc, re, seen == 0 || (size > outBytes && re.NewConnection))
 			qc.Assert(bytes.Equal(re.Reply.Body, rq.Body), qt.IsTrue, qt.Commentf("%d bytes", size))
 			seen++
 		}
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -165,12 +165,12 @@
 
 // Result is the end of an exchange.
 type Result struct {
-	Outcome     Outcome
-	Reply       *Reply // Reply is set for Answered and NotRun.
-	Err         error  // Err is an *Error for all other outcomes.
-	Misdirected bool   // Moved says that the address is another server's (status 421).
-	Fresh       bool   // Fresh says that the connection carried no request before.
-	Sent        bool   // Sent says that bytes of the request may have reached the server.
+	Outcome       Outcome
+	Reply         *Reply // Reply is set for Answered and NotRun.
+	Err           error  // Err is an *Error for all other outcomes.
+	Misdirected   bool   // Moved says that the address is another server's (status 421).
+	NewConnection bool   // Fresh says that the connection carried no request before.
+	Sent          bool   // Sent says that bytes of the request may have reached the server.
 }
 
 // Client exchanges requests with backend servers. It is safe for concurrent use.
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -220,7 +220,7 @@
 	qc.Assert(re.Outcome, qt.Equals, Wrong)
 	qc.Assert(re.Err, qt.ErrorIs, errRequestID)
 	qc.Assert(re.Sent, qt.IsTrue)
-	qc.Assert(re.Fresh, qt.IsFalse)
+	qc.Assert(re.NewConnection, qt.IsFalse)
 	qc.Assert(re.Reply, qt.IsNil)
 	checkCount(qc, cl, 0, 0)
 	checkGood(qc, cl.Do(within(t), ta, get()), true)
@@ -276,7 +276,7 @@
 	// The system tells a reset once; the wait of the test took it.
 	qc.Assert(re.Err, qt.ErrorIs, errEnded)
 	qc.Assert(re.Sent, qt.IsFalse)
-	qc.Assert(re.Fresh, qt.IsTrue)
+	qc.Assert(re.NewConnection, qt.IsTrue)
 	checkCount(qc, cl, 0, 0)
 }
 
@@ -298,7 +298,7 @@
 		qc.Assert(re.Outcome, qt.Equals, Lost)
 		qc.Assert(re.Err, qt.ErrorIs, syscall.ECONNRESET)
 		qc.Assert(re.Sent, qt.IsTrue)
-		qc.Assert(re.Fresh, qt.Equals, fresh)
+		qc.Assert(re.NewConnection, qt.Equals, fresh)
 		checkCount(qc, cl, 0, 0)
 	}
 }
@@ -502,7 +502,7 @@
 	qc.Assert(re.Outcome, qt.Equals, NotSent)
 	qc.Assert(re.Err, qt.ErrorIs, syscall.EPIPE)
 	qc.Assert(re.Sent, qt.IsFalse)
-	qc.Assert(re.Fresh, qt.IsTrue)
+	qc.Assert(re.NewConnection, qt.IsTrue)
 	checkCount(qc, cl, 0, 0)
 }
 
