--- a/gateway/run.go
+++ b/gateway/run.go
@@ -221,7 +221,7 @@
 	re := replica.Report{}
 	if rs.Reply != nil && rs.Reply.HasLoad {
 		ld := rs.Reply.Load
-		re.HasLoad, re.Running, re.Waiting, re.Slots, re.Pace = true, ld.Running, ld.Waiting, ld.Slots, ld.Pace
+		re.HasLoad, re.Running, re.Waiting, re.Slots, re.Pace = true, ld.Running, ld.Waiting, ld.Slots, ld.ServiceTimePercent
 	}
 	switch rs.Outcome {
 	case upstream.Answered:
--- a/upstream/reply.go
+++ b/upstream/reply.go
@@ -212,7 +212,7 @@
 	if nu < len(fis)-1 || fis[2] == 0 {
 		return Load{}, false
 	}
-	return Load{Running: fis[0], Waiting: fis[1], Slots: fis[2], Pace: fis[3]}, true
+	return Load{Running: fis[0], Waiting: fis[1], Slots: fis[2], ServiceTimePercent: fis[3]}, true
 }
 
 // parseKeepAlive reads how long a server keeps an idle connection, and reports
--- a/upstream/reply_test.go
+++ b/upstream/reply_test.go
@@ -169,7 +169,7 @@
 	})
 	qc.Assert(re.Reply.Stamp, qt.Equals, "st")
 	qc.Assert(re.Reply.HasLoad, qt.IsTrue)
-	qc.Assert(re.Reply.Load, qt.Equals, Load{Running: 1, Waiting: 2, Slots: 3, Pace: 90})
+	qc.Assert(re.Reply.Load, qt.Equals, Load{Running: 1, Waiting: 2, Slots: 3, ServiceTimePercent: 90})
 }
 
 func TestReplyToHeadKeepsLength(t *testing.T) {
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -121,7 +121,7 @@
 // Load is how busy a server says it is.
 type Load struct {
 	Running, Waiting, Slots int
-	Pace                    int // Pace is how long work takes there, 100 as usual; 0 if unknown.
+	ServiceTimePercent      int // Pace is how long work takes there, 100 as usual; 0 if unknown.
 }
 
 // Outcome is how an exchange ended.
