--- a/upstream/fake_test.go
+++ b/upstream/fake_test.go
@@ -145,14 +145,14 @@
 // checkCount fails the test unless so many connections are open and idle.
 func checkCount(qc *qt.C, cl *Client, open, idle int) {
 	qc.Helper()
-	op, id := cl.Open("i-1")
+	op, id := cl.Connections("i-1")
 	qc.Assert([]int{op, id}, qt.DeepEquals, []int{open, idle})
 }
 
 // awaitCount waits until so many connections are open and idle.
 func awaitCount(cl *Client, open, idle int) {
 	for {
-		if op, id := cl.Open("i-1"); op == open && id == idle {
+		if op, id := cl.Connections("i-1"); op == open && id == idle {
 			return
 		}
 		runtime.Gosched()
@@ -162,7 +162,7 @@
 // awaitIdle waits until all connections are idle and returns how many there are.
 func awaitIdle(cl *Client) int {
 	for {
-		if op, id := cl.Open("i-1"); op == id {
+		if op, id := cl.Connections("i-1"); op == id {
 			return op
 		}
 		runtime.Gosched()
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -254,7 +254,7 @@
 
 // Open counts the connections to a server: all, those being opened included, and
 // the idle ones among them.
-func (cl *Client) Open(id string) (open, idle int) {
+func (cl *Client) Connections(id string) (open, idle int) {
 	cl.mu.RLock()
 	po := cl.pools[id]
 	cl.mu.RUnlock()
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -190,7 +190,7 @@
 	re := cl.Do(within(t), ta, get())
 	checkGood(qc, re, true)
 	// Both answers may have come in one piece; then the connection is closed already.
-	if _, idle := cl.Open("i-1"); idle == 1 {
+	if _, idle := cl.Connections("i-1"); idle == 1 {
 		awaitIncoming(qc, cl)
 	}
 	checkGood(qc, cl.Do(within(t), ta, get()), true)
