--- a/gateway/call.go
+++ b/gateway/call.go
@@ -163,13 +163,13 @@
 // request returns what is sent to backend servers.
 func (ca *call) request() *upstream.Request {
 	return &upstream.Request{
-		Method:    ca.rq.Method,
-		URI:       ca.rq.RequestURI,
-		Host:      ca.rq.Host,
-		Header:    ca.rq.Header,
-		Body:      ca.body,
-		RequestID: ca.id,
-		Expect:    true,
+		Method:       ca.rq.Method,
+		URI:          ca.rq.RequestURI,
+		Host:         ca.rq.Host,
+		Header:       ca.rq.Header,
+		Body:         ca.body,
+		RequestID:    ca.id,
+		SendTargetID: true,
 	}
 }
 
--- a/upstream/bench_test.go
+++ b/upstream/bench_test.go
@@ -30,7 +30,7 @@
 				ctx = cx
 			}
 			rq := &Request{
-				Method: http.MethodGet, URI: "/nono601/no91/2f", Host: "leno12.example", RequestID: "id-1", Expect: true,
+				Method: http.MethodGet, URI: "/nono601/no91/2f", Host: "leno12.example", RequestID: "id-1", SendTargetID: true,
 				Header: http.Header{"Request-Id": {"id-1"}, "Accept": {"*/*"}},
 			}
 			be.ReportAllocs()
--- a/upstream/head.go
+++ b/upstream/head.go
@@ -53,7 +53,7 @@
 		bs = strconv.AppendInt(bs, max(1, rq.Deadline.Sub(now).Milliseconds()), 10)
 		bs = append(bs, "\r\n"...)
 	}
-	if na.Expect != "" && rq.Expect {
+	if na.Expect != "" && rq.SendTargetID {
 		bs = appendLine(bs, na.Expect, ta.ID)
 	}
 	return append(bs, "\r\n"...)
--- a/upstream/head_test.go
+++ b/upstream/head_test.go
@@ -12,7 +12,7 @@
 
 func headOf(rq *Request, expect bool, left time.Duration) (string, bool) {
 	now := time.Now()
-	rq.Expect = expect
+	rq.SendTargetID = expect
 	if left != 0 {
 		rq.Deadline = now.Add(left)
 	}
--- a/upstream/prepare_test.go
+++ b/upstream/prepare_test.go
@@ -15,7 +15,7 @@
 	var seen []*http.Request
 	cl := newClient(qc, Config{})
 	rq := post([]byte("body"))
-	rq.Expect, rq.Deadline = true, time.Now().Add(time.Hour)
+	rq.SendTargetID, rq.Deadline = true, time.Now().Add(time.Hour)
 	rq.Header.Set("Keep-Alive", "timeout=5")
 	cl.Prepare(rq)
 	for _, id := range []string{"i-1", "i-2"} {
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -96,11 +96,11 @@
 	// Header holds the end-to-end headers, the request id included. Headers that
 	// concern one connection, the body's framing, and those that the exchange
 	// sets itself (Names.Deadline, Names.Expect) are left out.
-	Header    http.Header
-	Body      []byte
-	RequestID string    // RequestID is what the reply must echo; empty checks nothing.
-	Deadline  time.Time // Deadline is when the exchange ends at the latest; zero for none.
-	Expect    bool      // Expect tells the server the id of the target.
+	Header       http.Header
+	Body         []byte
+	RequestID    string    // RequestID is what the reply must echo; empty checks nothing.
+	Deadline     time.Time // Deadline is when the exchange ends at the latest; zero for none.
+	SendTargetID bool      // Expect tells the server the id of the target.
 
 	head []byte // head is what Prepare has written.
 }
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -29,7 +29,7 @@
 	})
 	cl := newClient(qc, Config{})
 	rq := post([]byte("body"))
-	rq.Expect = true
+	rq.SendTargetID = true
 	rq.Deadline = time.Now().Add(time.Hour)
 	re := cl.Do(within(t), ta, rq)
 	checkGood(qc, re, true)
