--- a/upstream/error.go
+++ b/upstream/error.go
@@ -14,7 +14,7 @@
 	ErrUnreachable = errors.New("server is unreachable")
 	// ErrRequest means that the request can't be written as it is. No server
 	// would take it.
-	ErrRequest = errors.New("request is not valid HTTP")
+	ErrInvalidRequest = errors.New("request is not valid HTTP")
 	// ErrLimit means that all connections that the target allows are in use.
 	ErrLimit = errors.New("all connections are in use")
 	// ErrClosed means that the client was closed.
--- a/upstream/exchange.go
+++ b/upstream/exchange.go
@@ -95,7 +95,7 @@
 	out, ok := appendHead(ex.out[:0], rq, &ex.cl.cf.Names)
 	ex.out, ex.mark = out, len(out)
 	if !ok {
-		return ErrRequest
+		return ErrInvalidRequest
 	}
 	return nil
 }
--- a/upstream/head_test.go
+++ b/upstream/head_test.go
@@ -94,7 +94,7 @@
 	rq.URI = "/a b"
 	re := cl.Do(within(t), Target{ID: "i-1", MaxConnections: 1}, rq)
 	qc.Assert(re.Outcome, qt.Equals, NotSent)
-	qc.Assert(re.Err, qt.ErrorIs, ErrRequest)
+	qc.Assert(re.Err, qt.ErrorIs, ErrInvalidRequest)
 }
 
 func TestStripHop(t *testing.T) {
--- a/upstream/prepare_test.go
+++ b/upstream/prepare_test.go
@@ -48,5 +48,5 @@
 	cl.Prepare(rq)
 	re := cl.Do(within(t), Target{ID: "i-1", Address: "192.0.2.1:1", MaxConnections: 1}, rq)
 	qc.Assert(re.Outcome, qt.Equals, NotSent)
-	qc.Assert(re.Err, qt.ErrorIs, ErrRequest)
+	qc.Assert(re.Err, qt.ErrorIs, ErrInvalidRequest)
 }
