--- a/gateway/lines_test.go
+++ b/gateway/lines_test.go
@@ -515,7 +515,7 @@
 		want string
 	}{
 		{errors.New("reset"), "reset"},
-		{&upstream.Error{Server: "i-1", Address: "10.0.0.1:80", Err: upstream.ErrLimit}, "all connections are in use"},
+		{&upstream.Error{Server: "i-1", Address: "10.0.0.1:80", Err: upstream.ErrConnectionLimit}, "all connections are in use"},
 		{fmt.Errorf("dial: %w", &net.OpError{Op: "dial", Err: errors.New("refused")}), "dial: dial: refused"},
 		{errors.New(strings.Repeat("x", 500)), strings.Repeat("x", mostErrorBytes)},
 	}
--- a/upstream/error.go
+++ b/upstream/error.go
@@ -16,7 +16,7 @@
 	// would take it.
 	ErrInvalidRequest = errors.New("request is not valid HTTP")
 	// ErrLimit means that all connections that the target allows are in use.
-	ErrLimit = errors.New("all connections are in use")
+	ErrConnectionLimit = errors.New("all connections are in use")
 	// ErrClosed means that the client was closed.
 	ErrClosed = errors.New("client is closed")
 	// ErrDeadline means that the request's deadline passed.
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -146,7 +146,7 @@
 	}
 	if po.open >= po.limit && (wait <= 0 || len(po.waiters) >= maxWaiters) {
 		po.mu.Unlock()
-		return grant{outcome: NoConnection, err: ErrLimit}, true
+		return grant{outcome: NoConnection, err: ErrConnectionLimit}, true
 	}
 	wa := &waiter{ch: make(chan grant, 1)}
 	po.waiters = append(po.waiters, wa)
@@ -160,7 +160,7 @@
 
 // await returns the grant of a waiter. A wait of 0 has no bound of its own.
 func (po *pool) await(ctx context.Context, wa *waiter, now time.Time, wait time.Duration, until time.Time) grant {
-	late := grant{outcome: NoConnection, err: ErrLimit}
+	late := grant{outcome: NoConnection, err: ErrConnectionLimit}
 	if !until.IsZero() && (wait == 0 || until.Before(now.Add(wait))) {
 		wait = until.Sub(now)
 		late = grant{outcome: TimedOut, err: ErrDeadline}
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -535,7 +535,7 @@
 					for range 20 {
 						re := cl.Do(within(t), ta, get())
 						if tc.wait == 0 && re.Outcome == NoConnection {
-							qc.Check(re.Err, qt.ErrorIs, ErrLimit)
+							qc.Check(re.Err, qt.ErrorIs, ErrConnectionLimit)
 							qc.Check(re.Sent, qt.IsFalse)
 							continue
 						}
@@ -604,7 +604,7 @@
 		began := time.Now()
 		re := cl.Do(t.Context(), ta, get())
 		qc.Assert(re.Outcome, qt.Equals, NoConnection)
-		qc.Assert(re.Err, qt.ErrorIs, ErrLimit)
+		qc.Assert(re.Err, qt.ErrorIs, ErrConnectionLimit)
 		qc.Assert(time.Since(began), qt.Equals, 20*time.Millisecond)
 		cancel()
 		<-hold
