--- a/feed/bench_test.go
+++ b/feed/bench_test.go
@@ -15,9 +15,9 @@
 	"balsamwinch.example/timer"
 )
 
-// crowd returns a publisher with backend servers and with entry instances whose
-// links take all that is sent.
-func crowd(b *testing.B, servers, entries int) (*Publisher, *link.Conn) {
+// newBenchPublisher returns a publisher with backend servers and with entry instances
+// whose links discard everything sent.
+func newBenchPublisher(b *testing.B, servers, entries int) (*Publisher, *link.Conn) {
 	b.Helper()
 	ts := timer.New()
 	cf := link.Config{
@@ -30,11 +30,11 @@
 	}
 	var first *link.Conn
 	for ii := range entries {
-		far, near := net.Pipe()
-		go func() { _, _ = io.Copy(io.Discard, near) }()
-		co := link.New(far, cf)
+		controlEnd, entryEnd := net.Pipe()
+		go func() { _, _ = io.Copy(io.Discard, entryEnd) }()
+		co := link.New(controlEnd, cf)
 		b.Cleanup(co.Close)
-		pu.join(co, Subscribe{Name: fmt.Sprintf("entry-%02d", ii), Address: "10.1.0.39:8226", State: Ready})
+		pu.addSubscriber(co, Subscribe{Name: fmt.Sprintf("entry-%02d", ii), Address: "10.1.0.39:8226", State: Ready})
 		if first == nil {
 			first = co
 		}
@@ -42,15 +42,15 @@
 	return pu, first
 }
 
-// BenchmarkPicture encodes the whole picture of a large system, which each entry
-// instance gets from each control instance when it connects.
-func BenchmarkPicture(b *testing.B) {
-	pu, co := crowd(b, 450, 78)
+// BenchmarkSnapshot encodes the snapshot of a large system, which each control instance
+// sends to each entry instance that connects.
+func BenchmarkSnapshot(b *testing.B) {
+	pu, co := newBenchPublisher(b, 450, 78)
 	b.ReportAllocs()
 	size := 0
 	for b.Loop() {
 		pu.mu.Lock()
-		pa, err := co.Pack(pu.picture(pu.ts.Now()))
+		pa, err := co.Pack(pu.snapshot(pu.ts.Now()))
 		pu.mu.Unlock()
 		if err != nil {
 			b.Fatal(err)
@@ -60,9 +60,9 @@
 	b.ReportMetric(float64(size), "bytes")
 }
 
-// BenchmarkUpdate tells 78 entry instances of one change.
+// BenchmarkUpdate sends one change to 78 entry instances.
 func BenchmarkUpdate(b *testing.B) {
-	pu, _ := crowd(b, 450, 78)
+	pu, _ := newBenchPublisher(b, 450, 78)
 	b.ReportAllocs()
 	sequence := uint64(1)
 	for b.Loop() {
@@ -74,9 +74,9 @@
 	}
 }
 
-// BenchmarkAnnounce takes in an announcement without news.
+// BenchmarkAnnounce records an announcement without a change.
 func BenchmarkAnnounce(b *testing.B) {
-	pu, _ := crowd(b, 450, 1)
+	pu, _ := newBenchPublisher(b, 450, 1)
 	b.ReportAllocs()
 	sequence := uint64(1)
 	for b.Loop() {
@@ -85,25 +85,25 @@
 	}
 }
 
-// BenchmarkJoins has 191 entry instances connect at once to a control instance that hears
-// 126 backend servers, as after a loss of power of all.
-func BenchmarkJoins(b *testing.B) {
-	pu, _ := crowd(b, 126, 1)
+// BenchmarkConnectBurst connects 191 entry instances at once to a control instance that
+// hears 126 backend servers, as after a power loss of all machines.
+func BenchmarkConnectBurst(b *testing.B) {
+	pu, _ := newBenchPublisher(b, 126, 1)
 	cos := make([]*link.Conn, 191)
 	for ix := range cos {
-		far, near := net.Pipe()
-		go func() { _, _ = io.Copy(io.Discard, near) }()
-		cos[ix] = link.New(far, link.Config{Codec: peer.NewCodec(link.Messages(), Messages()), TS: pu.ts, Dial: time.Second, Ping: time.Hour, Silence: time.Hour})
+		controlEnd, entryEnd := net.Pipe()
+		go func() { _, _ = io.Copy(io.Discard, entryEnd) }()
+		cos[ix] = link.New(controlEnd, link.Config{Codec: peer.NewCodec(link.Messages(), Messages()), TS: pu.ts, Dial: time.Second, Ping: time.Hour, Silence: time.Hour})
 		b.Cleanup(cos[ix].Close)
 	}
 	for b.Loop() {
 		sbs := make([]*subscriber, len(cos))
 		for ix, co := range cos {
-			sbs[ix] = pu.join(co, Subscribe{Name: fmt.Sprintf("joins-%03d", ix), Address: "10.1.0.39:8226", State: Starting})
+			sbs[ix] = pu.addSubscriber(co, Subscribe{Name: fmt.Sprintf("joins-%03d", ix), Address: "10.1.0.39:8226", State: Starting})
 		}
 		b.StopTimer()
 		for _, sb := range sbs {
-			pu.part(sb, nil)
+			pu.removeSubscriber(sb, nil)
 		}
 		pu.flush()
 		b.StartTimer()
--- a/feed/documents_bench_test.go
+++ b/feed/documents_bench_test.go
@@ -7,10 +7,10 @@
 	"balsamwinch.example/delta"
 )
 
-// BenchmarkChange is what a version costs a control instance of which one route differs:
-// processor time for each version, whoever fetches it, and the bytes for each entry
-// instance, told as a difference and, as an earlier release asks for it, whole.
-func BenchmarkChange(b *testing.B) {
+// BenchmarkDeltaEncode measures what a version that changes one route costs a control
+// instance: processor time per version, whoever fetches it, and bytes per entry instance,
+// as a delta and, as an earlier release requests it, in full.
+func BenchmarkDeltaEncode(b *testing.B) {
 	for _, count := range []int{100, 1800, 5000} {
 		one, two := routes(1, count), routes(2, count)
 		b.Run(fmt.Sprintf("routes=%d", count), func(b *testing.B) {
@@ -29,8 +29,9 @@
 	}
 }
 
-// BenchmarkTake is what the same version costs an entry instance before it is read.
-func BenchmarkTake(b *testing.B) {
+// BenchmarkDeltaDecode measures what the same version costs an entry instance before it
+// is parsed.
+func BenchmarkDeltaDecode(b *testing.B) {
 	for _, count := range []int{100, 1800, 5000} {
 		one, two := routes(1, count), routes(2, count)
 		fr, err := delta.Encode(one, two)
@@ -40,7 +41,7 @@
 		b.Run(fmt.Sprintf("routes=%d", count), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := delta.Decode(one, fr, mostDocument); err != nil {
+				if _, err := delta.Decode(one, fr, maxConfigurationBytes); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/feed/entries.go
+++ b/feed/entries.go
@@ -8,70 +8,72 @@
 	"go.uber.org/zap"
 )
 
-// Entries returns the entry instances that callers may be sent to: those with a
-// link to this control instance whose state is Ready, by name. The slice is
-// shared and must not be changed.
-func (pu *Publisher) ReadyEntries() []Entry { return *pu.ready.Load() }
+// ReadyEntries returns the entry instances that callers may be sent to: those with a link
+// to this control instance whose state is Ready, sorted by name. The slice is shared and
+// must not be changed.
+func (pu *Publisher) ReadyEntries() []Entry { return *pu.readyEntries.Load() }
 
-// Linked returns the entry instances with a link to this control instance, by name.
+// LinkedEntries returns the entry instances with a link to this control instance, sorted
+// by name.
 func (pu *Publisher) LinkedEntries() []Entry {
 	pu.mu.Lock()
 	defer pu.mu.Unlock()
-	return pu.entries(func(Entry) bool { return true })
+	return pu.filterEntries(func(Entry) bool { return true })
 }
 
 // HasLink reports whether an entry instance has a link to this control instance.
 func (pu *Publisher) HasLink(name string) bool {
 	pu.mu.Lock()
 	defer pu.mu.Unlock()
-	_, ok := pu.live[name]
+	_, ok := pu.liveEntries[name]
 	return ok
 }
 
-// stand takes in the new state of an entry instance.
-func (pu *Publisher) stand(sb *subscriber, es EntryState) {
+// setEntryState records the new state of an entry instance.
+func (pu *Publisher) setEntryState(sb *subscriber, es EntryState) {
 	now := pu.ts.Now()
 	pu.mu.Lock()
 	defer pu.mu.Unlock()
 	sb.en.State = es
-	pu.refresh(now, sb.en.Name)
-	pu.lo.info(now, "entry-state", zap.String("Entry", sb.en.Name), zap.Stringer("State", es))
+	pu.refreshEntry(now, sb.en.Name)
+	pu.ll.info(now, "entry-state", zap.String("Entry", sb.en.Name), zap.Stringer("State", es))
 }
 
-// refresh brings the list of entry instances up to date after a change of one.
-// An instance that was started anew, or lost track of its link, may have two
-// links for a while: the newest one tells its state.
-func (pu *Publisher) refresh(now time.Time, name string) {
+// refreshEntry updates the list of entry instances after a change of one. An instance
+// that has restarted, or whose link broke unnoticed, may have two links for a while; the
+// newest one determines its state.
+func (pu *Publisher) refreshEntry(now time.Time, name string) {
 	var newest *subscriber
 	for sb := range pu.subscribers {
-		if sb.listener {
+		if sb.fromControl {
 			continue
 		}
-		if sb.en.Name == name && (newest == nil || sb.number > newest.number) {
+		if sb.en.Name == name && (newest == nil || sb.joinNumber > newest.joinNumber) {
 			newest = sb
 		}
 	}
-	old, known := pu.live[name]
+	old, listed := pu.liveEntries[name]
 	switch {
-	case newest == nil && !known, newest != nil && known && newest.en == old:
+	case newest == nil && !listed, newest != nil && listed && newest.en == old:
 		return
 	case newest == nil:
-		delete(pu.live, name)
+		delete(pu.liveEntries, name)
 		delete(pu.loads, name)
 	default:
-		pu.live[name] = newest.en
+		pu.liveEntries[name] = newest.en
 	}
-	ready := pu.entries(func(en Entry) bool { return en.State == Ready })
-	pu.ready.Store(&ready)
+	ready := pu.filterEntries(func(en Entry) bool { return en.State == Ready })
+	pu.readyEntries.Store(&ready)
 	pu.pending.entries[name] = struct{}{}
-	pu.arm(now)
+	pu.scheduleFlush(now)
 }
 
-// entries returns the live entry instances that pass, by name.
-func (pu *Publisher) entries(pass func(Entry) bool) []Entry {
-	list := make([]Entry, 0, len(pu.live))
-	for _, en := range pu.live {
-		if pass(en) {
+// filterEntries returns the live entry instances for which keep returns true, sorted by
+// name.
+func (pu *Publisher) filterEntries(keep func(Entry) bool) []Entry {
+	list := make([]Entry, 0, len(pu.liveEntries))
+	for _, en := range pu.liveEntries {
+		if keep(en) {
 			list = append(list, en)
 		}
 	}
--- a/feed/evacuations.go
+++ b/feed/evacuations.go
@@ -6,8 +6,8 @@
 	"balsamwinch.example/evacuation"
 )
 
-// SetEvacuations takes in evacuations that are committed. A revision that is not higher
-// than the one held changes nothing.
+// SetEvacuations publishes committed evacuations. It ignores a revision that is not
+// higher than the current one.
 func (pu *Publisher) SetEvacuations(st evacuation.Set) {
 	now := pu.ts.Now()
 	pu.mu.Lock()
@@ -18,16 +18,16 @@
 	pu.evacuations = &st
 	pu.pending.evacuations = true
 	pu.lg.Info("evacuations-published", zap.Uint64("Revision", st.Revision), zap.Strings("Evacuated", st.DataCentres))
-	pu.arm(now)
+	pu.scheduleFlush(now)
 }
 
-// evacuate takes in what a control instance says of evacuations. One that was away may
-// know an older revision than the others.
-func (su *Subscriber) evacuate(so *source, st *evacuation.Set) {
-	if st == nil || st.Revision <= su.revision {
+// applyEvacuations handles the evacuations that a control instance sent. An instance that
+// was disconnected may send an older revision than the others.
+func (su *Subscriber) applyEvacuations(so *source, st *evacuation.Set) {
+	if st == nil || st.Revision <= su.evacuationsRevision {
 		return
 	}
-	su.revision = st.Revision
+	su.evacuationsRevision = st.Revision
 	su.lg.Info("evacuations-heard", zap.String("Control", so.name), zap.Uint64("Revision", st.Revision), zap.Strings("Evacuated", st.DataCentres))
 	su.ob.EvacuationsChanged(*st)
 }
--- a/feed/evacuations_test.go
+++ b/feed/evacuations_test.go
@@ -8,8 +8,9 @@
 	"balsamwinch.example/evacuation"
 )
 
-// evacuated returns the evacuations that the entry instance was told, in their order.
-func (en *entry) evacuated() []uint64 {
+// evacuationRevisions returns the revisions of the evacuations passed to the entry
+// instance, in their order.
+func (en *entry) evacuationRevisions() []uint64 {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	revisions := []uint64{}
@@ -19,28 +20,28 @@
 	return revisions
 }
 
-// Guards against an entry instance that goes on with older evacuations, or goes back to
-// those of a control instance that was away.
-func TestEvacuationsAreTold(t *testing.T) {
-	play(t, func(c *qt.C, wo *world) {
-		cos := wo.group("one", "two")
-		ens := wo.entries(2, cos[0])
-		wo.after(soon)
-		c.Assert(ens[0].evacuated(), qt.HasLen, 0)
+// Guards against an entry instance that keeps outdated evacuations, or returns to those
+// of a control instance that was disconnected.
+func TestEvacuationRevisionsOnlyRise(t *testing.T) {
+	runInBubble(t, func(c *qt.C, cl *cluster) {
+		cos := cl.group("one", "two")
+		ens := cl.entries(2, cos[0])
+		cl.advance(maxPropagation)
+		c.Assert(ens[0].evacuationRevisions(), qt.HasLen, 0)
 		first := evacuation.Set{Revision: 1, DataCentres: []string{"north"}}
 		second := evacuation.Set{Revision: 2}
 		cos[0].pu.SetEvacuations(first)
-		wo.after(soon)
+		cl.advance(maxPropagation)
 		cos[1].pu.SetEvacuations(second)
-		wo.after(soon)
+		cl.advance(maxPropagation)
 		cos[1].pu.SetEvacuations(first)
-		wo.after(soon)
+		cl.advance(maxPropagation)
 		for _, en := range ens {
-			c.Assert(en.evacuated(), qt.DeepEquals, []uint64{1, 2})
+			c.Assert(en.evacuationRevisions(), qt.DeepEquals, []uint64{1, 2})
 		}
-		late := wo.entries(3, cos[0])[2]
-		wo.after(soon)
-		revisions := late.evacuated()
+		late := cl.entries(3, cos[0])[2]
+		cl.advance(maxPropagation)
+		revisions := late.evacuationRevisions()
 		c.Assert(revisions[len(revisions)-1], qt.Equals, uint64(2))
 	})
 }
--- a/feed/fetch.go
+++ b/feed/fetch.go
@@ -8,227 +8,229 @@
 	"balsamwinch.example/delta"
 )
 
-// Times of a fetch.
+// Timeouts and limits of fetches.
 const (
-	// fetchWait is the time after which another control instance is asked. It
-	// doubles with each further one up to fetchMost: a large configuration on a
-	// slow link must not be sent over and over.
-	fetchWait = 250 * time.Millisecond
-	fetchMost = 2 * time.Second
-	// nearWait is for how long a control instance of the own data centre that held the
-	// same version as this instance is waited for once another one announces a newer.
+	// fetchTimeout is the time after which another control instance is asked. It doubles
+	// with each further one, up to maxFetchTimeout, so that a large configuration isn't
+	// sent over and over on a slow link.
+	fetchTimeout    = 250 * time.Millisecond
+	maxFetchTimeout = 2 * time.Second
+	// sameDataCentreTimeout bounds the wait for a control instance in the same data
+	// centre to announce a version that another control instance has announced already.
+	// It applies only while the former holds the version that this instance has in force.
 	// Five control instances learn of a version within 4 to 39 ms of each other (26 of 33
-	// versions, lines configuration-published; the others while one of them hung or was
-	// down). With the wait, 97 to 100 of 100 fetches were from the own data centre.
-	nearWait = 100 * time.Millisecond
-	// refusalPause is the time after which a version that the observer refused is
+	// versions, by the configuration-published lines; for the others, one of them hung or
+	// was down). With the wait, 97 to 100 of 100 fetches stayed within the data centre.
+	sameDataCentreTimeout = 100 * time.Millisecond
+	// refusedBackoff is the time after which a version that the observer refused is
 	// fetched again.
-	refusalPause = time.Second
-	// mostDocument bounds a configuration in bytes, beyond what control instances accept.
-	mostDocument = 4 << 20
+	refusedBackoff = time.Second
+	// maxConfigurationBytes limits a decoded configuration. It exceeds the size that
+	// control instances accept.
+	maxConfigurationBytes = 4 << 20
 )
 
-// fetch is the state of fetching a configuration. One Fetch is on its way at a
-// time, but a late answer to an earlier one is taken as well.
+// fetch is the state of fetching a configuration. Only one Fetch is in flight at a time,
+// but a late answer to an earlier one is used as well.
 type fetch struct {
-	announced uint64 // announced is the highest version that any control instance announced.
-	order     uint64 // order counts the announcements.
-	asked     *source
-	askedAt   time.Time
-	firstAt   time.Time // firstAt is when the first control instance was asked.
-	wait      time.Duration
-	tried     map[*source]struct{}
-	behind    time.Time // behind is since when a version is announced that is not held; zero if none is.
-	whole     bool      // whole says that a difference was wrong, and the whole is asked for.
-	refused   uint64    // refused is the version that the observer refused last.
-	retryAt   time.Time
+	highestAnnounced uint64 // highest version that any control instance announced
+	numAnnouncements uint64 // announcements so far
+	inFlight         *source
+	sentAt           time.Time
+	firstSentAt      time.Time // when the first control instance was asked
+	timeout          time.Duration
+	tried            map[*source]struct{}
+	behindSince      time.Time // since when a newer version than the one in force is announced; zero if none is
+	needFull         bool      // the last delta didn't apply, so the full configuration is requested
+	refusedVersion   uint64    // last version that the observer refused
+	retryAt          time.Time
 }
 
-// announced takes in the newest version that a control instance holds.
-func (su *Subscriber) announced(so *source, version uint64) {
+// versionAnnounced records the newest version that a control instance holds.
+func (su *Subscriber) versionAnnounced(so *source, version uint64) {
 	if version <= so.version {
 		return
 	}
 	fe := &su.fetch
-	fe.order++
-	so.version, so.order = version, fe.order
-	if version > fe.announced {
-		fe.announced = version
+	fe.numAnnouncements++
+	so.version, so.announceOrder = version, fe.numAnnouncements
+	if version > fe.highestAnnounced {
+		fe.highestAnnounced = version
 		su.lg.Info("configuration-announced", zap.Uint64("Version", version), zap.String("Control", so.name))
 	}
-	if fe.behind.IsZero() && version > su.held {
-		fe.behind = su.ts.Now()
+	if fe.behindSince.IsZero() && version > su.version {
+		fe.behindSince = su.ts.Now()
 	}
 }
 
-// seek asks for a configuration if one is announced that is newer than the one
-// held, and another control instance if the one asked does not answer.
-func (su *Subscriber) seek(now time.Time) {
+// fetchNewest requests a configuration if a newer one than that in force is announced. If
+// the control instance that was asked doesn't answer in time, it asks another one.
+func (su *Subscriber) fetchNewest(now time.Time) {
 	fe := &su.fetch
-	so := su.candidate(now)
+	so := su.fetchCandidate(now)
 	if so == nil {
-		fe.asked, fe.tried, fe.behind = nil, nil, time.Time{}
+		fe.inFlight, fe.tried, fe.behindSince = nil, nil, time.Time{}
 		return
 	}
-	if fe.asked != nil {
-		due := fe.askedAt.Add(fe.wait)
-		if fe.asked.up.Load() && now.Before(due) {
+	if fe.inFlight != nil {
+		due := fe.sentAt.Add(fe.timeout)
+		if fe.inFlight.connected.Load() && now.Before(due) {
 			su.wakeAt(now, due)
 			return
 		}
-		su.lg.Warn("configuration-late", zap.Uint64("Version", fe.asked.version),
-			zap.String("Control", fe.asked.name), zap.Duration("After", now.Sub(fe.askedAt)))
-	} else if due := fe.behind.Add(nearWait); !so.near && now.Before(due) && su.nearKeepsUp() {
+		su.lg.Warn("configuration-late", zap.Uint64("Version", fe.inFlight.version),
+			zap.String("Control", fe.inFlight.name), zap.Duration("After", now.Sub(fe.sentAt)))
+	} else if due := fe.behindSince.Add(sameDataCentreTimeout); !so.sameDataCentre && now.Before(due) && su.sameDataCentreKeepsUp() {
 		su.wakeAt(now, due)
 		return
 	}
-	su.ask(now, so)
+	su.sendFetch(now, so)
 }
 
-// nearKeepsUp reports whether a control instance of the own data centre held, until now,
-// the newest version that this instance knows. It will announce the next one in a moment.
-// One that is behind was late before, and isn't waited for again until it has caught up.
-func (su *Subscriber) nearKeepsUp() bool {
+// sameDataCentreKeepsUp reports whether a control instance in the same data centre has
+// the version that this instance has in force, and so is expected to announce the next
+// one shortly. One that lags behind has been late before; it isn't waited for until it
+// has caught up.
+func (su *Subscriber) sameDataCentreKeepsUp() bool {
 	for _, so := range su.sources {
-		if so.near && so.up.Load() && so.version == su.held {
+		if so.sameDataCentre && so.connected.Load() && so.version == su.version {
 			return true
 		}
 	}
 	return false
 }
 
-// candidate returns the control instance to ask next: one that was not asked yet
-// if there is any, of these one of the own data centre, then the one with the highest
-// version, and then the first to announce it. It returns nil if there is nothing to
-// fetch now.
-func (su *Subscriber) candidate(now time.Time) *source {
+// fetchCandidate returns the control instance to ask next, or nil if there is nothing to
+// fetch now. It prefers, in this order, those not yet asked, those in the same data
+// centre, the highest version and the earliest announcement.
+func (su *Subscriber) fetchCandidate(now time.Time) *source {
 	fe := &su.fetch
 	if su.cf.OwnAddress != "" {
-		return nil // A control instance has the configuration from its group.
+		return nil // A control instance gets the configuration through its consensus group.
 	}
 	var best *source
 	for _, so := range su.sources {
-		if !so.up.Load() || so.version <= su.held {
+		if !so.connected.Load() || so.version <= su.version {
 			continue
 		}
-		if so.version == fe.refused && now.Before(fe.retryAt) {
+		if so.version == fe.refusedVersion && now.Before(fe.retryAt) {
 			su.wakeAt(now, fe.retryAt)
 			continue
 		}
-		if best == nil || fe.better(so, best) {
+		if best == nil || fe.preferred(so, best) {
 			best = so
 		}
 	}
 	return best
 }
 
-// better returns whether a control instance is to be asked before another one.
-func (fe *fetch) better(so, other *source) bool {
+// preferred reports whether so should be asked before other.
+func (fe *fetch) preferred(so, other *source) bool {
 	_, tried := fe.tried[so]
 	_, otherTried := fe.tried[other]
 	switch {
 	case tried != otherTried:
 		return otherTried
-	case so.near != other.near:
-		return so.near
+	case so.sameDataCentre != other.sameDataCentre:
+		return so.sameDataCentre
 	case so.version != other.version:
 		return so.version > other.version
 	default:
-		return so.order < other.order
+		return so.announceOrder < other.announceOrder
 	}
 }
 
-func (su *Subscriber) ask(now time.Time, so *source) {
+func (su *Subscriber) sendFetch(now time.Time, so *source) {
 	fe := &su.fetch
-	if fe.asked == nil {
-		fe.wait, fe.firstAt = fetchWait, now
+	if fe.inFlight == nil {
+		fe.timeout, fe.firstSentAt = fetchTimeout, now
 	} else {
-		fe.wait = min(2*fe.wait, fetchMost)
+		fe.timeout = min(2*fe.timeout, maxFetchTimeout)
 	}
 	if _, tried := fe.tried[so]; tried || fe.tried == nil {
-		fe.tried = make(map[*source]struct{}) // All were asked: the next round begins.
+		fe.tried = make(map[*source]struct{}) // All were asked; start another round.
 	}
 	fe.tried[so] = struct{}{}
-	fe.asked, fe.askedAt = so, now
-	su.wakeAt(now, now.Add(fe.wait))
+	fe.inFlight, fe.sentAt = so, now
+	su.wakeAt(now, now.Add(fe.timeout))
 	su.mu.Lock()
 	co := su.conns[so]
 	su.mu.Unlock()
-	fetch := Fetch{Version: so.version, Base: su.held, AcceptDelta: true}
-	if fe.whole {
+	fetch := Fetch{Version: so.version, Base: su.version, AcceptDelta: true}
+	if fe.needFull {
 		fetch.Base = 0
 	}
 	if co != nil {
-		_ = co.Send(fetch) // The end of the link is seen where it is read.
+		_ = co.Send(fetch) // Reading from the link reports its end.
 	}
 }
 
-// document takes in a configuration that was fetched.
-func (su *Subscriber) document(so *source, do Configuration) {
+// receiveConfiguration handles a fetched configuration.
+func (su *Subscriber) receiveConfiguration(so *source, cfg Configuration) {
 	fe := &su.fetch
 	now := su.ts.Now()
-	if fe.asked == so {
-		fe.asked, fe.tried = nil, nil
+	if fe.inFlight == so {
+		fe.inFlight, fe.tried = nil, nil
 	}
-	if do.Version <= su.held || do.Version == fe.refused && now.Before(fe.retryAt) {
+	if cfg.Version <= su.version || cfg.Version == fe.refusedVersion && now.Before(fe.retryAt) {
 		return
 	}
-	if do.Base != 0 && do.Base != su.held {
-		return // It is late, and told against a version that is held no more.
+	if cfg.Base != 0 && cfg.Base != su.version {
+		return // A late answer whose base is no longer the version in force.
 	}
-	data, err := su.unframed(do)
+	data, err := su.decodeConfiguration(cfg)
 	if err != nil {
-		su.wrong(now, so, do, err)
+		su.handleBadDelta(now, so, cfg, err)
 		return
 	}
-	su.lg.Info("configuration-fetched", zap.Uint64("Version", do.Version), zap.Int("Bytes", len(data)), zap.Int("Sent", len(do.Data)),
-		zap.Uint64("Base", do.Base), zap.String("Control", so.name), zap.Duration("Took", now.Sub(fe.firstAt)))
-	su.tellServers(now) // The servers of its services may have come just before it.
-	if err := su.ob.ConfigurationChanged(do.Version, data); err != nil {
-		su.lg.Error("configuration-refused", zap.Uint64("Version", do.Version), zap.Error(err))
-		su.refuse(now, so, do.Version)
+	su.lg.Info("configuration-fetched", zap.Uint64("Version", cfg.Version), zap.Int("Bytes", len(data)), zap.Int("Sent", len(cfg.Data)),
+		zap.Uint64("Base", cfg.Base), zap.String("Control", so.name), zap.Duration("Took", now.Sub(fe.firstSentAt)))
+	su.notifyServers(now) // Servers of the configuration's services may have arrived just before it.
+	if err := su.ob.ConfigurationChanged(cfg.Version, data); err != nil {
+		su.lg.Error("configuration-refused", zap.Uint64("Version", cfg.Version), zap.Error(err))
+		su.deferVersion(now, so, cfg.Version)
 		return
 	}
 	su.mu.Lock()
-	su.held = do.Version
+	su.version = cfg.Version
 	su.mu.Unlock()
-	su.data, fe.whole, fe.behind = data, false, time.Time{}
-	if fe.announced > do.Version {
-		fe.behind = now
+	su.configuration, fe.needFull, fe.behindSince = data, false, time.Time{}
+	if fe.highestAnnounced > cfg.Version {
+		fe.behindSince = now
 	}
 }
 
-// unframed returns the configuration of a document. One without a digest is from a
-// control instance that knows no frames, and is the configuration itself.
-func (su *Subscriber) unframed(do Configuration) ([]byte, error) {
-	if len(do.Digest) == 0 {
-		return do.Data, nil
+// decodeConfiguration returns the configuration in a message. Control instances without
+// delta support send no digest and the plain configuration.
+func (su *Subscriber) decodeConfiguration(cfg Configuration) ([]byte, error) {
+	if len(cfg.Digest) == 0 {
+		return cfg.Data, nil
 	}
 	var base []byte
-	if do.Base != 0 {
-		base = su.data
+	if cfg.Base != 0 {
+		base = su.configuration
 	}
-	return delta.Decode(base, delta.Frame{Data: do.Data, Digest: do.Digest}, mostDocument)
+	return delta.Decode(base, delta.Frame{Data: cfg.Data, Digest: cfg.Digest}, maxConfigurationBytes)
 }
 
-// wrong takes in a document that doesn't give the version which it is said to be. The
-// whole is asked for at once, and from another control instance a little later if that
-// is wrong, too.
-func (su *Subscriber) wrong(now time.Time, so *source, do Configuration, err error) {
+// handleBadDelta handles a configuration that failed to decode to its version. The full
+// configuration is requested at once, or, if that one failed, from another control
+// instance a little later.
+func (su *Subscriber) handleBadDelta(now time.Time, so *source, cfg Configuration, err error) {
 	fe := &su.fetch
-	su.lg.Warn("configuration-difference-wrong", zap.Uint64("Version", do.Version), zap.Uint64("Base", do.Base),
-		zap.Uint64("Held", su.held), zap.String("Control", so.name), zap.Error(err))
-	if fe.whole && do.Base == 0 {
-		su.refuse(now, so, do.Version)
+	su.lg.Warn("configuration-difference-wrong", zap.Uint64("Version", cfg.Version), zap.Uint64("Base", cfg.Base),
+		zap.Uint64("Held", su.version), zap.String("Control", so.name), zap.Error(err))
+	if fe.needFull && cfg.Base == 0 {
+		su.deferVersion(now, so, cfg.Version)
 	}
-	fe.whole = true
+	fe.needFull = true
 }
 
-// refuse has a version fetched again only after a pause, and then from another control
-// instance first.
-func (su *Subscriber) refuse(now time.Time, so *source, version uint64) {
+// deferVersion delays the next fetch of a version, and makes that fetch prefer another
+// control instance.
+func (su *Subscriber) deferVersion(now time.Time, so *source, version uint64) {
 	fe := &su.fetch
-	fe.refused, fe.retryAt = version, now.Add(refusalPause)
-	fe.order++
-	so.order = fe.order
+	fe.refusedVersion, fe.retryAt = version, now.Add(refusedBackoff)
+	fe.numAnnouncements++
+	so.announceOrder = fe.numAnnouncements
 }
--- a/feed/invite.go
+++ b/feed/invite.go
@@ -12,29 +12,32 @@
 	"balsamwinch.example/peer"
 )
 
-// Times and bounds of invitations.
+// Timeouts and limits of invitations.
 const (
-	// inviteFirst is the time before an entry instance that wasn't reached is invited
-	// again. It doubles up to inviteMost: the machine may come back any moment, and an
-	// entry instance that knows no control instance serves nobody.
-	inviteFirst = 50 * time.Millisecond
-	inviteMost  = 800 * time.Millisecond
-	// inviteFor is for how long a control instance invites after its start. Entry
-	// instances that come back later find it by their seeds, or by another one's list.
-	inviteFor = 5 * time.Second
-	// inviteDial bounds one dial. A machine without power doesn't answer; one in reach
-	// does within milliseconds.
-	inviteDial = 100 * time.Millisecond
-	// invitesAtOnce bounds the dials under way, so that hundreds of entry instances
-	// cost a control instance no more than a few connections at a time.
-	invitesAtOnce = 32
+	// minInviteBackoff is the delay before an entry instance that wasn't reached is
+	// invited again. It doubles up to maxInviteBackoff, which is short: the machine may
+	// come back at any moment, and an entry instance that knows no control instance can't
+	// serve callers.
+	minInviteBackoff = 50 * time.Millisecond
+	maxInviteBackoff = 800 * time.Millisecond
+	// inviteTimeout is how long a control instance sends invitations after its start.
+	// Entry instances that come back later find it through their seeds or through the
+	// member list of another control instance.
+	inviteTimeout = 5 * time.Second
+	// inviteDialTimeout bounds one dial. A machine without power doesn't answer; a
+	// reachable one does within milliseconds.
+	inviteDialTimeout = 100 * time.Millisecond
+	// maxConcurrentInvites bounds the invitations in flight, so that hundreds of entry
+	// instances cost a control instance only a few connections at a time.
+	maxConcurrentInvites = 32
 )
 
-// Invite tells an entry instance that a control instance runs, and where. It is the
-// first message on its connection, and the answer is the same message.
+// Invite informs an entry instance that a control instance is running, and at which
+// address. It is the first message on its connection; the entry instance acknowledges it
+// by sending it back.
 type Invite struct {
-	Name    string `cbor:"1,keyasint"` // Name of the control instance.
-	Address string `cbor:"2,keyasint"` // Address is where instances connect to it, as IP:port.
+	Name    string `cbor:"1,keyasint"` // name of the control instance
+	Address string `cbor:"2,keyasint"` // where instances connect to the control instance, as IP:port
 }
 
 // Kind returns the kind of the message.
@@ -43,57 +46,58 @@
 // Invitee is an entry instance to invite.
 type Invitee struct {
 	Name    string
-	Address string // Address is where it takes invitations, as IP:port.
+	Address string // where it accepts invitations, as IP:port
 }
 
-// InviteAll tells entry instances that a control instance has started, in the order in
-// which they are given. It returns once each was reached or is linked by itself, inviteFor
-// has passed or the context ends.
+// InviteAll informs entry instances, in the given order, that a control instance has
+// started. It returns once each was reached or has connected by itself, after
+// inviteTimeout, or when the context ends.
 //
-// When all machines lose power, an entry instance knows the seeds alone at its next
-// start, and dials them now and then. A control instance that is no seed may run long
-// before the first seed, and a dial that found a machine without power or a closed port
-// is repeated only after a pause: callers are refused meanwhile though all that is
-// needed runs. So the one who comes first says so to those whom it knew.
+// It shortens the outage after a power loss of all machines. An entry instance that
+// starts again knows only its seeds and redials them with a backoff. A control instance
+// that is not a seed may run long before the first seed does, and callers would be
+// rejected although everything needed is running. So a control instance that starts
+// invites the entry instances that it knew before.
 func InviteAll(ctx context.Context, lc link.Config, lg *zap.Logger, iv Invite, invitees []Invitee, linked func(name string) bool) {
-	ctx, cancel := context.WithTimeout(ctx, inviteFor)
+	ctx, cancel := context.WithTimeout(ctx, inviteTimeout)
 	defer cancel()
-	lc.Dial = min(lc.Dial, inviteDial)
-	room := make(chan struct{}, invitesAtOnce)
+	lc.Dial = min(lc.Dial, inviteDialTimeout)
+	slots := make(chan struct{}, maxConcurrentInvites)
 	var wg sync.WaitGroup
 	for _, ie := range invitees {
-		room <- struct{}{} // The first tries keep the order.
+		slots <- struct{}{} // Keep the order of the first attempts.
 		wg.Go(func() {
-			if tries := invite(ctx, lc, room, iv, ie, linked); tries > 0 {
-				lg.Info("entry-invited", zap.String("Address", ie.Address), zap.Int("Tries", tries))
+			if attempts := invite(ctx, lc, slots, iv, ie, linked); attempts > 0 {
+				lg.Info("entry-invited", zap.String("Address", ie.Address), zap.Int("Tries", attempts))
 			}
 		})
 	}
 	wg.Wait()
 }
 
-// invite invites one entry instance until it has heard or is linked, and returns how many
-// tries it took; 0 if it was not reached. It begins with room for the first try.
-func invite(ctx context.Context, lc link.Config, room chan struct{}, iv Invite, ie Invitee, linked func(string) bool) int {
-	pause := inviteFirst
-	for try := 1; ; try++ {
-		if try > 1 {
-			room <- struct{}{}
+// invite invites one entry instance until it has acknowledged or is linked. It returns
+// the number of attempts, or 0 if the instance wasn't reached. The caller has taken a
+// slot for the first attempt.
+func invite(ctx context.Context, lc link.Config, slots chan struct{}, iv Invite, ie Invitee, linked func(string) bool) int {
+	backoff := minInviteBackoff
+	for attempt := 1; ; attempt++ {
+		if attempt > 1 {
+			slots <- struct{}{}
 		}
-		heard := linked(ie.Name) || inviteOnce(ctx, lc, iv, ie.Address)
-		<-room
-		if heard {
-			return try
+		reached := linked(ie.Name) || sendInvite(ctx, lc, iv, ie.Address)
+		<-slots
+		if reached {
+			return attempt
 		}
-		if lc.TS.Sleep(ctx, pause/2+rand.N(pause/2)) != nil {
+		if lc.TS.Sleep(ctx, backoff/2+rand.N(backoff/2)) != nil {
 			return 0
 		}
-		pause = min(2*pause, inviteMost)
+		backoff = min(2*backoff, maxInviteBackoff)
 	}
 }
 
-// inviteOnce reports whether the entry instance has heard, as its answer says.
-func inviteOnce(ctx context.Context, lc link.Config, iv Invite, address string) bool {
+// sendInvite sends one invitation and reports whether it was acknowledged.
+func sendInvite(ctx context.Context, lc link.Config, iv Invite, address string) bool {
 	co, err := link.Dial(ctx, address, lc)
 	if err != nil {
 		return false
@@ -108,7 +112,7 @@
 }
 
 // HandleInvite serves a connection on which a control instance invites this entry
-// instance, and answers with the same message.
+// instance, and acknowledges by sending the same message back.
 func (su *Subscriber) HandleInvite(_ context.Context, co *link.Conn) {
 	ms, err := co.Receive()
 	iv, ok := ms.(Invite)
@@ -117,35 +121,35 @@
 	}
 	su.lg.Info("invited", zap.String("Control", iv.Name), zap.String("Address", iv.Address))
 	su.mu.Lock()
-	su.invites[iv.Address] = su.ts.Now()
+	su.newInvites[iv.Address] = su.ts.Now()
 	su.mu.Unlock()
-	su.nudge()
+	su.wakeServe()
 	if co.Send(iv) == nil {
-		_, _ = co.Receive() // The other end closes, once it has the answer.
+		_, _ = co.Receive() // The other end closes once it has the acknowledgement.
 	}
 }
 
-// takeInvites takes in the invitations since the last call. A link that waits before
-// its next dial dials at once.
-func (su *Subscriber) takeInvites() {
+// processInvites handles the invitations since the last call. A link that waits for its
+// redial backoff dials at once.
+func (su *Subscriber) processInvites() {
 	su.mu.Lock()
-	invites := su.invites
-	su.invites = make(map[string]time.Time)
+	invites := su.newInvites
+	su.newInvites = make(map[string]time.Time)
 	su.mu.Unlock()
 	for address, at := range invites {
 		su.invited[address] = at
 		if so, ok := su.sources[address]; ok {
-			so.hasten()
+			so.redialNow()
 		}
 	}
 }
 
-// stillInvited returns the addresses of control instances that invited this instance so
-// lately that they need not be listed by any other.
-func (su *Subscriber) stillInvited(now time.Time) []string {
+// recentInviters returns the addresses of control instances that sent an invitation
+// within unlistedTTL. They need not be listed by any other control instance.
+func (su *Subscriber) recentInviters(now time.Time) []string {
 	var out []string
 	for address, at := range su.invited {
-		if now.Sub(at) >= forgetAfter {
+		if now.Sub(at) >= unlistedTTL {
 			delete(su.invited, address)
 			continue
 		}
@@ -154,23 +158,23 @@
 	return out
 }
 
-// hasten makes a source that waits before its next dial dial now.
-func (so *source) hasten() {
+// redialNow ends the source's redial backoff.
+func (so *source) redialNow() {
 	select {
-	case so.hurry <- struct{}{}:
+	case so.redial <- struct{}{}:
 	default:
 	}
 }
 
-// wait waits for a delay, or until the source is to hurry. It returns false if the
+// waitToRedial waits for a delay or until redialNow is called. It returns false if the
 // context ended first.
-func (so *source) wait(ctx context.Context, delay time.Duration) bool {
+func (so *source) waitToRedial(ctx context.Context, delay time.Duration) bool {
 	tm := time.NewTimer(delay)
 	defer tm.Stop()
 	select {
 	case <-tm.C:
 		return true
-	case <-so.hurry:
+	case <-so.redial:
 		return true
 	case <-ctx.Done():
 		return false
--- a/feed/load.go
+++ b/feed/load.go
@@ -2,30 +2,30 @@
 
 import "go.uber.org/zap"
 
-// unknownLoad is what an entry instance is taken to carry that doesn't say it, as one of
-// an earlier release: as much as it should. So none is held for idle for want of a word.
-const unknownLoad = 1
+// defaultLoad is the load assumed for an entry instance that reports none, as an earlier
+// release does: exactly its share. It keeps such an instance from being taken for idle.
+const defaultLoad = 1
 
-// report takes in the load of an entry instance.
-func (pu *Publisher) report(sb *subscriber, load float64) {
+// setEntryLoad records the load of an entry instance.
+func (pu *Publisher) setEntryLoad(sb *subscriber, load float64) {
 	pu.mu.Lock()
 	defer pu.mu.Unlock()
-	if _, ok := pu.live[sb.en.Name]; ok {
+	if _, ok := pu.liveEntries[sb.en.Name]; ok {
 		pu.loads[sb.en.Name] = load
 	}
 }
 
-// Load returns what an entry instance carries, as a part of what it should.
+// EntryLoad returns the load of an entry instance, as a fraction of its share.
 func (pu *Publisher) EntryLoad(name string) float64 {
 	pu.mu.Lock()
 	defer pu.mu.Unlock()
 	if load, ok := pu.loads[name]; ok {
 		return load
 	}
-	return unknownLoad
+	return defaultLoad
 }
 
-// SetSharers tells the entry instances how many of them share backend servers.
+// SetSharers publishes how many entry instances share the backend servers.
 func (pu *Publisher) SetSharers(count int) {
 	now := pu.ts.Now()
 	pu.mu.Lock()
@@ -35,36 +35,36 @@
 	}
 	pu.sharers = count
 	pu.pending.sharers = true
-	pu.lo.info(now, "sharers-published", zap.Int("Sharers", count))
-	pu.arm(now)
+	pu.ll.info(now, "sharers-published", zap.Int("Sharers", count))
+	pu.scheduleFlush(now)
 }
 
-// SetLoad tells all control instances how much this entry instance carries, as a part of
-// what it should. Those that come later are told with the first message.
+// SetLoad reports the load of this entry instance to all control instances, as a fraction
+// of its share. Control instances that connect later get it with the first message.
 func (su *Subscriber) SetLoad(load float64) {
 	su.mu.Lock()
 	defer su.mu.Unlock()
-	su.reported = LoadReport{Load: float32(load)}
+	su.load = LoadReport{Load: float32(load)}
 	for _, co := range su.conns {
-		_ = co.Send(su.reported) // The end of the link is seen where it is read.
+		_ = co.Send(su.load) // Reading from the link reports its end.
 	}
 }
 
-// Sharers returns what SetSharers was called with last.
+// Sharers returns the count of the last SetSharers.
 func (pu *Publisher) Sharers() int {
 	pu.mu.Lock()
 	defer pu.mu.Unlock()
 	return pu.sharers
 }
 
-// mostSharers returns the highest number of sharers that a connected control instance
-// names, 0 if none does.
-func (su *Subscriber) mostSharers() int {
-	most := 0
+// maxSharers returns the highest number of sharers that a connected control instance
+// gave, or 0 if none did.
+func (su *Subscriber) maxSharers() int {
+	count := 0
 	for _, so := range su.sources {
-		if so.up.Load() {
-			most = max(most, so.sharers)
+		if so.connected.Load() {
+			count = max(count, so.sharers)
 		}
 	}
-	return most
+	return count
 }
--- a/feed/message.go
+++ b/feed/message.go
@@ -1,17 +1,18 @@
-// Package feed is what control instances tell entry instances, and the other way
-// round: the configuration in force, the backend servers, the control instances
-// and the entry instances.
+// Package feed distributes the configuration in force, the backend servers, the control
+// instances and the entry instances from control instances to entry instances, and
+// reports of entry instances back.
 //
-// An entry instance keeps one link to every control instance. The first message
-// on a link is the entry instance's Subscribe; the control instance answers with
-// the whole Picture and then sends an Update for each change. A configuration is
-// announced by its version to all and fetched by each entry instance from one
-// control instance, of its own data centre if that one keeps up, as what differs from
-// the version that it holds. The package decides neither which configuration is newest
-// (the control instances agree on it elsewhere) nor which backend server is asked.
+// An entry instance keeps one link to every control instance. The first message on a link
+// is the entry instance's Subscribe; the control instance answers with a full Snapshot
+// and then sends an Update for each change. Control instances announce a new
+// configuration by its version only. Each entry instance then fetches it from one control
+// instance, in the same data centre if that one keeps up, as a delta against the version
+// that it holds. The package decides neither which configuration is the newest (the
+// control instances agree on that elsewhere) nor which backend server gets a request.
 //
-// What entry instances see of backend servers goes to two control instances, and
-// what package outlier makes of it comes back to all (Seen, Found).
+// Entry instances send their observations of backend servers to two control instances.
+// Package outlier evaluates them there, and the findings are broadcast to all entry
+// instances (Observations, Findings).
 package feed
 
 import (
@@ -25,26 +26,26 @@
 // The kinds of the messages of this package.
 const (
 	kindSubscribe = peer.KindFeed + iota
-	kindStanding
+	kindStateReport
 	kindFetch
-	kindDocument
-	kindPicture
+	kindConfiguration
+	kindSnapshot
 	kindUpdate
-	kindSeen
-	kindFound
+	kindObservations
+	kindFindings
 	kindInvite
 	kindLoadReport
 )
 
-// EntryState says what an entry instance does with callers.
+// EntryState says whether an entry instance accepts callers.
 type EntryState uint8
 
 const (
-	// Starting says that the instance cannot serve callers yet.
+	// Starting means that the instance can't serve callers yet.
 	Starting EntryState = iota
-	// Ready says that callers may connect.
+	// Ready means that callers may connect.
 	Ready
-	// Draining says that the instance finishes what it has and takes no new callers.
+	// Draining means that the instance finishes its requests and accepts no new callers.
 	Draining
 )
 
@@ -62,112 +63,112 @@
 	}
 }
 
-// Entry is an entry instance.
+// Entry describes an entry instance.
 type Entry struct {
 	Name       string     `cbor:"1,keyasint"`
 	DataCentre string     `cbor:"2,keyasint,omitempty"`
-	Address    string     `cbor:"3,keyasint,omitempty"` // Address is where callers connect, as IP:port.
+	Address    string     `cbor:"3,keyasint,omitempty"` // where callers connect, as IP:port
 	State      EntryState `cbor:"4,keyasint,omitempty"`
 }
 
-// later returns whether this is told of an instance rather than another entry of
-// the same name, which comes from another control instance.
-func (en Entry) later(other Entry) bool {
+// overrides reports whether en is used rather than other, an entry of the same name from
+// another control instance.
+func (en Entry) overrides(other Entry) bool {
 	if en.State != other.State {
 		return en.State > other.State
 	}
 	return en.Address > other.Address
 }
 
-// Member is a control instance.
+// Member describes a control instance.
 type Member struct {
 	Name    string `cbor:"1,keyasint"`
-	Address string `cbor:"2,keyasint"` // Address is where instances connect, as IP:port.
+	Address string `cbor:"2,keyasint"` // where instances connect, as IP:port
 }
 
-// Subscribe is the first message on a link, from the entry instance that opened
-// it, or from another control instance that wants to know the backend servers.
+// Subscribe is the first message on a link. An entry instance sends it, or another
+// control instance that needs to know the backend servers.
 type Subscribe struct {
 	Name        string     `cbor:"1,keyasint"`
 	DataCentre  string     `cbor:"2,keyasint,omitempty"`
 	Address     string     `cbor:"3,keyasint,omitempty"`
 	State       EntryState `cbor:"4,keyasint,omitempty"`
-	Version     uint64     `cbor:"5,keyasint,omitempty"` // Version of the configuration held; 0 for none.
-	FromControl bool       `cbor:"6,keyasint,omitempty"` // Listener says that it is a control instance, which no caller is sent to.
+	Version     uint64     `cbor:"5,keyasint,omitempty"` // version of the configuration in force; 0 for none
+	FromControl bool       `cbor:"6,keyasint,omitempty"` // the subscriber is a control instance, to which no caller is sent
 }
 
 // Kind returns the kind of the message.
 func (Subscribe) Kind() peer.Kind { return kindSubscribe }
 
-// Standing tells a control instance the new state of the entry instance.
+// StateReport informs a control instance of the entry instance's new state.
 type StateReport struct {
 	State EntryState `cbor:"1,keyasint"`
 }
 
 // Kind returns the kind of the message.
-func (StateReport) Kind() peer.Kind { return kindStanding }
+func (StateReport) Kind() peer.Kind { return kindStateReport }
 
 // Fetch asks a control instance for the configuration of a version or a newer one.
 type Fetch struct {
 	Version     uint64 `cbor:"1,keyasint"`
-	Base        uint64 `cbor:"2,keyasint,omitempty"` // Base is the version that is held, to be told the difference; 0 asks for the whole.
-	AcceptDelta bool   `cbor:"3,keyasint,omitempty"` // Framed says that the answer may be a frame of package delta.
+	Base        uint64 `cbor:"2,keyasint,omitempty"` // version to encode a delta against; 0 requests the full configuration
+	AcceptDelta bool   `cbor:"3,keyasint,omitempty"` // the answer may be a frame of package delta
 }
 
 // Kind returns the kind of the message.
 func (Fetch) Kind() peer.Kind { return kindFetch }
 
-// Document answers a Fetch.
+// Configuration answers a Fetch.
 type Configuration struct {
 	Version uint64 `cbor:"1,keyasint"`
-	Data    []byte `cbor:"2,keyasint,omitempty"` // Data is the configuration, or its frame if there is a Digest.
-	Base    uint64 `cbor:"3,keyasint,omitempty"` // Base is the version that the frame was made against; 0 for none.
-	Digest  []byte `cbor:"4,keyasint,omitempty"` // Digest is that of the configuration, as delta.Frame has it.
+	Data    []byte `cbor:"2,keyasint,omitempty"` // the configuration, or its frame if there is a Digest
+	Base    uint64 `cbor:"3,keyasint,omitempty"` // version that the frame was encoded against; 0 for none
+	Digest  []byte `cbor:"4,keyasint,omitempty"` // digest of the configuration, as in delta.Frame
 }
 
 // Kind returns the kind of the message.
-func (Configuration) Kind() peer.Kind { return kindDocument }
+func (Configuration) Kind() peer.Kind { return kindConfiguration }
 
-// Picture is all that a control instance knows. It answers Subscribe.
+// Snapshot is the full state of a control instance. It answers Subscribe.
 type Snapshot struct {
-	Name    string            `cbor:"1,keyasint"` // Name of the control instance.
+	Name    string            `cbor:"1,keyasint"` // name of the control instance
 	Members []Member          `cbor:"2,keyasint,omitempty"`
-	Version uint64            `cbor:"3,keyasint,omitempty"` // Version of the newest configuration; 0 for none.
-	Entries []Entry           `cbor:"4,keyasint,omitempty"` // Entries that have a link to this control instance.
-	Servers []registry.Server `cbor:"5,keyasint,omitempty"` // Servers that announced themselves here.
+	Version uint64            `cbor:"3,keyasint,omitempty"` // version of the newest configuration; 0 for none
+	Entries []Entry           `cbor:"4,keyasint,omitempty"` // entry instances with a link to this control instance
+	Servers []registry.Server `cbor:"5,keyasint,omitempty"` // servers that announced themselves here
 
-	DataCentre string `cbor:"6,keyasint,omitempty"` // DataCentre is that of the control instance.
-	Sharers    int    `cbor:"7,keyasint,omitempty"` // Sharers is as in Update.
+	DataCentre string `cbor:"6,keyasint,omitempty"` // data centre of the control instance
+	Sharers    int    `cbor:"7,keyasint,omitempty"` // as in Update
 
-	Suspects []quarantine.Record `cbor:"8,keyasint,omitempty"` // Suspects are all requests under which servers ended.
+	Suspects []quarantine.Record `cbor:"8,keyasint,omitempty"` // all requests suspected of crashing servers
 
-	Evacuations *evacuation.Set `cbor:"9,keyasint,omitempty"` // Evacuations are nil before the first order.
+	Evacuations *evacuation.Set `cbor:"9,keyasint,omitempty"` // nil before the first evacuation command
 }
 
 // Kind returns the kind of the message.
-func (Snapshot) Kind() peer.Kind { return kindPicture }
+func (Snapshot) Kind() peer.Kind { return kindSnapshot }
 
-// Update is what has changed since the Picture or the last Update.
+// Update contains the changes since the Snapshot or the last Update.
 type Update struct {
-	Members        *[]Member         `cbor:"1,keyasint,omitempty"` // Members is the whole new list; nil if unchanged.
-	Version        uint64            `cbor:"2,keyasint,omitempty"` // Version of a newer configuration; 0 if unchanged.
-	Entries        []Entry           `cbor:"3,keyasint,omitempty"` // Entries are those that are new or in another state.
-	RemovedEntries []string          `cbor:"4,keyasint,omitempty"` // Left names the entry instances whose link has ended.
+	Members        *[]Member         `cbor:"1,keyasint,omitempty"` // the full new list; nil if unchanged
+	Version        uint64            `cbor:"2,keyasint,omitempty"` // version of a newer configuration; 0 if unchanged
+	Entries        []Entry           `cbor:"3,keyasint,omitempty"` // new entry instances and those whose state changed
+	RemovedEntries []string          `cbor:"4,keyasint,omitempty"` // names of entry instances whose link has ended
 	Changes        []registry.Change `cbor:"5,keyasint,omitempty"`
-	// Sharers is how many entry instances callers are led to who share backend servers; 0
-	// if unchanged, or unknown.
+	// Sharers is the number of entry instances that callers are sent to and that share
+	// the backend servers; 0 if unchanged or unknown.
 	Sharers int `cbor:"6,keyasint,omitempty"`
-	// Suspects are requests under which servers ended, or that are cleared of that.
+	// Suspects are requests suspected of crashing servers, or cleared of that suspicion.
 	Suspects []quarantine.Record `cbor:"7,keyasint,omitempty"`
-	// Evacuations are newer ones; nil if unchanged.
+	// Evacuations are the newest ones; nil if unchanged.
 	Evacuations *evacuation.Set `cbor:"8,keyasint,omitempty"`
 }
 
 // Kind returns the kind of the message.
 func (Update) Kind() peer.Kind { return kindUpdate }
 
-// LoadReport tells a control instance how much the entry instance carries, as a part of
-// what it should.
+// LoadReport informs a control instance of the entry instance's load, as a fraction of
+// its share.
 type LoadReport struct {
 	Load float32 `cbor:"1,keyasint"`
 }
@@ -175,23 +176,23 @@
 // Kind returns the kind of the message.
 func (LoadReport) Kind() peer.Kind { return kindLoadReport }
 
-// Seen tells a control instance what the entry instance saw of backend servers, and of
-// requests under which they ended.
+// Observations are what an entry instance observed of backend servers, and of requests
+// that may have crashed them.
 type Observations struct {
 	Samples  []outlier.Sample    `cbor:"1,keyasint"`
 	Suspects []quarantine.Record `cbor:"2,keyasint,omitempty"`
 }
 
 // Kind returns the kind of the message.
-func (Observations) Kind() peer.Kind { return kindSeen }
+func (Observations) Kind() peer.Kind { return kindObservations }
 
-// Found tells the entry instances what all of them together saw.
+// Findings informs the entry instances of what their observations add up to.
 type Findings struct {
 	Findings []outlier.Finding `cbor:"1,keyasint"`
 }
 
 // Kind returns the kind of the message.
-func (Findings) Kind() peer.Kind { return kindFound }
+func (Findings) Kind() peer.Kind { return kindFindings }
 
 // Messages returns one zero value of each message of this package, for the codec.
 func Messages() []peer.Message {
--- a/feed/outliers.go
+++ b/feed/outliers.go
@@ -13,106 +13,107 @@
 	"balsamwinch.example/outlier"
 )
 
-// judgePeriod is the time between two looks at what entry instances saw.
-const judgePeriod = 50 * time.Millisecond
+// outlierInterval is the time between two evaluations of the observations.
+const outlierInterval = 50 * time.Millisecond
 
-// collectors is how many control instances get what an entry instance saw. A second one
-// costs 25 bytes a sample; without it, nobody learns of anything while the only one hangs
-// and its links have not ended yet, which took 4 s.
-const collectors = 2
+// numCollectors is how many control instances get an entry instance's samples. A second
+// one costs 25 bytes a sample. Without it, no outlier was found for 4 s when the only one
+// hung and its links hadn't ended yet.
+const numCollectors = 2
 
-// outliers is a detector with its lock. Samples come on all links at once.
-type outliers struct {
+// lockedDetector guards a detector. Samples arrive on all links concurrently.
+type lockedDetector struct {
 	mu sync.Mutex
 	de *outlier.Detector
 }
 
-func (ou *outliers) add(now time.Time, from string, sas []outlier.Sample) {
-	ou.mu.Lock()
-	defer ou.mu.Unlock()
-	ou.de.Add(now, from, sas)
+func (ld *lockedDetector) add(now time.Time, from string, sas []outlier.Sample) {
+	ld.mu.Lock()
+	defer ld.mu.Unlock()
+	ld.de.Add(now, from, sas)
 }
 
-func (ou *outliers) findings(now time.Time) []outlier.Finding {
-	ou.mu.Lock()
-	defer ou.mu.Unlock()
-	return ou.de.Findings(now)
+func (ld *lockedDetector) findings(now time.Time) []outlier.Finding {
+	ld.mu.Lock()
+	defer ld.mu.Unlock()
+	return ld.de.Findings(now)
 }
 
-// judge tells all entry instances what was found of backend servers.
-func (pu *Publisher) judge(now time.Time) {
-	fis := pu.outliers.findings(now)
+// publishFindings broadcasts new findings about backend servers to all entry instances.
+func (pu *Publisher) publishFindings(now time.Time) {
+	fis := pu.detector.findings(now)
 	if len(fis) == 0 {
 		return
 	}
 	pu.mu.Lock()
 	defer pu.mu.Unlock()
 	for _, fi := range fis {
-		pu.lo.info(now, "outlier-found", findingFields(fi)...)
+		pu.ll.info(now, "outlier-found", findingFields(fi)...)
 	}
-	pu.tellAll(Findings{Findings: fis})
+	pu.broadcast(Findings{Findings: fis})
 }
 
-// SendSeen sends what this entry instance saw of backend servers to the control
-// instances that the others send theirs to, too: of those that have told all they know
-// and whose link isn't silent, the two with the lowest addresses. While some entry
-// instances have no link to one, theirs goes to another one; each then judges by less,
-// and nothing worse.
+// SendSamples sends this entry instance's samples of backend servers to the collectors:
+// the two control instances with the lowest addresses of those whose snapshot has arrived
+// and whose link isn't silent. All entry instances choose the same ones. If some have no
+// link to one of them, they use another one; each then evaluates fewer samples, with no
+// other harm.
 func (su *Subscriber) SendSamples(sas []outlier.Sample) {
 	if len(sas) == 0 {
 		return
 	}
 	su.mu.Lock()
 	defer su.mu.Unlock()
-	for _, co := range su.collectors() {
-		_ = co.Send(Observations{Samples: sas}) // The end of the link is seen where it is read.
+	for _, co := range su.collectorLinks() {
+		_ = co.Send(Observations{Samples: sas}) // Reading from the link reports its end.
 	}
 }
 
-// collectors returns the links of the control instances that judge. One that hangs
-// accepts links but tells nothing, so that a link alone doesn't count.
-func (su *Subscriber) collectors() []*link.Conn {
+// collectorLinks returns the links to the collectors. A link alone isn't enough: a
+// control instance that hangs accepts links but sends nothing.
+func (su *Subscriber) collectorLinks() []*link.Conn {
 	now := su.ts.Now()
 	var sos []*source
 	for so, co := range su.conns {
-		if so.up.Load() && now.Sub(co.Heard()) < 2*su.cf.Link.Ping {
+		if so.connected.Load() && now.Sub(co.Heard()) < 2*su.cf.Link.Ping {
 			sos = append(sos, so)
 		}
 	}
 	slices.SortFunc(sos, func(a, b *source) int { return strings.Compare(a.address, b.address) })
-	cos := make([]*link.Conn, 0, collectors)
-	for _, so := range sos[:min(collectors, len(sos))] {
+	cos := make([]*link.Conn, 0, numCollectors)
+	for _, so := range sos[:min(numCollectors, len(sos))] {
 		cos = append(cos, su.conns[so])
 	}
 	return cos
 }
 
-// heard is a finding that this instance was told.
-type heard struct {
+// receivedFinding is a finding with its source and time.
+type receivedFinding struct {
 	fi outlier.Finding
 	at time.Time
 	so *source
 }
 
-// echo is for how long a finding that another control instance tells as well says
-// nothing new. The collectors see the same and find it within two judgePeriods.
-const echo = 500 * time.Millisecond
+// duplicateInterval is how long the same finding from another control instance is
+// ignored. The collectors get the same samples and find the same within two
+// outlierIntervals.
+const duplicateInterval = 500 * time.Millisecond
 
-// found takes in what all entry instances together saw of backend servers.
-func (su *Subscriber) found(so *source, fis []outlier.Finding) {
+// receiveFindings handles findings of a control instance.
+func (su *Subscriber) receiveFindings(so *source, fis []outlier.Finding) {
 	now := su.ts.Now()
-	var news []outlier.Finding
+	var fresh []outlier.Finding
 	for _, fi := range fis {
-		if was, ok := su.heard[fi.ID]; ok && was.so != so && now.Sub(was.at) < echo && fi.SimilarTo(was.fi) {
+		if was, ok := su.findings[fi.ID]; ok && was.so != so && now.Sub(was.at) < duplicateInterval && fi.SimilarTo(was.fi) {
 			continue
 		}
-		su.heard[fi.ID] = heard{fi: fi, at: now, so: so}
-		su.lo.info(now, "outlier-heard", append(findingFields(fi), zap.String("Control", so.name))...)
-		news = append(news, fi)
+		su.findings[fi.ID] = receivedFinding{fi: fi, at: now, so: so}
+		su.ll.info(now, "outlier-heard", append(findingFields(fi), zap.String("Control", so.name))...)
+		fresh = append(fresh, fi)
 	}
-	maps.DeleteFunc(su.heard, func(_ string, he heard) bool { return now.Sub(he.at) >= outlier.FindingTTL })
-	if len(news) > 0 {
-		su.ob.OutliersFound(news)
+	maps.DeleteFunc(su.findings, func(_ string, rf receivedFinding) bool { return now.Sub(rf.at) >= outlier.FindingTTL })
+	if len(fresh) > 0 {
+		su.ob.OutliersFound(fresh)
 	}
 }
 
--- a/feed/publisher.go
+++ b/feed/publisher.go
@@ -20,143 +20,144 @@
 	"balsamwinch.example/timer"
 )
 
-// Times of a publisher.
+// Intervals of a publisher.
 const (
-	// batchDelay is the time that a change after a quiet span waits for others.
+	// batchDelay is how long a change after a quiet period waits for others.
 	batchDelay = 2 * time.Millisecond
-	// batchSpacing is the least time between two updates. When all backend servers
-	// announce themselves at once, each update would otherwise hold one of them,
-	// and each costs a write for each entry instance.
-	batchSpacing = 20 * time.Millisecond
-	// expiryShare is the part of the silence after which silence is looked for. The
-	// book takes a gap of half of it between two looks for a stop of the process.
-	expiryShare = 8
-	// expiryLeast and expiryMost bound the time between two looks.
-	expiryLeast = 100 * time.Millisecond
-	expiryMost  = 500 * time.Millisecond
+	// minFlushInterval is the minimum time between two updates. When all backend servers
+	// announce themselves at once, each update would otherwise contain one of them, and
+	// each costs a write per entry instance.
+	minFlushInterval = 20 * time.Millisecond
+	// expiryChecksPerTimeout is how often within SilenceTimeout silent servers are looked
+	// for. The catalog takes a gap of half that timeout between two checks for a
+	// suspension of the process.
+	expiryChecksPerTimeout = 8
+	// minExpiryInterval and maxExpiryInterval bound the time between two checks.
+	minExpiryInterval = 100 * time.Millisecond
+	maxExpiryInterval = 500 * time.Millisecond
 )
 
-// PublisherConfig is what a publisher needs to know.
+// PublisherConfig configures a publisher.
 type PublisherConfig struct {
-	Name           string        // Name of this control instance.
-	DataCentre     string        // DataCentre is where it runs; entry instances there ask it first.
-	SilenceTimeout time.Duration // Silence is how long a backend server may go without an announcement.
-	// Members gives the control instances until SetMembers is called; nil means none.
+	Name           string        // name of this control instance
+	DataCentre     string        // data centre of this control instance; entry instances there prefer it for fetches
+	SilenceTimeout time.Duration // how long a backend server may go without an announcement
+	// Members returns the control instances until SetMembers is called; nil means none.
 	Members func() []Member
-	// Quarantine holds the requests under which servers ended; nil means a new book.
+	// Quarantine holds the requests suspected of crashing servers; nil means a new, empty
+	// one.
 	Quarantine *quarantine.Tracker
 }
 
-// Publisher tells the entry instances that have a link to this control instance
-// what changes. All methods are safe for concurrent use and none but Handle and
-// Serve blocks: a slow link holds up nobody else.
+// Publisher sends changes to the entry instances that have a link to this control
+// instance. All methods are safe for concurrent use and none but Handle and Serve blocks:
+// a slow link delays no other one.
 type Publisher struct {
 	cf PublisherConfig
 	ts *timer.Service
 	lg *zap.Logger
 
-	ready atomic.Pointer[[]Entry]
+	readyEntries atomic.Pointer[[]Entry]
 
-	mu          sync.Mutex
-	lo          *bounded
-	book        *registry.Catalog
-	members     []Member
-	version     uint64
-	subscribers map[*subscriber]struct{}
-	joined      uint64             // joined counts the subscribers so far.
-	live        map[string]Entry   // live holds what the newest link of each entry instance said.
-	loads       map[string]float64 // loads holds what entry instances say that they carry, by name.
-	sharers     int
-	pending     pending
-	encoded     *encodedPicture // encoded is the last picture sent, until the next update.
-	armed       bool            // armed says that a flush is due.
-	flushed     time.Time       // flushed is the time of the last update.
-	changes     uint64          // changes counts the changes of the book.
-	evacuations *evacuation.Set // evacuations are the newest ones; nil before the first order.
+	mu             sync.Mutex
+	ll             *limitedLogger
+	catalog        *registry.Catalog
+	members        []Member
+	version        uint64
+	subscribers    map[*subscriber]struct{}
+	numJoined      uint64             // subscribers so far
+	liveEntries    map[string]Entry   // state that the newest link of each entry instance reported, by name
+	loads          map[string]float64 // reported loads of entry instances by name
+	sharers        int
+	pending        pendingUpdate
+	lastSnapshot   *encodedSnapshot // last snapshot sent, until the next update
+	flushScheduled bool             // a flush is due
+	lastFlush      time.Time        // time of the last update
+	serversVersion uint64           // changes of the catalog
+	evacuations    *evacuation.Set  // newest ones; nil before the first evacuation command
 
-	documents documents
-	outliers  outliers
-	qa        *quarantine.Tracker
+	configurations configurationStore
+	detector       lockedDetector
+	qa             *quarantine.Tracker
 }
 
-// subscriber is one link of an entry instance.
+// subscriber is one link of an entry instance or of another control instance.
 type subscriber struct {
-	co       *link.Conn
-	en       Entry
-	number   uint64
-	listener bool // listener says that it is a control instance.
+	co          *link.Conn
+	en          Entry
+	joinNumber  uint64
+	fromControl bool // the subscriber is a control instance
 }
 
-// encodedPicture is a picture as it was sent, and when it was made.
-type encodedPicture struct {
+// encodedSnapshot is an encoded snapshot and the time at which it was made.
+type encodedSnapshot struct {
 	pa link.Packed
 	at time.Time
 }
 
-// pending is what the next Update will tell.
-type pending struct {
+// pendingUpdate collects the changes for the next Update.
+type pendingUpdate struct {
 	members bool
 	version bool
 	sharers bool
-	// evacuations says that these have changed.
+	// evacuations means that they have changed.
 	evacuations bool
 	entries     map[string]struct{}
-	servers     []registry.Change // servers holds one change for each id, in the order of the first.
-	places      map[string]int    // places are the places in servers by id.
-	// suspects are the requests under which servers ended of which something is new.
+	changes     []registry.Change // one change for each id, in the order of the first
+	indexes     map[string]int    // indexes in changes by id
+	// suspects are the suspected requests with new information.
 	suspects map[quarantine.Key]quarantine.Record
 }
 
-// NewPublisher returns the publisher of a control instance. It accepts
-// subscribers and announcements at once; Serve finds backend servers that have
-// fallen silent.
+// NewPublisher returns the publisher of a control instance. It accepts subscribers and
+// announcements at once; Serve removes silent backend servers.
 func NewPublisher(cf PublisherConfig, ts *timer.Service, lg *zap.Logger) *Publisher {
 	pu := &Publisher{
-		cf: cf, ts: ts, lg: lg, lo: newBounded(lg),
-		book:        registry.NewCatalog(cf.SilenceTimeout),
-		outliers:    outliers{de: outlier.New()},
+		cf: cf, ts: ts, lg: lg, ll: newLimitedLogger(lg),
+		catalog:     registry.NewCatalog(cf.SilenceTimeout),
+		detector:    lockedDetector{de: outlier.New()},
 		qa:          cf.Quarantine,
 		subscribers: make(map[*subscriber]struct{}),
-		live:        make(map[string]Entry),
+		liveEntries: make(map[string]Entry),
 		loads:       make(map[string]float64),
-		pending:     newPending(),
+		pending:     newPendingUpdate(),
 	}
 	if pu.qa == nil {
 		pu.qa = quarantine.New()
 	}
-	pu.ready.Store(&[]Entry{})
+	pu.readyEntries.Store(&[]Entry{})
 	return pu
 }
 
-func newPending() pending {
-	return pending{
-		entries: make(map[string]struct{}), places: make(map[string]int),
+func newPendingUpdate() pendingUpdate {
+	return pendingUpdate{
+		entries: make(map[string]struct{}), indexes: make(map[string]int),
 		suspects: make(map[quarantine.Key]quarantine.Record),
 	}
 }
 
-// Serve removes backend servers that have fallen silent until the context ends,
-// and returns the context's error.
+// Serve removes backend servers that stopped announcing themselves and publishes outliers
+// until the context ends. It returns the context's error.
 func (pu *Publisher) Serve(ctx context.Context) error {
-	period := min(max(pu.cf.SilenceTimeout/expiryShare, expiryLeast), expiryMost)
+	period := min(max(pu.cf.SilenceTimeout/expiryChecksPerTimeout, minExpiryInterval), maxExpiryInterval)
 	tick := pu.ts.Subscribe(period)
 	defer tick.Stop()
-	judge := pu.ts.Subscribe(judgePeriod)
-	defer judge.Stop()
+	outlierTick := pu.ts.Subscribe(outlierInterval)
+	defer outlierTick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-tick.C:
-			pu.expire(pu.ts.Now())
-		case <-judge.C:
-			pu.judge(pu.ts.Now())
+			pu.expireServers(pu.ts.Now())
+		case <-outlierTick.C:
+			pu.publishFindings(pu.ts.Now())
 		}
 	}
 }
 
-// SetDocument takes in a configuration that is committed. A version that is not
-// higher than the one held changes nothing. The data must not be changed later.
+// SetConfiguration publishes a committed configuration. It ignores a version that is not
+// higher than the current one. The data must not be changed later.
 func (pu *Publisher) SetConfiguration(version uint64, data []byte) {
 	now := pu.ts.Now()
 	pu.mu.Lock()
@@ -165,13 +166,13 @@
 		return
 	}
 	pu.version = version
-	pu.documents.add(version, data)
+	pu.configurations.add(version, data)
 	pu.pending.version = true
 	pu.lg.Info("configuration-published", zap.Uint64("Version", version), zap.Int("Bytes", len(data)))
-	pu.arm(now)
+	pu.scheduleFlush(now)
 }
 
-// SetMembers takes in the control instances of the group.
+// SetMembers publishes the control instances of the group.
 func (pu *Publisher) SetMembers(ms []Member) {
 	now := pu.ts.Now()
 	ms = sortedMembers(ms)
@@ -183,38 +184,38 @@
 	pu.members = ms
 	pu.pending.members = true
 	pu.lg.Info("members-published", zap.Int("Members", len(ms)))
-	pu.arm(now)
+	pu.scheduleFlush(now)
 }
 
-// sortedMembers returns a copy in the order of names. It is never nil.
+// sortedMembers returns a copy sorted by name. It is never nil.
 func sortedMembers(ms []Member) []Member {
 	ms = append([]Member{}, ms...)
 	slices.SortFunc(ms, func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
 	return ms
 }
 
-// Handle serves the link of an entry instance until it or the context ends. The
-// first message on the link is given.
+// Handle serves the link of an entry instance until it or the context ends. The first
+// message has been received already.
 func (pu *Publisher) Handle(ctx context.Context, co *link.Conn, first Subscribe) {
 	stop := context.AfterFunc(ctx, co.Close)
 	defer stop()
 	defer co.Close()
-	sb := pu.join(co, first)
+	sb := pu.addSubscriber(co, first)
 	for {
 		ms, err := co.Receive()
 		if err != nil {
-			pu.part(sb, err)
+			pu.removeSubscriber(sb, err)
 			return
 		}
 		switch me := ms.(type) {
 		case StateReport:
-			pu.stand(sb, me.State)
+			pu.setEntryState(sb, me.State)
 		case Fetch:
-			pu.send(sb, me)
+			pu.answerFetch(sb, me)
 		case LoadReport:
-			pu.report(sb, float64(me.Load))
+			pu.setEntryLoad(sb, float64(me.Load))
 		case Observations:
-			pu.outliers.add(pu.ts.Now(), sb.en.Name, me.Samples)
+			pu.detector.add(pu.ts.Now(), sb.en.Name, me.Samples)
 			pu.AddSuspects(sb.en.Name, me.Suspects)
 		default:
 			pu.lg.Warn("message-not-expected", zap.String("Entry", sb.en.Name), zap.Uint16("Kind", uint16(me.Kind())))
@@ -222,101 +223,102 @@
 	}
 }
 
-// join adds a subscriber and sends it the whole picture. Both happen under one
-// lock, so that no change falls between the picture and the first update.
-func (pu *Publisher) join(co *link.Conn, first Subscribe) *subscriber {
+// addSubscriber adds a subscriber and sends it the snapshot. Both happen under one lock,
+// so that no change is lost between the snapshot and the first update.
+func (pu *Publisher) addSubscriber(co *link.Conn, first Subscribe) *subscriber {
 	now := pu.ts.Now()
 	pu.mu.Lock()
 	defer pu.mu.Unlock()
-	pu.joined++
-	sb := &subscriber{co: co, number: pu.joined, listener: first.FromControl, en: Entry{
+	pu.numJoined++
+	sb := &subscriber{co: co, joinNumber: pu.numJoined, fromControl: first.FromControl, en: Entry{
 		Name: first.Name, DataCentre: first.DataCentre, Address: first.Address, State: first.State,
 	}}
 	pu.subscribers[sb] = struct{}{}
-	pu.refresh(now, first.Name)
-	pu.lo.info(now, "entry-link-up", zap.String("Entry", first.Name), zap.String("Address", first.Address),
+	pu.refreshEntry(now, first.Name)
+	pu.ll.info(now, "entry-link-up", zap.String("Entry", first.Name), zap.String("Address", first.Address),
 		zap.Stringer("State", first.State), zap.Uint64("Version", first.Version))
-	if err := pu.sendPicture(now, co); err != nil {
+	if err := pu.sendSnapshot(now, co); err != nil {
 		pu.lg.Warn("picture-not-sent", zap.String("Entry", first.Name), zap.Error(err))
 	}
 	return sb
 }
 
-// sendPicture tells a subscriber all that is known. Those that connect between two updates
-// get the same picture: what has changed since it was made is told by the next update.
+// sendSnapshot sends a subscriber the full state. Subscribers that connect between two
+// updates get the same snapshot; the next update contains what has changed since it was
+// encoded.
 //
-// Each costs a control instance the encoding of hundreds of records otherwise, hundreds of
-// times in the moment in which callers wait for entry instances that have just started:
-// 191 that connect at once to one that hears 126 backend servers, 26 to 35 ms of a core
-// then, 2 to 3 ms with the same picture (BenchmarkJoins, beside a busy machine).
-func (pu *Publisher) sendPicture(now time.Time, co *link.Conn) error {
-	if pu.encoded == nil || now.Sub(pu.encoded.at) >= batchSpacing {
-		pa, err := co.Pack(pu.picture(now))
+// Otherwise a control instance would encode hundreds of records hundreds of times, just
+// when callers wait for entry instances that have restarted. With 191 entry instances
+// that connect at once and 126 backend servers, that took 26 to 35 ms of one core, and 2
+// to 3 ms with a shared snapshot (BenchmarkConnectBurst, on a busy machine).
+func (pu *Publisher) sendSnapshot(now time.Time, co *link.Conn) error {
+	if pu.lastSnapshot == nil || now.Sub(pu.lastSnapshot.at) >= minFlushInterval {
+		pa, err := co.Pack(pu.snapshot(now))
 		if err != nil {
 			return err
 		}
-		pu.encoded = &encodedPicture{pa: pa, at: now}
+		pu.lastSnapshot = &encodedSnapshot{pa: pa, at: now}
 	}
-	return co.SendPacked(pu.encoded.pa)
+	return co.SendPacked(pu.lastSnapshot.pa)
 }
 
-func (pu *Publisher) picture(now time.Time) Snapshot {
+func (pu *Publisher) snapshot(now time.Time) Snapshot {
 	members := pu.members
 	if members == nil && pu.cf.Members != nil {
 		members = sortedMembers(pu.cf.Members())
 	}
 	return Snapshot{
 		Name: pu.cf.Name, DataCentre: pu.cf.DataCentre, Members: members, Version: pu.version, Sharers: pu.sharers,
-		Entries: pu.entries(func(Entry) bool { return true }), Servers: pu.book.Records(now),
+		Entries: pu.filterEntries(func(Entry) bool { return true }), Servers: pu.catalog.Records(now),
 		Suspects: pu.qa.Records(now), Evacuations: pu.evacuations,
 	}
 }
 
-// part removes a subscriber whose link has ended.
-func (pu *Publisher) part(sb *subscriber, err error) {
+// removeSubscriber removes a subscriber whose link has ended.
+func (pu *Publisher) removeSubscriber(sb *subscriber, err error) {
 	now := pu.ts.Now()
 	pu.mu.Lock()
 	defer pu.mu.Unlock()
 	delete(pu.subscribers, sb)
-	pu.refresh(now, sb.en.Name)
-	pu.lo.info(now, "entry-link-down", zap.String("Entry", sb.en.Name), zap.Stringer("State", sb.en.State), zap.Error(err))
+	pu.refreshEntry(now, sb.en.Name)
+	pu.ll.info(now, "entry-link-down", zap.String("Entry", sb.en.Name), zap.Stringer("State", sb.en.State), zap.Error(err))
 }
 
-// send answers a Fetch. It holds up no one but those who fetch.
-func (pu *Publisher) send(sb *subscriber, fe Fetch) {
-	pa, held, err := pu.documents.pack(sb.co, fe)
+// answerFetch answers a Fetch. It delays only other fetches.
+func (pu *Publisher) answerFetch(sb *subscriber, fe Fetch) {
+	pa, version, err := pu.configurations.pack(sb.co, fe)
 	switch {
 	case err != nil:
 		pu.lg.Error("message-not-encoded", zap.Error(err))
-	case held < fe.Version || held == 0:
+	case version < fe.Version || version == 0:
 		pu.lg.Warn("configuration-not-held", zap.String("Entry", sb.en.Name),
-			zap.Uint64("Version", fe.Version), zap.Uint64("Held", held))
+			zap.Uint64("Version", fe.Version), zap.Uint64("Held", version))
 	default:
-		_ = sb.co.SendPacked(pa) // The end of the link is seen where it is read.
+		_ = sb.co.SendPacked(pa) // Reading from the link reports its end.
 	}
 }
 
-// arm makes an update go out soon.
-func (pu *Publisher) arm(now time.Time) {
-	if pu.armed {
+// scheduleFlush schedules the next update.
+func (pu *Publisher) scheduleFlush(now time.Time) {
+	if pu.flushScheduled {
 		return
 	}
-	pu.armed = true
-	pu.ts.Timeout(max(batchDelay, pu.flushed.Add(batchSpacing).Sub(now)), pu.flush)
+	pu.flushScheduled = true
+	pu.ts.Timeout(max(batchDelay, pu.lastFlush.Add(minFlushInterval).Sub(now)), pu.flush)
 }
 
-// flush sends what is pending to all subscribers.
+// flush sends the pending changes to all subscribers.
 func (pu *Publisher) flush() {
 	pu.mu.Lock()
 	defer pu.mu.Unlock()
-	pu.armed, pu.flushed = false, pu.ts.Now()
-	up := pu.update()
-	pu.pending, pu.encoded = newPending(), nil
-	pu.tellAll(up)
+	pu.flushScheduled, pu.lastFlush = false, pu.ts.Now()
+	up := pu.buildUpdate()
+	pu.pending, pu.lastSnapshot = newPendingUpdate(), nil
+	pu.broadcast(up)
 }
 
-// tellAll sends a message to all subscribers. It is encoded once.
-func (pu *Publisher) tellAll(ms peer.Message) {
+// broadcast sends a message to all subscribers. It is encoded once.
+func (pu *Publisher) broadcast(ms peer.Message) {
 	var pa *link.Packed
 	for sb := range pu.subscribers {
 		if pa == nil {
@@ -327,11 +329,11 @@
 			}
 			pa = &packed
 		}
-		_ = sb.co.SendPacked(*pa) // The end of the link is seen where it is read.
+		_ = sb.co.SendPacked(*pa) // Reading from the link reports its end.
 	}
 }
 
-func (pu *Publisher) update() Update {
+func (pu *Publisher) buildUpdate() Update {
 	var up Update
 	if pu.pending.members {
 		up.Members = &pu.members
@@ -346,13 +348,13 @@
 		up.Evacuations = pu.evacuations
 	}
 	for _, name := range slices.Sorted(maps.Keys(pu.pending.entries)) {
-		if en, ok := pu.live[name]; ok {
+		if en, ok := pu.liveEntries[name]; ok {
 			up.Entries = append(up.Entries, en)
 		} else {
 			up.RemovedEntries = append(up.RemovedEntries, name)
 		}
 	}
-	up.Changes = pu.pending.servers
+	up.Changes = pu.pending.changes
 	for _, rc := range pu.pending.suspects {
 		up.Suspects = append(up.Suspects, rc)
 	}
--- a/feed/source.go
+++ b/feed/source.go
@@ -13,89 +13,88 @@
 	"balsamwinch.example/peer"
 )
 
-// Times between two attempts to open a link.
+// Redial backoff and related times.
 const (
-	// redialLeast and redialMost bound the time, of which a random part is up to
-	// one half: when a control instance ends, all entry instances lose their link
-	// at the same moment and must not come back at the same moment.
-	redialLeast = 100 * time.Millisecond
-	redialMost  = time.Second
-	// steady is how long a link must stand to make the next redial an early one.
-	steady = time.Second
-	// forgetAfter is how long a control instance must be wanted by nobody. When all
-	// of them restart, the first one back may list nobody but itself for a while;
-	// forgetting the others at once would leave their links to the seeds alone.
-	forgetAfter = 10 * time.Second
+	// minRedialBackoff and maxRedialBackoff bound the backoff, up to half of which is
+	// jitter: when a control instance ends, all entry instances lose their links at the
+	// same moment and must not redial at the same moment.
+	minRedialBackoff = 100 * time.Millisecond
+	maxRedialBackoff = time.Second
+	// minStableTime is how long a link must last to reset the redial backoff.
+	minStableTime = time.Second
+	// unlistedTTL is how long a control instance is kept after neither seeds nor members
+	// list it. When all control instances restart, the first one may list only itself for
+	// a while; removing the others at once would leave only the links to the seeds.
+	unlistedTTL = 10 * time.Second
 )
 
-// source is a control instance as the subscriber knows it, by its address. But
-// for address, cancel and hurry it belongs to the goroutine of Serve.
+// source is a control instance as the subscriber sees it, identified by its address. Only
+// the goroutine of Serve may use it, except for address, cancel, redial and connected.
 type source struct {
-	address string
-	cancel  context.CancelFunc
-	hurry   chan struct{} // hurry ends the wait before the next dial.
-	name    string
-	near    bool        // near says that it is of the own data centre.
-	up      atomic.Bool // up says that the link stands and the picture has come; any goroutine may ask.
-	failed  bool        // failed says that the loss or absence of the link is logged.
-	lostAt  time.Time
-	members []Member
-	entries map[string]Entry
-	sharers int    // sharers is how many entry instances it says share backend servers.
-	version uint64 // version is the newest configuration that it announced.
-	order   uint64 // order is lower the earlier it announced that version.
-	// unwanted is since when neither seeds nor members name it; zero if they do.
-	unwanted time.Time
+	address        string
+	cancel         context.CancelFunc
+	redial         chan struct{} // ends the wait for the redial backoff
+	name           string
+	sameDataCentre bool        // the control instance is in the same data centre
+	connected      atomic.Bool // the link is up and the snapshot has arrived
+	lossLogged     bool        // the loss or absence of the link has been logged
+	lostAt         time.Time
+	members        []Member
+	entries        map[string]Entry
+	sharers        int    // number of entry instances that it says share backend servers
+	version        uint64 // newest configuration that it announced
+	announceOrder  uint64 // lower the earlier it announced that version
+	// unlistedSince is when seeds and members stopped listing it; zero if they list it.
+	unlistedSince time.Time
 }
 
-// event is what a link tells the goroutine of Serve: a message, or the error for
-// which there is no link.
+// event is a message of a link, or the error for which there is no link.
 type event struct {
 	so  *source
 	ms  peer.Message
 	err error
 }
 
-// reconcile starts links to the control instances that are wanted, and forgets
-// those that have not been wanted for long and whose link has ended.
+// reconcile starts links to all wanted control instances, and removes those that have
+// been unlisted for unlistedTTL and whose link has ended.
 func (su *Subscriber) reconcile(now time.Time, start func(*source)) {
-	wanted := su.wanted(now)
+	wanted := su.wantedAddresses(now)
 	for address := range wanted {
 		if _, ok := su.sources[address]; !ok {
-			so := &source{address: address, hurry: make(chan struct{}, 1)}
+			so := &source{address: address, redial: make(chan struct{}, 1)}
 			su.sources[address] = so
 			start(so)
 		}
 	}
 	for address, so := range su.sources {
 		if _, ok := wanted[address]; ok {
-			so.unwanted = time.Time{}
+			so.unlistedSince = time.Time{}
 			continue
 		}
-		if so.unwanted.IsZero() {
-			so.unwanted = now
+		if so.unlistedSince.IsZero() {
+			so.unlistedSince = now
 		}
-		if so.up.Load() || now.Sub(so.unwanted) < forgetAfter {
+		if so.connected.Load() || now.Sub(so.unlistedSince) < unlistedTTL {
 			continue
 		}
 		so.cancel()
 		delete(su.sources, address)
 		su.un.RemoveSource(address)
-		su.dirty = true
+		su.entriesDirty = true
 		su.lg.Info("control-forgotten", zap.String("Address", address), zap.String("Control", so.name))
 	}
 }
 
-// wanted returns the addresses of the seeds, of those who invited this instance lately,
-// and of all members that a connected control instance lists, or, if none is connected,
-// that any has listed.
-func (su *Subscriber) wanted(now time.Time) map[string]struct{} {
+// wantedAddresses returns the addresses of the seeds, of recent inviters, and of all
+// members that a connected control instance lists, or, if none is connected, that any of
+// them has listed.
+func (su *Subscriber) wantedAddresses(now time.Time) map[string]struct{} {
 	wanted := make(map[string]struct{}, len(su.sources))
-	for _, address := range slices.Concat(su.seeds, su.stillInvited(now)) {
+	for _, address := range slices.Concat(su.seeds, su.recentInviters(now)) {
 		wanted[address] = struct{}{}
 	}
 	for _, so := range su.sources {
-		if !so.up.Load() && su.NumConnected() > 0 {
+		if !so.connected.Load() && su.NumConnected() > 0 {
 			continue
 		}
 		for _, me := range so.members {
@@ -108,66 +107,66 @@
 	return wanted
 }
 
-// keep holds the link to a control instance until the context ends.
-func (su *Subscriber) keep(ctx context.Context, so *source) {
+// maintainLink keeps a link to a control instance until the context ends.
+func (su *Subscriber) maintainLink(ctx context.Context, so *source) {
 	failures := 0
 	for ctx.Err() == nil {
 		began := su.ts.Now()
 		co, err := link.Dial(ctx, so.address, su.cf.Link)
 		if err == nil {
-			err = su.listen(ctx, so, co)
+			err = su.readLink(ctx, so, co)
 		}
-		if su.ts.Now().Sub(began) >= steady && co != nil {
+		if su.ts.Now().Sub(began) >= minStableTime && co != nil {
 			failures = 0
 		}
-		// Only the first failure is news; the others would wake Serve for nothing.
+		// Post only the first failure; the others would wake Serve without need.
 		if co != nil || failures == 0 {
-			su.post(ctx, event{so: so, err: err})
+			su.postEvent(ctx, event{so: so, err: err})
 		}
-		if !so.wait(ctx, redialDelay(failures)) {
+		if !so.waitToRedial(ctx, redialBackoff(failures)) {
 			return
 		}
 		failures++
 	}
 }
 
-// redialDelay returns the time before the next attempt.
-func redialDelay(failures int) time.Duration {
-	delay := redialLeast << min(failures, 4)
-	return min(delay, redialMost/2) + rand.N(min(delay, redialMost/2))
+// redialBackoff returns the delay before the next attempt.
+func redialBackoff(failures int) time.Duration {
+	delay := minRedialBackoff << min(failures, 4)
+	return min(delay, maxRedialBackoff/2) + rand.N(min(delay, maxRedialBackoff/2))
 }
 
-// listen reads a link until it ends and returns why.
-func (su *Subscriber) listen(ctx context.Context, so *source, co *link.Conn) error {
+// readLink reads a link until it ends and returns the cause.
+func (su *Subscriber) readLink(ctx context.Context, so *source, co *link.Conn) error {
 	stop := context.AfterFunc(ctx, co.Close)
 	defer stop()
 	defer co.Close()
-	if err := su.greet(so, co); err != nil {
+	if err := su.subscribe(so, co); err != nil {
 		return err
 	}
-	defer su.ungreet(so)
+	defer su.removeConn(so)
 	for {
 		ms, err := co.Receive()
 		if err != nil {
 			return err
 		}
-		if !su.post(ctx, event{so: so, ms: ms}) {
+		if !su.postEvent(ctx, event{so: so, ms: ms}) {
 			return ctx.Err()
 		}
 	}
 }
 
-// greet sends the first message. It does so under the lock of SetState, so that
-// either the message holds the new state or a Standing follows it.
-func (su *Subscriber) greet(so *source, co *link.Conn) error {
+// subscribe sends the first message. It holds the lock that SetState takes, so that
+// either the message contains the new state or a StateReport follows it.
+func (su *Subscriber) subscribe(so *source, co *link.Conn) error {
 	su.mu.Lock()
 	defer su.mu.Unlock()
 	en := su.cf.Self
 	err := co.Send(Subscribe{
-		Name: en.Name, DataCentre: en.DataCentre, Address: en.Address, State: su.state, Version: su.held, FromControl: su.cf.OwnAddress != "",
+		Name: en.Name, DataCentre: en.DataCentre, Address: en.Address, State: su.state, Version: su.version, FromControl: su.cf.OwnAddress != "",
 	})
 	if err == nil && su.cf.OwnAddress == "" {
-		err = co.Send(su.reported)
+		err = co.Send(su.load)
 	}
 	if err == nil && su.cf.Suspects != nil {
 		if rcs := su.cf.Suspects(); len(rcs) > 0 {
@@ -180,15 +179,14 @@
 	return err
 }
 
-func (su *Subscriber) ungreet(so *source) {
+func (su *Subscriber) removeConn(so *source) {
 	su.mu.Lock()
 	defer su.mu.Unlock()
 	delete(su.conns, so)
 }
 
-// post gives an event to the goroutine of Serve. It returns false if the context
-// ended first.
-func (su *Subscriber) post(ctx context.Context, ev event) bool {
+// postEvent queues an event for Serve. It returns false if the context ended first.
+func (su *Subscriber) postEvent(ctx context.Context, ev event) bool {
 	select {
 	case su.events <- ev:
 		return true
@@ -197,59 +195,59 @@
 	}
 }
 
-// take takes in an event.
-func (su *Subscriber) take(ev event) {
+// handleEvent handles an event in the goroutine of Serve.
+func (su *Subscriber) handleEvent(ev event) {
 	so := ev.so
 	if su.sources[so.address] != so {
 		return
 	}
 	switch me := ev.ms.(type) {
 	case nil:
-		su.lost(so, ev.err)
+		su.linkLost(so, ev.err)
 	case Snapshot:
-		su.picture(so, me)
+		su.applySnapshot(so, me)
 	case Update:
-		su.update(so, me)
+		su.applyUpdate(so, me)
 	case Configuration:
-		su.document(so, me)
+		su.receiveConfiguration(so, me)
 	case Findings:
-		su.found(so, me.Findings)
+		su.receiveFindings(so, me.Findings)
 	default:
 		su.lg.Warn("message-not-expected", zap.String("Address", so.address), zap.Uint16("Kind", uint16(me.Kind())))
 	}
 }
 
-func (su *Subscriber) picture(so *source, pi Snapshot) {
+func (su *Subscriber) applySnapshot(so *source, sn Snapshot) {
 	now := su.ts.Now()
-	if !so.up.Load() {
-		so.up.Store(true)
-		su.up.Add(1)
+	if !so.connected.Load() {
+		so.connected.Store(true)
+		su.numConnected.Add(1)
 	}
 	fields := []zap.Field{
-		zap.String("Address", so.address), zap.String("Control", pi.Name), zap.Int("Members", len(pi.Members)),
-		zap.Int("Servers", len(pi.Servers)), zap.Uint64("Version", pi.Version),
+		zap.String("Address", so.address), zap.String("Control", sn.Name), zap.Int("Members", len(sn.Members)),
+		zap.Int("Servers", len(sn.Servers)), zap.Uint64("Version", sn.Version),
 	}
-	if so.failed {
+	if so.lossLogged {
 		fields = append(fields, zap.Duration("LostFor", now.Sub(so.lostAt)))
 	}
 	su.lg.Info("control-link-up", fields...)
-	so.failed = false
-	so.name, so.members, so.sharers = pi.Name, pi.Members, pi.Sharers
-	so.near = pi.DataCentre != "" && pi.DataCentre == su.cf.Self.DataCentre
-	so.entries = make(map[string]Entry, len(pi.Entries))
-	for _, en := range pi.Entries {
+	so.lossLogged = false
+	so.name, so.members, so.sharers = sn.Name, sn.Members, sn.Sharers
+	so.sameDataCentre = sn.DataCentre != "" && sn.DataCentre == su.cf.Self.DataCentre
+	so.entries = make(map[string]Entry, len(sn.Entries))
+	for _, en := range sn.Entries {
 		so.entries[en.Name] = en
 	}
-	su.dirty = true
+	su.entriesDirty = true
 	so.version = 0
-	su.evacuate(so, pi.Evacuations)
-	su.announced(so, pi.Version)
-	su.un.Replace(now, so.address, pi.Servers)
-	su.suspects(so, pi.Suspects)
+	su.applyEvacuations(so, sn.Evacuations)
+	su.versionAnnounced(so, sn.Version)
+	su.un.Replace(now, so.address, sn.Servers)
+	su.receiveSuspects(so, sn.Suspects)
 }
 
-func (su *Subscriber) update(so *source, up Update) {
-	if !so.up.Load() {
+func (su *Subscriber) applyUpdate(so *source, up Update) {
+	if !so.connected.Load() {
 		return
 	}
 	if up.Members != nil {
@@ -257,36 +255,35 @@
 	}
 	for _, en := range up.Entries {
 		so.entries[en.Name] = en
-		su.dirty = true
+		su.entriesDirty = true
 	}
 	for _, name := range up.RemovedEntries {
 		delete(so.entries, name)
-		su.dirty = true
+		su.entriesDirty = true
 	}
 	if up.Sharers > 0 {
 		so.sharers = up.Sharers
-		su.dirty = true
+		su.entriesDirty = true
 	}
-	su.evacuate(so, up.Evacuations)
-	su.announced(so, up.Version)
+	su.applyEvacuations(so, up.Evacuations)
+	su.versionAnnounced(so, up.Version)
 	if len(up.Changes) > 0 {
 		su.un.Apply(su.ts.Now(), so.address, up.Changes)
 	}
-	su.suspects(so, up.Suspects)
+	su.receiveSuspects(so, up.Suspects)
 }
 
-// lost takes in that there is no link. What the control instance said of backend
-// servers stays for the time of SubscriberConfig.Hold, and while no control
-// instance is connected.
-func (su *Subscriber) lost(so *source, err error) {
-	if so.up.Load() {
-		so.up.Store(false)
-		su.up.Add(-1)
-		su.dirty = true
+// linkLost handles the loss of a link. The control instance's backend servers stay for
+// SubscriberConfig.RetentionTimeout, and for as long as no control instance is connected.
+func (su *Subscriber) linkLost(so *source, err error) {
+	if so.connected.Load() {
+		so.connected.Store(false)
+		su.numConnected.Add(-1)
+		su.entriesDirty = true
 		su.un.Disconnect(su.ts.Now(), so.address)
 	}
-	if !so.failed {
-		so.failed, so.lostAt = true, su.ts.Now()
+	if !so.lossLogged {
+		so.lossLogged, so.lostAt = true, su.ts.Now()
 		su.lg.Warn("control-link-down", zap.String("Address", so.address), zap.String("Control", so.name), zap.Error(err))
 	}
 }
--- a/feed/subscriber.go
+++ b/feed/subscriber.go
@@ -17,126 +17,128 @@
 	"balsamwinch.example/timer"
 )
 
-// Times and bounds of a subscriber.
+// Intervals and limits of a subscriber.
 const (
-	// tickLeast and tickMost bound the time between two looks at servers that
-	// nobody hears, and holdShare is the part of SubscriberConfig.Hold that it is.
-	// The union takes a gap of half of that for a stop of the process.
-	tickLeast = 100 * time.Millisecond
-	tickMost  = 500 * time.Millisecond
-	holdShare = 6
-	// seedPeriod is the time between two looks at the seeds.
-	seedPeriod = time.Second
-	// noticeSpacing is the least time between two calls of ServersChanged, each of
+	// minTickInterval and maxTickInterval bound the time between two checks for servers
+	// that no control instance hears; ticksPerRetention is the number of checks within
+	// SubscriberConfig.RetentionTimeout. The union takes a gap of half that timeout for a
+	// suspension of the process.
+	minTickInterval   = 100 * time.Millisecond
+	maxTickInterval   = 500 * time.Millisecond
+	ticksPerRetention = 6
+	// seedInterval is the time between two reads of the seeds.
+	seedInterval = time.Second
+	// minNotifyInterval is the minimum time between two calls of ServersChanged, each of
 	// which rebuilds tables of all backend servers.
-	noticeSpacing = 10 * time.Millisecond
-	// eventBound is the number of messages that wait for the observer. A link whose
-	// message finds no room isn't read until there is some.
-	eventBound = 64
-	// goneBound is the number of MarkGone that wait; more are dropped, and the next
-	// request to that server tells it again.
-	goneBound = 1024
+	minNotifyInterval = 10 * time.Millisecond
+	// maxQueuedEvents bounds the queue of Serve. A link isn't read while its message
+	// waits for room in the queue.
+	maxQueuedEvents = 64
+	// maxQueuedGone bounds the queued MarkGone calls. More are dropped; the next request
+	// to such a server reports it again.
+	maxQueuedGone = 1024
 )
 
-// Observer is told what changed. It is called from one goroutine, in the order
-// of the changes, and should return soon.
+// Observer is notified of changes. It is called from one goroutine, in the order of the
+// changes, and should return soon.
 type Observer interface {
-	// ConfigurationChanged gives a configuration with a higher version than all
-	// before. After an error the same version may come again a second later.
+	// ConfigurationChanged passes a configuration with a higher version than all before.
+	// If it returns an error, the same version may be passed again a second later.
 	ConfigurationChanged(version uint64, data []byte) error
-	// ServersChanged gives the backend servers by service. The map and its slices
-	// are never changed later.
+	// ServersChanged passes the backend servers by service. The map and its slices are
+	// never modified afterwards.
 	ServersChanged(servers map[string][]registry.Server)
-	// EntriesChanged gives the entry instances that are Ready or Draining, by name,
-	// as the control instances together see them.
+	// EntriesChanged passes the entry instances that are Ready or Draining, sorted by
+	// name, as seen by all control instances together.
 	EntriesChanged(live []Entry)
-	// EvacuationsChanged gives which data centres are evacuated; revisions only rise.
+	// EvacuationsChanged passes the evacuated data centres; revisions only rise.
 	EvacuationsChanged(st evacuation.Set)
-	// SharersChanged gives how many entry instances callers are led to who share backend
-	// servers.
+	// SharersChanged passes the number of entry instances that callers are sent to and
+	// that share the backend servers.
 	SharersChanged(count int)
-	// OutliersFound gives what all entry instances together saw of backend servers.
+	// OutliersFound passes findings about backend servers from the samples of all entry
+	// instances.
 	OutliersFound(fis []outlier.Finding)
-	// SuspectsHeard gives what a control instance knows of requests under which servers
-	// ended. It returns what of it was new.
+	// SuspectsHeard passes requests that a control instance suspects of crashing servers.
+	// It returns those with new information.
 	SuspectsHeard(control string, rcs []quarantine.Record) []quarantine.Record
 }
 
-// SubscriberConfig is what a subscriber needs to know.
+// SubscriberConfig configures a subscriber.
 type SubscriberConfig struct {
-	Self             Entry           // Self is this entry instance, with the state that it starts in.
-	Seeds            func() []string // Seeds gives addresses of control instances as IP:port; asked once a second.
-	Link             link.Config     // Link says how links are made.
-	RetentionTimeout time.Duration   // Hold is how long a backend server stays that no control instance hears any more.
-	// Own is the address of the control instance that the subscriber belongs to, which
-	// needs no link to itself; empty for an entry instance.
+	Self             Entry           // this entry instance, with its initial state
+	Seeds            func() []string // returns addresses of control instances as IP:port; called once a second
+	Link             link.Config     // settings of the links
+	RetentionTimeout time.Duration   // how long a backend server is kept after the last control instance stopped hearing it
+	// OwnAddress is the address of the control instance that the subscriber belongs to,
+	// which needs no link to itself; empty for an entry instance.
 	OwnAddress string
-	// Suspects gives what the own instance knows of requests under which servers ended,
-	// for a control instance whose link has come up; nil for nothing.
+	// Suspects returns this instance's records of requests suspected of crashing servers,
+	// which are sent to a control instance whose link comes up; nil for none.
 	Suspects func() []quarantine.Record
 }
 
-// Subscriber keeps an entry instance's links to all control instances. Its
-// methods are safe for concurrent use and none but Serve blocks.
+// Subscriber keeps an entry instance's links to all control instances. Its methods are
+// safe for concurrent use and none but Serve blocks.
 type Subscriber struct {
-	cf   SubscriberConfig
-	ts   *timer.Service
-	lg   *zap.Logger
-	ob   Observer
-	up   atomic.Int64
-	kick chan struct{}
+	cf           SubscriberConfig
+	ts           *timer.Service
+	lg           *zap.Logger
+	ob           Observer
+	numConnected atomic.Int64
+	wake         chan struct{}
 
-	mu       sync.Mutex
-	state    EntryState
-	reported LoadReport // reported is the load as it was told last, nothing at the start.
-	held     uint64     // held is the version of the configuration in force.
-	conns    map[*source]*link.Conn
-	gone     map[string]struct{}
-	// invites holds the addresses of control instances that invited this one, with the
-	// time, until Serve takes them.
-	invites map[string]time.Time
+	mu      sync.Mutex
+	state   EntryState
+	load    LoadReport // last load reported, zero at the start
+	version uint64     // version of the configuration in force
+	conns   map[*source]*link.Conn
+	gone    map[string]struct{}
+	// newInvites holds the addresses of control instances that sent an invitation, with
+	// the time, until Serve processes them.
+	newInvites map[string]time.Time
 
-	// What follows belongs to the goroutine of Serve.
-	lo       *bounded
-	events   chan event
-	sources  map[string]*source
-	invited  map[string]time.Time // invited holds the invitations of the last forgetAfter.
-	seeds    []string
-	un       *registry.Union
-	servers  map[string][]registry.Server // servers is what the observer was told last.
-	told     uint64                       // told is the version of the union then.
-	toldAt   time.Time
-	entries  []Entry // entries is what the observer was told last.
-	sharers  int     // sharers is likewise.
-	revision uint64  // revision is that of the evacuations that the observer was told last.
-	dirty    bool    // dirty says that the entry instances may have changed.
-	fetch    fetch
-	heard    map[string]heard // heard holds the findings of the last outlier.Lifetime by id.
-	data     []byte           // data is the configuration of version held, which the next one is told against.
-	seededAt time.Time
-	alarm    *timer.Timeout
-	alarmAt  time.Time
+	// The following fields belong to the goroutine of Serve.
+	ll                  *limitedLogger
+	events              chan event
+	sources             map[string]*source
+	invited             map[string]time.Time // invitations of the last unlistedTTL
+	seeds               []string
+	un                  *registry.Union
+	lastServers         map[string][]registry.Server // servers passed to the observer last
+	lastServersVersion  uint64                       // version of the union at that time
+	lastServersAt       time.Time
+	lastEntries         []Entry // entry instances passed to the observer last
+	lastSharers         int     // number of sharers passed to the observer last
+	evacuationsRevision uint64  // revision of the evacuations passed to the observer last
+	entriesDirty        bool    // the entry instances or the sharers may have changed
+	fetch               fetch
+	findings            map[string]receivedFinding // findings of the last outlier.Lifetime by id
+	configuration       []byte                     // configuration in force, the base for the next delta
+	seedsReadAt         time.Time
+	wakeTimer           *timer.Timeout
+	wakeAtTime          time.Time
 }
 
-// NewSubscriber returns the subscriber of an entry instance. It does nothing
-// before Serve.
+// NewSubscriber returns the subscriber of an entry instance. It does nothing before
+// Serve.
 func NewSubscriber(cf SubscriberConfig, ts *timer.Service, lg *zap.Logger, ob Observer) *Subscriber {
 	return &Subscriber{
-		cf: cf, ts: ts, lg: lg, ob: ob, lo: newBounded(lg),
-		kick:    make(chan struct{}, 1),
-		state:   cf.Self.State,
-		conns:   make(map[*source]*link.Conn),
-		gone:    make(map[string]struct{}),
-		invites: make(map[string]time.Time),
-		un:      registry.NewUnion(cf.RetentionTimeout),
+		cf: cf, ts: ts, lg: lg, ob: ob, ll: newLimitedLogger(lg),
+		wake:       make(chan struct{}, 1),
+		state:      cf.Self.State,
+		conns:      make(map[*source]*link.Conn),
+		gone:       make(map[string]struct{}),
+		newInvites: make(map[string]time.Time),
+		un:         registry.NewUnion(cf.RetentionTimeout),
 	}
 }
 
-// Connected returns the number of control instances that have told this one all
-// they know and whose link stands.
-func (su *Subscriber) NumConnected() int { return int(su.up.Load()) }
+// NumConnected returns the number of control instances whose link is up and whose
+// snapshot has arrived.
+func (su *Subscriber) NumConnected() int { return int(su.numConnected.Load()) }
 
-// SetState tells all control instances the new state of this entry instance.
+// SetState reports the new state of this entry instance to all control instances.
 func (su *Subscriber) SetState(es EntryState) {
 	su.mu.Lock()
 	defer su.mu.Unlock()
@@ -145,29 +147,29 @@
 	}
 	su.state = es
 	for _, co := range su.conns {
-		_ = co.Send(StateReport{State: es}) // A link that has ended is opened again with the new state.
+		_ = co.Send(StateReport{State: es}) // A link that has ended is reopened with the new state.
 	}
 }
 
-// NameServices takes over which services the configuration in force uses. It is called
-// by the observer as that changes.
+// SetServices sets the services that the configuration in force uses. The observer calls
+// it when they change.
 func (su *Subscriber) SetServices(services map[string]bool) { su.un.SetServices(services) }
 
-// MarkGone takes in that the process at a backend server's address has said that
-// it is not that server. The server does not come back.
+// MarkGone records that the process at a backend server's address said that it is not
+// that server. The server never returns.
 func (su *Subscriber) MarkGone(id string) {
 	su.mu.Lock()
-	if len(su.gone) < goneBound {
+	if len(su.gone) < maxQueuedGone {
 		su.gone[id] = struct{}{}
 	}
 	su.mu.Unlock()
-	su.nudge()
+	su.wakeServe()
 }
 
-// nudge makes the goroutine of Serve look for work.
-func (su *Subscriber) nudge() {
+// wakeServe wakes the goroutine of Serve.
+func (su *Subscriber) wakeServe() {
 	select {
-	case su.kick <- struct{}{}:
+	case su.wake <- struct{}{}:
 	default:
 	}
 }
@@ -178,57 +180,57 @@
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer cancel()
-	su.events = make(chan event, eventBound)
+	su.events = make(chan event, maxQueuedEvents)
 	su.sources = make(map[string]*source)
 	su.invited = make(map[string]time.Time)
-	su.heard = make(map[string]heard)
+	su.findings = make(map[string]receivedFinding)
 	su.fetch = fetch{}
-	su.alarm, su.alarmAt = su.ts.Timeout(seedPeriod, su.nudge), time.Time{}
-	defer su.alarm.Stop()
-	su.up.Store(0)
-	tick := su.ts.Subscribe(min(max(su.cf.RetentionTimeout/holdShare, tickLeast), tickMost))
+	su.wakeTimer, su.wakeAtTime = su.ts.Timeout(seedInterval, su.wakeServe), time.Time{}
+	defer su.wakeTimer.Stop()
+	su.numConnected.Store(0)
+	tick := su.ts.Subscribe(min(max(su.cf.RetentionTimeout/ticksPerRetention, minTickInterval), maxTickInterval))
 	defer tick.Stop()
 	start := func(so *source) {
-		kept, cancel := context.WithCancel(ctx)
+		linkCtx, cancel := context.WithCancel(ctx)
 		so.cancel = cancel
-		wg.Go(func() { su.keep(kept, so) })
+		wg.Go(func() { su.maintainLink(linkCtx, so) })
 	}
-	su.seeds, su.seededAt = su.cf.Seeds(), su.ts.Now()
-	su.reconcile(su.seededAt, start)
+	su.seeds, su.seedsReadAt = su.cf.Seeds(), su.ts.Now()
+	su.reconcile(su.seedsReadAt, start)
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case ev := <-su.events:
-			su.take(ev)
-			su.takeMore()
-		case <-su.kick:
-			su.takeGone()
-			su.takeInvites()
+			su.handleEvent(ev)
+			su.handleQueuedEvents()
+		case <-su.wake:
+			su.processGone()
+			su.processInvites()
 		case <-tick.C:
 			su.tick(su.ts.Now())
 		}
 		now := su.ts.Now()
 		su.reconcile(now, start)
-		su.seek(now)
-		su.notice(now)
+		su.fetchNewest(now)
+		su.notify(now)
 	}
 }
 
-// takeMore takes the events that wait already, so that the observer is told once
-// of what came together.
-func (su *Subscriber) takeMore() {
-	for range eventBound {
+// handleQueuedEvents handles the events that are queued already, so that the observer is
+// notified once for all of them.
+func (su *Subscriber) handleQueuedEvents() {
+	for range maxQueuedEvents {
 		select {
 		case ev := <-su.events:
-			su.take(ev)
+			su.handleEvent(ev)
 		default:
 			return
 		}
 	}
 }
 
-func (su *Subscriber) takeGone() {
+func (su *Subscriber) processGone() {
 	su.mu.Lock()
 	var gone map[string]struct{}
 	if len(su.gone) > 0 {
@@ -240,69 +242,69 @@
 	}
 }
 
-// tick looks for new seeds and for servers that nobody hears.
+// tick reads the seeds again when due and expires servers that no control instance hears.
 func (su *Subscriber) tick(now time.Time) {
-	if now.Sub(su.seededAt) >= seedPeriod {
-		su.seeds, su.seededAt = su.cf.Seeds(), now
+	if now.Sub(su.seedsReadAt) >= seedInterval {
+		su.seeds, su.seedsReadAt = su.cf.Seeds(), now
 	}
 	su.un.Expire(now)
 }
 
-// notice tells the observer of backend servers and entry instances that changed.
-func (su *Subscriber) notice(now time.Time) {
-	if su.un.Version() != su.told {
-		if next := su.toldAt.Add(noticeSpacing); now.Before(next) {
+// notify notifies the observer of changed backend servers and entry instances.
+func (su *Subscriber) notify(now time.Time) {
+	if su.un.Version() != su.lastServersVersion {
+		if next := su.lastServersAt.Add(minNotifyInterval); now.Before(next) {
 			su.wakeAt(now, next)
 		} else {
-			su.tellServers(now)
+			su.notifyServers(now)
 		}
 	}
-	if !su.dirty || su.NumConnected() == 0 {
-		return // If all control instances are lost, their last word is the best there is.
+	if !su.entriesDirty || su.NumConnected() == 0 {
+		return // Without any control instance, the last known state is the best available.
 	}
-	su.dirty = false
-	if live := su.liveEntries(); !slices.Equal(live, su.entries) {
-		su.entries = live
+	su.entriesDirty = false
+	if live := su.liveEntries(); !slices.Equal(live, su.lastEntries) {
+		su.lastEntries = live
 		su.ob.EntriesChanged(live)
 	}
-	if count := su.mostSharers(); count > 0 && count != su.sharers {
-		su.sharers = count
+	if count := su.maxSharers(); count > 0 && count != su.lastSharers {
+		su.lastSharers = count
 		su.ob.SharersChanged(count)
 	}
 }
 
-// tellServers tells the observer of the backend servers if they changed.
-func (su *Subscriber) tellServers(now time.Time) {
+// notifyServers notifies the observer of the backend servers if they changed.
+func (su *Subscriber) notifyServers(now time.Time) {
 	version := su.un.Version()
-	if version == su.told {
+	if version == su.lastServersVersion {
 		return
 	}
-	su.toldAt, su.told = now, version
+	su.lastServersAt, su.lastServersVersion = now, version
 	servers := su.un.Servers()
-	su.logServers(now, su.servers, servers)
-	su.servers = servers
+	su.logServerChanges(now, su.lastServers, servers)
+	su.lastServers = servers
 	su.ob.ServersChanged(servers)
 }
 
-// wakeAt makes Serve look for work at a time, unless it does so earlier.
+// wakeAt wakes Serve at the given time, unless it wakes earlier.
 func (su *Subscriber) wakeAt(now, at time.Time) {
-	if su.alarmAt.After(now) && !at.Before(su.alarmAt) {
+	if su.wakeAtTime.After(now) && !at.Before(su.wakeAtTime) {
 		return
 	}
-	su.alarmAt = at
-	su.alarm.Reset(at.Sub(now))
+	su.wakeAtTime = at
+	su.wakeTimer.Reset(at.Sub(now))
 }
 
-// liveEntries returns the entry instances that any connected control instance
-// shows. One that was lost tells nothing of those that ended since.
+// liveEntries returns the entry instances that any connected control instance lists. A
+// disconnected one can't tell which of its entries have ended since.
 func (su *Subscriber) liveEntries() []Entry {
 	live := make(map[string]Entry)
 	for _, so := range su.sources {
-		if !so.up.Load() {
+		if !so.connected.Load() {
 			continue
 		}
 		for name, en := range so.entries {
-			if other, ok := live[name]; en.State != Starting && (!ok || en.later(other)) {
+			if other, ok := live[name]; en.State != Starting && (!ok || en.overrides(other)) {
 				live[name] = en
 			}
 		}
@@ -315,12 +317,12 @@
 	return list
 }
 
-// logServers writes a line for each backend server that came, left or changed.
-// Services of which nothing changed keep their slices.
-func (su *Subscriber) logServers(now time.Time, old, servers map[string][]registry.Server) {
+// logServerChanges writes a line for each backend server that was added, removed or
+// changed. Services without a change keep their slices.
+func (su *Subscriber) logServerChanges(now time.Time, old, servers map[string][]registry.Server) {
 	before := make(map[string]registry.Server)
 	for service, ses := range old {
-		if same(ses, servers[service]) {
+		if sameSlice(ses, servers[service]) {
 			continue
 		}
 		for _, se := range ses {
@@ -328,23 +330,23 @@
 		}
 	}
 	for service, ses := range servers {
-		if same(ses, old[service]) {
+		if sameSlice(ses, old[service]) {
 			continue
 		}
 		for _, se := range ses {
 			was, known := before[se.ID]
 			delete(before, se.ID)
 			if !known || was.State != se.State || was.Address != se.Address || was.Born != se.Born {
-				su.lo.info(now, "backend-server-changed", serverFields(se)...)
+				su.ll.info(now, "backend-server-changed", serverFields(se)...)
 			}
 		}
 	}
 	for _, se := range before {
-		su.lo.info(now, "backend-server-dropped", serverFields(se)...)
+		su.ll.info(now, "backend-server-dropped", serverFields(se)...)
 	}
 }
 
-// same returns whether two slices are one and the same.
-func same(a, b []registry.Server) bool {
+// sameSlice reports whether two slices share their elements.
+func sameSlice(a, b []registry.Server) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
--- a/feed/subscriber_test.go
+++ b/feed/subscriber_test.go
@@ -14,288 +14,288 @@
 	"balsamwinch.example/registry"
 )
 
-// A version that is committed is in force at every entry instance within a small
-// part of a second, and each of them fetches it from one control instance.
-func TestConfigurationOnce(t *testing.T) {
-	play(t, func(c *qt.C, wo *world) {
-		wo.delay = 3 * time.Millisecond
-		cos := wo.group("one", "two", "three")
-		ens := wo.entries(6, cos[0])
+// Guards against slow or repeated fetches: a committed version is in force at every entry
+// instance within maxPropagation, and each of them fetches it from one control instance.
+func TestConfigurationFetchedOnce(t *testing.T) {
+	runInBubble(t, func(c *qt.C, cl *cluster) {
+		cl.latency = 3 * time.Millisecond
+		cos := cl.group("one", "two", "three")
+		ens := cl.entries(6, cos[0])
 		for version := uint64(10); version <= 30; version += 10 {
 			before := make(map[string]int)
 			for _, en := range ens {
-				before[en.name] = size(wo, en)
+				before[en.name] = bytesReceived(cl, en)
 			}
-			data := noise(version, 1000) // It has nothing in common with the version before.
+			data := randomBytes(version, 1000) // It has nothing in common with the version before.
 			for _, co := range cos {
 				co.pu.SetConfiguration(version, data)
-				wo.after(time.Millisecond)
+				cl.advance(time.Millisecond)
 			}
-			wo.after(soon - 3*time.Millisecond)
+			cl.advance(maxPropagation - 3*time.Millisecond)
 			for _, en := range ens {
-				c.Check(en.held()[len(en.held())-1], qt.Equals, version)
+				c.Check(en.versionsInForce()[len(en.versionsInForce())-1], qt.Equals, version)
 				c.Check(string(en.data), qt.Equals, string(data))
 			}
-			wo.after(10 * time.Second)
+			cl.advance(10 * time.Second)
 			for _, en := range ens {
-				got := size(wo, en) - before[en.name]
+				got := bytesReceived(cl, en) - before[en.name]
 				c.Check(got > len(data) && got < 2*len(data), qt.IsTrue, qt.Commentf("%s got %d bytes", en.name, got))
 			}
 		}
-		c.Check(ens[0].held(), qt.DeepEquals, []uint64{10, 20, 30})
+		c.Check(ens[0].versionsInForce(), qt.DeepEquals, []uint64{10, 20, 30})
 	})
 }
 
-// noise returns bytes that can't be told in fewer.
-func noise(seed uint64, size int) []byte {
+// randomBytes returns incompressible bytes.
+func randomBytes(seed uint64, size int) []byte {
 	data := make([]byte, size)
 	cc := rand.NewChaCha8([32]byte(binary.BigEndian.AppendUint64(make([]byte, 24), seed)))
 	_, _ = cc.Read(data)
 	return data
 }
 
-// size returns how many bytes have gone to an entry instance.
-func size(wo *world, en *entry) int {
+// bytesReceived returns the number of bytes sent to an entry instance.
+func bytesReceived(cl *cluster, en *entry) int {
 	bytes := 0
-	for _, li := range wo.all(en.name, "") {
+	for _, li := range cl.linksBetween(en.name, "") {
 		li.mu.Lock()
-		bytes += li.bytes
+		bytes += li.sentBytes
 		li.mu.Unlock()
 	}
 	return bytes
 }
 
-// The control instance that announced a version first is lost before it answers.
-// Another one that holds the version is asked, at once if the loss shows and
-// after a quarter of a second if it doesn't.
-func TestFetchFromAnother(t *testing.T) {
+// Guards against a fetch that is lost with its control instance, the first one to
+// announce the version. Another one that holds the version is asked: at once if the loss
+// is detected, and after fetchTimeout otherwise.
+func TestFetchRetriedAtAnotherControl(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		do   func(wo *world, co *control)
+		do   func(cl *cluster, co *control)
 		late time.Duration
 	}{
-		{"killed", func(_ *world, co *control) { co.kill() }, 0},
-		{"cut off", func(_ *world, co *control) { co.lose() }, fetchWait},
-		{"frozen", func(wo *world, co *control) {
-			for _, li := range wo.all("", co.member.Address) {
-				li.cut.Store(true)
+		{"killed", func(_ *cluster, co *control) { co.kill() }, 0},
+		{"isolated", func(_ *cluster, co *control) { co.isolate() }, fetchTimeout},
+		{"frozen", func(cl *cluster, co *control) {
+			for _, li := range cl.linksBetween("", co.member.Address) {
+				li.blackholed.Store(true)
 			}
-		}, fetchWait},
+		}, fetchTimeout},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			play(t, func(c *qt.C, wo *world) {
-				wo.delay = 3 * time.Millisecond
-				cos := wo.group("one", "two", "three")
-				ens := wo.entries(3, cos[2])
+			runInBubble(t, func(c *qt.C, cl *cluster) {
+				cl.latency = 3 * time.Millisecond
+				cos := cl.group("one", "two", "three")
+				ens := cl.entries(3, cos[2])
 				for _, co := range cos {
 					co.pu.SetConfiguration(1, []byte("one"))
-					wo.after(time.Millisecond)
+					cl.advance(time.Millisecond)
 				}
-				wo.after(batchDelay + wo.delay - time.Millisecond)
-				tc.do(wo, cos[0]) // All have announced it, and the Fetch is on its way.
+				cl.advance(batchDelay + cl.latency - time.Millisecond)
+				tc.do(cl, cos[0]) // All have announced it, and the Fetch is in flight.
 				if tc.late > 0 {
-					wo.after(tc.late - 2*wo.delay)
+					cl.advance(tc.late - 2*cl.latency)
 					for _, en := range ens {
-						c.Check(len(en.held()), qt.Equals, 0, qt.Commentf(en.name))
+						c.Check(len(en.versionsInForce()), qt.Equals, 0, qt.Commentf(en.name))
 					}
 				}
-				wo.after(soon)
+				cl.advance(maxPropagation)
 				for _, en := range ens {
-					c.Check(en.held(), qt.DeepEquals, []uint64{1}, qt.Commentf(en.name))
+					c.Check(en.versionsInForce(), qt.DeepEquals, []uint64{1}, qt.Commentf(en.name))
 				}
 			})
 		})
 	}
 }
 
-// A control instance holds a newer version than the others and doesn't give it:
-// what the others hold is better than nothing.
-func TestFetchOlderMeanwhile(t *testing.T) {
-	play(t, func(c *qt.C, wo *world) {
-		wo.delay = 3 * time.Millisecond
-		cos := wo.group("one", "two")
-		en := wo.entry("entry-1", "one:1")
-		wo.after(time.Second)
+// Guards against waiting for a control instance that announces a newer version than the
+// others but doesn't send it: the others' version must be in force meanwhile.
+func TestFetchFallsBackToOlderVersion(t *testing.T) {
+	runInBubble(t, func(c *qt.C, cl *cluster) {
+		cl.latency = 3 * time.Millisecond
+		cos := cl.group("one", "two")
+		en := cl.entry("entry-1", "one:1")
+		cl.advance(time.Second)
 		cos[0].pu.SetConfiguration(9, []byte("nine"))
 		cos[1].pu.SetConfiguration(8, []byte("eight"))
-		wo.after(batchDelay + wo.delay + wo.delay/2)
-		wo.all("", "one:1")[0].cut.Store(true) // The Fetch is on its way.
-		wo.after(fetchWait + soon)
-		c.Check(en.held(), qt.DeepEquals, []uint64{8})
-		wo.after(3 * time.Second)
-		c.Check(en.held(), qt.DeepEquals, []uint64{8, 9})
+		cl.advance(batchDelay + cl.latency + cl.latency/2)
+		cl.linksBetween("", "one:1")[0].blackholed.Store(true) // The Fetch is in flight.
+		cl.advance(fetchTimeout + maxPropagation)
+		c.Check(en.versionsInForce(), qt.DeepEquals, []uint64{8})
+		cl.advance(3 * time.Second)
+		c.Check(en.versionsInForce(), qt.DeepEquals, []uint64{8, 9})
 	})
 }
 
-// The answer of a control instance that was given up on comes after all, with a
-// version that has been overtaken meanwhile.
-func TestLateDocument(t *testing.T) {
-	play(t, func(c *qt.C, wo *world) {
-		wo.delay = 3 * time.Millisecond
-		cos := wo.group("one", "two")
-		en := wo.entry("entry-1", "one:1")
-		wo.after(time.Second)
+// Guards against a late answer that returns to an older version: the control instance
+// answers a Fetch after another one has sent a newer version.
+func TestLateConfigurationIsIgnored(t *testing.T) {
+	runInBubble(t, func(c *qt.C, cl *cluster) {
+		cl.latency = 3 * time.Millisecond
+		cos := cl.group("one", "two")
+		en := cl.entry("entry-1", "one:1")
+		cl.advance(time.Second)
 		cos[0].pu.SetConfiguration(8, []byte("eight"))
-		wo.after(batchDelay + wo.delay + wo.delay/2)
-		wo.all("", "one:1")[0].slow.Store(true)
+		cl.advance(batchDelay + cl.latency + cl.latency/2)
+		cl.linksBetween("", "one:1")[0].paused.Store(true)
 		cos[1].pu.SetConfiguration(9, []byte("nine"))
-		wo.after(fetchWait + soon)
-		c.Check(en.held(), qt.DeepEquals, []uint64{9})
-		wo.all("", "one:1")[0].slow.Store(false)
-		wo.after(time.Second)
-		c.Check(en.held(), qt.DeepEquals, []uint64{9})
+		cl.advance(fetchTimeout + maxPropagation)
+		c.Check(en.versionsInForce(), qt.DeepEquals, []uint64{9})
+		cl.linksBetween("", "one:1")[0].paused.Store(false)
+		cl.advance(time.Second)
+		c.Check(en.versionsInForce(), qt.DeepEquals, []uint64{9})
 		c.Check(en.counts().versions, qt.Equals, 1)
 		c.Check(en.su.NumConnected(), qt.Equals, 2)
 	})
 }
 
-// Versions only go up, whatever a control instance that comes back with an older
-// one says, and a configuration that was overtaken need not be in force at all.
-func TestOnlyUpwards(t *testing.T) {
-	play(t, func(c *qt.C, wo *world) {
-		cos := wo.group("one", "two", "three")
-		ens := wo.entries(4, cos[0])
-		for ii := range uint64(200) { // in quick succession, and not in order
+// Guards against a return to an older version when a control instance comes back with
+// one. A version that was superseded may be skipped.
+func TestVersionsOnlyRise(t *testing.T) {
+	runInBubble(t, func(c *qt.C, cl *cluster) {
+		cos := cl.group("one", "two", "three")
+		ens := cl.entries(4, cos[0])
+		for ii := range uint64(200) { // in quick succession and out of order
 			cos[ii%3].pu.SetConfiguration(1000-(ii*37)%200, fmt.Append(nil, ii))
 			if ii%7 == 0 {
-				wo.after(time.Duration(ii) * time.Millisecond / 10)
+				cl.advance(time.Duration(ii) * time.Millisecond / 10)
 			}
 		}
-		wo.after(soon)
+		cl.advance(maxPropagation)
 		for _, en := range ens {
-			held := en.held()
-			c.Check(slices.IsSorted(held), qt.IsTrue)
-			c.Check(len(slices.Compact(held)), qt.Equals, len(held))
-			c.Check(held[len(held)-1], qt.Equals, uint64(1000))
+			versions := en.versionsInForce()
+			c.Check(slices.IsSorted(versions), qt.IsTrue)
+			c.Check(len(slices.Compact(versions)), qt.Equals, len(versions))
+			c.Check(versions[len(versions)-1], qt.Equals, uint64(1000))
 		}
 		for _, co := range cos {
 			co.kill()
 			co.start()
 			co.pu.SetConfiguration(900, []byte("older"))
 		}
-		wo.after(5 * time.Second)
+		cl.advance(5 * time.Second)
 		for _, en := range ens {
-			c.Check(en.su.NumConnected(), qt.Equals, 3) // Though none of them names the others.
-			c.Check(en.held()[len(en.held())-1], qt.Equals, uint64(1000))
+			c.Check(en.su.NumConnected(), qt.Equals, 3) // None of them lists the others.
+			c.Check(en.versionsInForce()[len(en.versionsInForce())-1], qt.Equals, uint64(1000))
 		}
 	})
 }
 
-// A configuration that the entry instance can't use is not fetched over and
-// over, and doesn't keep a newer one out.
-func TestRefused(t *testing.T) {
-	play(t, func(c *qt.C, wo *world) {
-		cos := wo.group("one", "two")
-		en := wo.entry("entry-1", "one:1")
-		wo.after(time.Second)
+// Guards against a configuration that the entry instance refuses: it must not be fetched
+// without a pause, and must not block a newer one.
+func TestRefusedVersionIsRetriedWithBackoff(t *testing.T) {
+	runInBubble(t, func(c *qt.C, cl *cluster) {
+		cos := cl.group("one", "two")
+		en := cl.entry("entry-1", "one:1")
+		cl.advance(time.Second)
 		en.refuseVersion(5)
 		cos[0].pu.SetConfiguration(5, []byte("five"))
 		cos[1].pu.SetConfiguration(5, []byte("five"))
-		wo.after(10*refusalPause + soon)
-		tries := en.came()
+		cl.advance(10*refusedBackoff + maxPropagation)
+		tries := en.attemptTimes()
 		c.Check(len(tries), qt.Equals, 11)
 		for ii := 1; ii < len(tries); ii++ {
-			c.Check(tries[ii].Sub(tries[ii-1]) >= refusalPause, qt.IsTrue)
+			c.Check(tries[ii].Sub(tries[ii-1]) >= refusedBackoff, qt.IsTrue)
 		}
-		c.Check(len(en.held()), qt.Equals, 0)
+		c.Check(len(en.versionsInForce()), qt.Equals, 0)
 		cos[0].pu.SetConfiguration(6, []byte("six"))
-		wo.after(soon)
-		c.Check(en.held(), qt.DeepEquals, []uint64{6})
-		c.Check(wo.logs.FilterMessage("configuration-refused").Len(), qt.Equals, 11)
+		cl.advance(maxPropagation)
+		c.Check(en.versionsInForce(), qt.DeepEquals, []uint64{6})
+		c.Check(cl.logs.FilterMessage("configuration-refused").Len(), qt.Equals, 11)
 	})
 }
 
-// The configuration that an entry instance starts with comes from whichever
-// control instance it reaches; one that is cut off goes on with what it has.
-func TestCutOff(t *testing.T) {
-	play(t, func(c *qt.C, wo *world) {
-		cos := wo.group("one", "two", "three")
-		en := wo.entry("entry-1", "one:1")
+// Guards against an entry instance that loses its view when all control instances become
+// unreachable. Its first configuration may come from any of them.
+func TestViewSurvivesLossOfAllControls(t *testing.T) {
+	runInBubble(t, func(c *qt.C, cl *cluster) {
+		cos := cl.group("one", "two", "three")
+		en := cl.entry("entry-1", "one:1")
 		cos[0].pu.SetConfiguration(4, []byte("four"))
 		for ii, co := range cos {
 			co.pu.Announce(server(fmt.Sprintf("a%d", ii), 1, registry.Ready))
 		}
-		wo.after(time.Second)
+		cl.advance(time.Second)
 		for _, co := range cos {
-			co.lose()
+			co.isolate()
 		}
-		wo.after(time.Minute)
+		cl.advance(time.Minute)
 		c.Check(en.su.NumConnected(), qt.Equals, 0)
-		c.Check(en.held(), qt.DeepEquals, []uint64{4})
-		c.Check(en.states(), qt.DeepEquals, []string{"a0 Ready", "a1 Ready", "a2 Ready"})
-		c.Check(en.names(), qt.DeepEquals, []string{"entry-1 Ready"})
-		// Meanwhile they have been killed and know nothing.
+		c.Check(en.versionsInForce(), qt.DeepEquals, []uint64{4})
+		c.Check(en.serverStates(), qt.DeepEquals, []string{"a0 Ready", "a1 Ready", "a2 Ready"})
+		c.Check(en.entryStates(), qt.DeepEquals, []string{"entry-1 Ready"})
+		// They were killed meanwhile and have lost their state.
 		for _, co := range cos {
 			co.kill()
 			co.start()
 		}
-		wo.after(2 * time.Second)
+		cl.advance(2 * time.Second)
 		c.Check(en.su.NumConnected(), qt.Equals, 3)
 		cos[1].pu.Announce(server("a1", 2, registry.Draining))
-		wo.after(testHold)
-		c.Check(en.states(), qt.DeepEquals, []string{"a1 Draining"})
+		cl.advance(testRetention)
+		c.Check(en.serverStates(), qt.DeepEquals, []string{"a1 Draining"})
 	})
 }
 
-// An entry instance is frozen for seconds while servers come, drain and leave.
-// When it wakes, its links are lost; it must have the whole new picture soon and
-// must not take servers for silent that it could not hear itself.
-func TestFrozenEntry(t *testing.T) {
-	play(t, func(c *qt.C, wo *world) {
-		cos := wo.group("one", "two", "three")
-		ens := wo.entries(2, cos[0])
+// Guards against a stale view after a suspension. While an entry instance is frozen for
+// seconds, servers come, drain and leave, and its links break. Then it must soon have the
+// new state, and must not expire servers that it couldn't hear.
+func TestEntryRecoversAfterFreeze(t *testing.T) {
+	runInBubble(t, func(c *qt.C, cl *cluster) {
+		cos := cl.group("one", "two", "three")
+		ens := cl.entries(2, cos[0])
 		for ii := range 9 {
 			cos[ii%3].pu.Announce(server(fmt.Sprintf("a%d", ii), 1, registry.Ready))
 		}
-		wo.after(time.Second)
-		for _, li := range wo.all(ens[0].name, "") {
-			li.cut.Store(true)
+		cl.advance(time.Second)
+		for _, li := range cl.linksBetween(ens[0].name, "") {
+			li.blackholed.Store(true)
 		}
 		cos[0].pu.Announce(server("a0", 2, registry.Draining))
 		cos[1].pu.Leave("a1")
 		cos[2].pu.Announce(server("b0", 1, registry.Ready))
 		cos[1].pu.SetConfiguration(3, []byte("three"))
 		for sequence := range uint64(4) {
-			wo.after(time.Second)
+			cl.advance(time.Second)
 			for ii := 2; ii < 9; ii++ {
 				cos[ii%3].pu.Announce(server(fmt.Sprintf("a%d", ii), sequence+2, registry.Ready))
 			}
 		}
 		for _, en := range ens {
 			c.Check(en.su.NumConnected(), qt.Equals, 3)
-			c.Check(en.held(), qt.DeepEquals, []uint64{3})
-			c.Check(en.states(), qt.DeepEquals, []string{
+			c.Check(en.versionsInForce(), qt.DeepEquals, []uint64{3})
+			c.Check(en.serverStates(), qt.DeepEquals, []string{
 				"a0 Draining", "a2 Ready", "a3 Ready", "a4 Ready", "a5 Ready", "a6 Ready", "a7 Ready", "a8 Ready", "b0 Ready",
 			})
 		}
 	})
 }
 
-// A control instance is lost for good. Of the servers that announced themselves
-// to it, those that go on do so at another one, and the others leave.
-func TestControlLost(t *testing.T) {
+// Guards against stale or missing servers after the permanent loss of a control instance:
+// servers that announce themselves to another one stay, and the others expire.
+func TestServersExpireAfterControlLoss(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		do   func(co *control)
 	}{
 		{"killed", func(co *control) { co.kill() }},
-		{"cut off", func(co *control) { co.lose() }},
+		{"isolated", func(co *control) { co.isolate() }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			play(t, func(c *qt.C, wo *world) {
-				cos := wo.group("one", "two", "three")
-				ens := wo.entries(2, cos[0])
-				cos[2].pu.Announce(server("a1", 1, registry.Ready)) // goes on
-				cos[2].pu.Announce(server("a2", 1, registry.Ready)) // crashes with it
-				wo.after(time.Second)
+			runInBubble(t, func(c *qt.C, cl *cluster) {
+				cos := cl.group("one", "two", "three")
+				ens := cl.entries(2, cos[0])
+				cos[2].pu.Announce(server("a1", 1, registry.Ready)) // still running
+				cos[2].pu.Announce(server("a2", 1, registry.Ready)) // crashes together with it
+				cl.advance(time.Second)
 				tc.do(cos[2])
 				var seen [][]string
 				for sequence := range uint64(8) {
-					wo.after(time.Second)
+					cl.advance(time.Second)
 					if sequence > 0 {
 						cos[1].pu.Announce(server("a1", sequence+1, registry.Ready))
 					}
-					seen = append(seen, ens[1].states())
+					seen = append(seen, ens[1].serverStates())
 				}
 				seen = slices.CompactFunc(seen, slices.Equal)
 				c.Check(seen, qt.DeepEquals, [][]string{{"a1 Ready", "a2 Ready"}, {"a1 Ready"}})
@@ -304,47 +304,48 @@
 	}
 }
 
-// A link is lost while a server's drain is announced, to nobody else. The entry
-// instance hears of it when the link is back, which is soon.
+// Guards against a missed drain: a server announces it to a single control instance while
+// the link to that one is down. The entry instance must learn of it soon after the
+// redial.
 func TestChangeWhileLinkIsLost(t *testing.T) {
-	play(t, func(c *qt.C, wo *world) {
-		cos := wo.group("one", "two")
-		ens := wo.entries(3, cos[1])
+	runInBubble(t, func(c *qt.C, cl *cluster) {
+		cos := cl.group("one", "two")
+		ens := cl.entries(3, cos[1])
 		cos[0].pu.Announce(server("a1", 1, registry.Ready))
 		cos[0].pu.Announce(server("a2", 1, registry.Ready))
-		wo.after(time.Second)
-		_ = wo.all(ens[0].name, "one:1")[0].near.Close()
+		cl.advance(time.Second)
+		_ = cl.linksBetween(ens[0].name, "one:1")[0].entryEnd.Close()
 		cos[0].pu.Announce(server("a1", 2, registry.Draining))
 		cos[0].pu.Leave("a2")
-		wo.after(2*redialLeast + soon)
+		cl.advance(2*minRedialBackoff + maxPropagation)
 		for _, en := range ens {
-			c.Check(en.states(), qt.DeepEquals, []string{"a1 Draining"}, qt.Commentf(en.name))
+			c.Check(en.serverStates(), qt.DeepEquals, []string{"a1 Draining"}, qt.Commentf(en.name))
 		}
 	})
 }
 
-// A control instance ends and comes back, and all entry instances open their
-// link to it again. If they did so in step, a small machine would have to send
-// all of them the whole picture in the same few milliseconds, each time.
-func TestHerd(t *testing.T) {
-	play(t, func(c *qt.C, wo *world) {
-		cos := wo.group("one", "two")
-		ens := wo.entries(60, cos[0])
-		first := len(wo.dialed("one:1"))
+// Guards against a thundering herd. When a control instance restarts, all entry instances
+// redial. In step, they would make a small machine send all of them the snapshot within
+// the same few milliseconds.
+func TestRedialIsSpread(t *testing.T) {
+	runInBubble(t, func(c *qt.C, cl *cluster) {
+		cos := cl.group("one", "two")
+		ens := cl.entries(60, cos[0])
+		first := len(cl.dialsTo("one:1"))
 		lost := time.Now()
 		cos[0].kill()
-		wo.after(5 * time.Second)
+		cl.advance(5 * time.Second)
 		cos[0].start()
 		cos[0].pu.SetMembers(members(cos...))
-		wo.after(2 * time.Second)
+		cl.advance(2 * time.Second)
 		for _, en := range ens {
 			c.Check(en.su.NumConnected(), qt.Equals, 2)
 		}
-		dials := wo.dialed("one:1")[first:]
-		buckets := make(map[int64]int) // dials in spans of 10 ms
+		dials := cl.dialsTo("one:1")[first:]
+		buckets := make(map[int64]int) // dials per 10 ms
 		for _, di := range dials {
 			after := di.at.Sub(lost)
-			c.Check(after >= redialLeast, qt.IsTrue)
+			c.Check(after >= minRedialBackoff, qt.IsTrue)
 			buckets[int64(after/(10*time.Millisecond))]++
 		}
 		for bucket, count := range buckets {
@@ -354,45 +355,45 @@
 	})
 }
 
-// The control instances named in the settings are replaced one after the other.
-// The links go to those that the control instances name.
+// Guards against links that stay with outdated seeds: the control instances in the
+// settings are replaced one by one, and the links must follow the member lists.
 func TestMembersReplaceSeeds(t *testing.T) {
-	play(t, func(c *qt.C, wo *world) {
-		cos := wo.group("one", "two", "three")
-		en := wo.entry("entry-1", "one:1", "two:1")
-		wo.after(time.Second)
+	runInBubble(t, func(c *qt.C, cl *cluster) {
+		cos := cl.group("one", "two", "three")
+		en := cl.entry("entry-1", "one:1", "two:1")
+		cl.advance(time.Second)
 		c.Assert(en.su.NumConnected(), qt.Equals, 3)
 		for _, co := range cos[:2] {
-			co.lose()
+			co.isolate()
 		}
-		four, five := wo.control("four"), wo.control("five")
+		four, five := cl.control("four"), cl.control("five")
 		for _, co := range []*control{cos[2], four, five} {
 			co.pu.SetMembers(members(cos[2], four, five))
 		}
-		wo.after(2 * time.Second)
+		cl.advance(2 * time.Second)
 		c.Check(en.su.NumConnected(), qt.Equals, 3)
-		// All links are lost at once; no seed answers any more.
-		for _, li := range wo.all("entry-1", "") {
-			_ = li.near.Close()
+		// All links are lost at once, and no seed answers any more.
+		for _, li := range cl.linksBetween("entry-1", "") {
+			_ = li.entryEnd.Close()
 		}
-		wo.after(2 * time.Second)
+		cl.advance(2 * time.Second)
 		c.Check(en.su.NumConnected(), qt.Equals, 3)
-		// The settings follow in the end: nobody asks for the dead seeds any more.
+		// The settings change last; the dead seeds are no longer dialed.
 		en.setSeeds("four:1")
-		wo.after(forgetAfter + 2*time.Second)
-		before := len(wo.dialed("one:1"))
-		wo.after(10 * time.Second)
-		c.Check(len(wo.dialed("one:1")), qt.Equals, before)
+		cl.advance(unlistedTTL + 2*time.Second)
+		before := len(cl.dialsTo("one:1"))
+		cl.advance(10 * time.Second)
+		c.Check(len(cl.dialsTo("one:1")), qt.Equals, before)
 		c.Check(en.su.NumConnected(), qt.Equals, 3)
 	})
 }
 
-// A control instance that is no member any more and still runs keeps its link
-// until that ends, and is then forgotten with what only it knew.
-func TestMemberRemoved(t *testing.T) {
-	play(t, func(c *qt.C, wo *world) {
-		cos := wo.group("one", "two", "three")
-		en := wo.entry("entry-1", "one:1")
+// Guards against dropping a removed member that still runs: it keeps its link until that
+// ends, and is then forgotten with the servers that only it knew.
+func TestRemovedMemberIsForgotten(t *testing.T) {
+	runInBubble(t, func(c *qt.C, cl *cluster) {
+		cos := cl.group("one", "two", "three")
+		en := cl.entry("entry-1", "one:1")
 		sequence := uint64(0)
 		pass := func(span time.Duration, last *control) {
 			for range span / time.Second {
@@ -401,78 +402,78 @@
 				if last.pu != nil {
 					last.pu.Announce(server("a2", sequence, registry.Ready))
 				}
-				wo.after(time.Second)
+				cl.advance(time.Second)
 			}
 		}
 		pass(time.Second, cos[2])
 		for _, co := range cos[:2] {
 			co.pu.SetMembers(members(cos[:2]...))
 		}
-		pass(2*forgetAfter, cos[2])
-		c.Check(en.su.NumConnected(), qt.Equals, 3) // It lists itself still.
+		pass(2*unlistedTTL, cos[2])
+		c.Check(en.su.NumConnected(), qt.Equals, 3) // It still lists itself.
 		cos[2].pu.SetMembers(members(cos[:2]...))
-		pass(2*forgetAfter, cos[2])
+		pass(2*unlistedTTL, cos[2])
 		c.Check(en.su.NumConnected(), qt.Equals, 3)
-		c.Check(en.states(), qt.DeepEquals, []string{"a1 Ready", "a2 Ready"})
+		c.Check(en.serverStates(), qt.DeepEquals, []string{"a1 Ready", "a2 Ready"})
 		cos[2].kill()
-		pass(testHold+time.Second, cos[2])
+		pass(testRetention+time.Second, cos[2])
 		c.Check(en.su.NumConnected(), qt.Equals, 2)
-		c.Check(en.states(), qt.DeepEquals, []string{"a1 Ready"})
-		before := len(wo.dialed("three:1"))
-		pass(2*forgetAfter, cos[2])
-		c.Check(len(wo.dialed("three:1"))-before <= 1, qt.IsTrue)
+		c.Check(en.serverStates(), qt.DeepEquals, []string{"a1 Ready"})
+		before := len(cl.dialsTo("three:1"))
+		pass(2*unlistedTTL, cos[2])
+		c.Check(len(cl.dialsTo("three:1"))-before <= 1, qt.IsTrue)
 	})
 }
 
-// The settings change while the instance runs.
-func TestSeedsChange(t *testing.T) {
-	play(t, func(c *qt.C, wo *world) {
-		wo.control("one")
-		two := wo.control("two")
-		en := wo.entry("entry-1")
-		wo.after(3 * time.Second)
+// Guards against seeds that aren't reloaded when the settings change.
+func TestSeedsReload(t *testing.T) {
+	runInBubble(t, func(c *qt.C, cl *cluster) {
+		cl.control("one")
+		two := cl.control("two")
+		en := cl.entry("entry-1")
+		cl.advance(3 * time.Second)
 		c.Check(en.su.NumConnected(), qt.Equals, 0)
 		en.setSeeds("one:1", "two:1", "nowhere:1")
-		wo.after(2 * time.Second)
+		cl.advance(2 * time.Second)
 		c.Check(en.su.NumConnected(), qt.Equals, 2)
 		en.setSeeds("one:1")
-		wo.after(3 * time.Second)
-		c.Check(en.su.NumConnected(), qt.Equals, 2) // A link that stands is used.
+		cl.advance(3 * time.Second)
+		c.Check(en.su.NumConnected(), qt.Equals, 2) // An established link stays in use.
 		two.kill()
-		wo.after(forgetAfter)
+		cl.advance(unlistedTTL)
 		two.start()
-		wo.after(3 * time.Second)
+		cl.advance(3 * time.Second)
 		c.Check(en.su.NumConnected(), qt.Equals, 1)
 	})
 }
 
-// An instance with nothing to do does next to nothing, whether all is well or a
-// control instance is lost for good.
-func TestIdle(t *testing.T) {
+// Guards against needless work of an idle instance, with all control instances up or with
+// one permanently lost.
+func TestIdleSubscriberWorksLittle(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		do    func(co *control)
-		dials int // dials is the most that may be made in a minute.
+		dials int // maximum dials in a minute
 	}{
 		{"all well", func(*control) {}, 0},
 		{"one killed", func(co *control) { co.kill() }, 120},
-		{"one cut off", func(co *control) { co.lose() }, 120},
+		{"one isolated", func(co *control) { co.isolate() }, 120},
 		{"one stalled", func(co *control) { co.stall() }, 60},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			play(t, func(c *qt.C, wo *world) {
-				cos := wo.group("one", "two", "three")
-				en := wo.entry("entry-1", "one:1")
-				wo.after(time.Second)
+			runInBubble(t, func(c *qt.C, cl *cluster) {
+				cos := cl.group("one", "two", "three")
+				en := cl.entry("entry-1", "one:1")
+				cl.advance(time.Second)
 				tc.do(cos[2])
-				wo.after(5 * time.Second)
-				dials, before := len(wo.dialed("")), en.counts()
-				wo.after(time.Minute)
-				dials = len(wo.dialed("")) - dials
+				cl.advance(5 * time.Second)
+				dials, before := len(cl.dialsTo("")), en.counts()
+				cl.advance(time.Minute)
+				dials = len(cl.dialsTo("")) - dials
 				c.Check(dials <= tc.dials, qt.IsTrue, qt.Commentf("%d dials", dials))
 				got := en.counts()
-				looks := got.seeds - before.seeds
-				c.Check(looks >= 30 && looks <= 60, qt.IsTrue, qt.Commentf("%d looks at the seeds", looks))
+				seedReads := got.seeds - before.seeds
+				c.Check(seedReads >= 30 && seedReads <= 60, qt.IsTrue, qt.Commentf("%d reads of the seeds", seedReads))
 				got.seeds = before.seeds
 				c.Check(got, qt.Equals, before)
 			})
@@ -480,69 +481,70 @@
 	}
 }
 
-// A server that another incarnation has replaced at its address is never listed
-// again, whoever still announces it.
-func TestMarkGone(t *testing.T) {
-	play(t, func(c *qt.C, wo *world) {
-		cos := wo.group("one", "two")
-		en := wo.entry("entry-1", "one:1")
+// Guards against a server that returns after another incarnation has replaced it at its
+// address, whichever control instance announces it.
+func TestMarkGoneIsFinal(t *testing.T) {
+	runInBubble(t, func(c *qt.C, cl *cluster) {
+		cos := cl.group("one", "two")
+		en := cl.entry("entry-1", "one:1")
 		cos[0].pu.Announce(server("a1", 1, registry.Ready))
 		cos[0].pu.Announce(server("a2", 1, registry.Ready))
-		wo.after(time.Second)
+		cl.advance(time.Second)
 		for range 100 {
 			en.su.MarkGone("a1")
 		}
-		wo.after(soon)
-		c.Check(en.states(), qt.DeepEquals, []string{"a2 Ready"})
+		cl.advance(maxPropagation)
+		c.Check(en.serverStates(), qt.DeepEquals, []string{"a2 Ready"})
 		cos[1].pu.Announce(server("a1", 2, registry.Ready))
-		_ = wo.all("entry-1", "one:1")[0].near.Close()
-		wo.after(time.Second)
+		_ = cl.linksBetween("entry-1", "one:1")[0].entryEnd.Close()
+		cl.advance(time.Second)
 		c.Check(en.su.NumConnected(), qt.Equals, 2)
-		c.Check(en.states(), qt.DeepEquals, []string{"a2 Ready"})
-		for ii := range 10 * goneBound { // Nobody takes them while Serve waits.
+		c.Check(en.serverStates(), qt.DeepEquals, []string{"a2 Ready"})
+		for ii := range 10 * maxQueuedGone { // Serve doesn't process them meanwhile.
 			en.su.MarkGone(fmt.Sprint(ii))
 		}
 		en.su.mu.Lock()
-		c.Check(len(en.su.gone) <= goneBound, qt.IsTrue)
+		c.Check(len(en.su.gone) <= maxQueuedGone, qt.IsTrue)
 		en.su.mu.Unlock()
 	})
 }
 
-// Serve ends when it is told to and not before, also if there is nobody to
-// connect to; and it may be started again.
-func TestServeEnds(t *testing.T) {
-	play(t, func(c *qt.C, wo *world) {
-		co := wo.control("one")
-		en := wo.entry("entry-1", "one:1", "nowhere:1")
-		wo.after(time.Second)
+// Guards against a Serve that ends early, never ends, or can't be started again, also
+// without any reachable control instance.
+func TestServeStopsAndRestarts(t *testing.T) {
+	runInBubble(t, func(c *qt.C, cl *cluster) {
+		co := cl.control("one")
+		en := cl.entry("entry-1", "one:1", "nowhere:1")
+		cl.advance(time.Second)
 		en.stop()
 		<-en.done
-		wo.after(0)
-		c.Check(described(co.pu.ReadyEntries()), qt.DeepEquals, []string{})
+		cl.advance(0)
+		c.Check(describeEntries(co.pu.ReadyEntries()), qt.DeepEquals, []string{})
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
 		err := en.su.Serve(ctx)
 		c.Check(err, qt.Equals, context.DeadlineExceeded)
-		c.Check(wo.logs.FilterMessage("control-link-up").Len(), qt.Equals, 2)
+		c.Check(cl.logs.FilterMessage("control-link-up").Len(), qt.Equals, 2)
 	})
 }
 
-// What an operator reads when a control instance is lost and back.
-func TestLog(t *testing.T) {
-	play(t, func(c *qt.C, wo *world) {
-		cos := wo.group("one", "two")
-		en := wo.entry("entry-1", "one:1", "nowhere:1")
-		wo.after(time.Second)
+// Guards the log lines that an operator sees when a control instance is lost and comes
+// back.
+func TestLogLinesOfLinkLoss(t *testing.T) {
+	runInBubble(t, func(c *qt.C, cl *cluster) {
+		cos := cl.group("one", "two")
+		en := cl.entry("entry-1", "one:1", "nowhere:1")
+		cl.advance(time.Second)
 		cos[1].pu.SetConfiguration(3, []byte("three"))
-		wo.after(time.Second)
+		cl.advance(time.Second)
 		cos[1].kill()
-		wo.after(10 * time.Second)
+		cl.advance(10 * time.Second)
 		cos[1].start()
 		cos[1].pu.SetMembers(members(cos...))
-		wo.after(2 * time.Second)
+		cl.advance(2 * time.Second)
 		for event, want := range map[string]int{
 			"control-link-up":         3,
-			"control-link-down":       2, // nowhere and two, each once
+			"control-link-down":       2, // one each for nowhere and two
 			"configuration-announced": 1,
 			"configuration-fetched":   1,
 			"configuration-refused":   0,
@@ -550,51 +552,52 @@
 			"entry-link-up":           3,
 			"entry-link-down":         1,
 		} {
-			c.Check(wo.logs.FilterMessage(event).Len(), qt.Equals, want, qt.Commentf(event))
+			c.Check(cl.logs.FilterMessage(event).Len(), qt.Equals, want, qt.Commentf(event))
 		}
-		up := wo.logs.FilterMessage("control-link-up").All()[2].ContextMap()
+		up := cl.logs.FilterMessage("control-link-up").All()[2].ContextMap()
 		c.Check(up["Control"], qt.Equals, "two")
 		c.Check(up["LostFor"].(time.Duration) >= 10*time.Second, qt.IsTrue)
 		c.Check(en.su.NumConnected(), qt.Equals, 2)
 	})
 }
 
-// Hundreds of servers change at once: the log says so in a bounded number of
-// lines, and how many are left out.
-func TestLogIsBounded(t *testing.T) {
-	play(t, func(c *qt.C, wo *world) {
-		co := wo.control("one")
-		en := wo.entry("entry-1", "one:1")
+// Guards against a flood of log lines when hundreds of servers change at once: the number
+// of lines is bounded, and one of them gives the number skipped.
+func TestLogIsRateLimited(t *testing.T) {
+	runInBubble(t, func(c *qt.C, cl *cluster) {
+		co := cl.control("one")
+		en := cl.entry("entry-1", "one:1")
 		for ii := range 1000 {
 			co.pu.Announce(server(fmt.Sprintf("a%03d", ii), 1, registry.Ready))
 		}
-		wo.after(testQuiet / 2)
+		cl.advance(testSilenceTimeout / 2)
 		co.pu.Leave("a001")
-		wo.after(testQuiet / 4)
-		c.Check(len(en.states()), qt.Equals, 999)
-		c.Check(wo.logs.FilterMessage("backend-server-announced").Len() <= logBurst, qt.IsTrue)
-		c.Check(wo.logs.FilterMessage("backend-server-changed").Len() <= logBurst, qt.IsTrue)
+		cl.advance(testSilenceTimeout / 4)
+		c.Check(len(en.serverStates()), qt.Equals, 999)
+		c.Check(cl.logs.FilterMessage("backend-server-announced").Len() <= logBurst, qt.IsTrue)
+		c.Check(cl.logs.FilterMessage("backend-server-changed").Len() <= logBurst, qt.IsTrue)
 		for _, event := range []string{"backend-server-left", "backend-server-dropped"} {
-			lines := wo.logs.FilterMessage(event).All()
+			lines := cl.logs.FilterMessage(event).All()
 			c.Assert(len(lines), qt.Equals, 1, qt.Commentf(event))
 			c.Check(lines[0].ContextMap()["SkippedLines"].(int64) >= 1000-logBurst, qt.IsTrue)
 		}
 	})
 }
 
-// All entry instances connect within a moment, as after a loss of power of all, while a
-// backend server comes, another one leaves and one entry instance ends. Whoever was sent
-// the same picture as those before must know all of that soon, as the next update tells.
-func TestPictureOfTheMoment(t *testing.T) {
-	play(t, func(c *qt.C, wo *world) {
-		co := wo.group("one")[0]
+// Guards against changes that are missed because a snapshot is shared. All entry
+// instances connect within a moment, as after a power loss, while a backend server comes,
+// another one leaves and an entry instance ends; the next update must tell all of that to
+// those that got the earlier snapshot.
+func TestSharedSnapshotMissesNoChange(t *testing.T) {
+	runInBubble(t, func(c *qt.C, cl *cluster) {
+		co := cl.group("one")[0]
 		co.pu.Announce(server("a1", 1, registry.Ready))
 		co.pu.Announce(server("a2", 1, registry.Ready))
-		wo.after(time.Second)
+		cl.advance(time.Second)
 		var ens []*entry
 		for ix := range 12 {
-			ens = append(ens, wo.entry(fmt.Sprintf("entry-%02d", ix), co.member.Address))
-			wo.after(time.Millisecond)
+			ens = append(ens, cl.entry(fmt.Sprintf("entry-%02d", ix), co.member.Address))
+			cl.advance(time.Millisecond)
 			switch ix {
 			case 3:
 				co.pu.Announce(server("a3", 1, registry.Ready))
@@ -604,16 +607,16 @@
 				ens[0].stop()
 			}
 		}
-		wo.after(time.Second)
+		cl.advance(time.Second)
 		for _, en := range ens[1:] {
-			c.Assert(en.states(), qt.DeepEquals, []string{"a2 Ready", "a3 Ready"})
+			c.Assert(en.serverStates(), qt.DeepEquals, []string{"a2 Ready", "a3 Ready"})
 			en.mu.Lock()
-			c.Assert(en.live, qt.HasLen, 11)
+			c.Assert(en.entries, qt.HasLen, 11)
 			en.mu.Unlock()
 		}
-		// One that comes after a quiet time gets a picture of now.
-		late := wo.entry("late", co.member.Address)
-		wo.after(time.Second)
-		c.Assert(late.states(), qt.DeepEquals, []string{"a2 Ready", "a3 Ready"})
+		// One that connects after a quiet period gets a new snapshot.
+		late := cl.entry("late", co.member.Address)
+		cl.advance(time.Second)
+		c.Assert(late.serverStates(), qt.DeepEquals, []string{"a2 Ready", "a3 Ready"})
 	})
 }
--- a/feed/suspects.go
+++ b/feed/suspects.go
@@ -6,27 +6,27 @@
 	"balsamwinch.example/quarantine"
 )
 
-// Suspect takes in what another instance knows of requests under which servers ended, tells
-// all what of it is new, and returns that. Each instance that may serve such a request must
-// know before it comes there: a caller that was answered with a failure comes again within
-// milliseconds, and not to the same instance.
+// AddSuspects records another instance's suspicions of requests that crashed servers. It
+// publishes and returns those with new information. Every instance that may serve such a
+// request must know before it arrives there: a caller whose request failed retries within
+// milliseconds, and at another instance.
 func (pu *Publisher) AddSuspects(from string, rcs []quarantine.Record) []quarantine.Record {
 	now := pu.ts.Now()
-	news := pu.qa.Merge(now, rcs)
-	if len(news) == 0 {
+	fresh := pu.qa.Merge(now, rcs)
+	if len(fresh) == 0 {
 		return nil
 	}
 	pu.mu.Lock()
 	defer pu.mu.Unlock()
-	for _, rc := range news {
-		pu.lo.info(now, "suspect-published", append(suspectFields(rc), zap.String("From", from))...)
+	for _, rc := range fresh {
+		pu.ll.info(now, "suspect-published", append(suspectFields(rc), zap.String("From", from))...)
 		pu.pending.suspects[rc.Key] = rc
 	}
-	pu.arm(now)
-	return news
+	pu.scheduleFlush(now)
+	return fresh
 }
 
-// SendSuspects tells all control instances of requests under which servers ended.
+// SendSuspects sends requests suspected of crashing servers to all control instances.
 func (su *Subscriber) SendSuspects(rcs []quarantine.Record) {
 	if len(rcs) == 0 {
 		return
@@ -34,19 +34,19 @@
 	su.mu.Lock()
 	defer su.mu.Unlock()
 	for _, co := range su.conns {
-		_ = co.Send(Observations{Suspects: rcs}) // A link that has ended is opened again with all that is known.
+		_ = co.Send(Observations{Suspects: rcs}) // A link that has ended is reopened with all records.
 	}
 }
 
-// suspects takes in what a control instance knows of such requests.
-func (su *Subscriber) suspects(so *source, rcs []quarantine.Record) {
+// receiveSuspects handles the suspected requests of a control instance.
+func (su *Subscriber) receiveSuspects(so *source, rcs []quarantine.Record) {
 	if len(rcs) == 0 {
 		return
 	}
-	// All control instances tell the same, and only the first says anything new.
+	// All control instances send the same, and only the first has new information.
 	now := su.ts.Now()
 	for _, rc := range su.ob.SuspectsHeard(so.name, rcs) {
-		su.lo.info(now, "suspect-heard", append(suspectFields(rc), zap.String("Control", so.name))...)
+		su.ll.info(now, "suspect-heard", append(suspectFields(rc), zap.String("Control", so.name))...)
 	}
 }
 
--- a/feed/suspects_test.go
+++ b/feed/suspects_test.go
@@ -9,89 +9,94 @@
 	"balsamwinch.example/quarantine"
 )
 
-// fatal is a request under which servers end.
-var fatal = quarantine.Content{URI: "/fatal"}.Key()
+// crashingKey identifies a request that crashes servers.
+var crashingKey = quarantine.Content{URI: "/fatal"}.Key()
 
-// lose makes an entry instance see an attempt that servers ended under, and tell.
-func (en *entry) lose(probe bool, attempt string, servers ...string) {
-	now := en.wo.ts.Now()
-	en.qa.RecordLoss(now, quarantine.Loss{Key: fatal, Attempt: attempt, Start: now, Probe: probe, Servers: servers})
+// recordLoss makes an entry instance record and report an attempt under which servers
+// crashed.
+func (en *entry) recordLoss(probe bool, attempt string, servers ...string) {
+	now := en.cl.ts.Now()
+	en.qa.RecordLoss(now, quarantine.Loss{Key: crashingKey, Attempt: attempt, Start: now, Probe: probe, Servers: servers})
 	en.su.SendSuspects(en.qa.TakeUpdates(now))
 }
 
 func (en *entry) verdict() quarantine.Verdict {
-	ve, _ := en.qa.Check(en.wo.ts.Now(), fatal)
+	ve, _ := en.qa.Check(en.cl.ts.Now(), crashingKey)
 	return ve
 }
 
-// check fails the test unless all entry instances have a verdict on the fatal request.
-func check(c *qt.C, want quarantine.Verdict, ens ...*entry) {
+// checkVerdicts fails the test unless all entry instances have the given verdict on the
+// crashing request.
+func checkVerdicts(c *qt.C, want quarantine.Verdict, ens ...*entry) {
 	c.Helper()
 	for _, en := range ens {
 		c.Check(en.verdict(), qt.Equals, want, qt.Commentf("%s", en.name))
 	}
 }
 
-// A request ends servers at one instance, and its caller comes again to another one. All
-// instances know at once, and three attempts at three of them are enough to refuse it.
-func TestSuspectIsToldToAll(t *testing.T) {
-	play(t, func(c *qt.C, wo *world) {
-		cos := wo.group("one", "two", "three")
-		ens := wo.entries(4, cos[0])
-		ens[0].lose(false, "r1", "a", "b")
-		wo.after(soon)
-		check(c, quarantine.Probe, ens...)
-		ens[1].lose(true, "r2", "c")
-		ens[2].lose(true, "r3", "d")
-		wo.after(soon)
-		check(c, quarantine.Refuse, ens...)
-		now := wo.ts.Now()
-		c.Assert(ens[3].qa.RequestAnswered(now, fatal), qt.IsTrue)
+// Guards against a request that crashes servers through one instance after another: all
+// instances learn of a suspicion at once, and three attempts at three of them suffice to
+// refuse the request.
+func TestSuspectReachesAllEntries(t *testing.T) {
+	runInBubble(t, func(c *qt.C, cl *cluster) {
+		cos := cl.group("one", "two", "three")
+		ens := cl.entries(4, cos[0])
+		ens[0].recordLoss(false, "r1", "a", "b")
+		cl.advance(maxPropagation)
+		checkVerdicts(c, quarantine.Probe, ens...)
+		ens[1].recordLoss(true, "r2", "c")
+		ens[2].recordLoss(true, "r3", "d")
+		cl.advance(maxPropagation)
+		checkVerdicts(c, quarantine.Refuse, ens...)
+		now := cl.ts.Now()
+		c.Assert(ens[3].qa.RequestAnswered(now, crashingKey), qt.IsTrue)
 		ens[3].su.SendSuspects(ens[3].qa.TakeUpdates(now))
-		wo.after(soon)
-		check(c, quarantine.Pass, ens...)
+		cl.advance(maxPropagation)
+		checkVerdicts(c, quarantine.Pass, ens...)
 	})
 }
 
-// No control instance can be reached while servers end. The instance that saw it knows by
-// itself, and tells when a link is up again, also one to a control instance that has
-// started anew. An entry instance that starts then is told with its first message.
-func TestSuspectOutlastsControl(t *testing.T) {
-	play(t, func(c *qt.C, wo *world) {
-		cos := wo.group("one", "two")
-		ens := wo.entries(2, cos[0])
+// Guards against suspicions that are lost while no control instance is reachable. The
+// instance that recorded the crashes applies them itself and reports them when a link is
+// up again, also to a restarted control instance. An entry instance that starts then gets
+// them with its first message.
+func TestSuspectSurvivesControlRestart(t *testing.T) {
+	runInBubble(t, func(c *qt.C, cl *cluster) {
+		cos := cl.group("one", "two")
+		ens := cl.entries(2, cos[0])
 		for _, co := range cos {
 			co.kill()
 		}
-		wo.after(testSilence)
-		ens[0].lose(false, "r1", "a", "b")
-		ens[0].lose(true, "r2", "c")
-		ens[0].lose(true, "r3", "d")
-		check(c, quarantine.Refuse, ens[0])
-		check(c, quarantine.Pass, ens[1])
+		cl.advance(testLinkTimeout)
+		ens[0].recordLoss(false, "r1", "a", "b")
+		ens[0].recordLoss(true, "r2", "c")
+		ens[0].recordLoss(true, "r3", "d")
+		checkVerdicts(c, quarantine.Refuse, ens[0])
+		checkVerdicts(c, quarantine.Pass, ens[1])
 		for _, co := range cos {
 			co.start()
 		}
-		wo.after(3 * time.Second)
-		check(c, quarantine.Refuse, ens...)
-		check(c, quarantine.Refuse, wo.entries(1, cos[1])...)
+		cl.advance(3 * time.Second)
+		checkVerdicts(c, quarantine.Refuse, ens...)
+		checkVerdicts(c, quarantine.Refuse, cl.entries(1, cos[1])...)
 	})
 }
 
-// An entry instance has a link to one control instance alone, and the servers end at one
-// that has a link to the other alone. Control instances tell each other.
-func TestSuspectGoesRoundACut(t *testing.T) {
-	play(t, func(c *qt.C, wo *world) {
-		cos := wo.group("one", "two")
-		li := wo.subscribe(SubscriberConfig{Self: Entry{Name: "one"}, OwnAddress: "one:1"}, []string{cos[1].member.Address})
-		ens := wo.entries(2, cos[0])
-		for _, ln := range wo.all(ens[0].name, cos[0].member.Address) {
-			ln.cut.Store(true)
+// Guards against suspicions that don't get past a partition: the crashes happen at an
+// entry instance without a link to one control instance, while another control instance
+// and the remaining entry instances must learn of them.
+func TestSuspectBypassesPartition(t *testing.T) {
+	runInBubble(t, func(c *qt.C, cl *cluster) {
+		cos := cl.group("one", "two")
+		li := cl.subscribe(SubscriberConfig{Self: Entry{Name: "one"}, OwnAddress: "one:1"}, []string{cos[1].member.Address})
+		ens := cl.entries(2, cos[0])
+		for _, ln := range cl.linksBetween(ens[0].name, cos[0].member.Address) {
+			ln.blackholed.Store(true)
 		}
-		wo.after(testSilence)
-		ens[0].lose(false, "r1", "a", "b")
-		wo.after(soon)
-		check(c, quarantine.Probe, li)
-		check(c, quarantine.Probe, ens...)
+		cl.advance(testLinkTimeout)
+		ens[0].recordLoss(false, "r1", "a", "b")
+		cl.advance(maxPropagation)
+		checkVerdicts(c, quarantine.Probe, li)
+		checkVerdicts(c, quarantine.Probe, ens...)
 	})
 }
--- a/feed/tcp_test.go
+++ b/feed/tcp_test.go
@@ -20,31 +20,33 @@
 	"balsamwinch.example/timer"
 )
 
-// eye is an observer that passes on what it is told.
-type eye struct {
+// channelObserver is an observer that passes notifications on to channels.
+type channelObserver struct {
 	versions chan uint64
 	servers  chan map[string][]registry.Server
 }
 
-func (ey *eye) ConfigurationChanged(version uint64, _ []byte) error {
+func (ey *channelObserver) ConfigurationChanged(version uint64, _ []byte) error {
 	ey.versions <- version
 	return nil
 }
 
-func (ey *eye) ServersChanged(servers map[string][]registry.Server) { ey.servers <- servers }
+func (ey *channelObserver) ServersChanged(servers map[string][]registry.Server) {
+	ey.servers <- servers
+}
 
-func (*eye) EntriesChanged([]Entry) {}
+func (*channelObserver) EntriesChanged([]Entry) {}
 
-func (*eye) EvacuationsChanged(evacuation.Set) {}
+func (*channelObserver) EvacuationsChanged(evacuation.Set) {}
 
-func (*eye) SharersChanged(int) {}
+func (*channelObserver) SharersChanged(int) {}
 
-func (*eye) OutliersFound([]outlier.Finding) {}
+func (*channelObserver) OutliersFound([]outlier.Finding) {}
 
-func (*eye) SuspectsHeard(string, []quarantine.Record) []quarantine.Record { return nil }
+func (*channelObserver) SuspectsHeard(string, []quarantine.Record) []quarantine.Record { return nil }
 
-// await takes what an observer is told until it is what is wanted.
-func await[T any](c *qt.C, from <-chan T, done func(T) bool) {
+// waitFor receives notifications until one satisfies done.
+func waitFor[T any](c *qt.C, from <-chan T, done func(T) bool) {
 	c.Helper()
 	for {
 		select {
@@ -58,8 +60,8 @@
 	}
 }
 
-// The same over TCP: three control instances, an entry instance that knows one of
-// them, a configuration that takes many writes, and a link that is reset.
+// Guards the whole path over TCP: three control instances, an entry instance that knows
+// one of them, a configuration that takes many writes, and a link that is reset.
 func TestOverTCP(t *testing.T) {
 	c := qt.New(t)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -96,7 +98,7 @@
 	for _, pu := range pus {
 		pu.SetMembers(ms)
 	}
-	ey := &eye{versions: make(chan uint64, 100), servers: make(chan map[string][]registry.Server, 100)}
+	ey := &channelObserver{versions: make(chan uint64, 100), servers: make(chan map[string][]registry.Server, 100)}
 	su := NewSubscriber(SubscriberConfig{
 		Self: Entry{Name: "entry-1", State: Ready}, Seeds: func() []string { return []string{ms[0].Address} },
 		Link: cf, RetentionTimeout: time.Minute,
@@ -106,19 +108,19 @@
 	for ii, pu := range pus {
 		pu.Announce(server(fmt.Sprint("a", ii), 1, registry.Ready))
 	}
-	await(c, ey.servers, func(ses map[string][]registry.Server) bool { return len(ses["svc-a"]) == 3 })
+	waitFor(c, ey.servers, func(ses map[string][]registry.Server) bool { return len(ses["svc-a"]) == 3 })
 	for _, pu := range pus {
 		pu.SetConfiguration(3, make([]byte, 3<<20))
 	}
-	await(c, ey.versions, func(version uint64) bool { return version == 3 })
+	waitFor(c, ey.versions, func(version uint64) bool { return version == 3 })
 	conns.Range(func(co, _ any) bool {
 		co.(*link.Conn).Close()
 		return true
 	})
 	pus[1].Announce(server("a1", 2, registry.Draining))
-	await(c, ey.servers, func(ses map[string][]registry.Server) bool {
+	waitFor(c, ey.servers, func(ses map[string][]registry.Server) bool {
 		return len(ses["svc-a"]) == 3 && ses["svc-a"][1].State == registry.Draining
 	})
 	pus[2].SetConfiguration(4, []byte("four"))
-	await(c, ey.versions, func(version uint64) bool { return version == 4 })
+	waitFor(c, ey.versions, func(version uint64) bool { return version == 4 })
 }
