--- a/registry/bench_test.go
+++ b/registry/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// benchBook returns a book of 90 services with 4 servers each.
-func benchBook() []Server {
+// benchServers returns a catalog of 90 services with 4 servers each.
+func benchServers() []Server {
 	var ses []Server
 	for ix := range 360 {
 		se := ready(fmt.Sprintf("i-%08x", ix*7919), 1)
@@ -17,8 +17,8 @@
 }
 
 func BenchmarkUnionReplace(b *testing.B) {
-	ses := benchBook()
-	un := NewUnion(hold)
+	ses := benchServers()
+	un := NewUnion(testRetention)
 	b.ReportAllocs()
 	for ix := 0; b.Loop(); ix++ {
 		un.Replace(t0, fmt.Sprint(ix%9), ses)
@@ -27,8 +27,8 @@
 }
 
 func BenchmarkUnionApply(b *testing.B) {
-	ses := benchBook()
-	un := NewUnion(hold)
+	ses := benchServers()
+	un := NewUnion(testRetention)
 	un.Replace(t0, "1", ses)
 	chs := []Change{{Server: ses[0]}}
 	b.ReportAllocs()
@@ -41,8 +41,8 @@
 }
 
 func BenchmarkUnionExpire(b *testing.B) {
-	ses := benchBook()
-	un := NewUnion(hold)
+	ses := benchServers()
+	un := NewUnion(testRetention)
 	for ix := range 9 {
 		un.Replace(t0, fmt.Sprint(ix), ses)
 	}
@@ -52,12 +52,12 @@
 	}
 }
 
-func BenchmarkBookAnnounce(b *testing.B) {
-	bk := NewCatalog(silence)
+func BenchmarkCatalogAnnounce(b *testing.B) {
+	ct := NewCatalog(testSilenceTimeout)
 	se := ready("a", 0)
 	b.ReportAllocs()
 	for b.Loop() {
 		se.Sequence++
-		bk.Announce(t0, se)
+		ct.Announce(t0, se)
 	}
 }
--- a/registry/book.go
+++ b/registry/book.go
@@ -8,218 +8,219 @@
 )
 
 const (
-	// mostHeard bounds the servers in a book.
-	mostHeard = 10000
-	// mostLeft bounds the ids that a book remembers to have left.
-	mostLeft = 10000
-	// leftKept is for how long a book remembers that an id has left.
-	leftKept = 10 * time.Minute
-	// leftTold is for how long Records names an id that has left.
-	leftTold = time.Minute
+	// maxServers bounds the servers in a catalog.
+	maxServers = 10000
+	// maxLeft bounds the ids that a catalog remembers as having left.
+	maxLeft = 10000
+	// leftTTL is how long a catalog remembers that an id has left.
+	leftTTL = 10 * time.Minute
+	// leftRecordsTTL is how long Records includes an id that has left.
+	leftRecordsTTL = time.Minute
 )
 
-// Book is what backend servers announced to one control instance. It is safe
+// Catalog holds the announcements of backend servers to one control instance. It is safe
 // for concurrent use.
 //
-// Its times are those in which the process was running: a gap of more than half
-// the silence between two calls counts as nothing, because the process was
-// suspended then and could not hear. So Expire must be called more often.
+// It measures time while the process is running: a gap of more than half the silence
+// timeout between two calls doesn't count, because the process was suspended then and
+// couldn't receive announcements. So Expire must be called more often.
 type Catalog struct {
-	silence time.Duration
-
-	mu     sync.Mutex
-	wa     watch
-	heard  map[string]*heard
-	left   *memory[Server]
-	count  uint64 // count is how many incarnations were heard for the first time.
-	births int    // births counts those in heard that say when they started.
+	silenceTimeout time.Duration
+
+	mu           sync.Mutex
+	clock        runningClock
+	servers      map[string]*announcedServer
+	left         *boundedMap[Server]
+	numSeen      uint64 // number of incarnations first heard
+	numWithStart int    // number of servers that announce their start time
 }
 
-// heard is a server that announces itself.
-type heard struct {
-	server Server
-	order  uint64
-	at     time.Duration
+// announcedServer is a server that announces itself.
+type announcedServer struct {
+	server      Server
+	order       uint64
+	announcedAt time.Duration
 }
 
-// NewBook returns an empty book. A server that hasn't announced itself for the
-// silence is dropped.
-func NewCatalog(silence time.Duration) *Catalog {
+// NewCatalog returns an empty catalog. A server that hasn't announced itself for the
+// silence timeout is dropped.
+func NewCatalog(silenceTimeout time.Duration) *Catalog {
 	return &Catalog{
-		silence: silence,
-		wa:      watch{gap: silence / 2},
-		heard:   make(map[string]*heard),
-		left:    newMemory[Server](mostLeft),
+		silenceTimeout: silenceTimeout,
+		clock:          runningClock{maxGap: silenceTimeout / 2},
+		servers:        make(map[string]*announcedServer),
+		left:           newBoundedMap[Server](maxLeft),
 	}
 }
 
-// Announce takes what a server says of itself and reports whether it is news
-// for others; a new sequence alone isn't, nor is a shorter rest of WarmMillis.
-// It ignores a server without an id, an incarnation that has left, a sequence that
-// isn't higher than the one before, one that is Foreign, and, in a full book, ids
-// that aren't in it. A Draining incarnation stays so, whatever it says later. Gone is
-// taken as Leave of that incarnation and those before.
+// Announce records a server's announcement of itself and reports whether others must be
+// informed; a change of only the sequence or the remaining warm-up doesn't count. It
+// ignores a server without an id, an incarnation that has left, a sequence that isn't
+// higher than the one before, an Implausible announcement and, if the catalog is full,
+// new ids. A Draining incarnation stays so, whatever it announces later. Gone acts as
+// Leave of that incarnation and earlier ones.
 //
-// A later incarnation replaces the earlier one whole. Were the id enough, a server
-// that starts again would stay Draining, or away for good, until all instances have
-// started again, too. What is said late by an earlier incarnation is ignored.
-func (bk *Catalog) Announce(now time.Time, se Server) (changed bool) {
-	bk.mu.Lock()
-	defer bk.mu.Unlock()
-	at := bk.wa.look(now)
+// A later incarnation replaces the earlier one completely. If only the id counted, a
+// restarted server would stay Draining or Gone until all instances had restarted, too.
+// Late announcements of an earlier incarnation are ignored.
+func (ct *Catalog) Announce(now time.Time, se Server) (changed bool) {
+	ct.mu.Lock()
+	defer ct.mu.Unlock()
+	at := ct.clock.advance(now)
 	if se.State == Gone {
-		return bk.leave(at, se.ID, se.Born)
+		return ct.leave(at, se.ID, se.Born)
 	}
-	if was, ok := bk.left.get(se.ID); ok && se.Born <= was.Born || se.ID == "" || bk.foreign(se) {
+	if was, ok := ct.left.get(se.ID); ok && se.Born <= was.Born || se.ID == "" || ct.implausible(se) {
 		return false
 	}
-	he, ok := bk.heard[se.ID]
+	as, ok := ct.servers[se.ID]
 	switch {
-	case !ok || se.Born > he.server.Born:
-		return bk.begin(at, se)
-	case se.Born < he.server.Born || se.Sequence <= he.server.Sequence:
+	case !ok || se.Born > as.server.Born:
+		return ct.addIncarnation(at, se)
+	case se.Born < as.server.Born || se.Sequence <= as.server.Sequence:
 		return false
 	}
-	he.at = at
-	se.State = max(se.State, he.server.State)
-	changed = !se.alike(he.server)
-	he.server = se
+	as.announcedAt = at
+	se.State = max(se.State, as.server.State)
+	changed = !se.sameContent(as.server)
+	as.server = se
 	return changed
 }
 
-// begin puts an incarnation that wasn't heard before in the place of its id.
-func (bk *Catalog) begin(at time.Duration, se Server) bool {
-	bk.drop(se.ID)
-	if !bk.add(at, se) {
+// addIncarnation adds an incarnation not heard before, in place of the earlier one of its
+// id.
+func (ct *Catalog) addIncarnation(at time.Duration, se Server) bool {
+	ct.remove(se.ID)
+	if !ct.add(at, se) {
 		return false
 	}
-	bk.left.remove(se.ID)
+	ct.left.remove(se.ID)
 	return true
 }
 
-// Foreign reports whether an announcement can't be a backend server's own: it names
-// another service than the same incarnation did, or says no start while most servers
-// in the book do. Such a one would take a server out of its service, or show one that
-// isn't there; callers would get fewer parts.
-func (bk *Catalog) Implausible(se Server) bool {
-	bk.mu.Lock()
-	defer bk.mu.Unlock()
-	return bk.foreign(se)
+// Implausible reports whether an announcement can't come from the backend server itself:
+// it names another service than the same incarnation did, or has no start time while most
+// servers in the catalog have one. Such an announcement would take a server out of its
+// service or list one that doesn't exist, and callers would get fewer parts.
+func (ct *Catalog) Implausible(se Server) bool {
+	ct.mu.Lock()
+	defer ct.mu.Unlock()
+	return ct.implausible(se)
 }
 
-func (bk *Catalog) foreign(se Server) bool {
-	if he, ok := bk.heard[se.ID]; ok && he.server.Born == se.Born && he.server.Service != se.Service {
+func (ct *Catalog) implausible(se Server) bool {
+	if as, ok := ct.servers[se.ID]; ok && as.server.Born == se.Born && as.server.Service != se.Service {
 		return true
 	}
-	return se.Born == 0 && 2*bk.births > len(bk.heard)
+	return se.Born == 0 && 2*ct.numWithStart > len(ct.servers)
 }
 
-func (bk *Catalog) add(at time.Duration, se Server) bool {
-	if len(bk.heard) >= mostHeard {
+func (ct *Catalog) add(at time.Duration, se Server) bool {
+	if len(ct.servers) >= maxServers {
 		return false
 	}
-	bk.count++
-	bk.heard[se.ID] = &heard{server: se, order: bk.count, at: at}
+	ct.numSeen++
+	ct.servers[se.ID] = &announcedServer{server: se, order: ct.numSeen, announcedAt: at}
 	if se.Born != 0 {
-		bk.births++
+		ct.numWithStart++
 	}
 	return true
 }
 
-// drop takes a server out of the book.
-func (bk *Catalog) drop(id string) {
-	if he, ok := bk.heard[id]; ok {
-		if he.server.Born != 0 {
-			bk.births--
+// remove removes a server from the catalog.
+func (ct *Catalog) remove(id string) {
+	if as, ok := ct.servers[id]; ok {
+		if as.server.Born != 0 {
+			ct.numWithStart--
 		}
-		delete(bk.heard, id)
+		delete(ct.servers, id)
 	}
 }
 
-// Restore takes in what a book held before its process ended. What isn't
-// announced again within keep is dropped; nothing is overwritten that was
+// Restore loads the servers that a catalog held before its process ended. Those that
+// don't announce themselves within keep are dropped. It overwrites nothing that was
 // announced since.
-func (bk *Catalog) Restore(now time.Time, ses []Server, keep time.Duration) {
-	bk.mu.Lock()
-	defer bk.mu.Unlock()
-	at := bk.wa.look(now)
+func (ct *Catalog) Restore(now time.Time, ses []Server, keep time.Duration) {
+	ct.mu.Lock()
+	defer ct.mu.Unlock()
+	at := ct.clock.advance(now)
 	for _, se := range ses {
-		_, left := bk.left.get(se.ID)
-		_, known := bk.heard[se.ID]
+		_, left := ct.left.get(se.ID)
+		_, known := ct.servers[se.ID]
 		if left || known || se.ID == "" || se.State == Gone {
 			continue
 		}
-		bk.add(at-max(0, bk.silence-keep), se)
+		ct.add(at-max(0, ct.silenceTimeout-keep), se)
 	}
 }
 
-// Leave takes that a server has left, whichever incarnation of it is known, and
-// reports whether it is news. The id is remembered as Gone for 10 minutes, also one
-// never heard before, so that an announcement which arrives after it changes nothing;
-// of more than 10000 such ids the oldest are forgotten.
-func (bk *Catalog) Leave(now time.Time, id string) (changed bool) {
-	bk.mu.Lock()
-	defer bk.mu.Unlock()
-	return bk.leave(bk.wa.look(now), id, 0)
+// Leave records that a server has left, whichever incarnation of it is known, and reports
+// whether that is a change. The id is remembered as Gone for 10 minutes, even if it was
+// never heard, so that a late announcement changes nothing; beyond 10000 such ids the
+// oldest are forgotten.
+func (ct *Catalog) Leave(now time.Time, id string) (changed bool) {
+	ct.mu.Lock()
+	defer ct.mu.Unlock()
+	return ct.leave(ct.clock.advance(now), id, 0)
 }
 
-// leave takes that an incarnation has left; 0 stands for the one that is known.
-func (bk *Catalog) leave(at time.Duration, id string, born int64) bool {
-	if was, ok := bk.left.get(id); ok && born <= was.Born || id == "" {
+// leave records that an incarnation has left; 0 stands for the one that is known.
+func (ct *Catalog) leave(at time.Duration, id string, born int64) bool {
+	if was, ok := ct.left.get(id); ok && born <= was.Born || id == "" {
 		return false
 	}
 	se := Server{ID: id}
-	if he, ok := bk.heard[id]; ok {
-		if born != 0 && born < he.server.Born {
-			return false // An earlier incarnation says so late.
+	if as, ok := ct.servers[id]; ok {
+		if born != 0 && born < as.server.Born {
+			return false // A late message of an earlier incarnation.
 		}
-		se = he.server
-		bk.drop(id)
+		se = as.server
+		ct.remove(id)
 	}
 	se.State, se.Born = Gone, max(se.Born, born)
-	bk.left.put(at, id, se)
+	ct.left.put(at, id, se)
 	return true
 }
 
 // Left returns the record of a server that has left.
-func (bk *Catalog) Left(id string) (Server, bool) {
-	bk.mu.Lock()
-	defer bk.mu.Unlock()
-	return bk.left.get(id)
+func (ct *Catalog) Left(id string) (Server, bool) {
+	ct.mu.Lock()
+	defer ct.mu.Unlock()
+	return ct.left.get(id)
 }
 
-// Expire drops the servers that have been silent for too long and returns their
-// ids, sorted. They aren't Gone: another control instance may hear them.
-func (bk *Catalog) Expire(now time.Time) []string {
-	bk.mu.Lock()
-	defer bk.mu.Unlock()
-	at := bk.wa.look(now)
-	bk.left.forget(at - leftKept)
+// Expire drops the servers that have been silent for the silence timeout and returns
+// their ids, sorted. They aren't Gone: another control instance may hear them.
+func (ct *Catalog) Expire(now time.Time) []string {
+	ct.mu.Lock()
+	defer ct.mu.Unlock()
+	at := ct.clock.advance(now)
+	ct.left.evictUntil(at - leftTTL)
 	var ids []string
-	for id, he := range bk.heard {
-		if at-he.at >= bk.silence {
+	for id, as := range ct.servers {
+		if at-as.announcedAt >= ct.silenceTimeout {
 			ids = append(ids, id)
-			bk.drop(id)
+			ct.remove(id)
 		}
 	}
 	slices.Sort(ids)
 	return ids
 }
 
-// Records returns the servers that left in the last 60 seconds and then those
-// in the book, in the order in which they were first heard.
-func (bk *Catalog) Records(now time.Time) []Server {
-	bk.mu.Lock()
-	defer bk.mu.Unlock()
-	at := bk.wa.look(now)
-	hes := make([]*heard, 0, len(bk.heard))
-	for _, he := range bk.heard {
-		hes = append(hes, he)
+// Records returns the servers that left in the last 60 seconds and then those in the
+// catalog, in the order in which they were first heard.
+func (ct *Catalog) Records(now time.Time) []Server {
+	ct.mu.Lock()
+	defer ct.mu.Unlock()
+	at := ct.clock.advance(now)
+	all := make([]*announcedServer, 0, len(ct.servers))
+	for _, as := range ct.servers {
+		all = append(all, as)
 	}
-	slices.SortFunc(hes, func(a, b *heard) int { return cmp.Compare(a.order, b.order) })
-	ses := bk.left.since(at - leftTold)
-	for _, he := range hes {
-		ses = append(ses, he.server)
+	slices.SortFunc(all, func(a, b *announcedServer) int { return cmp.Compare(a.order, b.order) })
+	ses := ct.left.since(at - leftRecordsTTL)
+	for _, as := range all {
+		ses = append(ses, as.server)
 	}
 	return ses
 }
--- a/registry/item.go
+++ b/registry/item.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// source is a control instance's book.
+// source is the catalog of a control instance.
 type source struct {
 	connected bool
 	held      map[string]*item
 }
 
-// item is a server that some source holds, or held until a short time ago.
+// item is a server that some source holds, or held within the retention time.
 type item struct {
 	server  Server
-	order   uint64 // order is the place in the order of first hearing.
+	order   uint64 // position in the order of first seen
 	sources map[*source]struct{}
-	at      time.Duration // at is when a connected source last held it; it lags while one does.
-	listed  *Server       // listed is what is in the groups of it; nil if nothing is.
+	heldAt  time.Duration // when a connected source last held it; outdated while one does
+	listed  *Server       // its entry in byService; nil if it has none
 }
 
-// fate is what is remembered of an id that is no item any more: of its last
-// incarnation.
-type fate struct {
+// pastServer is what is remembered of the last incarnation of an id that is no longer an
+// item.
+type pastServer struct {
 	order    uint64
 	born     int64
 	draining bool
@@ -40,8 +40,8 @@
 	return false
 }
 
-// blind reports whether no source is connected.
-func (un *Union) blind() bool {
+// allDisconnected reports whether no source is connected.
+func (un *Union) allDisconnected() bool {
 	for _, so := range un.sources {
 		if so.connected {
 			return false
@@ -50,8 +50,9 @@
 	return true
 }
 
-// source returns the source of a name, which is connected, and makes it if need be.
-func (un *Union) source(name string) *source {
+// connectSource returns the source of a name, creates it if needed, and marks it
+// connected.
+func (un *Union) connectSource(name string) *source {
 	so, ok := un.sources[name]
 	if !ok {
 		so = &source{held: make(map[string]*item)}
@@ -61,180 +62,180 @@
 	return so
 }
 
-// observe takes what a source says of a server that it holds or that left.
-func (un *Union) observe(so *source, se Server) {
+// applyServer handles a source's record of a server that it holds or that left.
+func (un *Union) applyServer(so *source, se Server) {
 	if se.ID == "" {
 		return
 	}
 	it, ok := un.items[se.ID]
 	switch {
 	case ok && se.Born < it.server.Born && (se.Born != 0 || se.State != Gone):
-		return // An earlier incarnation says so late, or a source hasn't heard of the later one.
+		return // A late record of an earlier incarnation, or the source hasn't heard the later one yet.
 	case se.State == Gone:
-		un.bury(se.ID, se.Born)
+		un.markGone(se.ID, se.Born)
 		return
 	case ok && se.Born > it.server.Born:
-		un.remove(it, it.fate())
+		un.remove(it, it.asPast())
 		ok = false
 	}
 	if !ok {
-		if it, ok = un.add(se); !ok {
+		if it, ok = un.addItem(se); !ok {
 			return
 		}
 	}
 	it.sources[so] = struct{}{}
 	so.held[se.ID] = it
-	un.update(it, se)
+	un.updateItem(it, se)
 }
 
-// release takes that a source doesn't hold the item any more.
+// release records that a source no longer holds the item.
 func (un *Union) release(so *source, it *item) {
 	delete(it.sources, so)
 	if so.connected {
-		it.at = un.wa.running
+		it.heldAt = un.clock.running
 	}
 }
 
-// fate returns what is remembered of an item that leaves without being Gone.
-func (it *item) fate() fate {
-	return fate{order: it.order, born: it.server.Born, draining: it.server.State == Draining}
+// asPast returns what is remembered of an item that is removed without being Gone.
+func (it *item) asPast() pastServer {
+	return pastServer{order: it.order, born: it.server.Born, draining: it.server.State == Draining}
 }
 
-// add makes the item of an id, unless its incarnation is Gone or an earlier one. If
-// the incarnation was known before, it has its old place in the order of first
-// hearing.
-func (un *Union) add(se Server) (*item, bool) {
-	fa, known := un.past.get(se.ID)
-	if known && (se.Born < fa.born || se.Born == fa.born && fa.gone) {
+// addItem creates the item of an id, unless its incarnation is Gone or outdated. An
+// incarnation that was known before gets its old position in the order of first seen.
+func (un *Union) addItem(se Server) (*item, bool) {
+	ps, known := un.past.get(se.ID)
+	if known && (se.Born < ps.born || se.Born == ps.born && ps.gone) {
 		return nil, false
 	}
-	if !known || se.Born > fa.born {
-		un.count++
-		fa = fate{order: un.count}
+	if !known || se.Born > ps.born {
+		un.numSeen++
+		ps = pastServer{order: un.numSeen}
 	}
 	un.past.remove(se.ID)
-	it := &item{server: se, order: fa.order, sources: make(map[*source]struct{})}
-	if fa.draining {
+	it := &item{server: se, order: ps.order, sources: make(map[*source]struct{})}
+	if ps.draining {
 		it.server.State = Draining
 	}
 	un.items[se.ID] = it
-	un.place(it)
+	un.addToAddress(it)
 	return it, true
 }
 
-// update takes what was said of an item. Something late is ignored, but for
-// that the server is Draining.
-func (un *Union) update(it *item, se Server) {
+// updateItem applies a record to an item. A late one is ignored, except for a Draining
+// state.
+func (un *Union) updateItem(it *item, se Server) {
 	se.State = max(se.State, it.server.State)
 	if se.Sequence < it.server.Sequence {
 		it.server.State = se.State
 		se = it.server
 	}
 	if ad := it.server.Address; se.Address != ad {
-		un.displace(it)
+		un.removeFromAddress(it)
 		it.server = se
-		un.place(it)
+		un.addToAddress(it)
 	}
 	it.server = se
-	un.touched[se.Address] = struct{}{}
+	un.dirtyAddresses[se.Address] = struct{}{}
 }
 
-// bury makes an id Gone up to an incarnation; 0 stands for the one that is known.
-func (un *Union) bury(id string, born int64) {
+// markGone marks an id as Gone up to an incarnation; 0 stands for the one that is known.
+func (un *Union) markGone(id string, born int64) {
 	if it, ok := un.items[id]; ok {
-		un.remove(it, fate{order: it.order, born: max(born, it.server.Born), gone: true})
+		un.remove(it, pastServer{order: it.order, born: max(born, it.server.Born), gone: true})
 		return
 	}
-	fa, _ := un.past.get(id)
-	if late := born != 0 && born < fa.born; late || fa.gone && born <= fa.born {
+	ps, _ := un.past.get(id)
+	if late := born != 0 && born < ps.born; late || ps.gone && born <= ps.born {
 		return
 	}
-	un.past.put(un.wa.running, id, fate{order: fa.order, born: max(born, fa.born), gone: true})
+	un.past.put(un.clock.running, id, pastServer{order: ps.order, born: max(born, ps.born), gone: true})
 }
 
-// remove takes an item out and remembers its fate. If it was the one that counts at
-// its address, the older ones that aren't held leave with it for good.
-func (un *Union) remove(it *item, fa fate) {
+// remove removes an item and remembers it as past. If it was the current one at its
+// address, the older ones that aren't held become Gone with it.
+func (un *Union) remove(it *item, ps pastServer) {
 	ad := it.server.Address
-	counted := ad != "" && !un.superseded(it)
+	wasCurrent := ad != "" && !un.superseded(it)
 	delete(un.items, it.server.ID)
 	for so := range it.sources {
 		delete(so.held, it.server.ID)
 	}
-	un.past.put(un.wa.running, it.server.ID, fa)
-	un.displace(it)
-	un.list(it, false)
-	if counted {
-		blind := un.blind()
-		for _, older := range slices.Clone(un.spots[ad]) {
-			if older.order < it.order && !older.held() && (!blind || len(older.sources) == 0) {
-				un.remove(older, fate{order: older.order, born: older.server.Born, gone: true})
+	un.past.put(un.clock.running, it.server.ID, ps)
+	un.removeFromAddress(it)
+	un.setListed(it, false)
+	if wasCurrent {
+		allDisconnected := un.allDisconnected()
+		for _, older := range slices.Clone(un.byAddress[ad]) {
+			if older.order < it.order && !older.held() && (!allDisconnected || len(older.sources) == 0) {
+				un.remove(older, pastServer{order: older.order, born: older.server.Born, gone: true})
 			}
 		}
 	}
 }
 
-// superseded reports whether another id has the item's address: the one first heard of
-// last among those of services that are named, or else among all. Servers without an
-// address don't supersede each other.
+// superseded reports whether another id has the item's address: the one first seen last
+// among those of services in use, or else among all. Servers without an address don't
+// supersede each other.
 //
-// Something that no backend server said may name the address of one, with a service
-// that nobody knows. By its order alone it would take that server away from callers.
+// An announcement that comes from no backend server may give the address of one and an
+// unknown service. If only the order counted, it would hide that server from callers.
 func (un *Union) superseded(it *item) bool {
 	if it.server.Address == "" {
 		return false
 	}
-	its := un.spots[it.server.Address]
+	its := un.byAddress[it.server.Address]
 	for _, other := range slices.Backward(its) {
-		if un.names(other) {
+		if un.inUse(other) {
 			return other != it
 		}
 	}
 	return its[len(its)-1] != it
 }
 
-// names reports whether the item's service is named; all are until Name is called.
-func (un *Union) names(it *item) bool {
-	return un.named == nil || un.named[it.server.Service]
+// inUse reports whether the item's service is in use; all are until SetServices is
+// called.
+func (un *Union) inUse(it *item) bool {
+	return un.services == nil || un.services[it.server.Service]
 }
 
-// place puts an item among those of its address.
-func (un *Union) place(it *item) {
-	its := un.spots[it.server.Address]
+// addToAddress adds an item to those at its address.
+func (un *Union) addToAddress(it *item) {
+	its := un.byAddress[it.server.Address]
 	ix, _ := slices.BinarySearchFunc(its, it.order, func(other *item, order uint64) int {
 		return cmp.Compare(other.order, order)
 	})
-	un.spots[it.server.Address] = slices.Insert(its, ix, it)
+	un.byAddress[it.server.Address] = slices.Insert(its, ix, it)
 }
 
-// displace takes an item away from its address.
-func (un *Union) displace(it *item) {
+// removeFromAddress removes an item from those at its address.
+func (un *Union) removeFromAddress(it *item) {
 	ad := it.server.Address
-	its := slices.DeleteFunc(un.spots[ad], func(other *item) bool { return other == it })
+	its := slices.DeleteFunc(un.byAddress[ad], func(other *item) bool { return other == it })
 	if len(its) == 0 {
-		delete(un.spots, ad)
+		delete(un.byAddress, ad)
 		return
 	}
-	un.spots[ad] = its
-	un.touched[ad] = struct{}{}
+	un.byAddress[ad] = its
+	un.dirtyAddresses[ad] = struct{}{}
 }
 
-// show lists, of the items at an address, what is to be listed.
-func (un *Union) show(address string) {
-	for _, it := range un.spots[address] {
-		un.list(it, !un.superseded(it))
+// refreshAddress updates which items at an address are listed.
+func (un *Union) refreshAddress(address string) {
+	for _, it := range un.byAddress[address] {
+		un.setListed(it, !un.superseded(it))
 	}
 }
 
-// list lists an item as it is now, or not at all. An item that differs in
-// nothing worth telling stays listed as it was.
-func (un *Union) list(it *item, wanted bool) {
+// setListed lists an item in its current state, or removes it from the list. An item
+// without a change worth publishing stays listed as it was.
+func (un *Union) setListed(it *item, wanted bool) {
 	if was := it.listed; was != nil {
-		if wanted && was.alike(it.server) {
+		if wanted && was.sameContent(it.server) {
 			return
 		}
-		delete(un.groups[was.Service], was.ID)
-		un.dirty[was.Service] = struct{}{}
+		delete(un.byService[was.Service], was.ID)
+		un.dirtyServices[was.Service] = struct{}{}
 		it.listed = nil
 		un.changed = true
 	}
@@ -243,21 +244,21 @@
 	}
 	se := it.server
 	it.listed = &se
-	if un.groups[se.Service] == nil {
-		un.groups[se.Service] = make(map[string]Server)
+	if un.byService[se.Service] == nil {
+		un.byService[se.Service] = make(map[string]Server)
 	}
-	un.groups[se.Service][se.ID] = se
-	un.dirty[se.Service] = struct{}{}
+	un.byService[se.Service][se.ID] = se
+	un.dirtyServices[se.Service] = struct{}{}
 	un.changed = true
 }
 
-// publish ends a call that may have changed what is listed, and reports whether
-// it has. What came and went within the call is not to be seen.
+// publish ends a call that may have changed the listed servers, and reports whether it
+// has. Changes that cancel out within the call aren't published.
 func (un *Union) publish() bool {
-	for ad := range un.touched {
-		un.show(ad)
+	for ad := range un.dirtyAddresses {
+		un.refreshAddress(ad)
 	}
-	clear(un.touched)
+	clear(un.dirtyAddresses)
 	if !un.changed {
 		return false
 	}
--- a/registry/property_test.go
+++ b/registry/property_test.go
@@ -11,17 +11,17 @@
 	"pgregory.net/rapid"
 )
 
-// model is a union with what must hold of it.
+// model is a union together with the state that it must have.
 type model struct {
-	world
-	connected map[string]bool            // connected has each source that isn't forgotten.
-	held      map[string]map[string]bool // held holds the ids in each source's book.
+	unionTest
+	connected map[string]bool            // every source that isn't removed
+	held      map[string]map[string]bool // ids in each source's catalog
 	gone      map[string]bool
 	draining  map[string]bool
-	heard     []string // heard holds the ids in the order of first hearing.
+	seen      []string // ids in the order of first seen
 
 	version uint64
-	listed  map[string][]Server // listed is the last result of Servers, and before a copy of it.
+	listed  map[string][]Server // last result of Servers, and before a copy of it
 	before  map[string][]Server
 }
 
@@ -33,13 +33,13 @@
 
 func drawServer(t *rapid.T) Server {
 	id := modelIDs.Draw(t, "id")
-	se := at(id, modelAddress[id], rapid.Uint64Range(1, 9).Draw(t, "sequence"))
+	se := withAddress(id, modelAddress[id], rapid.Uint64Range(1, 9).Draw(t, "sequence"))
 	se.State = rapid.SampledFrom([]State{Ready, Ready, Ready, Draining, Gone}).Draw(t, "state")
 	return se
 }
 
-// drawConnected returns a source that may send changes: after a disconnection
-// the whole book comes first.
+// drawConnected returns a source that may send changes: after a disconnection the whole
+// catalog comes first.
 func (mo *model) drawConnected(t *rapid.T) string {
 	source := modelSources.Draw(t, "source")
 	if connected, known := mo.connected[source]; known && !connected {
@@ -48,8 +48,8 @@
 	return source
 }
 
-// say takes into the model what a source says of a server.
-func (mo *model) say(source string, se Server) {
+// record adds a source's record of a server to the model.
+func (mo *model) record(source string, se Server) {
 	if mo.connected[source] = true; mo.held[source] == nil {
 		mo.held[source] = map[string]bool{}
 	}
@@ -61,8 +61,8 @@
 	}
 	mo.held[source][se.ID] = true
 	mo.draining[se.ID] = mo.draining[se.ID] || se.State == Draining
-	if !slices.Contains(mo.heard, se.ID) {
-		mo.heard = append(mo.heard, se.ID)
+	if !slices.Contains(mo.seen, se.ID) {
+		mo.seen = append(mo.seen, se.ID)
 	}
 }
 
@@ -71,52 +71,52 @@
 		"replace": func(t *rapid.T) {
 			source := modelSources.Draw(t, "source")
 			ses := rapid.SliceOfN(rapid.Custom(drawServer), 0, 5).Draw(t, "servers")
-			replace(source, ses...)(&mo.world)
+			replace(source, ses...)(&mo.unionTest)
 			mo.connected[source], mo.held[source] = true, map[string]bool{}
 			for _, se := range ses {
-				mo.say(source, se)
+				mo.record(source, se)
 			}
 		},
 		"announce": func(t *rapid.T) {
 			source, se := mo.drawConnected(t), drawServer(t)
-			announce(source, se)(&mo.world)
-			mo.say(source, se)
+			announce(source, se)(&mo.unionTest)
+			mo.record(source, se)
 		},
 		"drop": func(t *rapid.T) {
 			source, id := mo.drawConnected(t), modelIDs.Draw(t, "id")
-			drop(source, id)(&mo.world)
+			drop(source, id)(&mo.unionTest)
 			mo.connected[source] = true
 			delete(mo.held[source], id)
 		},
 		"disconnect": func(t *rapid.T) {
 			source := modelSources.Draw(t, "source")
-			disconnect(source)(&mo.world)
+			disconnect(source)(&mo.unionTest)
 			if _, ok := mo.connected[source]; ok {
 				mo.connected[source] = false
 			}
 		},
 		"forget": func(t *rapid.T) {
 			source := modelSources.Draw(t, "source")
-			forget(source)(&mo.world)
+			removeSource(source)(&mo.unionTest)
 			delete(mo.connected, source)
 			delete(mo.held, source)
 		},
 		"mark gone": func(t *rapid.T) {
 			id := modelIDs.Draw(t, "id")
-			markGone(id)(&mo.world)
+			markGone(id)(&mo.unionTest)
 			mo.gone[id] = true
 		},
 		"wait": func(t *rapid.T) {
-			wait(time.Duration(rapid.IntRange(1, 25).Draw(t, "ticks")) * tick)(&mo.world)
+			wait(time.Duration(rapid.IntRange(1, 25).Draw(t, "ticks")) * tick)(&mo.unionTest)
 		},
 		"suspend": func(t *rapid.T) {
-			suspend(time.Duration(rapid.IntRange(2, 9).Draw(t, "seconds")) * time.Second)(&mo.world)
+			suspend(time.Duration(rapid.IntRange(2, 9).Draw(t, "seconds")) * time.Second)(&mo.unionTest)
 		},
 		"": mo.check,
 	}
 }
 
-// check demands what must hold after each step.
+// check verifies the invariants after each step.
 func (mo *model) check(t *rapid.T) {
 	listed := mo.un.Servers()
 	if !reflect.DeepEqual(mo.listed, mo.before) {
@@ -138,11 +138,11 @@
 	}
 	for id, address := range modelAddress {
 		newest := mo.newest(address)
-		if id == newest && mo.heldNow(id) && byAddress[address] != id {
+		if id == newest && mo.heldAndNeverSuperseded(id) && byAddress[address] != id {
 			t.Fatalf("%s is held and the newest at its address, %q is listed there", id, byAddress[address])
 		}
 	}
-	mo.checkSizes(t)
+	mo.checkConsistency(t)
 }
 
 func (mo *model) checkService(t *rapid.T, service string, ses []Server) {
@@ -163,9 +163,9 @@
 	}
 }
 
-// newest returns the id that isn't Gone and was first heard of last at an address.
+// newest returns the id at an address that isn't Gone and was first seen last.
 func (mo *model) newest(address string) string {
-	for _, id := range slices.Backward(mo.heard) {
+	for _, id := range slices.Backward(mo.seen) {
 		if modelAddress[id] == address && !mo.gone[id] {
 			return id
 		}
@@ -173,9 +173,9 @@
 	return ""
 }
 
-// heldNow reports whether a connected source holds an id now that was never
-// superseded, so that it can't be Gone for that.
-func (mo *model) heldNow(id string) bool {
+// heldAndNeverSuperseded reports whether a connected source holds an id that was never
+// superseded and so can't be Gone for that reason.
+func (mo *model) heldAndNeverSuperseded(id string) bool {
 	if mo.superseded(id) {
 		return false
 	}
@@ -187,26 +187,26 @@
 	return false
 }
 
-// superseded reports whether a newer id was ever heard of at the id's address.
+// superseded reports whether a newer id was ever seen at the id's address.
 func (mo *model) superseded(id string) bool {
-	ix := slices.Index(mo.heard, id)
-	return ix < 0 || slices.ContainsFunc(mo.heard[ix+1:], func(other string) bool {
+	ix := slices.Index(mo.seen, id)
+	return ix < 0 || slices.ContainsFunc(mo.seen[ix+1:], func(other string) bool {
 		return modelAddress[other] == modelAddress[id]
 	})
 }
 
-// checkSizes demands that the parts of the union agree on what there is.
-func (mo *model) checkSizes(t *rapid.T) {
+// checkConsistency verifies that the indexes of the union are consistent.
+func (mo *model) checkConsistency(t *rapid.T) {
 	un := mo.un
-	spots, groups := 0, 0
-	for _, its := range un.spots {
-		spots += len(its)
+	atAddresses, listed := 0, 0
+	for _, its := range un.byAddress {
+		atAddresses += len(its)
 	}
-	for _, gr := range un.groups {
-		groups += len(gr)
+	for _, gr := range un.byService {
+		listed += len(gr)
 	}
-	if spots != len(un.items) || groups > len(un.spots) || len(un.dirty) != 0 || len(un.touched) != 0 || un.changed {
-		t.Fatalf("%d items, %d in %d spots, %d listed, %d dirty, changed %v", len(un.items), spots, len(un.spots), groups, len(un.dirty), un.changed)
+	if atAddresses != len(un.items) || listed > len(un.byAddress) || len(un.dirtyServices) != 0 || len(un.dirtyAddresses) != 0 || un.changed {
+		t.Fatalf("%d items, %d at %d addresses, %d listed, %d dirty services, changed %v", len(un.items), atAddresses, len(un.byAddress), listed, len(un.dirtyServices), un.changed)
 	}
 	for name, so := range un.sources {
 		for id, it := range so.held {
@@ -222,11 +222,12 @@
 	}
 }
 
-// TestUnionHolds drives a union with all that sources may say, in any order.
-func TestUnionHolds(t *testing.T) {
+// Drives a union with random operations of sources, in any order, and compares it with
+// the model.
+func TestUnionMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		mo := &model{
-			world: *newWorld(), connected: map[string]bool{}, held: map[string]map[string]bool{},
+			unionTest: *newUnionTest(), connected: map[string]bool{}, held: map[string]map[string]bool{},
 			gone: map[string]bool{}, draining: map[string]bool{},
 			listed: map[string][]Server{}, before: map[string][]Server{},
 		}
@@ -234,10 +235,10 @@
 	})
 }
 
-// TestUnionOrder has several sources that say different things of the same
-// servers, each at an address of its own. Whatever the order in which the books
-// come, and whether as a whole or in changes, the union must be the same.
-func TestUnionOrder(t *testing.T) {
+// Guards against a union that depends on the order of messages. Several sources differ
+// about the same servers, each at its own address. Whatever the order of the catalogs,
+// sent as a whole or as changes, the union must be the same.
+func TestUnionIndependentOfOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		books := map[string][]Server{}
 		for ix := range 4 {
@@ -255,13 +256,13 @@
 		names := slices.Sorted(maps.Keys(books))
 		var want map[string][]Server
 		for range 4 {
-			wo := newWorld()
+			ut := newUnionTest()
 			for _, name := range rapid.Permutation(names).Draw(t, "order") {
-				tell := rapid.SampledFrom([]func(string, ...Server) step{replace, announce}).Draw(t, "tell")
-				tell(name, rapid.Permutation(books[name]).Draw(t, "servers")...)(wo)
+				apply := rapid.SampledFrom([]func(string, ...Server) step{replace, announce}).Draw(t, "tell")
+				apply(name, rapid.Permutation(books[name]).Draw(t, "servers")...)(ut)
 			}
-			wait(2 * hold)(wo)
-			got := wo.un.Servers()
+			wait(2 * testRetention)(ut)
+			got := ut.un.Servers()
 			if want == nil {
 				want = got
 			}
--- a/registry/server.go
+++ b/registry/server.go
@@ -1,22 +1,23 @@
-// Package registry keeps which backend servers exist. A Book is what was
-// announced to one control instance; a Union is what an entry instance makes of
-// the books of all control instances. Both are told the time and do no work of
-// their own. Whether a server is quick, full or out of reach is not known here.
+// Package registry keeps track of which backend servers exist. A Catalog holds the
+// announcements to one control instance; a Union is an entry instance's view, merged from
+// the catalogs of all control instances. Both get the time from their callers and start
+// no goroutines. The package doesn't know whether a server is fast, at capacity or
+// unreachable.
 package registry
 
 import "fmt"
 
-// State says whether a backend server takes requests.
+// State says whether a backend server accepts requests.
 type State uint8
 
 // The states of a backend server.
 const (
-	Ready    State = iota // Ready servers take requests.
-	Draining              // Draining servers end what they have and should get nothing new.
-	Gone                  // Gone servers have left; their id returns only with a later start.
+	Ready    State = iota // accepts requests
+	Draining              // finishes its requests and should get no new ones
+	Gone                  // has left; its id returns only with a later incarnation
 )
 
-// String returns the name of the state, or its number when it is not known.
+// String returns the name of the state, or its number if it is unknown.
 func (st State) String() string {
 	switch st {
 	case Ready:
@@ -30,26 +31,26 @@
 	}
 }
 
-// Server is what one incarnation of a backend server announced last. A server that
-// starts again under its id is another incarnation, with a higher Born; it holds
-// nothing of the one before, and its Sequence begins anew.
+// Server is the last announcement of an incarnation of a backend server. A server that
+// restarts under its id is a new incarnation with a higher Born. It inherits nothing from
+// the one before, and its Sequence starts again.
 type Server struct {
 	ID         string `cbor:"1,keyasint"`
 	Service    string `cbor:"2,keyasint,omitempty"`
-	Address    string `cbor:"3,keyasint,omitempty"` // Address is its IP:port.
+	Address    string `cbor:"3,keyasint,omitempty"` // IP:port
 	DataCentre string `cbor:"4,keyasint,omitempty"`
-	Version    string `cbor:"5,keyasint,omitempty"` // Version is that of its software.
-	Slots      int    `cbor:"6,keyasint,omitempty"` // Slots is how many requests it works on at once.
+	Version    string `cbor:"5,keyasint,omitempty"` // software version
+	Slots      int    `cbor:"6,keyasint,omitempty"` // maximum number of concurrent requests
 	State      State  `cbor:"7,keyasint,omitempty"`
-	Sequence   uint64 `cbor:"8,keyasint,omitempty"`  // Sequence grows with each announcement of the incarnation.
-	WarmMillis int64  `cbor:"9,keyasint,omitempty"`  // WarmMillis is for how many more milliseconds it is slow after its start.
-	Born       int64  `cbor:"10,keyasint,omitempty"` // Born is when the incarnation started, in Unix milliseconds by its own clock; 0 if it doesn't say.
+	Sequence   uint64 `cbor:"8,keyasint,omitempty"`  // rises with each announcement of the incarnation
+	WarmMillis int64  `cbor:"9,keyasint,omitempty"`  // remaining warm-up time in milliseconds
+	Born       int64  `cbor:"10,keyasint,omitempty"` // start of the incarnation in Unix milliseconds by its own clock; 0 if not announced
 }
 
-// alike reports whether the two say the same but for the sequence and for how
-// long the server stays slow. Those differ in each announcement and nobody needs
-// to hear of it; that a server is slow no more is news.
-func (se Server) alike(other Server) bool {
+// sameContent reports whether two announcements differ at most in the sequence and the
+// remaining warm-up. Those change with each announcement and need not be published; only
+// the end of the warm-up must be.
+func (se Server) sameContent(other Server) bool {
 	if (se.WarmMillis > 0) != (other.WarmMillis > 0) {
 		return false
 	}
@@ -57,8 +58,8 @@
 	return se == other
 }
 
-// Change is news of one server in the book of a control instance.
+// Change is a change of one server in the catalog of a control instance.
 type Change struct {
 	Server  Server `cbor:"1,keyasint"`
-	Dropped bool   `cbor:"2,keyasint,omitempty"` // Dropped says that this book no longer hears the server, of which only the id counts; others may.
+	Dropped bool   `cbor:"2,keyasint,omitempty"` // this catalog no longer hears the server, others may; only the id is set
 }
--- a/registry/server_test.go
+++ b/registry/server_test.go
@@ -7,14 +7,13 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-var whole = Server{
+var fullServer = Server{
 	ID: "i", Service: "s", Address: "10.0.0.1:80", DataCentre: "d", Version: "v1",
 	Slots: 2, State: Draining, Sequence: 4, WarmMillis: 3000, Born: 1700000000000,
 }
 
-// TestWire fixes the numbers of the fields: instances of two releases read each
-// other's.
-func TestWire(t *testing.T) {
+// Guards the numbers of the fields: instances of two releases read each other's messages.
+func TestCBORFieldNumbers(t *testing.T) {
 	c := qt.New(t)
 	fields := map[any]any{
 		uint64(1): "i", uint64(2): "s", uint64(3): "10.0.0.1:80", uint64(4): "d", uint64(5): "v1",
@@ -25,9 +24,9 @@
 		name        string
 		value, want any
 	}{
-		{"server", whole, fields},
-		{"least", Server{ID: "i"}, map[any]any{uint64(1): "i"}},
-		{"change", Change{Server: whole}, map[any]any{uint64(1): fields}},
+		{"server", fullServer, fields},
+		{"only the id", Server{ID: "i"}, map[any]any{uint64(1): "i"}},
+		{"change", Change{Server: fullServer}, map[any]any{uint64(1): fields}},
 		{"dropped", Change{Server: Server{ID: "i"}, Dropped: true}, map[any]any{uint64(1): map[any]any{uint64(1): "i"}, uint64(2): true}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -39,13 +38,13 @@
 		})
 	}
 	var got Change
-	bs, err := cbor.Marshal(Change{Server: whole, Dropped: true})
+	bs, err := cbor.Marshal(Change{Server: fullServer, Dropped: true})
 	c.Assert(err, qt.IsNil)
 	c.Assert(cbor.Unmarshal(bs, &got), qt.IsNil)
-	c.Assert(got, qt.Equals, Change{Server: whole, Dropped: true})
+	c.Assert(got, qt.Equals, Change{Server: fullServer, Dropped: true})
 }
 
-func TestAlike(t *testing.T) {
+func TestSameContent(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		change func(*Server)
@@ -53,9 +52,9 @@
 	}{
 		{"same", func(*Server) {}, true},
 		{"sequence", func(se *Server) { se.Sequence++ }, true},
-		{"warmer", func(se *Server) { se.WarmMillis = 1 }, true},
-		{"warm", func(se *Server) { se.WarmMillis = 0 }, false},
-		{"warm, below 0", func(se *Server) { se.WarmMillis = -1 }, false},
+		{"shorter warm-up", func(se *Server) { se.WarmMillis = 1 }, true},
+		{"warm-up ended", func(se *Server) { se.WarmMillis = 0 }, false},
+		{"negative warm-up", func(se *Server) { se.WarmMillis = -1 }, false},
 		{"id", func(se *Server) { se.ID = "j" }, false},
 		{"service", func(se *Server) { se.Service = "t" }, false},
 		{"address", func(se *Server) { se.Address = "" }, false},
@@ -63,12 +62,12 @@
 		{"version", func(se *Server) { se.Version = "v2" }, false},
 		{"slots", func(se *Server) { se.Slots++ }, false},
 		{"state", func(se *Server) { se.State = Ready }, false},
-		{"start", func(se *Server) { se.Born++ }, false},
+		{"start time", func(se *Server) { se.Born++ }, false},
 	} {
-		other := whole
+		other := fullServer
 		tc.change(&other)
-		qt.Assert(t, whole.alike(other), qt.Equals, tc.want, qt.Commentf(tc.name))
-		qt.Assert(t, other.alike(whole), qt.Equals, tc.want, qt.Commentf(tc.name))
+		qt.Assert(t, fullServer.sameContent(other), qt.Equals, tc.want, qt.Commentf(tc.name))
+		qt.Assert(t, other.sameContent(fullServer), qt.Equals, tc.want, qt.Commentf(tc.name))
 	}
 }
 
--- a/registry/union.go
+++ b/registry/union.go
@@ -8,75 +8,74 @@
 	"time"
 )
 
-// mostPast bounds the ids that a union remembers after they are no longer listed.
-const mostPast = 10000
+// maxPast bounds the ids that a union remembers after they are no longer listed.
+const maxPast = 10000
 
-// Union is what an entry instance knows of the backend servers from the books
-// of all control instances, its sources. It is safe for concurrent use.
+// Union is an entry instance's view of the backend servers, merged from the catalogs of
+// all control instances, its sources. It is safe for concurrent use.
 //
-// An incarnation that a source calls Gone never returns, and one that a source calls
-// Draining stays so; a later one under the same id replaces it.
+// An incarnation that a source reported as Gone never returns, and one that a source
+// reported as Draining stays so; a later one under the same id replaces it.
 //
-// Of two ids at one address the one first heard of later is
-// listed. The older one isn't, and it is Gone for good once it has been held by
-// no connected source for the time hold, or the newer one leaves while it isn't.
+// Of two ids at one address, only the newer one, first seen later, is listed. The older
+// one is hidden and becomes Gone for good once no connected source has held it for the
+// retention time, or if the newer one leaves while no connected source holds the older.
 //
-// So the older one returns only if the newer one leaves while a connected source
-// still hears the older. Then the newer was the wrong one: an announcement that
-// was held up by a cut came after another incarnation had registered at its
-// address, and this process started in between and had not known it before. It
-// would show as a healthy server that gets no requests from this process for as
-// long as it runs. The rule holds because a process that ended announces nothing
-// more: its id is refused at the address (MarkGone) or falls silent, and sources
-// hear the other one meanwhile.
+// So the older one returns only if the newer one leaves while a connected source still
+// holds the older. The newer one was wrong then: an announcement delayed by a partition
+// arrived after another incarnation had registered at the address, and this process
+// started in between and hadn't seen it before. Without this rule, a healthy server would
+// get no requests from this process for as long as it runs. The rule is safe because a
+// process that has ended announces nothing more: its id is refused at the address
+// (MarkGone) or falls silent, while sources hear the other one.
 type Union struct {
-	hold time.Duration
+	retention time.Duration
 
-	mu      sync.Mutex
-	wa      watch
-	sources map[string]*source
-	items   map[string]*item
-	spots   map[string][]*item // spots holds the items of an address, the one first heard of last at the end.
-	past    *memory[fate]
-	named   map[string]bool // named are the services in use; nil for all.
-	count   uint64          // count is how many ids were heard of for the first time.
+	mu        sync.Mutex
+	clock     runningClock
+	sources   map[string]*source
+	items     map[string]*item
+	byAddress map[string][]*item // items at an address, ordered by when they were first seen
+	past      *boundedMap[pastServer]
+	services  map[string]bool // services in use; nil for all
+	numSeen   uint64          // number of incarnations first seen
 
-	version uint64
-	touched map[string]struct{}          // touched holds the addresses that must be looked at before the call ends.
-	changed bool                         // changed says that groups differ since version was set.
-	groups  map[string]map[string]Server // groups holds the listed servers by service and id.
-	dirty   map[string]struct{}          // dirty holds the services whose group differs from listed.
-	listed  map[string][]Server          // listed is what Servers returned last; it is never changed.
+	version        uint64
+	dirtyAddresses map[string]struct{}          // addresses to refresh before the call ends
+	changed        bool                         // byService has changed since version was set
+	byService      map[string]map[string]Server // listed servers by service and id
+	dirtyServices  map[string]struct{}          // services whose entry in byService differs from listed
+	listed         map[string][]Server          // last result of Servers; never modified
 }
 
-// NewUnion returns an empty union. A server that no connected source has held
-// for the time hold leaves it, though its id may return.
-func NewUnion(hold time.Duration) *Union {
+// NewUnion returns an empty union. A server that no connected source has held for the
+// retention time is removed, but its id may return.
+func NewUnion(retention time.Duration) *Union {
 	return &Union{
-		hold:    hold,
-		wa:      watch{gap: hold / 2},
-		sources: make(map[string]*source),
-		items:   make(map[string]*item),
-		spots:   make(map[string][]*item),
-		past:    newMemory[fate](mostPast),
-		touched: make(map[string]struct{}),
-		groups:  make(map[string]map[string]Server),
-		dirty:   make(map[string]struct{}),
-		listed:  make(map[string][]Server),
+		retention:      retention,
+		clock:          runningClock{maxGap: retention / 2},
+		sources:        make(map[string]*source),
+		items:          make(map[string]*item),
+		byAddress:      make(map[string][]*item),
+		past:           newBoundedMap[pastServer](maxPast),
+		dirtyAddresses: make(map[string]struct{}),
+		byService:      make(map[string]map[string]Server),
+		dirtyServices:  make(map[string]struct{}),
+		listed:         make(map[string][]Server),
 	}
 }
 
-// Replace takes the whole book of a source, which is connected from then on.
-// Servers in it count as first heard of in the order of the book.
+// Replace sets the whole catalog of a source, which becomes connected. Servers are first
+// seen in the order of the catalog.
 func (un *Union) Replace(now time.Time, source string, ses []Server) {
 	un.mu.Lock()
 	defer un.mu.Unlock()
-	un.wa.look(now)
-	so := un.source(source)
+	un.clock.advance(now)
+	so := un.connectSource(source)
 	before := so.held
 	so.held = make(map[string]*item, len(ses))
 	for _, se := range ses {
-		un.observe(so, se)
+		un.applyServer(so, se)
 	}
 	for id, it := range before {
 		if so.held[id] != it {
@@ -86,16 +85,16 @@
 	un.publish()
 }
 
-// Apply takes changes in the book of a source, in their order. The source
-// counts as connected; after Disconnect, Replace must come first.
+// Apply applies changes in the catalog of a source, in their order. The source becomes
+// connected; after Disconnect, Replace must come first.
 func (un *Union) Apply(now time.Time, source string, chs []Change) {
 	un.mu.Lock()
 	defer un.mu.Unlock()
-	un.wa.look(now)
-	so := un.source(source)
+	un.clock.advance(now)
+	so := un.connectSource(source)
 	for _, ch := range chs {
 		if !ch.Dropped {
-			un.observe(so, ch.Server)
+			un.applyServer(so, ch.Server)
 			continue
 		}
 		if it, ok := so.held[ch.Server.ID]; ok {
@@ -106,25 +105,25 @@
 	un.publish()
 }
 
-// Disconnect takes that the source can't be heard. What it held stays as it is,
-// but once another source is connected it leaves after the time hold, unless a
-// connected one holds it.
+// Disconnect records that a source is unreachable. Its servers stay listed, but once
+// another source is connected, those that no connected source holds are removed after the
+// retention time.
 func (un *Union) Disconnect(now time.Time, source string) {
 	un.mu.Lock()
 	defer un.mu.Unlock()
-	at := un.wa.look(now)
+	at := un.clock.advance(now)
 	so, ok := un.sources[source]
 	if !ok || !so.connected {
 		return
 	}
 	for _, it := range so.held {
-		it.at = at
+		it.heldAt = at
 	}
 	so.connected = false
 }
 
-// Forget takes that the source is no member any more. What only it held leaves
-// after the time hold.
+// RemoveSource records that the source is no longer a member. Servers that only it held
+// are removed after the retention time.
 func (un *Union) RemoveSource(source string) {
 	un.mu.Lock()
 	defer un.mu.Unlock()
@@ -138,67 +137,67 @@
 	}
 }
 
-// Name takes which services are in use. A server of another service stays listed, but
-// never in the place of one of these that has the same address. The map must not be
+// SetServices sets the services in use. A server of another service stays listed, but
+// never in place of a server of these that has the same address. The map must not be
 // changed later.
 func (un *Union) SetServices(services map[string]bool) {
 	un.mu.Lock()
 	defer un.mu.Unlock()
-	un.named = services
-	for ad, its := range un.spots {
+	un.services = services
+	for ad, its := range un.byAddress {
 		if len(its) > 1 {
-			un.touched[ad] = struct{}{}
+			un.dirtyAddresses[ad] = struct{}{}
 		}
 	}
 	un.publish()
 }
 
-// MarkGone takes that the server at the id's address said that it is another
-// incarnation, so that the id never returns.
+// MarkGone records that the process at the id's address said that it is another
+// incarnation. The id never returns.
 func (un *Union) MarkGone(id string) {
 	un.mu.Lock()
 	defer un.mu.Unlock()
-	un.bury(id, 0)
+	un.markGone(id, 0)
 	un.publish()
 }
 
-// Expire lets the servers leave that no connected source has held for the time
-// hold, and reports whether that changed Servers. While no source is connected
-// nothing leaves and the time doesn't count; nor does a time in which the
-// process was suspended, which is taken from a gap of more than half of hold
-// between two calls. So Expire must be called more often.
+// Expire removes the servers that no connected source has held for the retention time,
+// and reports whether Servers changed. While no source is connected nothing is removed
+// and the time doesn't count. Neither does a suspension of the process, detected as a gap
+// of more than half the retention time between two calls; so Expire must be called more
+// often.
 func (un *Union) Expire(now time.Time) bool {
 	un.mu.Lock()
 	defer un.mu.Unlock()
-	at := un.wa.look(now)
-	blind := un.blind()
+	at := un.clock.advance(now)
+	allDisconnected := un.allDisconnected()
 	for _, it := range un.items {
 		switch {
-		case blind || it.held():
-			it.at = at
-		case at-it.at >= un.hold:
-			fa := it.fate()
-			fa.gone = un.superseded(it)
-			un.remove(it, fa)
+		case allDisconnected || it.held():
+			it.heldAt = at
+		case at-it.heldAt >= un.retention:
+			ps := it.asPast()
+			ps.gone = un.superseded(it)
+			un.remove(it, ps)
 		}
 	}
 	return un.publish()
 }
 
-// Servers returns the servers that exist by service, Ready and Draining ones,
-// sorted by id. Sequence and WarmMillis are those of the last other change. The
-// map and what it holds are never changed; a change of the union makes a new map.
+// Servers returns the existing servers by service, Ready and Draining ones, sorted by id.
+// Sequence and WarmMillis are those of the last change in another field. The map and its
+// slices are never modified; a change of the union creates a new map.
 func (un *Union) Servers() map[string][]Server {
 	un.mu.Lock()
 	defer un.mu.Unlock()
-	if len(un.dirty) == 0 {
+	if len(un.dirtyServices) == 0 {
 		return un.listed
 	}
 	listed := maps.Clone(un.listed)
-	for service := range un.dirty {
-		gr := un.groups[service]
+	for service := range un.dirtyServices {
+		gr := un.byService[service]
 		if len(gr) == 0 {
-			delete(un.groups, service)
+			delete(un.byService, service)
 			delete(listed, service)
 			continue
 		}
@@ -206,12 +205,12 @@
 			return strings.Compare(a.ID, b.ID)
 		})
 	}
-	clear(un.dirty)
+	clear(un.dirtyServices)
 	un.listed = listed
 	return listed
 }
 
-// Version returns a number that grows with every change of Servers, and only then.
+// Version returns a number that rises with every change of Servers, and only then.
 func (un *Union) Version() uint64 {
 	un.mu.Lock()
 	defer un.mu.Unlock()
