--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -12,24 +12,23 @@
 
 func (ca *call) repeatable() bool { return ca.ro.Kind == route.Repeatable }
 
-// serveOne passes the request to one backend server of the route's service.
+// serveOne forwards the request to one backend server of the chosen service.
 func (ca *call) serveOne(services []string) {
-	cr, ok := ca.carry(ca.plan(1, 1), services)
+	ex, ok := ca.execute(ca.plan(1, 1), services)
 	if !ok {
-		ca.left()
+		ca.callerLeft()
 		return
 	}
-	if rp := cr.replies[0]; rp != nil {
-		// A failure of the backend server itself is passed on as it came.
-		ca.pass(rp)
+	if rp := ex.replies[0]; rp != nil {
+		// A failure reported by the backend server is forwarded unchanged.
+		ca.forward(rp)
 		return
 	}
-	ca.giveUp(cr)
+	ca.respondFailure(ex)
 }
 
-// pass gives a backend server's answer unchanged, but for the headers that
-// concern one connection.
-func (ca *call) pass(rp *upstream.Reply) {
+// forward returns a backend server's answer unchanged, except for hop-by-hop headers.
+func (ca *call) forward(rp *upstream.Reply) {
 	hd := ca.wr.Header()
 	for name, vs := range rp.Header {
 		hd[name] = vs
@@ -52,30 +51,30 @@
 	return method != http.MethodHead && status >= 200 && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// serveShards asks one backend server of each shard and merges the parts. The
-// shards are those of one version of the configuration throughout.
+// serveShards asks one backend server of each shard and merges the parts. All shards come
+// from one version of the configuration.
 func (ca *call) serveShards() {
 	ro := ca.ro
-	defer func() { ca.sv.merging.Add(int64(ca.sv.ts.Now().Sub(ca.start))) }()
-	cr, ok := ca.carry(ca.plan(len(ro.Shards), scatter.MinParts(len(ro.Shards), ro.Merge.LeastShare)), ro.Shards)
+	defer func() { ca.sv.mergedTime.Add(int64(ca.sv.ts.Now().Sub(ca.start))) }()
+	ex, ok := ca.execute(ca.plan(len(ro.Shards), scatter.MinParts(len(ro.Shards), ro.Merge.LeastShare)), ro.Shards)
 	if !ok {
-		ca.left()
+		ca.callerLeft()
 		return
 	}
-	ca.missed = len(ro.Shards) - cr.qu.NumParts()
-	if cr.qu.State() != scatter.Answered {
-		ca.giveUp(cr)
+	ca.numMissing = len(ro.Shards) - ex.qu.NumParts()
+	if ex.qu.State() != scatter.Answered {
+		ca.respondFailure(ex)
 		return
 	}
-	ca.merge(cr)
+	ca.respondMerged(ex)
 }
 
-func (ca *call) merge(cr *carrier) {
+func (ca *call) respondMerged(ex *executor) {
 	hd := ca.wr.Header()
-	parts := make([][]byte, 0, len(cr.services))
-	stamps := make([]byte, 0, len(cr.services)*40)
-	for sh, rp := range cr.replies {
-		if !cr.qu.HasPart(sh) {
+	parts := make([][]byte, 0, len(ex.services))
+	stamps := make([]byte, 0, len(ex.services)*40)
+	for sh, rp := range ex.replies {
+		if !ex.qu.HasPart(sh) {
 			continue
 		}
 		if len(stamps) > 0 {
@@ -86,71 +85,73 @@
 	}
 	body := scatter.MergeTopK(parts, ca.ro.Merge.RecordBytes, ca.ro.Merge.TopK)
 	hd.Set(ca.sv.cf.Names.PartStamps, string(stamps))
-	hd.Set(ca.sv.cf.Names.MissingParts, strconv.Itoa(ca.missed))
+	hd.Set(ca.sv.cf.Names.MissingParts, strconv.Itoa(ca.numMissing))
 	hd.Set("Content-Length", strconv.Itoa(len(body)))
 	hd["Content-Type"] = nil
 	hd["Date"] = nil
 	ca.status, ca.code = http.StatusOK, result.Complete
-	if ca.missed > 0 {
+	if ca.numMissing > 0 {
 		ca.code = result.Partial
 	}
 	ca.wr.WriteHeader(http.StatusOK)
 	_, _ = ca.wr.Write(body)
 }
 
-// recycle gives back the replies. The answer holds copies, and nothing may look at
-// them from here on.
-func (ca *call) recycle() {
-	if ca.cr == nil {
+// recycleReplies returns the replies to the upstream client. The answer holds copies; the
+// replies must not be read after this call.
+func (ca *call) recycleReplies() {
+	if ca.ex == nil {
 		return
 	}
-	for sh, rp := range ca.cr.replies {
+	for sh, rp := range ca.ex.replies {
 		if rp != nil {
 			ca.sv.up.Recycle(rp)
-			ca.cr.replies[sh] = nil
+			ca.ex.replies[sh] = nil
 		}
 	}
 }
 
-// giveUp says that the request has failed. "Not run" is said only if no backend
-// server can have run it.
-func (ca *call) giveUp(cr *carrier) {
-	cause := ca.cause(cr)
+// respondFailure reports that the request has failed. It reports "not run" only if no
+// backend server can have run the request.
+func (ca *call) respondFailure(ex *executor) {
+	cause := ca.worstCause(ex)
 	switch {
-	case !cr.qu.MayHaveRun():
-		ca.refuse(cause, retryNoServer)
-	case cr.qu.State() == scatter.Expired:
-		ca.fail(http.StatusGatewayTimeout, ca.unknown(), cause)
+	case !ex.qu.MayHaveRun():
+		ca.reject(cause, retryAfterNoServer)
+	case ex.qu.State() == scatter.Expired:
+		ca.respondError(http.StatusGatewayTimeout, ca.unknownOutcome(), cause)
 	default:
-		ca.setRetryAfter(retryNoServer)
-		ca.fail(http.StatusBadGateway, ca.unknown(), cause)
+		ca.setRetryAfter(retryAfterNoServer)
+		ca.respondError(http.StatusBadGateway, ca.unknownOutcome(), cause)
 	}
 }
 
-func (ca *call) unknown() result.Code {
+func (ca *call) unknownOutcome() result.Code {
 	if ca.repeatable() {
 		return result.Incomplete
 	}
 	return result.OutcomeUnknown
 }
 
-// cause returns the gravest cause among the shards without a part.
-func (ca *call) cause(cr *carrier) string {
+// worstCause returns the most severe cause among the shards without a part.
+func (ca *call) worstCause(ex *executor) string {
 	worst := scatter.CauseNone
-	for sh := range cr.services {
-		if !cr.qu.HasPart(sh) && cr.qu.Cause(sh) > worst {
-			worst = cr.qu.Cause(sh)
+	for sh := range ex.services {
+		if !ex.qu.HasPart(sh) && ex.qu.Cause(sh) > worst {
+			worst = ex.qu.Cause(sh)
 		}
 	}
 	return worst.String()
 }
 
-// left notes that the caller is gone. Nothing can be said to it any more.
-func (ca *call) left() {
-	ca.status, ca.detail = statusLeft, "caller left"
-	ca.over()
+// callerLeft records that the caller has disconnected and aborts the handler, since no
+// answer can be sent any more.
+func (ca *call) callerLeft() {
+	ca.status, ca.detail = statusCallerLeft, "caller left"
+	ca.finish()
 	panic(http.ErrAbortHandler)
 }
 
-// statusLeft stands in metrics for a request whose caller left.
-const statusLeft = 499
+// statusCallerLeft is the status in metrics and logs of a request whose caller
+// disconnected.
+const statusCallerLeft = 499
--- a/gateway/backend_test.go
+++ b/gateway/backend_test.go
@@ -17,26 +17,26 @@
 	"balsamwinch.example/registry"
 )
 
-// recordBytes is the size of a record in the parts that backend servers give.
+// recordBytes is the size of a record in the parts of merged answers.
 const recordBytes = 16
 
-// backend is a fake backend server. Like a real one it serves one request at a
-// time on a connection, says its name for the id that it is asked for, and
-// refuses what is meant for another server.
+// backend is a fake backend server. Like a real one it serves one request at a time on each
+// connection, echoes the request ID, stamps its answers, and rejects requests meant for
+// another server.
 type backend struct {
 	rg          *rig
 	id, service string
 	li          net.Listener
 	wg          sync.WaitGroup
 
-	mu      sync.Mutex
-	state   registry.State
-	only    *act // only is what the server does with each request, instead of its service's acts.
-	greet   func(nc net.Conn) bool
-	conns   map[net.Conn]struct{}
-	opened  int // opened counts the connections so far.
-	most    int // most is the most connections at one time.
-	stopped bool
+	mu         sync.Mutex
+	state      registry.State
+	override   *behavior // replaces the behaviors of the service if set
+	acceptFunc func(nc net.Conn) bool
+	conns      map[net.Conn]struct{}
+	opened     int // connections accepted so far
+	peak       int // most connections at one time
+	stopped    bool
 }
 
 func newBackend(rg *rig, service, id string) *backend {
@@ -47,7 +47,7 @@
 			if err != nil {
 				return
 			}
-			if be.enter(nc) {
+			if be.addConn(nc) {
 				be.wg.Go(func() { be.handle(nc) })
 			}
 		}
@@ -61,29 +61,30 @@
 	return registry.Server{ID: be.id, Service: be.service, Address: be.li.Addr().String(), Slots: 4, State: be.state}
 }
 
-// set makes the server do the same with each request from now on.
-func (be *backend) set(ac act) {
+// setBehavior makes the server treat every further request the same way.
+func (be *backend) setBehavior(bh behavior) {
 	be.mu.Lock()
 	defer be.mu.Unlock()
-	be.only = &ac
+	be.override = &bh
 }
 
-// onAccept has a say about new connections; one it returns false for is closed.
-func (be *backend) onAccept(greet func(nc net.Conn) bool) {
+// onAccept sets a function that inspects new connections; if it returns false, the
+// connection is closed.
+func (be *backend) onAccept(accept func(nc net.Conn) bool) {
 	be.mu.Lock()
 	defer be.mu.Unlock()
-	be.greet = greet
+	be.acceptFunc = accept
 }
 
-// connections returns how many connections there were in all, are now, and were
-// at most.
-func (be *backend) connections() (opened, open, most int) {
+// connections returns the number of connections in total, the number open now, and the
+// peak.
+func (be *backend) connections() (opened, open, peak int) {
 	be.mu.Lock()
 	defer be.mu.Unlock()
-	return be.opened, len(be.conns), be.most
+	return be.opened, len(be.conns), be.peak
 }
 
-func (be *backend) enter(nc net.Conn) bool {
+func (be *backend) addConn(nc net.Conn) bool {
 	be.mu.Lock()
 	defer be.mu.Unlock()
 	if be.stopped {
@@ -92,24 +93,24 @@
 	}
 	be.conns[nc] = struct{}{}
 	be.opened++
-	be.most = max(be.most, len(be.conns))
+	be.peak = max(be.peak, len(be.conns))
 	return true
 }
 
-func (be *backend) leave(nc net.Conn) {
+func (be *backend) removeConn(nc net.Conn) {
 	_ = nc.Close()
 	be.mu.Lock()
 	delete(be.conns, nc)
 	be.mu.Unlock()
-	be.rg.le.note(func() {})
+	be.rg.hist.update(func() {})
 }
 
-// refuse closes the listener: from now on connections are refused.
-func (be *backend) refuse() { _ = be.li.Close() }
+// closeListener makes the server refuse further connections.
+func (be *backend) closeListener() { _ = be.li.Close() }
 
-// hangUp closes all connections, as a server does that has had them idle for
+// closeConns closes all connections, as a server does with connections that were idle for
 // long.
-func (be *backend) hangUp() {
+func (be *backend) closeConns() {
 	be.mu.Lock()
 	defer be.mu.Unlock()
 	for nc := range be.conns {
@@ -117,22 +118,22 @@
 	}
 }
 
-// stop ends the server.
+// stop closes the listener and all connections.
 func (be *backend) stop() {
-	be.refuse()
+	be.closeListener()
 	be.mu.Lock()
 	be.stopped = true
 	be.mu.Unlock()
-	be.hangUp()
+	be.closeConns()
 	be.wg.Wait()
 }
 
 func (be *backend) handle(nc net.Conn) {
-	defer be.leave(nc)
+	defer be.removeConn(nc)
 	be.mu.Lock()
-	greet := be.greet
+	accept := be.acceptFunc
 	be.mu.Unlock()
-	if greet != nil && !greet(nc) {
+	if accept != nil && !accept(nc) {
 		return
 	}
 	wo := &work{be: be, nc: nc, rd: bufio.NewReader(nc)}
@@ -147,84 +148,84 @@
 	rd *bufio.Reader
 	rq *http.Request
 	ar *arrival
-	// nth counts the arrivals of the request at the service, from 0.
+	// earlier arrivals of the request at the service
 	nth int
 }
 
-// next serves one request and reports whether the connection stays.
+// next serves one request and reports whether the connection stays open.
 func (wo *work) next() bool {
 	rq, err := http.ReadRequest(wo.rd)
 	if err != nil {
 		return false
 	}
 	wo.rq = rq
-	be, le := wo.be, wo.be.rg.le
+	be, hi := wo.be, wo.be.rg.hist
 	wo.ar = &arrival{
 		id: rq.Header.Get(names.RequestID), service: be.service, server: be.id, at: be.rg.ts.Now(),
 		method: rq.Method, uri: rq.RequestURI, host: rq.Host, header: rq.Header,
 	}
-	le.note(func() {
+	hi.update(func() {
 		wo.nth = 0
-		for _, ar := range le.arrivals {
+		for _, ar := range hi.arrivals {
 			if ar.id == wo.ar.id && ar.service == be.service {
 				wo.nth++
 			}
 		}
-		le.arrivals = append(le.arrivals, wo.ar)
+		hi.arrivals = append(hi.arrivals, wo.ar)
 	})
-	ac := wo.choose()
-	if ac.early {
-		le.note(func() { wo.ar.early = true })
-		return ac.do(wo)
+	bh := wo.chooseBehavior()
+	if bh.beforeBody {
+		hi.update(func() { wo.ar.answeredEarly = true })
+		return bh.do(wo)
 	}
-	return wo.readBody() && ac.do(wo)
+	return wo.readBody() && bh.do(wo)
 }
 
-// choose returns what is done with the request. What is meant for another
-// server, or has no id, is refused.
-func (wo *work) choose() act {
+// chooseBehavior returns how the request is treated. A request that is meant for another
+// server or has no ID is rejected.
+func (wo *work) chooseBehavior() behavior {
 	if wo.rq.Header.Get(names.ExpectServer) != wo.be.id {
-		return moved
+		return rejectMisdirected
 	}
 	if wo.ar.id == "" {
-		return shed(http.StatusBadRequest)
+		return rejectNotRun(http.StatusBadRequest)
 	}
 	wo.be.mu.Lock()
-	only := wo.be.only
+	only := wo.be.override
 	wo.be.mu.Unlock()
 	if only != nil {
 		return *only
 	}
-	return wo.be.rg.act(wo)
+	return wo.be.rg.behavior(wo)
 }
 
 func (wo *work) readBody() bool {
 	body, err := io.ReadAll(wo.rq.Body)
-	wo.be.rg.le.note(func() { wo.ar.body, wo.ar.broken = string(body), err != nil })
+	wo.be.rg.hist.update(func() { wo.ar.body, wo.ar.broken = string(body), err != nil })
 	return err == nil
 }
 
-// run notes that the server has begun to work on the request.
-func (wo *work) run() {
-	wo.be.rg.le.note(func() { wo.ar.ran = true })
+// markRan records that the server has started to run the request.
+func (wo *work) markRan() {
+	wo.be.rg.hist.update(func() { wo.ar.ran = true })
 }
 
-// write sends bytes and reports whether they could be sent.
+// write sends bytes and reports whether that succeeded.
 func (wo *work) write(text string) bool {
 	_, err := io.WriteString(wo.nc, text)
 	return err == nil
 }
 
-// during waits for a channel while it looks whether the connection ends, and
-// reports whether it still stands. A nil channel waits for the end alone.
-func (wo *work) during(wait <-chan struct{}) bool {
+// waitWhileOpen waits for a channel while it watches the connection, and reports whether
+// the connection is still open. With a nil channel it waits until the connection closes.
+func (wo *work) waitWhileOpen(wait <-chan struct{}) bool {
 	ended, looked := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(looked)
 		_, err := wo.rd.Peek(1)
 		switch {
 		case err == nil:
-			wo.be.rg.tb.Errorf("%s got bytes while it was at work on %s", wo.be.id, wo.ar.id)
+			wo.be.rg.tb.Errorf("%s received bytes while it served %s", wo.be.id, wo.ar.id)
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			close(ended)
 		}
@@ -237,7 +238,7 @@
 	<-looked
 	select {
 	case <-ended:
-		wo.be.rg.le.note(func() { wo.be.rg.le.ended = append(wo.be.rg.le.ended, wo.ar.id) })
+		wo.be.rg.hist.update(func() { wo.be.rg.hist.aborted = append(wo.be.rg.hist.aborted, wo.ar.id) })
 		return false
 	default:
 		_ = wo.nc.SetReadDeadline(time.Time{})
@@ -245,16 +246,16 @@
 	}
 }
 
-// pause waits for a time like during.
-func (wo *work) pause(span time.Duration) bool {
+// waitFor is waitWhileOpen with a duration.
+func (wo *work) waitFor(span time.Duration) bool {
 	over := make(chan struct{})
 	tm := time.AfterFunc(span, func() { close(over) })
 	defer tm.Stop()
-	return wo.during(over)
+	return wo.waitWhileOpen(over)
 }
 
-// body returns the server's own bytes for the request: a number of records and
-// a remainder, of any bytes.
+// body returns a body unique to the server and the request: a random number of records and
+// a partial record, of arbitrary bytes.
 func (wo *work) body() string {
 	ha := fnv.New64a()
 	_, _ = fmt.Fprint(ha, wo.be.id, wo.ar.id, wo.nth)
@@ -266,28 +267,28 @@
 	return string(bs)
 }
 
-// reply is what a server answers.
+// reply is the answer of a server.
 type reply struct {
 	status int
 	body   string
-	id     string   // id is the echoed id; none if empty.
-	lines  []string // lines are further lines of the head.
-	// stamped says that the server signs it.
+	id     string   // echoed request ID; none if empty
+	lines  []string // additional header lines
+	// whether the reply has a stamp
 	stamped bool
-	// framed says that the head tells the length of the body.
+	// whether the reply has a Content-Length
 	framed bool
-	// chunked says that the body goes out in chunks.
+	// whether the body is chunked
 	chunked bool
 }
 
-// good is the usual answer.
-func (wo *work) good() reply {
+// okReply returns the usual answer.
+func (wo *work) okReply() reply {
 	return reply{status: http.StatusOK, body: wo.body(), id: wo.ar.id, stamped: true, framed: true}
 }
 
-// text returns the bytes of a reply, with a new stamp.
-func (wo *work) text(re reply) string {
-	lines := []string{fmt.Sprintf("HTTP/1.1 %d It Is So", re.status)}
+// encode returns the bytes of a reply, with a new stamp.
+func (wo *work) encode(re reply) string {
+	lines := []string{fmt.Sprintf("HTTP/1.1 %d Any Reason", re.status)}
 	if re.id != "" {
 		lines = append(lines, names.RequestID+": "+re.id)
 	}
@@ -296,7 +297,7 @@
 		body = ""
 	}
 	if re.stamped {
-		stamp := wo.be.rg.le.issue(issue{id: re.id, service: wo.be.service, server: wo.be.id, status: re.status, body: body})
+		stamp := wo.be.rg.hist.issueStamp(stampedReply{id: re.id, service: wo.be.service, server: wo.be.id, status: re.status, body: body})
 		lines = append(lines, names.Stamp+": "+stamp)
 	}
 	if re.framed && re.status != http.StatusNoContent {
@@ -305,12 +306,12 @@
 	lines = append(lines, re.lines...)
 	if re.chunked {
 		lines = append(lines, "Transfer-Encoding: chunked")
-		body = inChunks(body) + "0\r\nX-Trailer: 1\r\n\r\n"
+		body = encodeChunks(body) + "0\r\nX-Trailer: 1\r\n\r\n"
 	}
 	return strings.Join(lines, "\r\n") + "\r\n\r\n" + body
 }
 
-func inChunks(body string) string {
+func encodeChunks(body string) string {
 	var sb strings.Builder
 	for rest := body; rest != ""; {
 		part := rest[:min(len(rest), 1000)]
@@ -320,8 +321,7 @@
 	return sb.String()
 }
 
-// reset ends the connection so that the other end gets a reset, where there is
-// such a thing.
+// reset closes the connection with a TCP reset, if it is a TCP connection.
 func reset(nc net.Conn) {
 	if tc, ok := nc.(*net.TCPConn); ok {
 		_ = tc.SetLinger(0)
@@ -329,123 +329,123 @@
 	_ = nc.Close()
 }
 
-// act is what a backend server does with a request; it reports whether the
-// connection stays.
-type act struct {
-	// early says that the body of the request has not been read yet.
-	early bool
-	do    func(wo *work) bool
+// behavior is how a backend server treats a request. Function do reports whether the
+// connection stays open.
+type behavior struct {
+	// whether do is called before the request body has been read
+	beforeBody bool
+	do         func(wo *work) bool
 }
 
-// says runs the request and answers with what is made of the usual answer.
-func says(change func(re *reply)) act {
-	return act{do: func(wo *work) bool {
-		wo.run()
-		re := wo.good()
+// respondWith runs the request and answers with a modified usual answer.
+func respondWith(change func(re *reply)) behavior {
+	return behavior{do: func(wo *work) bool {
+		wo.markRan()
+		re := wo.okReply()
 		change(&re)
-		return wo.write(wo.text(re))
+		return wo.write(wo.encode(re))
 	}}
 }
 
-// ends does as says does and then closes the connection.
-func ends(change func(re *reply)) act {
-	return act{do: func(wo *work) bool {
-		says(change).do(wo)
+// respondAndClose is respondWith, and then closes the connection.
+func respondAndClose(change func(re *reply)) behavior {
+	return behavior{do: func(wo *work) bool {
+		respondWith(change).do(wo)
 		return false
 	}}
 }
 
-// refuses answers without running the request.
-func refuses(status int, lines ...string) act {
-	return act{do: func(wo *work) bool {
-		return wo.write(wo.text(reply{status: status, body: "refused", id: wo.ar.id, lines: lines, framed: true}))
+// rejectWith answers without running the request.
+func rejectWith(status int, lines ...string) behavior {
+	return behavior{do: func(wo *work) bool {
+		return wo.write(wo.encode(reply{status: status, body: "refused", id: wo.ar.id, lines: lines, framed: true}))
 	}}
 }
 
-// sends runs the request, sends bytes made of the usual answer's, and closes the
+// sendRaw runs the request, sends the modified bytes of the usual answer, and closes the
 // connection.
-func sends(change func(text string) string) act {
-	return act{do: func(wo *work) bool {
-		wo.run()
-		wo.write(change(wo.text(wo.good())))
+func sendRaw(change func(text string) string) behavior {
+	return behavior{do: func(wo *work) bool {
+		wo.markRan()
+		wo.write(change(wo.encode(wo.okReply())))
 		return false
 	}}
 }
 
-// after does something else first, as long as the connection stands.
-func after(wait func(wo *work) bool, ac act) act {
-	return act{do: func(wo *work) bool { return wait(wo) && ac.do(wo) }}
+// waitThen calls wait first, and continues if the connection is still open.
+func waitThen(wait func(wo *work) bool, bh behavior) behavior {
+	return behavior{do: func(wo *work) bool { return wait(wo) && bh.do(wo) }}
 }
 
 var (
-	fine    = says(func(*reply) {})
-	chunked = says(func(re *reply) { re.framed, re.chunked = false, true })
-	closing = ends(func(re *reply) { re.lines = append(re.lines, "Connection: close") })
-	moved   = refuses(http.StatusMisdirectedRequest)
-	// cutBody, cutHead and cutChunk end within the answer.
-	cutBody = sends(func(text string) string { return text[:len(text)-1] })
-	cutHead = sends(func(text string) string { return text[:20] })
-	// halfLength tells more bytes than come.
-	halfLength = ends(func(re *reply) {
+	respondOK              = respondWith(func(*reply) {})
+	respondChunked         = respondWith(func(re *reply) { re.framed, re.chunked = false, true })
+	respondConnectionClose = respondAndClose(func(re *reply) { re.lines = append(re.lines, "Connection: close") })
+	rejectMisdirected      = rejectWith(http.StatusMisdirectedRequest)
+	// truncateBody, truncateHead and truncateChunks close the connection within the answer.
+	truncateBody = sendRaw(func(text string) string { return text[:len(text)-1] })
+	truncateHead = sendRaw(func(text string) string { return text[:20] })
+	// overstateLength announces a longer body than it sends.
+	overstateLength = respondAndClose(func(re *reply) {
 		re.framed = false
 		re.lines = append(re.lines, fmt.Sprintf("Content-Length: %d", 2*len(re.body)+9))
 	})
-	cutChunk = act{do: func(wo *work) bool {
-		wo.run()
-		re := wo.good()
+	truncateChunks = behavior{do: func(wo *work) bool {
+		wo.markRan()
+		re := wo.okReply()
 		re.framed, re.chunked = false, true
-		text := wo.text(re)
+		text := wo.encode(re)
 		wo.write(text[:strings.LastIndex(text, "0\r\nX-Trailer")])
 		return false
 	}}
-	noise      = sends(func(string) string { return "\x16\x03\x01 what?" })
-	almostHTTP = sends(func(text string) string { return "HTTP/1.1 2x0 OK\r\n" + text })
-	stranger   = says(func(re *reply) { re.id = "somebody-else" })
-	nameless   = says(func(re *reply) { re.id = "" })
-	// dropped and resets end the connection in place of an answer.
-	dropped = act{do: func(wo *work) bool {
-		wo.run()
+	sendGarbage         = sendRaw(func(string) string { return "\x16\x03\x01 what?" })
+	sendMalformedStatus = sendRaw(func(text string) string { return "HTTP/1.1 2x0 OK\r\n" + text })
+	respondOtherID      = respondWith(func(re *reply) { re.id = "somebody-else" })
+	respondNoID         = respondWith(func(re *reply) { re.id = "" })
+	// closeUnanswered and resetUnanswered end the connection instead of answering.
+	closeUnanswered = behavior{do: func(wo *work) bool {
+		wo.markRan()
 		return false
 	}}
-	resets = act{do: func(wo *work) bool {
-		wo.run()
+	resetUnanswered = behavior{do: func(wo *work) bool {
+		wo.markRan()
 		reset(wo.nc)
 		return false
 	}}
-	// silent works until the connection ends.
-	silent = act{do: func(wo *work) bool {
-		wo.run()
-		return wo.during(nil)
+	// neverAnswer runs the request until the connection closes.
+	neverAnswer = behavior{do: func(wo *work) bool {
+		wo.markRan()
+		return wo.waitWhileOpen(nil)
 	}}
-	// chatty sends more than the answer, double a second answer to the same
-	// request.
-	chatty = act{do: func(wo *work) bool {
-		wo.run()
-		re := wo.good()
+	// respondTwiceOtherID sends a second answer with another request ID; respondTwice sends
+	// a second answer to the same request.
+	respondTwiceOtherID = behavior{do: func(wo *work) bool {
+		wo.markRan()
+		re := wo.okReply()
 		re.id = "somebody-else"
-		return wo.write(wo.text(wo.good()) + wo.text(re))
+		return wo.write(wo.encode(wo.okReply()) + wo.encode(re))
 	}}
-	double = act{do: func(wo *work) bool {
-		wo.run()
-		return wo.write(wo.text(wo.good()) + wo.text(wo.good()))
+	respondTwice = behavior{do: func(wo *work) bool {
+		wo.markRan()
+		return wo.write(wo.encode(wo.okReply()) + wo.encode(wo.okReply()))
 	}}
 )
 
-// shed refuses a request with the server's word that it doesn't run it.
-func shed(status int) act { return refuses(status, names.NotRun+": 1") }
+// rejectNotRun rejects a request with the header that says it has not run.
+func rejectNotRun(status int) behavior { return rejectWith(status, names.NotRun+": 1") }
 
-// fails runs the request and answers with a failure.
-func fails(status int) act { return says(func(re *reply) { re.status = status }) }
+// respondFailure runs the request and answers with a failure status.
+func respondFailure(status int) behavior { return respondWith(func(re *reply) { re.status = status }) }
 
-// paused stands still for a time before it works.
-func paused(span time.Duration, ac act) act {
-	return after(func(wo *work) bool { return wo.pause(span) }, ac)
+// delayed waits before it serves the request.
+func delayed(span time.Duration, bh behavior) behavior {
+	return waitThen(func(wo *work) bool { return wo.waitFor(span) }, bh)
 }
 
-// held works until the channel is closed and then answers.
-func held(gate <-chan struct{}, ac act) act {
-	return after(func(wo *work) bool {
-		wo.run()
-		return wo.during(gate)
-	}, ac)
+// heldUntil runs the request until the channel is closed, and then answers.
+func heldUntil(gate <-chan struct{}, bh behavior) behavior {
+	return waitThen(func(wo *work) bool {
+		wo.markRan()
+		return wo.waitWhileOpen(gate)
+	}, bh)
 }
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -24,36 +24,36 @@
 )
 
 const (
-	// benchShards is how many shards a request of the benchmark asks.
+	// benchShards is the number of shards of a request.
 	benchShards = 36
-	// benchReplicas is how many backend servers of a shard are known.
+	// benchReplicas is the number of known backend servers of each shard.
 	benchReplicas = 3
-	// benchRecords is how many records the part of a shard has.
+	// benchRecords is the number of records in the part of each shard.
 	benchRecords = 63
-	// standIns tells a process of the test's own program to be the backend servers of
+	// benchBackendsEnv makes a process of the test binary serve as the backend servers of
 	// the benchmark.
-	standIns = "GATEWAY_STAND_INS"
+	benchBackendsEnv = "GATEWAY_STAND_INS"
 )
 
 // TestMain runs the tests, or the backend servers of the benchmark.
 func TestMain(ma *testing.M) {
-	if os.Getenv(standIns) != "" {
-		serveStandIns()
+	if os.Getenv(benchBackendsEnv) != "" {
+		serveBenchBackends()
 		return
 	}
 	os.Exit(ma.Run())
 }
 
-// BenchmarkMerged measures a request to benchShards shards from the handler to the
-// merged answer. The backend servers are another process, so that processor time and
-// allocations are those of the gateway alone; they answer once all shards have been
-// asked. What is reported is for one exchange with a backend server.
+// BenchmarkMerged measures a request to benchShards shards from the handler to the merged
+// answer. The backend servers run in another process, so that CPU time and allocations are
+// those of the gateway alone. They answer once all shards have been asked. The metrics are
+// per exchange with a backend server.
 func BenchmarkMerged(be *testing.B) {
 	rg := newRig(be, loopback{}, setup{})
 	ro := route.Route{Prefix: "/", Timeout: 10 * time.Second, MaxAttempts: 1}
 	ro.Merge = route.Merge{TopK: 10, LeastShare: 1}
 	ses := make(map[string][]registry.Server)
-	for sh, address := range startStandIns(be) {
+	for sh, address := range startBenchBackends(be) {
 		service := fmt.Sprintf("shard-%d", sh)
 		ro.Shards = append(ro.Shards, service)
 		for re := range benchReplicas {
@@ -63,17 +63,17 @@
 			})
 		}
 	}
-	rg.table(ro)
+	rg.setTable(ro)
 	rg.gw.SetServers(ses)
 	for range 20 {
-		benchAsk(be, rg)
+		benchRequest(be, rg)
 	}
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	spent := processorTime(be)
 	be.ResetTimer()
 	for range be.N {
-		benchAsk(be, rg)
+		benchRequest(be, rg)
 	}
 	be.StopTimer()
 	spent = processorTime(be) - spent
@@ -85,8 +85,8 @@
 	be.ReportMetric(float64(after.TotalAlloc-before.TotalAlloc)/exchanges, "B/exchange")
 }
 
-// benchAsk has the gateway answer one request, as net/http would.
-func benchAsk(be *testing.B, rg *rig) {
+// benchRequest lets the gateway answer one request, as net/http would.
+func benchRequest(be *testing.B, rg *rig) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	rq := httptest.NewRequestWithContext(ctx, http.MethodGet, "http://"+host+"/search/papers?text=balsam+winch&most=10", nil)
@@ -102,7 +102,7 @@
 	}
 }
 
-// benchWriter takes an answer and drops its body.
+// benchWriter is a ResponseWriter that discards the body.
 type benchWriter struct {
 	hd     http.Header
 	status int
@@ -112,18 +112,18 @@
 func (wr *benchWriter) WriteHeader(status int)         { wr.status = status }
 func (wr *benchWriter) Write(body []byte) (int, error) { return len(body), nil }
 
-// processorTime returns the processor time that this process has used.
+// processorTime returns the CPU time that this process has used.
 func processorTime(tb testing.TB) time.Duration {
 	var ru syscall.Rusage
 	qt.Assert(tb, syscall.Getrusage(syscall.RUSAGE_SELF, &ru), qt.IsNil)
 	return time.Duration(ru.Utime.Nano() + ru.Stime.Nano())
 }
 
-// startStandIns starts the backend servers and returns their addresses, one for each
-// shard. They end with the benchmark.
-func startStandIns(tb testing.TB) []string {
+// startBenchBackends starts the backend servers and returns their addresses, one for each
+// shard. They stop with the benchmark.
+func startBenchBackends(tb testing.TB) []string {
 	co := exec.Command(os.Args[0])
-	co.Env = append(os.Environ(), standIns+"=1", "GOMAXPROCS=2")
+	co.Env = append(os.Environ(), benchBackendsEnv+"=1", "GOMAXPROCS=2")
 	co.Stderr = os.Stderr
 	in, err := co.StdinPipe()
 	qt.Assert(tb, err, qt.IsNil)
@@ -142,9 +142,9 @@
 	return addresses
 }
 
-// serveStandIns is one backend server for each shard, until its input ends.
-func serveStandIns() {
-	ro := &round{done: make(chan struct{})}
+// serveBenchBackends runs one backend server for each shard until standard input closes.
+func serveBenchBackends() {
+	ba := &barrier{done: make(chan struct{})}
 	for sh := range benchShards {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -156,7 +156,7 @@
 				if err != nil {
 					return
 				}
-				go standIn(nc, ro, standInReply(sh))
+				go serveBenchConn(nc, ba, benchReply(sh))
 			}
 		}()
 		fmt.Println(ln.Addr())
@@ -164,8 +164,8 @@
 	_, _ = io.Copy(io.Discard, os.Stdin)
 }
 
-// standInReply is what the backend server of a shard answers to every request.
-func standInReply(sh int) []byte {
+// benchReply returns the answer of a shard's backend server to every request.
+func benchReply(sh int) []byte {
 	body := make([]byte, 0, benchRecords*recordBytes)
 	for re := range benchRecords {
 		body = append(body, fmt.Sprintf("%04d-%04d-%02d-%03d", re*(7919+sh)%10000, re*104729%10000, sh, re)[:recordBytes]...)
@@ -175,8 +175,8 @@
 		names.RequestID, names.Stamp, sh, names.ServerLoad, len(body), body)
 }
 
-// standIn answers the requests on a connection.
-func standIn(nc net.Conn, ro *round, reply []byte) {
+// serveBenchConn answers the requests on a connection.
+func serveBenchConn(nc net.Conn, ba *barrier, reply []byte) {
 	defer nc.Close()
 	rd := bufio.NewReader(nc)
 	for {
@@ -187,28 +187,28 @@
 		if strings.TrimSpace(li) != "" {
 			continue
 		}
-		ro.wait()
+		ba.wait()
 		if _, err := nc.Write(reply); err != nil {
 			return
 		}
 	}
 }
 
-// round is one request of the benchmark: the backend servers wait in it until all
-// shards have been asked.
-type round struct {
+// barrier makes the backend servers wait until all shards of the current request have been
+// asked.
+type barrier struct {
 	mu      sync.Mutex
 	arrived int
 	done    chan struct{}
 }
 
-func (ro *round) wait() {
-	ro.mu.Lock()
-	done := ro.done
-	if ro.arrived++; ro.arrived == benchShards {
-		ro.arrived, ro.done = 0, make(chan struct{})
+func (ba *barrier) wait() {
+	ba.mu.Lock()
+	done := ba.done
+	if ba.arrived++; ba.arrived == benchShards {
+		ba.arrived, ba.done = 0, make(chan struct{})
 		close(done)
 	}
-	ro.mu.Unlock()
+	ba.mu.Unlock()
 	<-done
 }
--- a/gateway/body.go
+++ b/gateway/body.go
@@ -6,9 +6,9 @@
 	"net/http"
 )
 
-// ReadBody reads the whole body of a request, of at most limit bytes; 0 or less is no
-// limit. If it can't be had, status is the HTTP status to answer with and detail says
-// why; otherwise status is 0.
+// ReadBody reads the whole body of a request, at most limit bytes; 0 or less means no
+// limit. If reading fails, status is the HTTP status to answer with and detail gives the
+// reason; otherwise status is 0.
 func ReadBody(wr http.ResponseWriter, rq *http.Request, limit int64) (body []byte, status int, detail string) {
 	rd := io.Reader(rq.Body)
 	if limit > 0 {
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -14,24 +14,24 @@
 	"balsamwinch.example/upstream"
 )
 
-// Times that a refused caller is asked to stay away.
+// Values of Retry-After for rejected requests.
 const (
-	retryNoTable  = 300 * time.Millisecond
-	retryStopping = 10 * time.Millisecond
-	retryBusy     = 100 * time.Millisecond
-	retryNoServer = 100 * time.Millisecond
+	retryAfterNoTable  = 300 * time.Millisecond
+	retryAfterStopping = 10 * time.Millisecond
+	retryAfterBusy     = 100 * time.Millisecond
+	retryAfterNoServer = 100 * time.Millisecond
 )
 
-// Reasons of refusals, as logs and metrics name them.
+// Reasons of rejections, as they appear in answers, logs and metrics.
 const (
-	refusalNoTable  = "no configuration"
-	refusalStopping = "stopping"
-	refusalBusy     = "too many requests"
-	// refusalQuarantined is the refusal of a request under which servers ended before.
-	refusalQuarantined = "backend servers end under this request"
+	reasonNoTable  = "no configuration"
+	reasonStopping = "stopping"
+	reasonBusy     = "too many requests"
+	// reasonQuarantined rejects a request during which backend servers crashed before.
+	reasonQuarantined = "backend servers end under this request"
 )
 
-// call is one request of a caller.
+// call is the state of one caller's request.
 type call struct {
 	sv    *Server
 	wr    http.ResponseWriter
@@ -42,35 +42,35 @@
 	start time.Time
 	body  []byte
 
-	code   result.Code
-	status int
-	detail string
-	missed int
-	sent   int
-	hedged int
-	again  int
-	denied int
-	key    quarantine.Key // key is zero until content is asked for.
-	probe  bool           // probe says that servers ended under the request before.
-	cr     *carrier       // cr carried the request out; nil if nobody was asked.
+	code       result.Code
+	status     int
+	detail     string
+	numMissing int
+	numSent    int
+	numHedges  int
+	numRetries int
+	numDenied  int
+	contentKey quarantine.Key // zero until quarantineKey computes it
+	probe      bool           // backend servers ended during the same request before
+	ex         *executor      // nil if no backend server was asked
 }
 
-// serve answers a request under the table that was in force when it came.
+// serve answers a request under the table that was in force when it arrived.
 func (ca *call) serve() {
 	ro, ok := ca.tb.Match(ca.rq.Host, ca.rq.URL.EscapedPath())
 	if !ok {
-		ca.fail(http.StatusNotFound, result.NotRunUnknownService, "no route for host and path")
+		ca.respondError(http.StatusNotFound, result.NotRunUnknownService, "no route for host and path")
 		return
 	}
 	ca.ro = ro
 	if ca.id == "" {
-		ca.fail(http.StatusBadRequest, result.NotRunBadRequest, "no request id")
+		ca.respondError(http.StatusBadRequest, result.NotRunBadRequest, "no request id")
 		return
 	}
 	if !ca.readBody() {
 		return
 	}
-	if !ca.allowed() {
+	if !ca.checkQuarantine() {
 		return
 	}
 	services := ro.Shards
@@ -78,12 +78,12 @@
 		services = []string{ca.sv.pk.Pick(ro)}
 	}
 	if !ca.sv.ad.Acquire(services[0]) {
-		ca.refuse(refusalBusy, ca.comeBack())
+		ca.reject(reasonBusy, ca.retryAfter())
 		return
 	}
 	defer func() {
-		ca.sv.ad.Release(ca.sv.ts.Now(), services[0], ca.overloaded())
-		ca.recycle()
+		ca.sv.ad.Release(ca.sv.ts.Now(), services[0], ca.metOverload())
+		ca.recycleReplies()
 	}()
 	if len(ro.Shards) > 0 {
 		ca.serveShards()
@@ -92,36 +92,37 @@
 	ca.serveOne(services)
 }
 
-// readBody reads the whole body, so that it can be sent again unchanged.
+// readBody reads the whole body, so that it can be sent again unchanged. It reports whether
+// that succeeded, and answers the request if not.
 func (ca *call) readBody() bool {
 	if ca.rq.Body == nil || ca.rq.Body == http.NoBody {
 		return true
 	}
 	limit := int64(ca.tb.Limits().BodyBytes)
 	if limit > 0 && ca.rq.ContentLength > limit {
-		ca.fail(http.StatusRequestEntityTooLarge, result.NotRunBadRequest, bodyTooLarge)
+		ca.respondError(http.StatusRequestEntityTooLarge, result.NotRunBadRequest, bodyTooLarge)
 		return false
 	}
 	body, status, detail := ReadBody(ca.wr, ca.rq, limit)
 	if status != 0 {
-		ca.fail(status, result.NotRunBadRequest, detail)
+		ca.respondError(status, result.NotRunBadRequest, detail)
 		return false
 	}
 	ca.body = body
 	return true
 }
 
-// timeout returns how long the request may take here. A checked table names a
-// timeout for every route.
+// timeout returns the smaller of the caller's timeout and the route's. A validated table
+// has a timeout for every route.
 func (ca *call) timeout() time.Duration {
-	if said := ca.said(); said > 0 {
-		return min(said, ca.ro.Timeout)
+	if callerTimeout := ca.callerTimeout(); callerTimeout > 0 {
+		return min(callerTimeout, ca.ro.Timeout)
 	}
 	return ca.ro.Timeout
 }
 
-// said returns how long the caller says it waits, or 0.
-func (ca *call) said() time.Duration {
+// callerTimeout returns how long the caller waits according to its header, or 0 if unknown.
+func (ca *call) callerTimeout() time.Duration {
 	ms, err := strconv.ParseInt(strings.TrimSpace(ca.rq.Header.Get(ca.sv.cf.Names.Deadline)), 10, 64)
 	if err != nil || ms <= 0 || ms > int64(time.Hour/time.Millisecond) {
 		return 0
@@ -129,39 +130,41 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// plan returns how the request is carried out over a number of shards.
-func (ca *call) plan(shards, least int) scatter.Plan {
+// plan returns the scatter plan of the request over a number of shards, of which minParts
+// are needed for an answer.
+func (ca *call) plan(shards, minParts int) scatter.Plan {
 	pl := scatter.Plan{
 		Shards:      shards,
-		MinParts:    least,
+		MinParts:    minParts,
 		MaxAttempts: ca.ro.MaxAttempts,
 		Repeatable:  ca.ro.Kind == route.Repeatable,
 		Deadline:    ca.start.Add(ca.timeout()),
-		RetryDelay:  refusalPause,
+		RetryDelay:  rejectionDelay,
 	}
 	pl.PartialDeadline, pl.NoServerDeadline = pl.Deadline, pl.Deadline
 	if ca.ro.Aim > 0 {
-		aim := ca.start.Add(ca.ro.Aim - 2*ca.sv.cf.CallerDelay)
-		pl.PartialDeadline = aim.Add(-ca.sv.cf.HoldMargin)
-		pl.NoServerDeadline = ca.start.Add(ca.ro.Aim / offerPart)
+		due := ca.start.Add(ca.ro.Aim - 2*ca.sv.cf.CallerDelay)
+		pl.PartialDeadline = due.Add(-ca.sv.cf.HoldMargin)
+		pl.NoServerDeadline = ca.start.Add(ca.ro.Aim / offerDivisor)
 	}
 	if shards > 1 {
-		pl.NoServerDeadline = pl.PartialDeadline // Other shards are at work by then, so refusing early saves nothing.
+		pl.NoServerDeadline = pl.PartialDeadline // The other shards are working by then, so rejecting earlier saves nothing.
 		pl.NoConnectionDeadline = pl.Deadline
 	}
-	return ca.asProbe(pl)
+	return ca.withProbe(pl)
 }
 
 const (
-	// refusalPause is the time before a third backend server is asked after two
-	// have refused.
-	refusalPause = 5 * time.Millisecond
-	// offerPart is the part of the aim within which a backend server must be found.
-	offerPart = 5
+	// rejectionDelay is the delay before a third backend server is asked after two have
+	// rejected the request.
+	rejectionDelay = 5 * time.Millisecond
+	// offerDivisor bounds the time to find a backend server: the target latency divided by
+	// it.
+	offerDivisor = 5
 )
 
-// request returns what is sent to backend servers.
-func (ca *call) request() *upstream.Request {
+// upstreamRequest returns the request that is sent to backend servers.
+func (ca *call) upstreamRequest() *upstream.Request {
 	return &upstream.Request{
 		Method:       ca.rq.Method,
 		URI:          ca.rq.RequestURI,
@@ -173,20 +176,19 @@
 	}
 }
 
-// refuse answers that the request has not run and never will, and when to come
-// back.
-func (ca *call) refuse(reason string, after time.Duration) {
+// reject answers that the request has not run and never will, and when to retry.
+func (ca *call) reject(reason string, after time.Duration) {
 	ca.setRetryAfter(after)
-	ca.fail(http.StatusServiceUnavailable, result.NotRunOverloaded, reason)
+	ca.respondError(http.StatusServiceUnavailable, result.NotRunOverloaded, reason)
 }
 
-// setRetryAfter says when the caller may come back, in seconds with a fraction.
+// setRetryAfter sets Retry-After, in seconds with a decimal fraction.
 func (ca *call) setRetryAfter(after time.Duration) {
 	ca.wr.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', -1, 64))
 }
 
-// fail gives an answer of this instance's own.
-func (ca *call) fail(status int, code result.Code, detail string) {
+// respondError sends an answer that this instance generates itself.
+func (ca *call) respondError(status int, code result.Code, detail string) {
 	ca.status, ca.code, ca.detail = status, code, detail
 	hd := ca.wr.Header()
 	hd.Set("Content-Type", "application/json")
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,8 +1,8 @@
-// Package gateway serves callers at an entry instance: it finds the route of a
-// request, passes it to one backend server or to one of each shard, and gives
-// the answer back unchanged or merged. What is asked, hedged, retried and given
-// up is decided by the packages scatter, replica and budget; this package moves
-// the bytes and keeps the promises about them.
+// Package gateway serves callers at an entry instance: it finds the route of a request,
+// forwards it to one backend server or to one of each shard, and returns the answer
+// unchanged or merged. Packages scatter, replica and budget decide what is sent, hedged,
+// retried and given up. This package transfers the bytes, bounds connections per backend
+// server, and reports truthfully whether a request has run.
 package gateway
 
 import (
@@ -25,20 +25,20 @@
 	"balsamwinch.example/warmup"
 )
 
-// Names are the header names that callers and backend servers use.
+// HeaderNames holds the names of the headers exchanged with callers and backend servers.
 type HeaderNames struct {
-	RequestID    string // RequestID names one attempt of a caller.
-	Deadline     string // Deadline is the time the caller waits, in milliseconds.
-	ExpectServer string // Expect names the backend server that a request is meant for.
-	Stamp        string // Stamp proves which backend server ran a request.
-	NotRun       string // NotRun says that a backend server did not run a request.
-	ServerLoad   string // Load is what a backend server says of its load.
-	ServerID     string // Instance is a backend server's name.
-	PartStamps   string // Parts lists the stamps of a merged answer.
-	MissingParts string // Missing counts the parts that a merged answer lacks.
+	RequestID    string // ID of one attempt of a caller
+	Deadline     string // milliseconds that the caller waits
+	ExpectServer string // ID of the backend server that a request is meant for
+	Stamp        string // proof of which backend server ran a request
+	NotRun       string // set by a backend server that did not run a request
+	ServerLoad   string // load that a backend server reports
+	ServerID     string // ID of a backend server
+	PartStamps   string // stamps of the parts in a merged answer
+	MissingParts string // number of parts that a merged answer lacks
 }
 
-// Upstream returns the names that exchanges with backend servers use.
+// Upstream returns the names that requests to backend servers use.
 func (na HeaderNames) Upstream() upstream.Names {
 	return upstream.Names{
 		RequestID: na.RequestID, Deadline: na.Deadline, Expect: na.ExpectServer,
@@ -46,20 +46,20 @@
 	}
 }
 
-// Config is what a gateway is told once.
+// Config configures a Server.
 type Config struct {
 	Names       HeaderNames
-	Name        string        // Name is this instance's, and differs from the others'.
-	DataCentre  string        // DataCentre is where this instance runs.
-	CallerDelay time.Duration // CallerDistance is the one-way time to a caller.
-	HoldMargin  time.Duration // HoldMargin is kept between the end of a hold and a route's aim.
-	MaxInFlight int           // MostActive bounds the requests under way.
-	// Warmup holds the Overage and Slack of requests to cold backend servers; the rest of
-	// it each service names.
+	Name        string        // name of this instance, unique among entry instances
+	DataCentre  string        // data centre of this instance
+	CallerDelay time.Duration // one-way network delay to a caller
+	HoldMargin  time.Duration // time reserved between the end of waiting for missing parts and the route's target latency
+	MaxInFlight int           // limit of requests in flight
+	// Warmup sets the burst factor and slack of requests to cold backend servers. Rate and
+	// duration come from the configuration of each service.
 	Warmup warmup.Limit
 }
 
-// Server serves callers.
+// Server answers the requests of callers. It is safe for concurrent use.
 type Server struct {
 	cf Config
 	ts *timer.Service
@@ -74,131 +74,134 @@
 
 	started time.Time
 
-	tb      atomic.Pointer[route.Table]
-	shares  atomic.Pointer[map[string]int]
-	scarce  atomic.Pointer[scarcity]
-	refuse  atomic.Bool
-	closing atomic.Bool
-	seen    atomic.Pointer[picture]
-	active  atomic.Int64
-	merging atomic.Int64 // merging sums the time that merged requests were under way, in nanoseconds.
-	mt      meters
-	newsAt  atomic.Int64 // newsAt is when the backend servers last changed, since started.
-
-	mu       sync.Mutex // mu guards what the shares are made from.
-	servers  map[string][]registry.Server
-	limits   map[string]int // limits are how many connections a backend server takes, by service.
-	entries  entryCount
-	sharers  entryCount           // sharers are those of them that share backend servers; none if not known.
-	named    map[string]bool      // named are the services of the table in force.
-	expected map[string]time.Time // expected is until when a service may still get its first ready backend server.
+	tb               atomic.Pointer[route.Table]
+	connections      atomic.Pointer[map[string]int]
+	scarceServers    atomic.Pointer[scarceServers]
+	rejecting        atomic.Bool
+	closing          atomic.Bool
+	view             atomic.Pointer[serverView]
+	inFlight         atomic.Int64
+	mergedTime       atomic.Int64 // sum of the time that merged requests were in flight, in nanoseconds
+	metrics          serverMetrics
+	serversChangedAt atomic.Int64 // when the set of backend servers last changed, in nanoseconds since started
+
+	mu            sync.Mutex // guards the fields below
+	servers       map[string][]registry.Server
+	limits        map[string]int // connections that a backend server accepts, by service
+	entries       entryCount
+	sharers       entryCount           // entry instances that share the backend servers; zero if unknown
+	tableServices map[string]bool      // services of the table in force
+	expectedUntil map[string]time.Time // until when a service may still get its first ready backend server
 }
 
-// New returns a gateway that refuses all requests until it has a table.
+// New returns a Server that rejects all requests until SetTable is called.
 func New(cf Config, ts *timer.Service, lg *zap.Logger, up *upstream.Client, re *replica.Balancer, bu *budget.Budget, qa *quarantine.Tracker) *Server {
 	sv := &Server{
 		cf: cf, ts: ts, lg: lg, up: up, re: re, bu: bu, qa: qa,
 		pk: route.NewPicker(), ad: admit.New(max(1, cf.MaxInFlight)), qu: newQueue(),
-		limits: make(map[string]int), expected: make(map[string]time.Time),
+		limits: make(map[string]int), expectedUntil: make(map[string]time.Time),
 	}
-	sv.shares.Store(&map[string]int{})
-	sv.scarce.Store(&scarcity{})
-	sv.seen.Store(&picture{})
+	sv.connections.Store(&map[string]int{})
+	sv.scarceServers.Store(&scarceServers{})
+	sv.view.Store(&serverView{})
 	sv.started = ts.Now()
-	sv.mt.begin(sv)
-	ts.Timeout(newFor, sv.share)
-	ts.Timeout(youngFor, sv.share)
+	sv.metrics.register(sv)
+	ts.Timeout(singleConnectionDuration, sv.divideConnections)
+	ts.Timeout(startupDuration, sv.divideConnections)
 	return sv
 }
 
 // Table returns the table in force, or nil.
 func (sv *Server) Table() *route.Table { return sv.tb.Load() }
 
-// SetTable puts a table in force. Requests under way end on theirs.
+// SetTable puts a table in force. Requests in flight continue under the table they started
+// with.
 func (sv *Server) SetTable(tb *route.Table) {
 	sv.mu.Lock()
-	sv.expect(tb)
+	sv.updateExpected(tb)
 	sv.mu.Unlock()
 	sv.tb.Store(tb)
-	sv.share()
+	sv.divideConnections()
 }
 
-// SetServers takes over which backend servers exist.
+// SetServers replaces the set of known backend servers, by service.
 func (sv *Server) SetServers(ses map[string][]registry.Server) {
-	sv.told()
+	sv.noteServersChanged()
 	sv.re.Update(sv.ts.Now(), ses)
 	sv.mu.Lock()
 	sv.servers = ses
-	sv.draw()
+	sv.updateView()
 	sv.mu.Unlock()
-	sv.share()
+	sv.divideConnections()
 }
 
-// SetEntries takes over how many entry instances share the backend servers.
+// SetEntries sets the number of entry instances that share the backend servers.
 func (sv *Server) SetEntries(count int) {
 	now := sv.ts.Now()
 	sv.bu.SetNumEntries(now, count)
 	sv.mu.Lock()
-	sv.entriesKnown(sv.entries.now, count)
-	sv.entries = sv.counted(sv.entries, now, count)
+	sv.logEntryCount(sv.entries.current, count)
+	sv.entries = sv.updateCount(sv.entries, now, count)
 	sv.mu.Unlock()
-	sv.share()
+	sv.divideConnections()
 }
 
-// SetSharers takes over how many of the entry instances callers are led to.
+// SetSharers sets the number of entry instances that callers are sent to.
 func (sv *Server) SetSharers(count int) {
 	now := sv.ts.Now()
 	sv.mu.Lock()
-	sv.sharers = sv.counted(sv.sharers, now, count)
+	sv.sharers = sv.updateCount(sv.sharers, now, count)
 	sv.mu.Unlock()
-	sv.share()
+	sv.divideConnections()
 }
 
-// Refuse makes the gateway answer every further request at once with "not run".
-func (sv *Server) RejectAll() { sv.refuse.Store(true) }
+// RejectAll makes the gateway reject every further request at once as not run.
+func (sv *Server) RejectAll() { sv.rejecting.Store(true) }
 
-// CloseAfterAnswer makes the gateway ask callers to leave after their answer.
+// CloseAfterResponse makes the gateway close each caller's connection after its next
+// response.
 func (sv *Server) CloseAfterResponse() { sv.closing.Store(true) }
 
-// Merging returns for how long merged requests have been under way so far, those at one
-// time counting each.
-func (sv *Server) MergedRequestTime() time.Duration { return time.Duration(sv.merging.Load()) }
+// MergedRequestTime returns the total time that merged requests have been in flight so far.
+// Concurrent requests count separately.
+func (sv *Server) MergedRequestTime() time.Duration { return time.Duration(sv.mergedTime.Load()) }
 
-// Active returns how many requests are under way.
-func (sv *Server) InFlight() int { return int(sv.active.Load()) }
+// InFlight returns the number of requests in flight.
+func (sv *Server) InFlight() int { return int(sv.inFlight.Load()) }
 
 // ServeHTTP answers one request of a caller.
 func (sv *Server) ServeHTTP(wr http.ResponseWriter, rq *http.Request) {
 	start := sv.ts.Now()
-	active := sv.active.Add(1)
-	defer sv.active.Add(-1)
-	if sv.closing.Load() || outlived(rq.Context(), start) {
+	inFlight := sv.inFlight.Add(1)
+	defer sv.inFlight.Add(-1)
+	if sv.closing.Load() || lifetimeExpired(rq.Context(), start) {
 		wr.Header().Set("Connection", "close")
 	}
 	ca := &call{sv: sv, wr: wr, rq: rq, start: start, id: rq.Header.Get(sv.cf.Names.RequestID)}
 	switch tb := sv.tb.Load(); {
 	case tb == nil:
-		ca.refuse(refusalNoTable, retryNoTable)
-	case sv.refuse.Load():
-		ca.refuse(refusalStopping, retryStopping)
-	case active > int64(sv.cf.MaxInFlight):
-		ca.refuse(refusalBusy, retryBusy)
+		ca.reject(reasonNoTable, retryAfterNoTable)
+	case sv.rejecting.Load():
+		ca.reject(reasonStopping, retryAfterStopping)
+	case inFlight > int64(sv.cf.MaxInFlight):
+		ca.reject(reasonBusy, retryAfterBusy)
 	default:
 		ca.tb = tb
 		ca.serve()
 	}
-	ca.over()
+	ca.finish()
 }
 
-// WaitIdle waits until no request is under way or the context ends.
+// WaitIdle waits until no request is in flight. It returns an error if the context ends
+// first.
 func (sv *Server) WaitIdle(ctx context.Context) error {
 	for sv.InFlight() > 0 {
-		if err := sv.ts.Sleep(ctx, idlePoll); err != nil {
+		if err := sv.ts.Sleep(ctx, idlePollInterval); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// idlePoll is how often a stop looks whether the last request is over.
-const idlePoll = 20 * time.Millisecond
+// idlePollInterval is how often WaitIdle checks for requests in flight.
+const idlePollInterval = 20 * time.Millisecond
--- a/gateway/hedge.go
+++ b/gateway/hedge.go
@@ -1,22 +1,23 @@
 package gateway
 
-// The shares of requests to backend servers that reach their hedge time, for merged
-// answers of few and of many shards.
+// Fractions of requests to backend servers that reach their hedge delay, for merged answers
+// of few and of many shards. In between, the fraction grows linearly.
 const (
-	fewShards       = 10
-	fewHedgeShare   = 0.08
-	manyShards      = 36
-	manyHedgeShare  = 0.15
-	hedgeShareSlope = (manyHedgeShare - fewHedgeShare) / (manyShards - fewShards)
+	lowShards          = 10
+	lowHedgeFraction   = 0.08
+	highShards         = 36
+	highHedgeFraction  = 0.15
+	hedgeFractionSlope = (highHedgeFraction - lowHedgeFraction) / (highShards - lowShards)
 )
 
-// hedgeShare returns which share of the requests for a merged answer of so many shards
-// should reach their hedge time.
+// hedgeFraction returns the fraction of requests that should reach their hedge delay in a
+// merged answer of the given number of shards.
 //
-// An answer comes with its last part. At 36 shards, of which each is late in 8 of 100
-// cases, three are late at the usual hedge time, and the hedges for them have little of
-// the aim left; so the more shards there are, the sooner a part is hedged. At ten, a
-// larger share spends the retry budget on what would have come in time.
-func hedgeShare(shards int) float64 {
-	return fewHedgeShare + hedgeShareSlope*float64(min(max(shards, fewShards), manyShards)-fewShards)
+// A merged answer is complete only with its last part. At 36 shards, of which each is late
+// in 8 of 100 cases, three are late at the usual hedge delay, and their hedges have little
+// time left before the target latency. So the more shards there are, the sooner a part is
+// hedged. At ten shards, a larger fraction would spend the retry budget on parts that
+// arrive in time anyway.
+func hedgeFraction(shards int) float64 {
+	return lowHedgeFraction + hedgeFractionSlope*float64(min(max(shards, lowShards), highShards)-lowShards)
 }
--- a/gateway/home.go
+++ b/gateway/home.go
@@ -8,23 +8,23 @@
 	"balsamwinch.example/registry"
 )
 
-// awayIdle is how long a connection stays open idle at a backend server that is not
-// one of an instance's home servers.
-const awayIdle = time.Second
+// otherIdleTimeout is how long an idle connection is kept to a backend server that is not
+// one of the instance's home servers.
+const otherIdleTimeout = time.Second
 
-// homes returns which of a service's ready backend servers an entry instance uses as a
-// rule, where there are fewer connections than entry instances: those of its own data
-// centre, or else one that its name picks.
+// homeServers returns the ready backend servers of a service that an entry instance prefers
+// if the service accepts fewer connections than there are entry instances: those in its own
+// data centre, or else one chosen by a hash of the instance's name.
 //
-// Without it, each entry instance would hold an idle connection to every backend
-// server that it ever hedged to. All together then hold as many as the servers take.
-// If all entry instances lose power, the servers still count those connections for
-// many seconds and reset the new ones, with the requests on them: callers get hardly
-// any answer for seconds after everything is back. With connections held to home
-// servers alone, half of them is still free then.
-func homes(name, dataCentre string, ses []registry.Server) []string {
+// Without this preference, each entry instance would keep an idle connection to every
+// backend server that it ever hedged to, and all instances together would hold as many
+// connections as the servers accept. If all entry instances then lose power, the servers
+// still count those connections for many seconds and reset new ones together with their
+// requests, so callers get hardly any answer for seconds after everything is back. If only
+// connections to home servers are kept, half of the connections are free in this case.
+func homeServers(name, dataCentre string, ses []registry.Server) []string {
 	var own []string
-	picked, most := "", uint64(0)
+	picked, maxHash := "", uint64(0)
 	for _, se := range ses {
 		if se.State != registry.Ready {
 			continue
@@ -32,8 +32,8 @@
 		if se.DataCentre == dataCentre {
 			own = append(own, se.ID)
 		}
-		if sum := xxhash.Sum64String(name + "\x00" + se.ID); picked == "" || sum > most {
-			picked, most = se.ID, sum
+		if hash := xxhash.Sum64String(name + "\x00" + se.ID); picked == "" || hash > maxHash {
+			picked, maxHash = se.ID, hash
 		}
 	}
 	if len(own) > 0 || picked == "" {
@@ -42,29 +42,30 @@
 	return []string{picked}
 }
 
-// scarcity is what an instance knows of backend servers with fewer connections than
-// there are entry instances. It is never changed.
-type scarcity struct {
-	home map[string]bool // home holds the ids of its home servers.
-	away map[string]bool // away holds the ids of the other servers of these services.
+// scarceServers holds the backend servers that accept fewer connections than there are
+// entry instances. It is immutable after construction.
+type scarceServers struct {
+	home   map[string]bool // IDs of the home servers
+	others map[string]bool // IDs of the other servers of the same services
 }
 
-// add takes in a service of which there are fewer connections than entry instances.
-func (sc *scarcity) add(name, dataCentre string, ses []registry.Server) {
-	for _, id := range homes(name, dataCentre, ses) {
+// add adds the servers of a service that accepts fewer connections than there are entry
+// instances.
+func (sc *scarceServers) add(name, dataCentre string, ses []registry.Server) {
+	for _, id := range homeServers(name, dataCentre, ses) {
 		sc.home[id] = true
 	}
 	for _, se := range ses {
 		if !sc.home[se.ID] {
-			sc.away[se.ID] = true
+			sc.others[se.ID] = true
 		}
 	}
 }
 
-// idle returns how long a connection to a server may stay idle; 0 for the usual time.
-func (sc *scarcity) idle(id string) time.Duration {
-	if sc.away[id] {
-		return awayIdle
+// idleTimeout returns how long a connection to a server may stay idle; 0 means the default.
+func (sc *scarceServers) idleTimeout(id string) time.Duration {
+	if sc.others[id] {
+		return otherIdleTimeout
 	}
 	return 0
 }
--- a/gateway/lifetime.go
+++ b/gateway/lifetime.go
@@ -6,27 +6,28 @@
 	"time"
 )
 
-// leastLifetime and mostLifetime bound how long a caller's connection is used.
-// Callers that fled from an instance which was cut off or stopped would otherwise
-// stay where they went, with their share of what each instance may use: an
-// instance that serves three times its part has a ninth of the connections and of
-// the retry budget all the same.
+// minLifetime and maxLifetime bound how long a caller's connection is used. Callers that
+// moved away from an instance which was partitioned or stopped would otherwise stay at
+// their new instance, although connections and retry budget are divided evenly among
+// instances. An instance that serves three times its share would still have a ninth of the
+// connections and of the retry budget.
 const (
-	leastLifetime = 6 * time.Second
-	mostLifetime  = 14 * time.Second
+	minLifetime = 6 * time.Second
+	maxLifetime = 14 * time.Second
 )
 
 type lifetimeKey struct{}
 
-// WithLifetime returns the context of a caller's connection that was accepted now.
-// After a random time its caller is asked to leave with an answer, and chooses
-// among all entry instances again.
+// WithLifetime returns a context for a caller's connection accepted now. After a random
+// time an answer closes the connection, and the caller chooses among all entry instances
+// again.
 func WithLifetime(ctx context.Context, now time.Time) context.Context {
-	return context.WithValue(ctx, lifetimeKey{}, now.Add(leastLifetime+rand.N(mostLifetime-leastLifetime)))
+	return context.WithValue(ctx, lifetimeKey{}, now.Add(minLifetime+rand.N(maxLifetime-minLifetime)))
 }
 
-// outlived reports whether a connection has been used for long enough.
-func outlived(ctx context.Context, now time.Time) bool {
+// lifetimeExpired reports whether a connection has exceeded the lifetime set by
+// WithLifetime.
+func lifetimeExpired(ctx context.Context, now time.Time) bool {
 	until, ok := ctx.Value(lifetimeKey{}).(time.Time)
 	return ok && now.After(until)
 }
--- a/gateway/lines.go
+++ b/gateway/lines.go
@@ -15,347 +15,351 @@
 	"balsamwinch.example/upstream"
 )
 
-// Events of the lines about requests. A request that was answered whole and in
-// time by the backend servers asked first has no line.
+// Events of the log lines about requests. A request without a line was answered completely
+// and in time by the backend servers asked first.
 const (
-	eventAnswered = "request-answered" // An answer that was hedged, retried, partial or late.
-	eventFailed   = "request-failed"   // A refusal or a failure.
-	eventLeft     = "request-left"     // The caller left before the answer.
+	eventAnswered   = "request-answered" // answered, but hedged, retried, partial or late
+	eventFailed     = "request-failed"   // rejected or failed
+	eventCallerLeft = "request-left"     // the caller disconnected before the answer
 )
 
 const (
-	// mostListed bounds the attempts that one line lists.
-	mostListed = 12
-	// mostBrokeOff bounds the backend servers that one line names for having broken off.
-	mostBrokeOff = 16
-	// mostErrorBytes bounds the text of an attempt's error.
-	mostErrorBytes = 120
-	// detailLate stands in the line of a whole answer that came late.
+	// maxListedAttempts bounds the attempts listed in one line.
+	maxListedAttempts = 12
+	// maxListedServers bounds the backend servers listed in one line for losing the
+	// connection.
+	maxListedServers = 16
+	// maxErrorBytes bounds the text of an attempt's error.
+	maxErrorBytes = 120
+	// detailLate is the detail of a complete answer that was late.
 	detailLate = "later than the route aims for"
 )
 
-// note is what is kept of one attempt until its request has ended. It is made
-// for every attempt, so it holds no more than a line needs.
-type note struct {
-	server  string
-	err     error
-	at      time.Duration // at is when it began, since the request's start.
-	took    time.Duration
-	shard   uint16
-	status  uint16 // status is the HTTP status of the reply; 0 for none.
-	kind    scatter.AttemptKind
-	outcome upstream.Outcome
-	ended   bool
-	moved   bool
+// attemptRecord records one attempt until its request has ended. One is allocated for every
+// attempt, so it holds only what a log line needs.
+type attemptRecord struct {
+	server      string
+	err         error
+	startedAt   time.Duration // since the start of the request
+	duration    time.Duration
+	shard       uint16
+	status      uint16 // HTTP status of the reply; 0 if there is none
+	kind        scatter.AttemptKind
+	outcome     upstream.Outcome
+	ended       bool
+	misdirected bool
 }
 
-// unsent reports whether the attempt found no connection. Nothing was tried at the
-// server then, and a line that is full of such attempts hides those that were.
-func (no *note) unsent() bool { return no.ended && no.outcome == upstream.NoConnection }
+// noConnection reports whether the attempt ended for lack of a free connection. Nothing was
+// sent to the server, and a line full of such attempts would hide those that were sent.
+func (ar *attemptRecord) noConnection() bool { return ar.ended && ar.outcome == upstream.NoConnection }
 
-// brokeOff reports whether the server got the request and its connection ended without a
-// whole answer. So does a server that ends.
-func (no *note) brokeOff() bool { return no.ended && no.outcome == upstream.Lost }
+// connectionLost reports whether the server received the request and the connection ended
+// without a complete answer, as happens when a server crashes.
+func (ar *attemptRecord) connectionLost() bool { return ar.ended && ar.outcome == upstream.Lost }
 
-// brokeOff returns the backend servers that broke off while the request was with them.
-func (ca *call) brokeOff() []string {
-	if ca.cr == nil {
+// lostServers returns the backend servers whose connections were lost while they had the
+// request.
+func (ca *call) lostServers() []string {
+	if ca.ex == nil {
 		return nil
 	}
 	var out []string
-	for number := range ca.cr.notes {
-		if no := &ca.cr.notes[number]; no.brokeOff() {
-			out = append(out, no.server)
+	for index := range ca.ex.attempts {
+		if ar := &ca.ex.attempts[index]; ar.connectionLost() {
+			out = append(out, ar.server)
 		}
 	}
 	return out
 }
 
-// began notes and counts an attempt and returns its number.
-func (cr *carrier) began(now time.Time, wa scatter.Attempt, server string) int {
-	if cr.notes == nil {
-		cr.notes = make([]note, 0, len(cr.services)+2)
+// recordStart records and counts a new attempt and returns its index.
+func (ex *executor) recordStart(now time.Time, sa scatter.Attempt, server string) int {
+	if ex.attempts == nil {
+		ex.attempts = make([]attemptRecord, 0, len(ex.services)+2)
 	}
-	cr.ca.sv.mt.began(cr.services[wa.Shard], wa.Kind)
-	cr.notes = append(cr.notes, note{server: server, at: now.Sub(cr.ca.start), shard: uint16(wa.Shard), kind: wa.Kind})
-	return len(cr.notes) - 1
+	ex.ca.sv.metrics.countAttempt(ex.services[sa.Shard], sa.Kind)
+	ex.attempts = append(ex.attempts, attemptRecord{server: server, startedAt: now.Sub(ex.ca.start), shard: uint16(sa.Shard), kind: sa.Kind})
+	return len(ex.attempts) - 1
 }
 
-// denied counts an attempt that the retry budget did not allow.
-func (cr *carrier) denied(service string) {
-	cr.ca.denied++
-	cr.ca.sv.mt.denied(service)
+// recordDenied counts an attempt that the retry budget did not allow.
+func (ex *executor) recordDenied(service string) {
+	ex.ca.numDenied++
+	ex.ca.sv.metrics.countDenied(service)
 }
 
-// over notes how an attempt ended.
-func (cr *carrier) over(now time.Time, number int, rs upstream.Result) {
-	no := &cr.notes[number]
-	no.ended, no.outcome, no.moved, no.err = true, rs.Outcome, rs.Misdirected, rs.Err
-	no.took = now.Sub(cr.ca.start) - no.at
+// recordEnd records how an attempt ended.
+func (ex *executor) recordEnd(now time.Time, index int, rs upstream.Result) {
+	ar := &ex.attempts[index]
+	ar.ended, ar.outcome, ar.misdirected, ar.err = true, rs.Outcome, rs.Misdirected, rs.Err
+	ar.duration = now.Sub(ex.ca.start) - ar.startedAt
 	if rs.Reply != nil {
-		no.status = uint16(rs.Reply.Status)
+		ar.status = uint16(rs.Reply.Status)
 	}
 }
 
-// over counts a request that has ended and writes its line, if it has one.
-func (ca *call) over() {
+// finish counts a request that has ended and writes its log line, if it has one.
+func (ca *call) finish() {
 	took := ca.sv.ts.Now().Sub(ca.start)
-	late := ca.late(took)
-	ca.sv.mt.request(ca, took, late)
+	late := ca.isLate(took)
+	ca.sv.metrics.countRequest(ca, took, late)
 	event, level := eventAnswered, zapcore.InfoLevel
 	switch {
-	case ca.status == statusLeft:
-		event = eventLeft
+	case ca.status == statusCallerLeft:
+		event = eventCallerLeft
 	case ca.status >= http.StatusInternalServerError:
 		event, level = eventFailed, zapcore.WarnLevel
 	case ca.code != result.Complete && ca.code != result.Partial:
 		event = eventFailed
-	case ca.missed > 0 || late:
+	case ca.numMissing > 0 || late:
 		level = zapcore.WarnLevel
-	case ca.hedged+ca.again+ca.denied == 0:
+	case ca.numHedges+ca.numRetries+ca.numDenied == 0:
 		return
 	}
 	if ce := ca.sv.lg.Check(level, event); ce != nil {
-		ce.Write(zap.Inline(story{ca: ca, took: took, late: late}))
+		ce.Write(zap.Inline(requestLine{ca: ca, took: took, late: late}))
 	}
 }
 
-// late reports whether the answer reaches the caller later than the route aims for.
-func (ca *call) late(took time.Duration) bool {
+// isLate reports whether the answer reaches the caller later than the route's target
+// latency.
+func (ca *call) isLate(took time.Duration) bool {
 	return ca.ro != nil && ca.ro.Aim > 0 && took > ca.ro.Aim-2*ca.sv.cf.CallerDelay
 }
 
-// story is the line of a request.
-type story struct {
+// requestLine marshals the log line of a request.
+type requestLine struct {
 	ca   *call
 	took time.Duration
 	late bool
 }
 
-// MarshalLogObject adds what happened, what it was decided by, and what became
-// of the shards that explain it.
-func (st story) MarshalLogObject(oe zapcore.ObjectEncoder) error {
-	ca := st.ca
+// MarshalLogObject adds the result, the inputs of the decisions, and the attempts of the
+// shards that explain the result.
+func (rl requestLine) MarshalLogObject(oe zapcore.ObjectEncoder) error {
+	ca := rl.ca
 	oe.AddString("RequestID", ca.id)
 	oe.AddString("Route", ca.routeName())
 	oe.AddUint64("Version", ca.version())
 	oe.AddInt("Status", ca.status)
-	oe.AddInt("Code", int(st.code()))
-	oe.AddString("Detail", st.detail())
-	oe.AddInt64("Millis", st.took.Milliseconds())
-	oe.AddInt64("SaidMillis", ca.said().Milliseconds())
-	oe.AddInt64("AimMillis", ca.aim().Milliseconds())
-	oe.AddInt("Sent", ca.sent)
-	oe.AddInt("Hedged", ca.hedged)
-	oe.AddInt("Retried", ca.again)
-	oe.AddInt("Denied", ca.denied)
-	oe.AddInt("Missing", ca.missed)
-	if broke := ca.brokeOff(); len(broke) > 0 {
-		// The id is new in each attempt of a caller: the content shows which attempts
-		// are the same request, and so whether servers end under one of them.
-		oe.AddString("Content", ca.content().String())
+	oe.AddInt("Code", int(rl.code()))
+	oe.AddString("Detail", rl.detail())
+	oe.AddInt64("Millis", rl.took.Milliseconds())
+	oe.AddInt64("SaidMillis", ca.callerTimeout().Milliseconds())
+	oe.AddInt64("AimMillis", ca.targetLatency().Milliseconds())
+	oe.AddInt("Sent", ca.numSent)
+	oe.AddInt("Hedged", ca.numHedges)
+	oe.AddInt("Retried", ca.numRetries)
+	oe.AddInt("Denied", ca.numDenied)
+	oe.AddInt("Missing", ca.numMissing)
+	if broke := ca.lostServers(); len(broke) > 0 {
+		// The request ID differs in each attempt of a caller. The content key shows which
+		// attempts are the same request, and so whether backend servers end during one of
+		// them.
+		oe.AddString("Content", ca.quarantineKey().String())
 		oe.AddInt("BrokeOff", len(broke))
-		zap.Strings("Under", broke[:min(len(broke), mostBrokeOff)]).AddTo(oe)
+		zap.Strings("Under", broke[:min(len(broke), maxListedServers)]).AddTo(oe)
 	}
 	if ca.code == result.NotRunQuarantined {
-		oe.AddString("Content", ca.content().String())
+		oe.AddString("Content", ca.quarantineKey().String())
 	}
 	if ca.status >= http.StatusInternalServerError {
 		oe.AddInt("Active", ca.sv.InFlight())
-		oe.AddInt64("NewsMillis", ca.sv.newsAge(ca.start).Milliseconds())
+		oe.AddInt64("NewsMillis", ca.sv.sinceServersChanged(ca.start).Milliseconds())
 	}
-	if ca.cr == nil {
+	if ca.ex == nil {
 		return nil
 	}
-	li := st.list()
-	if len(li.notes) == 0 && len(li.unasked) == 0 {
+	al := rl.attemptList()
+	if len(al.indexes) == 0 && len(al.unaskedShards) == 0 {
 		return nil
 	}
-	if li.leftOut > 0 {
-		oe.AddInt("AttemptsLeftOut", li.leftOut)
+	if al.numOmitted > 0 {
+		oe.AddInt("AttemptsLeftOut", al.numOmitted)
 	}
-	return oe.AddArray("Attempts", li)
+	return oe.AddArray("Attempts", al)
 }
 
-// code returns the result code. A backend server's failure is passed on as it
-// came, without a code of this instance.
-func (st story) code() result.Code {
-	if st.ca.status >= http.StatusInternalServerError && st.ca.code == result.Complete {
+// code returns the result code to log. A backend server's failure is forwarded unchanged,
+// without a code of this instance.
+func (rl requestLine) code() result.Code {
+	if rl.ca.status >= http.StatusInternalServerError && rl.ca.code == result.Complete {
 		return result.Failed
 	}
-	return st.ca.code
+	return rl.ca.code
 }
 
-// detail returns the cause in a few words.
-func (st story) detail() string {
-	ca := st.ca
+// detail returns a short text for the cause.
+func (rl requestLine) detail() string {
+	ca := rl.ca
 	switch {
 	case ca.detail != "":
 		return ca.detail
-	case ca.cr != nil && (ca.missed > 0 || ca.status >= http.StatusInternalServerError):
-		if cause := ca.cause(ca.cr); cause != scatter.CauseNone.String() {
+	case ca.ex != nil && (ca.numMissing > 0 || ca.status >= http.StatusInternalServerError):
+		if cause := ca.worstCause(ca.ex); cause != scatter.CauseNone.String() {
 			return cause
 		}
-		return scatter.CauseTimeout.String() // What is missing was under way when the answer was due.
-	case st.late:
+		return scatter.CauseTimeout.String() // The missing parts were in flight when the answer was due.
+	case rl.late:
 		return detailLate
 	}
 	return ""
 }
 
-func (ca *call) aim() time.Duration {
+func (ca *call) targetLatency() time.Duration {
 	if ca.ro == nil {
 		return 0
 	}
 	return ca.ro.Aim
 }
 
-// list chooses the attempts that the line shows: those for shards without a part,
-// and, if the answer is late, those for shards whose part was late.
-func (st story) list() listing {
-	cr := st.ca.cr
-	li := listing{cr: cr, took: st.took}
-	for sh := range cr.services {
-		if cr.qu.HasPart(sh) && !st.lateShard(sh) {
+// attemptList selects the attempts to log: those of shards without a part and, if the
+// answer is late, those of shards whose part was late.
+func (rl requestLine) attemptList() attemptList {
+	ex := rl.ca.ex
+	al := attemptList{ex: ex, took: rl.took}
+	for sh := range ex.services {
+		if ex.qu.HasPart(sh) && !rl.lateShard(sh) {
 			continue
 		}
 		asked := false
-		for number := range cr.notes {
-			if no := &cr.notes[number]; int(no.shard) == sh && !no.unsent() {
+		for index := range ex.attempts {
+			if ar := &ex.attempts[index]; int(ar.shard) == sh && !ar.noConnection() {
 				asked = true
-				li.add(number)
+				al.add(index)
 			}
 		}
 		if !asked {
-			li.unasked = append(li.unasked, sh)
+			al.unaskedShards = append(al.unaskedShards, sh)
 		}
 	}
-	if over := len(li.notes) + len(li.unasked) - mostListed; over > 0 {
-		li.unasked = li.unasked[:max(0, len(li.unasked)-over)]
-		li.leftOut += over
+	if over := len(al.indexes) + len(al.unaskedShards) - maxListedAttempts; over > 0 {
+		al.unaskedShards = al.unaskedShards[:max(0, len(al.unaskedShards)-over)]
+		al.numOmitted += over
 	}
-	return li
+	return al
 }
 
-// lateShard reports whether the part of a shard came later than the answer was due.
-func (st story) lateShard(sh int) bool {
-	if !st.late || st.ca.status >= http.StatusInternalServerError {
+// lateShard reports whether the part of a shard arrived after the answer was due.
+func (rl requestLine) lateShard(sh int) bool {
+	if !rl.late || rl.ca.status >= http.StatusInternalServerError {
 		return false
 	}
-	due := st.ca.ro.Aim - 2*st.ca.sv.cf.CallerDelay
-	for _, no := range st.ca.cr.notes {
-		if int(no.shard) == sh && no.ended && no.outcome == upstream.Answered && no.at+no.took <= due {
+	due := rl.ca.ro.Aim - 2*rl.ca.sv.cf.CallerDelay
+	for _, ar := range rl.ca.ex.attempts {
+		if int(ar.shard) == sh && ar.ended && ar.outcome == upstream.Answered && ar.startedAt+ar.duration <= due {
 			return false
 		}
 	}
 	return true
 }
 
-// listing is the attempts that a line shows.
-type listing struct {
-	cr      *carrier
-	took    time.Duration
-	notes   []int // notes are numbers of attempts.
-	unasked []int // unasked are shards for which nobody could be asked.
-	leftOut int
+// attemptList holds the attempts that a line lists.
+type attemptList struct {
+	ex            *executor
+	took          time.Duration
+	indexes       []int // of executor.attempts
+	unaskedShards []int // shards for which no backend server could be asked
+	numOmitted    int
 }
 
-func (li *listing) add(number int) {
-	if len(li.notes) >= mostListed {
-		li.leftOut++
+func (al *attemptList) add(index int) {
+	if len(al.indexes) >= maxListedAttempts {
+		al.numOmitted++
 		return
 	}
-	li.notes = append(li.notes, number)
+	al.indexes = append(al.indexes, index)
 }
 
-// MarshalLogArray adds the attempts.
-func (li listing) MarshalLogArray(ae zapcore.ArrayEncoder) error {
+// MarshalLogArray adds the listed attempts and unasked shards.
+func (al attemptList) MarshalLogArray(ae zapcore.ArrayEncoder) error {
 	var err error
-	for _, number := range li.notes {
-		no := &li.cr.notes[number]
-		err = errors.Join(err, ae.AppendObject(listed{service: li.cr.services[no.shard], no: no, took: li.took}))
+	for _, index := range al.indexes {
+		ar := &al.ex.attempts[index]
+		err = errors.Join(err, ae.AppendObject(attemptLine{service: al.ex.services[ar.shard], ar: ar, took: al.took}))
 	}
-	for _, sh := range li.unasked {
-		err = errors.Join(err, ae.AppendObject(unasked{cr: li.cr, shard: sh}))
+	for _, sh := range al.unaskedShards {
+		err = errors.Join(err, ae.AppendObject(unaskedLine{ex: al.ex, shard: sh}))
 	}
 	return err
 }
 
-// listed is one attempt in a line.
-type listed struct {
+// attemptLine marshals one attempt in a line.
+type attemptLine struct {
 	service string
-	no      *note
+	ar      *attemptRecord
 	took    time.Duration
 }
 
-// MarshalLogObject adds whom the attempt asked, when, and how it ended.
-func (li listed) MarshalLogObject(oe zapcore.ObjectEncoder) error {
-	no := li.no
-	oe.AddString("Service", li.service)
-	oe.AddString("Server", no.server)
-	oe.AddString("Kind", kindName(no.kind))
-	oe.AddInt64("At", no.at.Milliseconds())
-	if !no.ended {
-		oe.AddInt64("Millis", (li.took - no.at).Milliseconds())
-		oe.AddString("End", endUnderWay)
+// MarshalLogObject adds the server of the attempt, its times and how it ended.
+func (al attemptLine) MarshalLogObject(oe zapcore.ObjectEncoder) error {
+	ar := al.ar
+	oe.AddString("Service", al.service)
+	oe.AddString("Server", ar.server)
+	oe.AddString("Kind", kindName(ar.kind))
+	oe.AddInt64("At", ar.startedAt.Milliseconds())
+	if !ar.ended {
+		oe.AddInt64("Millis", (al.took - ar.startedAt).Milliseconds())
+		oe.AddString("End", endInFlight)
 		return nil
 	}
-	oe.AddInt64("Millis", no.took.Milliseconds())
-	oe.AddString("End", endName(no.outcome, no.moved))
-	if no.status > 0 {
-		oe.AddUint16("Status", no.status)
+	oe.AddInt64("Millis", ar.duration.Milliseconds())
+	oe.AddString("End", endName(ar.outcome, ar.misdirected))
+	if ar.status > 0 {
+		oe.AddUint16("Status", ar.status)
 	}
-	if no.err != nil {
-		oe.AddString("Error", errorText(no.err))
+	if ar.err != nil {
+		oe.AddString("Error", errorText(ar.err))
 	}
 	return nil
 }
 
-// errorText returns what went wrong, without the server, which the line names.
+// errorText returns the error's text without the server, which has a field of its own.
 func errorText(err error) string {
 	var ue *upstream.Error
 	if errors.As(err, &ue) && ue.Err != nil {
 		err = ue.Err
 	}
 	text := err.Error()
-	return text[:min(len(text), mostErrorBytes)]
+	return text[:min(len(text), maxErrorBytes)]
 }
 
-// unasked is a shard for which no backend server was asked.
-type unasked struct {
-	cr    *carrier
+// unaskedLine marshals a shard for which no backend server was asked.
+type unaskedLine struct {
+	ex    *executor
 	shard int
 }
 
-// MarshalLogObject adds why nobody was asked, how many backend servers of the
-// service the instance knows, and how many of them take requests.
-func (un unasked) MarshalLogObject(oe zapcore.ObjectEncoder) error {
-	service := un.cr.services[un.shard]
+// MarshalLogObject adds the cause, and how many backend servers of the service are known
+// and how many are ready.
+func (ul unaskedLine) MarshalLogObject(oe zapcore.ObjectEncoder) error {
+	service := ul.ex.services[ul.shard]
 	oe.AddString("Service", service)
-	oe.AddString("End", endUnasked)
-	oe.AddString("Cause", un.cr.qu.Cause(un.shard).String())
-	known, ready := un.cr.ca.sv.known(service)
+	oe.AddString("End", endNotAsked)
+	oe.AddString("Cause", ul.ex.qu.Cause(ul.shard).String())
+	known, ready := ul.ex.ca.sv.countServers(service)
 	oe.AddInt("Known", known)
 	oe.AddInt("Ready", ready)
 	return nil
 }
 
-// Ends of attempts beyond those of package upstream.
+// How attempts end, besides the outcomes of package upstream.
 const (
-	endUnderWay = "UnderWay" // It had not ended when the request had.
-	endUnasked  = "NotAsked" // No backend server was asked.
-	endMoved    = "Moved"    // The process at the address said that it is another server.
+	endInFlight    = "UnderWay" // still in flight when the request ended
+	endNotAsked    = "NotAsked" // no backend server was asked
+	endMisdirected = "Moved"    // the process at the address reported that it is another server
 )
 
-func endName(ou upstream.Outcome, moved bool) string {
-	if moved {
-		return endMoved
+func endName(ou upstream.Outcome, misdirected bool) string {
+	if misdirected {
+		return endMisdirected
 	}
 	return ou.String()
 }
 
-func kindName(wk scatter.AttemptKind) string {
-	switch wk {
+func kindName(ak scatter.AttemptKind) string {
+	switch ak {
 	case scatter.Hedge:
 		return "Hedge"
 	case scatter.Retry:
@@ -365,9 +369,9 @@
 	}
 }
 
-// known returns how many backend servers of a service the instance knows, and
-// how many of them are ready.
-func (sv *Server) known(service string) (known, ready int) {
+// countServers returns the number of known backend servers of a service, and how many of
+// them are ready.
+func (sv *Server) countServers(service string) (known, ready int) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	for _, se := range sv.servers[service] {
@@ -378,22 +382,22 @@
 	return len(sv.servers[service]), ready
 }
 
-// newsAge returns how long before a time the instance was last told of a change
-// of the backend servers.
-func (sv *Server) newsAge(now time.Time) time.Duration {
-	return max(0, now.Sub(sv.started)-time.Duration(sv.newsAt.Load()))
+// sinceServersChanged returns the time between the last change of the backend servers and
+// now.
+func (sv *Server) sinceServersChanged(now time.Time) time.Duration {
+	return max(0, now.Sub(sv.started)-time.Duration(sv.serversChangedAt.Load()))
 }
 
-// told notes that the instance was told of a change of the backend servers.
-func (sv *Server) told() { sv.newsAt.Store(int64(sv.ts.Now().Sub(sv.started))) }
+// noteServersChanged records that the set of backend servers has changed.
+func (sv *Server) noteServersChanged() { sv.serversChangedAt.Store(int64(sv.ts.Now().Sub(sv.started))) }
 
-// entriesKnown writes a line when the number of entry instances changes, which
-// divides connections and the retry budget.
-func (sv *Server) entriesKnown(was, count int) {
+// logEntryCount logs a change of the number of entry instances, since connections and the
+// retry budget are divided by it.
+func (sv *Server) logEntryCount(was, count int) {
 	if was != count {
 		sv.lg.Info("entries-known", zap.Int("Entries", count), zap.Int("Before", was))
 	}
 }
 
-// superseded reports whether an attempt was ended because its request was over.
+// superseded reports whether an attempt was canceled because its request had ended.
 func superseded(ctx context.Context) bool { return context.Cause(ctx) == upstream.ErrSuperseded }
--- a/gateway/merge_test.go
+++ b/gateway/merge_test.go
@@ -14,14 +14,14 @@
 	"balsamwinch.example/route"
 )
 
-// gives runs the request and answers with a body.
-func gives(body string) act { return says(func(re *reply) { re.body = body }) }
+// respondBody runs the request and answers with a body.
+func respondBody(body string) behavior { return respondWith(func(re *reply) { re.body = body }) }
 
-// rec returns a record that begins with the given text.
-func rec(text string) string { return text + strings.Repeat(".", recordBytes-len(text)) }
+// record returns a record that starts with the given text.
+func record(text string) string { return text + strings.Repeat(".", recordBytes-len(text)) }
 
-// shards returns the names of so many shards.
-func shards(count int) []string {
+// shardNames returns the names of count shards.
+func shardNames(count int) []string {
 	var out []string
 	for ix := range count {
 		out = append(out, fmt.Sprintf("p%d", ix))
@@ -29,112 +29,112 @@
 	return out
 }
 
-// checkMissing fails the test unless so many parts are left out.
+// checkMissing fails the test unless the answer lacks count parts.
 func checkMissing(t *testing.T, an *answer, count int) {
 	t.Helper()
 	qt.Assert(t, an.header[names.MissingParts], qt.DeepEquals, []string{fmt.Sprint(count)})
 }
 
-// A caller gets the hits of a query in a wrong order, or not the best ones, or
-// each of two equal ones only once. A merged answer holds the greatest records of
-// all parts, greatest first, compared byte by byte.
-func TestMerge(t *testing.T) {
+// Guards against hits in the wrong order, hits that are not the best ones, and lost
+// duplicates. A merged answer holds the greatest records of all parts in descending byte
+// order.
+func TestMergeReturnsGreatestRecords(t *testing.T) {
 	tests := []struct {
 		name  string
 		parts []string
-		most  int
+		topK  int
 		want  string
 	}{
-		{"falling", []string{rec("b") + rec("d"), rec("a") + rec("c")}, 10, rec("d") + rec("c") + rec("b") + rec("a")},
-		{"the greatest", []string{rec("b") + rec("d"), rec("a") + rec("c")}, 2, rec("d") + rec("c")},
-		{"all of one part", []string{rec("x") + rec("z") + rec("y"), rec("a")}, 3, rec("z") + rec("y") + rec("x")},
-		{"equal records", []string{rec("a") + rec("a"), rec("a")}, 3, rec("a") + rec("a") + rec("a")},
-		{"bytes without a sign", []string{rec("\xff"), rec("\x7f") + rec("\x00")}, 3, rec("\xff") + rec("\x7f") + rec("\x00")},
-		{"the last byte", []string{strings.Repeat("a", 15) + "b", strings.Repeat("a", 16)}, 2, strings.Repeat("a", 15) + "b" + strings.Repeat("a", 16)},
-		{"a remainder", []string{rec("b") + "zzzz", rec("a") + strings.Repeat("z", 15)}, 5, rec("b") + rec("a")},
-		{"an empty part", []string{"", rec("a")}, 5, rec("a")},
+		{"descending order", []string{record("b") + record("d"), record("a") + record("c")}, 10, record("d") + record("c") + record("b") + record("a")},
+		{"top records", []string{record("b") + record("d"), record("a") + record("c")}, 2, record("d") + record("c")},
+		{"all of one part", []string{record("x") + record("z") + record("y"), record("a")}, 3, record("z") + record("y") + record("x")},
+		{"equal records", []string{record("a") + record("a"), record("a")}, 3, record("a") + record("a") + record("a")},
+		{"unsigned bytes", []string{record("\xff"), record("\x7f") + record("\x00")}, 3, record("\xff") + record("\x7f") + record("\x00")},
+		{"difference in the last byte", []string{strings.Repeat("a", 15) + "b", strings.Repeat("a", 16)}, 2, strings.Repeat("a", 15) + "b" + strings.Repeat("a", 16)},
+		{"partial record", []string{record("b") + "zzzz", record("a") + strings.Repeat("z", 15)}, 5, record("b") + record("a")},
+		{"an empty part", []string{"", record("a")}, 5, record("a")},
 		{"no records", []string{"", "zz"}, 5, ""},
-		{"none wanted", []string{rec("b"), rec("a")}, 0, ""},
-		{"three parts", []string{rec("1"), rec("3"), rec("2")}, 2, rec("3") + rec("2")},
+		{"top 0", []string{record("b"), record("a")}, 0, ""},
+		{"three parts", []string{record("1"), record("3"), record("2")}, 2, record("3") + record("2")},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			onBoth(t, func(t *testing.T, nw network) {
+			onBothNetworks(t, func(t *testing.T, nw network) {
 				rg := newRig(t, nw, setup{})
-				shs := shards(len(tt.parts))
+				shs := shardNames(len(tt.parts))
 				for ix, sh := range shs {
-					rg.serve(sh, 2, gives(tt.parts[ix]))
+					rg.startServers(sh, 2, respondBody(tt.parts[ix]))
 				}
-				rg.table(route.Route{Prefix: "/", Shards: shs, Merge: route.Merge{TopK: tt.most, LeastShare: 1}})
+				rg.setTable(route.Route{Prefix: "/", Shards: shs, Merge: route.Merge{TopK: tt.topK, LeastShare: 1}})
 				an := rg.get("/a?q=1", http.StatusOK)
 				qt.Assert(t, string(an.body), qt.Equals, tt.want)
 				checkMissing(t, an, 0)
-				qt.Assert(t, stampsOf(an), qt.HasLen, len(shs))
+				qt.Assert(t, partStamps(an), qt.HasLen, len(shs))
 				qt.Assert(t, an.header.Values(names.Stamp), qt.HasLen, 0)
 				qt.Assert(t, an.header.Values("Content-Encoding"), qt.HasLen, 0)
-				ars := rg.le.of(an.id)
+				ars := rg.hist.arrivalsOf(an.id)
 				qt.Assert(t, ars, qt.HasLen, len(shs))
 			})
 		})
 	}
 }
 
-// One shard stands still. Just before the aim, so early that the answer reaches
-// the caller within it, the caller gets the parts that are in. The shard counts as
-// left out.
-func TestHoldToAim(t *testing.T) {
+// One shard never answers. The caller gets the other parts just early enough to arrive
+// within the target latency, and the shard counts as missing.
+func TestPartialAnswerAtTargetLatency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const aim = 100 * time.Millisecond
-		rg := newRig(t, newPipes(), setup{})
-		shs := shards(10)
+		rg := newRig(t, newMemNetwork(), setup{})
+		shs := shardNames(10)
 		for _, sh := range shs {
-			rg.serve(sh, 2)
+			rg.startServers(sh, 2)
 		}
-		rg.serve("p7", 1, silent)
-		rg.table(route.Route{Prefix: "/", Timeout: time.Second, Aim: aim, MaxAttempts: 2, Shards: shs, Merge: route.Merge{TopK: 5, LeastShare: 0.89}})
+		rg.startServers("p7", 1, neverAnswer)
+		rg.setTable(route.Route{Prefix: "/", Timeout: time.Second, Aim: aim, MaxAttempts: 2, Shards: shs, Merge: route.Merge{TopK: 5, LeastShare: 0.89}})
 		an := rg.get("/a", http.StatusOK)
 		checkMissing(t, an, 1)
-		qt.Assert(t, an.took, qt.Equals, aim-2*distance-margin)
-		rg.le.awaitEnded(len(rg.le.of(an.id)) - 9)
+		qt.Assert(t, an.took, qt.Equals, aim-2*callerDelay-holdMargin)
+		rg.hist.awaitAborted(len(rg.hist.arrivalsOf(an.id)) - 9)
 	})
 }
 
-// Several shards are slow. Before the least share is in there is no answer to
-// give at the aim, and when it is in later there is no reason to wait on.
-func TestLeastShareLate(t *testing.T) {
+// Several shards are slow. If the required share of parts is not there at the target
+// latency, the answer waits for it, but for nothing beyond it.
+func TestMinShareReachedAfterTargetLatency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rg := newRig(t, newPipes(), setup{})
-		shs := shards(4)
-		rg.serve("p0", 1)
-		rg.serve("p1", 1, paused(150*time.Millisecond, fine))
-		rg.serve("p2", 1, paused(230*time.Millisecond, fine))
-		rg.serve("p3", 1, paused(400*time.Millisecond, fine))
-		rg.table(route.Route{Prefix: "/", Timeout: time.Second, Aim: 100 * time.Millisecond, Shards: shs, Merge: route.Merge{TopK: 5, LeastShare: 0.75}})
+		rg := newRig(t, newMemNetwork(), setup{})
+		shs := shardNames(4)
+		rg.startServers("p0", 1)
+		rg.startServers("p1", 1, delayed(150*time.Millisecond, respondOK))
+		rg.startServers("p2", 1, delayed(230*time.Millisecond, respondOK))
+		rg.startServers("p3", 1, delayed(400*time.Millisecond, respondOK))
+		rg.setTable(route.Route{Prefix: "/", Timeout: time.Second, Aim: 100 * time.Millisecond, Shards: shs, Merge: route.Merge{TopK: 5, LeastShare: 0.75}})
 		an := rg.get("/a", http.StatusOK)
 		checkMissing(t, an, 1)
 		qt.Assert(t, an.took, qt.Equals, 230*time.Millisecond)
 	})
 }
 
-// The least share isn't reached before the end of the caller's time. It gets a
-// failure then, not fewer parts than the operator allows.
-func TestLeastShareNever(t *testing.T) {
+// The required share of parts does not arrive within the caller's timeout. The caller gets
+// a failure, not fewer parts than configured.
+func TestMinShareNotReachedByDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rg := newRig(t, newPipes(), setup{})
-		shs := shards(4)
-		rg.serve("p0", 1)
-		rg.serve("p1", 1)
-		rg.serve("p2", 2, silent)
-		rg.serve("p3", 2, silent)
-		rg.table(route.Route{Prefix: "/", Timeout: time.Second, Aim: 100 * time.Millisecond, Shards: shs, Merge: route.Merge{TopK: 5, LeastShare: 0.75}})
-		an := rg.ask(ask{uri: "/a", waits: 600})
+		rg := newRig(t, newMemNetwork(), setup{})
+		shs := shardNames(4)
+		rg.startServers("p0", 1)
+		rg.startServers("p1", 1)
+		rg.startServers("p2", 2, neverAnswer)
+		rg.startServers("p3", 2, neverAnswer)
+		rg.setTable(route.Route{Prefix: "/", Timeout: time.Second, Aim: 100 * time.Millisecond, Shards: shs, Merge: route.Merge{TopK: 5, LeastShare: 0.75}})
+		an := rg.send(request{uri: "/a", timeoutMillis: 600})
 		rg.checkUnknown(an)
 		qt.Assert(t, an.took, qt.Equals, 600*time.Millisecond)
 	})
 }
 
-// Share of shards, how many of them fail, and whether there is an answer.
-var shareTests = []struct {
+// Number of shards, required share, number of failing shards, and whether there is an
+// answer.
+var minShareTests = []struct {
 	shards int
 	share  float64
 	failed int
@@ -155,26 +155,26 @@
 	{1, 0.5, 1, false},
 }
 
-// Backend servers of some shards answer with failures, which bear a stamp like
-// any answer. A failure is no part: with it the caller would miss a shard's hits
-// without knowing. If too few shards are left, the caller is told at once.
-func TestLeastShare(t *testing.T) {
-	for _, tt := range shareTests {
+// Backend servers of some shards answer with failures, which are stamped like any answer. A
+// failure must not count as a part; otherwise the caller would lack a shard's hits without
+// knowing. If too few shards are left, the caller is told at once.
+func TestMinShareWithFailingShards(t *testing.T) {
+	for _, tt := range minShareTests {
 		t.Run(fmt.Sprint(tt.shards, " ", tt.share, " ", tt.failed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				rg := newRig(t, newPipes(), setup{})
-				shs := shards(tt.shards)
+				rg := newRig(t, newMemNetwork(), setup{})
+				shs := shardNames(tt.shards)
 				for ix, sh := range shs {
 					switch {
 					case ix < tt.failed:
-						rg.serve(sh, 3, fails(500+ix%5))
+						rg.startServers(sh, 3, respondFailure(500+ix%5))
 					case tt.ok:
-						rg.serve(sh, 1, fine)
+						rg.startServers(sh, 1, respondOK)
 					default:
-						rg.serve(sh, 1, paused(50*time.Millisecond, fine))
+						rg.startServers(sh, 1, delayed(50*time.Millisecond, respondOK))
 					}
 				}
-				rg.table(route.Route{
+				rg.setTable(route.Route{
 					Prefix: "/", Timeout: time.Second, Aim: 200 * time.Millisecond, MaxAttempts: 2, Shards: shs,
 					Merge: route.Merge{TopK: 50, LeastShare: tt.share},
 				})
@@ -189,19 +189,19 @@
 	}
 }
 
-// A part comes back as something else than a success: not found, elsewhere,
-// nothing new. It isn't a part either, and the shard's other servers are asked.
-func TestOtherStatusIsNoPart(t *testing.T) {
+// A shard answers with a status other than success, such as 404, 301 or 304. It must not
+// count as a part, and the shard's other servers are asked.
+func TestNonSuccessIsNoPart(t *testing.T) {
 	for _, status := range []int{301, 304, 400, 404, 418, 500, 503, 504} {
 		t.Run(fmt.Sprint(status), func(t *testing.T) {
-			onBoth(t, func(t *testing.T, nw network) {
+			onBothNetworks(t, func(t *testing.T, nw network) {
 				rg := newRig(t, nw, setup{})
-				shs := shards(3)
-				rg.serve("p0", 2)
-				rg.serve("p1", 2, fails(status), fine)
-				rg.serve("p2", 2, fails(status))
-				rg.table(route.Route{
-					Prefix: "/", Timeout: late, Aim: late / 2, MaxAttempts: 2, Shards: shs,
+				shs := shardNames(3)
+				rg.startServers("p0", 2)
+				rg.startServers("p1", 2, respondFailure(status), respondOK)
+				rg.startServers("p2", 2, respondFailure(status))
+				rg.setTable(route.Route{
+					Prefix: "/", Timeout: longTimeout, Aim: longTimeout / 2, MaxAttempts: 2, Shards: shs,
 					Merge: route.Merge{TopK: 50, LeastShare: 0.5},
 				})
 				checkMissing(t, rg.get("/a", http.StatusOK), 1)
@@ -210,71 +210,71 @@
 	}
 }
 
-// A shard's backend servers fail in any way that there is. The other shards' parts
-// make the answer, the shard counts as left out, and it is in the answer again when
-// only the first of its servers fails.
-func TestPartFaults(t *testing.T) {
-	for _, fa := range faultList {
+// A shard's backend servers fail in every known way. The other shards' parts make the
+// answer and the shard counts as missing; if only its first server fails, the shard is
+// included.
+func TestShardFaults(t *testing.T) {
+	for _, fa := range faults {
 		t.Run(fa.name, func(t *testing.T) {
-			onBoth(t, func(t *testing.T, nw network) {
+			onBothNetworks(t, func(t *testing.T, nw network) {
 				rg := newRig(t, nw, setup{})
-				shs := shards(3)
-				rg.serve("p0", 3)
-				rg.serve("p1", 3, fa.ac, fine)
-				rg.serve("p2", 3)
-				rg.table(route.Route{
-					Prefix: "/", Timeout: late, Aim: time.Second, MaxAttempts: 2, Shards: shs,
+				shs := shardNames(3)
+				rg.startServers("p0", 3)
+				rg.startServers("p1", 3, fa.bh, respondOK)
+				rg.startServers("p2", 3)
+				rg.setTable(route.Route{
+					Prefix: "/", Timeout: longTimeout, Aim: time.Second, MaxAttempts: 2, Shards: shs,
 					Merge: route.Merge{TopK: 50, LeastShare: 0.6},
 				})
 				checkMissing(t, rg.get("/1", http.StatusOK), 0)
-				rg.serve("p1", 0, fa.ac)
+				rg.startServers("p1", 0, fa.bh)
 				checkMissing(t, rg.get("/2", http.StatusOK), 1)
 			})
 		})
 	}
 }
 
-// A backend server answers with success but signs nothing, for which there is no
-// reason but a fault. A merged answer that names an empty stamp would be wrong as a
-// whole, and a plain success without a stamp would not count.
-func TestNoStamp(t *testing.T) {
-	unsigned := says(func(re *reply) { re.stamped = false })
-	onBoth(t, func(t *testing.T, nw network) {
+// A backend server answers with success but without a stamp, which only a faulty server
+// does. A merged answer with an empty stamp would be invalid, and so would a single answer
+// without a stamp.
+func TestAnswerWithoutStampIsRejected(t *testing.T) {
+	unsigned := respondWith(func(re *reply) { re.stamped = false })
+	onBothNetworks(t, func(t *testing.T, nw network) {
 		rg := newRig(t, nw, setup{})
-		shs := shards(3)
-		rg.serve("p0", 2)
-		rg.serve("p1", 2, unsigned, fine)
-		rg.serve("p2", 2, unsigned)
-		rg.serve("s", 2, unsigned)
-		rg.table(
-			route.Route{Prefix: "/", Timeout: late, Aim: late / 2, MaxAttempts: 2, Shards: shs, Merge: route.Merge{TopK: 50, LeastShare: 0.5}},
-			route.Route{Prefix: "/s/", Timeout: late, Kind: route.NotRepeatable, Targets: to("s")},
+		shs := shardNames(3)
+		rg.startServers("p0", 2)
+		rg.startServers("p1", 2, unsigned, respondOK)
+		rg.startServers("p2", 2, unsigned)
+		rg.startServers("s", 2, unsigned)
+		rg.setTable(
+			route.Route{Prefix: "/", Timeout: longTimeout, Aim: longTimeout / 2, MaxAttempts: 2, Shards: shs, Merge: route.Merge{TopK: 50, LeastShare: 0.5}},
+			route.Route{Prefix: "/s/", Timeout: longTimeout, Kind: route.NotRepeatable, Targets: singleTarget("s")},
 		)
 		checkMissing(t, rg.get("/a", http.StatusOK), 1)
 		rg.get("/s/", http.StatusBadGateway)
 	})
 }
 
-// An index is divided anew: the next version names other shards. A query begun
-// under the old version ends on its shards, also where it has to ask again; with
-// parts of both, hits would be missing or come twice. The next query is asked of
-// the new shards alone.
+// The index is repartitioned, and the next version of the configuration names other shards.
+// A query that started under the old version must finish on the old shards, including
+// retries; mixed parts would lose or duplicate hits. The next query uses only the new
+// shards.
 func TestTableChangesDuringQuery(t *testing.T) {
-	onBoth(t, func(t *testing.T, nw network) {
+	onBothNetworks(t, func(t *testing.T, nw network) {
 		rg := newRig(t, nw, setup{})
 		gate := make(chan struct{})
 		old, next := []string{"old1", "old2", "old3"}, []string{"new1", "new2", "old3"}
-		rg.serve("old1", 2, held(gate, cutBody), fine)
-		rg.serve("old2", 2, held(gate, fine))
-		rg.serve("old3", 2, held(gate, fine))
-		rg.serve("new1", 2)
-		rg.serve("new2", 2)
+		rg.startServers("old1", 2, heldUntil(gate, truncateBody), respondOK)
+		rg.startServers("old2", 2, heldUntil(gate, respondOK))
+		rg.startServers("old3", 2, heldUntil(gate, respondOK))
+		rg.startServers("new1", 2)
+		rg.startServers("new2", 2)
 		merge := route.Merge{TopK: 100, LeastShare: 0.5}
-		rg.table(route.Route{Prefix: "/", MaxAttempts: 1, Shards: old, Merge: merge})
-		rg.table(route.Route{Prefix: "/", MaxAttempts: 2, Shards: old, Merge: merge})
-		one := rg.begin(ask{uri: "/1"})
-		rg.le.awaitArrivals(3)
-		rg.table(route.Route{Prefix: "/", MaxAttempts: 2, Shards: next, Merge: merge})
+		rg.setTable(route.Route{Prefix: "/", MaxAttempts: 1, Shards: old, Merge: merge})
+		rg.setTable(route.Route{Prefix: "/", MaxAttempts: 2, Shards: old, Merge: merge})
+		one := rg.sendAsync(request{uri: "/1"})
+		rg.hist.awaitArrivals(3)
+		rg.setTable(route.Route{Prefix: "/", MaxAttempts: 2, Shards: next, Merge: merge})
 		close(gate)
 		an := <-one
 		rg.checkStatus(an, http.StatusOK)
@@ -285,39 +285,39 @@
 	})
 }
 
-// checkServices fails the test unless the answer's parts are of these services and
-// no other one was asked.
+// checkServices fails the test unless the answer's parts come from exactly these services
+// and no other one was asked.
 func checkServices(t *testing.T, rg *rig, an *answer, want []string) {
 	t.Helper()
 	want = slices.Sorted(slices.Values(want))
 	var got, asked []string
-	for _, stamp := range stampsOf(an) {
-		got = append(got, rg.le.issued[stamp].service)
+	for _, stamp := range partStamps(an) {
+		got = append(got, rg.hist.stamped[stamp].service)
 	}
-	for _, ar := range rg.le.of(an.id) {
+	for _, ar := range rg.hist.arrivalsOf(an.id) {
 		asked = append(asked, ar.service)
 	}
 	qt.Assert(t, slices.Sorted(slices.Values(got)), qt.DeepEquals, want)
 	qt.Assert(t, slices.Compact(slices.Sorted(slices.Values(asked))), qt.DeepEquals, want)
 }
 
-// Versions follow each other while queries run. Each answer is of one version's
-// shards, whichever that is; the ledger compares.
-func TestTablesAlternate(t *testing.T) {
-	onBoth(t, func(t *testing.T, nw network) {
+// Versions of the configuration alternate while queries run. The history checks that each
+// answer has the shards of a single version.
+func TestAnswerUsesOneTable(t *testing.T) {
+	onBothNetworks(t, func(t *testing.T, nw network) {
 		rg := newRig(t, nw, setup{})
 		sets := [][]string{{"a", "b", "c"}, {"a", "d"}, {"d", "e", "f", "g"}}
 		for _, service := range []string{"a", "b", "c", "d", "e", "f", "g"} {
-			rg.serve(service, 2, after(func(wo *work) bool { return wo.pause(time.Millisecond) }, fine))
+			rg.startServers(service, 2, waitThen(func(wo *work) bool { return wo.waitFor(time.Millisecond) }, respondOK))
 		}
 		change := func(nth int) {
-			rg.table(route.Route{Prefix: "/", Aim: time.Second, MaxAttempts: 2, Shards: sets[nth%len(sets)], Merge: route.Merge{TopK: 5, LeastShare: 1}})
+			rg.setTable(route.Route{Prefix: "/", Aim: time.Second, MaxAttempts: 2, Shards: sets[nth%len(sets)], Merge: route.Merge{TopK: 5, LeastShare: 1}})
 		}
 		change(0)
 		var ans []<-chan *answer
 		for nth := range 30 {
-			ans = append(ans, rg.begin(ask{uri: "/a"}))
-			rg.le.awaitArrivals(nth)
+			ans = append(ans, rg.sendAsync(request{uri: "/a"}))
+			rg.hist.awaitArrivals(nth)
 			change(nth)
 		}
 		for _, an := range ans {
@@ -326,125 +326,125 @@
 	})
 }
 
-// A version takes a service out of use while requests to it are under way. One of
-// them is refused by the server that was asked first and has to go to another one.
-// It still gets a connection there, beside those that are in use.
-func TestServiceOutOfUse(t *testing.T) {
-	onBoth(t, func(t *testing.T, nw network) {
+// A version removes a service while requests to it are in flight. One of them is rejected
+// by its first server and must be retried at another one, where it still gets a connection
+// besides those in use.
+func TestRemovedServiceServesInFlightRequests(t *testing.T) {
+	onBothNetworks(t, func(t *testing.T, nw network) {
 		rg := newRig(t, nw, setup{})
-		refuse, gate := make(chan struct{}), make(chan struct{})
-		rg.any = func(wo *work) act {
+		rejectGate, gate := make(chan struct{}), make(chan struct{})
+		rg.behave = func(wo *work) behavior {
 			switch {
 			case wo.be.service == "t" || wo.nth > 0:
-				return fine
+				return respondOK
 			case wo.ar.uri == "/refused":
-				return after(func(wo *work) bool { return wo.during(refuse) }, shed(http.StatusServiceUnavailable))
+				return waitThen(func(wo *work) bool { return wo.waitWhileOpen(rejectGate) }, rejectNotRun(http.StatusServiceUnavailable))
 			}
-			return held(gate, fine)
+			return heldUntil(gate, respondOK)
 		}
-		rg.serve("s", 2)
-		rg.serve("t", 1)
-		rg.table(route.Route{Prefix: "/", Kind: route.NotRepeatable, Aim: 100 * time.Millisecond, Targets: to("s")})
+		rg.startServers("s", 2)
+		rg.startServers("t", 1)
+		rg.setTable(route.Route{Prefix: "/", Kind: route.NotRepeatable, Aim: 100 * time.Millisecond, Targets: singleTarget("s")})
 		var ans []<-chan *answer
 		for _, uri := range []string{"/1", "/2", "/3", "/4", "/refused"} {
-			ans = append(ans, rg.begin(ask{uri: uri}))
+			ans = append(ans, rg.sendAsync(request{uri: uri}))
 		}
-		rg.le.awaitArrivals(len(ans))
-		rg.table(route.Route{Prefix: "/", Kind: route.NotRepeatable, Aim: 100 * time.Millisecond, Targets: to("t")})
-		close(refuse)
+		rg.hist.awaitArrivals(len(ans))
+		rg.setTable(route.Route{Prefix: "/", Kind: route.NotRepeatable, Aim: 100 * time.Millisecond, Targets: singleTarget("t")})
+		close(rejectGate)
 		rg.checkStatus(<-ans[4], http.StatusOK)
 		close(gate)
 		for _, an := range ans[:4] {
 			rg.checkStatus(<-an, http.StatusOK)
 		}
 		an := rg.get("/after", http.StatusOK)
-		rg.le.checkArrived(an.id, "t")
+		rg.hist.checkArrived(an.id, "t")
 	})
 }
 
-// Two backend servers of a shard both answer, the first one late. One part of each
-// shard is in the answer: hits would come twice otherwise. And a part that comes
-// late is none of the next query.
+// Two backend servers of a shard both answer, the first one late. The answer must hold one
+// part of each shard, or hits would be duplicated. A late part must not appear in the next
+// answer.
 func TestOnePartOfEachShard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rg := newRig(t, newPipes(), setup{})
-		shs := shards(3)
+		rg := newRig(t, newMemNetwork(), setup{})
+		shs := shardNames(3)
 		for _, sh := range shs {
-			rg.serve(sh, 2, paused(60*time.Millisecond, fine), paused(20*time.Millisecond, fine))
+			rg.startServers(sh, 2, delayed(60*time.Millisecond, respondOK), delayed(20*time.Millisecond, respondOK))
 		}
-		rg.table(route.Route{Prefix: "/", Timeout: time.Second, MaxAttempts: 2, Shards: shs, Merge: route.Merge{TopK: 100, LeastShare: 1}})
+		rg.setTable(route.Route{Prefix: "/", Timeout: time.Second, MaxAttempts: 2, Shards: shs, Merge: route.Merge{TopK: 100, LeastShare: 1}})
 		var before []string
 		for range 20 {
 			an := rg.get("/a", http.StatusOK)
 			checkMissing(t, an, 0)
 			checkServices(t, rg, an, shs)
-			for _, stamp := range stampsOf(an) {
+			for _, stamp := range partStamps(an) {
 				qt.Assert(t, slices.Contains(before, stamp), qt.IsFalse)
 				before = append(before, stamp)
 			}
 		}
-		qt.Assert(t, len(rg.le.of("")) > 60, qt.IsTrue, qt.Commentf("some were hedged"))
+		qt.Assert(t, len(rg.hist.arrivalsOf("")) > 60, qt.IsTrue, qt.Commentf("some were hedged"))
 	})
 }
 
-// A shard has no backend server at all. The others' parts are given while there
-// is time to come within the aim, and nothing is waited for beyond it.
+// A shard has no backend server. The other shards' parts are returned in time for the
+// target latency, and the request does not wait longer.
 func TestShardWithoutServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const aim = 100 * time.Millisecond
-		rg := newRig(t, newPipes(), setup{})
-		rg.serve("p0", 1)
-		rg.serve("p1", 1)
-		rg.table(
-			route.Route{Prefix: "/some/", Timeout: time.Second, Aim: aim, Shards: shards(3), Merge: route.Merge{TopK: 5, LeastShare: 0.6}},
-			route.Route{Prefix: "/all/", Timeout: time.Second, Aim: aim, Shards: shards(3), Merge: route.Merge{TopK: 5, LeastShare: 1}},
+		rg := newRig(t, newMemNetwork(), setup{})
+		rg.startServers("p0", 1)
+		rg.startServers("p1", 1)
+		rg.setTable(
+			route.Route{Prefix: "/some/", Timeout: time.Second, Aim: aim, Shards: shardNames(3), Merge: route.Merge{TopK: 5, LeastShare: 0.6}},
+			route.Route{Prefix: "/all/", Timeout: time.Second, Aim: aim, Shards: shardNames(3), Merge: route.Merge{TopK: 5, LeastShare: 1}},
 		)
 		an := rg.get("/some/", http.StatusOK)
 		checkMissing(t, an, 1)
 		qt.Assert(t, an.took < aim, qt.IsTrue)
-		an = rg.ask(ask{uri: "/all/"})
+		an = rg.send(request{uri: "/all/"})
 		qt.Assert(t, an.status >= 500, qt.IsTrue)
-		qt.Assert(t, an.took <= aim, qt.IsTrue, qt.Commentf("held for %v", an.took))
+		qt.Assert(t, an.took <= aim, qt.IsTrue, qt.Commentf("took %v", an.took))
 	})
 }
 
-// All shards refuse a query, so nothing has run, and the caller is told so; with
-// one part that ran, it isn't.
+// If all shards reject a query, nothing has run, and the answer says so; if one part ran,
+// it must not.
 //
-// If every shard is needed, the query fails with the first that all its servers refused.
-// Over sockets an attempt of another shard may still be under way then, of which nobody
-// can say that it won't run: that case is told in the bubble, where replies come together.
-// Over sockets one shard is enough for an answer, so that the query fails with the last.
-func TestShardsRefuse(t *testing.T) {
-	refuse := func(t *testing.T, nw network, least float64, ran bool, status int) {
+// If every shard is needed, the query fails as soon as all servers of one shard have
+// rejected it. Over sockets, an attempt of another shard may still be in flight then and
+// may run, so this case is tested only in virtual time, where replies arrive together. Over
+// sockets, one shard is enough for an answer, so that the query fails with the last shard.
+func TestAllShardsReject(t *testing.T) {
+	test := func(t *testing.T, nw network, minShare float64, ran bool, status int) {
 		rg := newRig(t, nw, setup{})
-		shs := shards(3)
+		shs := shardNames(3)
 		for _, sh := range shs {
-			rg.serve(sh, 2, shed(http.StatusServiceUnavailable))
+			rg.startServers(sh, 2, rejectNotRun(http.StatusServiceUnavailable))
 		}
 		if ran {
-			rg.serve("p0", 0, fine)
+			rg.startServers("p0", 0, respondOK)
 		}
-		rg.table(route.Route{Prefix: "/", Timeout: time.Second, Aim: 100 * time.Millisecond, MaxAttempts: 2, Shards: shs, Merge: route.Merge{TopK: 5, LeastShare: least}})
+		rg.setTable(route.Route{Prefix: "/", Timeout: time.Second, Aim: 100 * time.Millisecond, MaxAttempts: 2, Shards: shs, Merge: route.Merge{TopK: 5, LeastShare: minShare}})
 		rg.get("/a", status)
 	}
-	onBoth(t, func(t *testing.T, nw network) { refuse(t, nw, 0.3, false, http.StatusServiceUnavailable) })
-	onBoth(t, func(t *testing.T, nw network) { refuse(t, nw, 1, true, http.StatusBadGateway) })
-	synctest.Test(t, func(t *testing.T) { refuse(t, newPipes(), 1, false, http.StatusServiceUnavailable) })
+	onBothNetworks(t, func(t *testing.T, nw network) { test(t, nw, 0.3, false, http.StatusServiceUnavailable) })
+	onBothNetworks(t, func(t *testing.T, nw network) { test(t, nw, 1, true, http.StatusBadGateway) })
+	synctest.Test(t, func(t *testing.T) { test(t, newMemNetwork(), 1, false, http.StatusServiceUnavailable) })
 }
 
-// A query with a body goes to each shard whole, and many at once do not mix.
-func TestQueriesAtOnce(t *testing.T) {
-	onBoth(t, func(t *testing.T, nw network) {
+// A query's body must reach each shard complete, and concurrent queries must not mix.
+func TestConcurrentQueriesDoNotMix(t *testing.T) {
+	onBothNetworks(t, func(t *testing.T, nw network) {
 		rg := newRig(t, nw, setup{})
-		shs := shards(5)
+		shs := shardNames(5)
 		for _, sh := range shs {
-			rg.serve(sh, 2)
+			rg.startServers(sh, 2)
 		}
-		rg.table(route.Route{Prefix: "/", MaxAttempts: 2, Shards: shs, Merge: route.Merge{TopK: 7, LeastShare: 1}})
+		rg.setTable(route.Route{Prefix: "/", MaxAttempts: 2, Shards: shs, Merge: route.Merge{TopK: 7, LeastShare: 1}})
 		var ans []<-chan *answer
 		for nth := range 40 {
-			ans = append(ans, rg.begin(ask{uri: fmt.Sprint("/q?", nth), body: strings.Repeat(fmt.Sprint(nth), 2000)}))
+			ans = append(ans, rg.sendAsync(request{uri: fmt.Sprint("/q?", nth), body: strings.Repeat(fmt.Sprint(nth), 2000)}))
 		}
 		for _, ch := range ans {
 			an := <-ch
@@ -454,23 +454,23 @@
 	})
 }
 
-// Requests wait at the backend servers, as their replies say. What the next requests
-// are read into must not hide that: the limit falls, and each answer is made of its own
-// parts, be they longer or shorter than those before.
-func TestRecycledReplies(t *testing.T) {
-	onBoth(t, func(t *testing.T, nw network) {
-		rg := newRig(t, nw, setup{mostActive: 100})
-		shs := shards(2)
+// Replies report requests that wait at the backend servers. Reading the next replies into
+// recycled buffers must not hide that: the admission limit falls, and each answer is made
+// of its own parts, whether they are longer or shorter than earlier ones.
+func TestRecycledRepliesDoNotLeak(t *testing.T) {
+	onBothNetworks(t, func(t *testing.T, nw network) {
+		rg := newRig(t, nw, setup{maxInFlight: 100})
+		shs := shardNames(2)
 		for ix, count := range []int{40, 1, 9, 70} {
 			for _, sh := range shs {
-				rg.serve(sh, 1-min(ix, 1), says(func(re *reply) {
-					re.body = strings.Repeat(rec(fmt.Sprint(sh, ix)), count)
+				rg.startServers(sh, 1-min(ix, 1), respondWith(func(re *reply) {
+					re.body = strings.Repeat(record(fmt.Sprint(sh, ix)), count)
 					re.lines = append(re.lines, names.ServerLoad+": 3,9,8")
 				}))
 			}
-			rg.table(route.Route{Prefix: "/", Shards: shs, Merge: route.Merge{TopK: 3 * count, LeastShare: 1}})
+			rg.setTable(route.Route{Prefix: "/", Shards: shs, Merge: route.Merge{TopK: 3 * count, LeastShare: 1}})
 			an := rg.get("/a", http.StatusOK)
-			want := strings.Repeat(rec(fmt.Sprint("p1", ix)), count) + strings.Repeat(rec(fmt.Sprint("p0", ix)), count)
+			want := strings.Repeat(record(fmt.Sprint("p1", ix)), count) + strings.Repeat(record(fmt.Sprint("p0", ix)), count)
 			qt.Assert(t, string(an.body), qt.Equals, want)
 		}
 		qt.Assert(t, rg.gw.ad.Limit("p0") < 100, qt.IsTrue)
--- a/gateway/meters_test.go
+++ b/gateway/metrics_test.go
@@ -18,7 +18,8 @@
 	"balsamwinch.example/upstream"
 )
 
-// series returns the lines of the metrics that begin with a prefix and aren't 0.
+// series returns the lines of the metrics that start with one of the prefixes and are not
+// 0.
 func series(sv *Server, prefixes ...string) []string {
 	var bu bytes.Buffer
 	sv.WriteMetrics(&bu)
@@ -31,13 +32,13 @@
 	return out
 }
 
-func TestMetersOfRequests(t *testing.T) {
-	onLogged(t, func(t *testing.T, lo *logged) {
-		lo.ask(t.Context())
-		lo.configure(route.Route{Shards: []string{"s-1", "s-2"}, Aim: 60 * time.Millisecond, Merge: route.Merge{TopK: 5, RecordBytes: 16, LeastShare: 0.5}})
-		lo.serve("s-1", "i-1", good)
-		lo.ask(t.Context())
-		qt.Assert(t, series(lo.sv, "balsamwinch_requests_", "balsamwinch_attempts_total", "balsamwinch_parts", "balsamwinch_configuration", "balsamwinch_backend", "balsamwinch_entry"),
+func TestRequestMetrics(t *testing.T) {
+	withLogRig(t, func(t *testing.T, lr *logRig) {
+		lr.send(t.Context())
+		lr.setRoute(route.Route{Shards: []string{"s-1", "s-2"}, Aim: 60 * time.Millisecond, Merge: route.Merge{TopK: 5, RecordBytes: 16, LeastShare: 0.5}})
+		lr.serve("s-1", "i-1", respondRecord)
+		lr.send(t.Context())
+		qt.Assert(t, series(lr.sv, "balsamwinch_requests_", "balsamwinch_attempts_total", "balsamwinch_parts", "balsamwinch_configuration", "balsamwinch_backend", "balsamwinch_entry"),
 			qt.DeepEquals, []string{
 				`balsamwinch_attempts_total{service="s-1",kind="First"} 1`,
 				`balsamwinch_backend_servers 1`,
@@ -48,24 +49,24 @@
 				`balsamwinch_requests_total{route="none",status="503"} 1`,
 				`balsamwinch_requests_total{route="quotes",status="2xx"} 1`,
 			})
-		qt.Assert(t, series(lo.sv, `balsamwinch_request_seconds_count{route="quotes"}`), qt.HasLen, 1)
+		qt.Assert(t, series(lr.sv, `balsamwinch_request_seconds_count{route="quotes"}`), qt.HasLen, 1)
 	})
 }
 
-// The end of an attempt is counted where it ends, which for one that was given up
-// is after the answer.
-func TestMetersOfAttempts(t *testing.T) {
-	onLogged(t, func(t *testing.T, lo *logged) {
-		lo.configure(route.Route{Targets: plain(), Kind: route.NotRepeatable})
-		lo.serve("desk", "i-1", func(wr http.ResponseWriter, _ *http.Request) { wr.WriteHeader(500) })
-		lo.ask(t.Context())
-		qt.Assert(t, series(lo.sv, "balsamwinch_attempts_ended"), qt.DeepEquals, []string{`balsamwinch_attempts_ended_total{service="desk",end="Failed"} 1`})
+// The end of an attempt is counted when the attempt ends; for an abandoned one, that is
+// after the answer.
+func TestAttemptMetrics(t *testing.T) {
+	withLogRig(t, func(t *testing.T, lr *logRig) {
+		lr.setRoute(route.Route{Targets: deskTarget(), Kind: route.NotRepeatable})
+		lr.serve("desk", "i-1", func(wr http.ResponseWriter, _ *http.Request) { wr.WriteHeader(500) })
+		lr.send(t.Context())
+		qt.Assert(t, series(lr.sv, "balsamwinch_attempts_ended"), qt.DeepEquals, []string{`balsamwinch_attempts_ended_total{service="desk",end="Failed"} 1`})
 	})
 }
 
 func TestEndLabel(t *testing.T) {
 	free := context.Background()
-	over, cancel := context.WithCancelCause(free)
+	superseded, cancel := context.WithCancelCause(free)
 	cancel(upstream.ErrSuperseded)
 	left, leave := context.WithCancel(free)
 	leave()
@@ -82,7 +83,7 @@
 		{free, upstream.Result{Outcome: upstream.Lost}, "Lost"},
 		{free, upstream.Result{Outcome: upstream.Wrong}, "Wrong"},
 		{free, upstream.Result{Outcome: upstream.TimedOut}, "TimedOut"},
-		{over, upstream.Result{Outcome: upstream.Canceled}, "Superseded"},
+		{superseded, upstream.Result{Outcome: upstream.Canceled}, "Superseded"},
 		{left, upstream.Result{Outcome: upstream.Canceled}, "Canceled"},
 		{free, upstream.Result{Outcome: upstream.NoConnection}, "NoConnection"},
 	}
@@ -100,9 +101,9 @@
 	}
 }
 
-// Operators name routes. A name with a quote or a line break would make the page
-// unreadable, and the library ends the process for it.
-func TestLabelOf(t *testing.T) {
+// Operators choose the names of routes. A name with a quote or a line break would make the
+// metrics page unreadable, and the metrics library ends the process for it.
+func TestSanitizeLabel(t *testing.T) {
 	tests := []struct{ name, want string }{
 		{"", noLabel},
 		{"quotes", "quotes"},
@@ -110,42 +111,42 @@
 		{`a"} 1`, "a__ 1"},
 		{"a\nb\\c{d}", "a_b_c_d_"},
 		{"größe", "gr__e"},
-		{strings.Repeat("x", 200), strings.Repeat("x", mostLabelBytes)},
+		{strings.Repeat("x", 200), strings.Repeat("x", maxLabelBytes)},
 	}
-	lo := newLogged(t)
+	lr := newLogRig(t)
 	for _, tt := range tests {
-		qt.Check(t, labelOf(tt.name), qt.Equals, tt.want)
-		lo.sv.mt.route(tt.name).count(0)
-		lo.sv.mt.service(tt.name).end(0)
+		qt.Check(t, sanitizeLabel(tt.name), qt.Equals, tt.want)
+		lr.sv.metrics.route(tt.name).countStatus(0)
+		lr.sv.metrics.service(tt.name).countEnd(0)
 	}
-	qt.Assert(t, series(lo.sv, "balsamwinch_requests_total"), qt.HasLen, len(tests))
+	qt.Assert(t, series(lr.sv, "balsamwinch_requests_total"), qt.HasLen, len(tests))
 }
 
-// A configuration with hundreds of routes comes again and again with other names.
-// The page and the memory must not grow with every one.
-func TestMetersAreBounded(t *testing.T) {
-	lo := newLogged(t)
-	for number := range 3 * mostLabels {
-		lo.sv.mt.route(fmt.Sprint("r-", number)).count(0)
-		lo.sv.mt.service(fmt.Sprint("s-", number)).end(0)
+// Configurations with hundreds of routes, each time with other names, must not make the
+// metrics page and the memory grow without bound.
+func TestMetricLabelsAreBounded(t *testing.T) {
+	lr := newLogRig(t)
+	for number := range 3 * maxLabels {
+		lr.sv.metrics.route(fmt.Sprint("r-", number)).countStatus(0)
+		lr.sv.metrics.service(fmt.Sprint("s-", number)).countEnd(0)
 	}
-	qt.Assert(t, *lo.sv.mt.routes.Load(), qt.HasLen, mostLabels+1)
-	qt.Assert(t, *lo.sv.mt.services.Load(), qt.HasLen, mostLabels+1)
-	qt.Assert(t, series(lo.sv, `balsamwinch_requests_total{route="other"`), qt.DeepEquals,
-		[]string{fmt.Sprintf(`balsamwinch_requests_total{route="other",status="2xx"} %d`, 2*mostLabels)})
-	qt.Assert(t, series(lo.sv, `balsamwinch_attempts_ended_total{service="other"`), qt.DeepEquals,
-		[]string{fmt.Sprintf(`balsamwinch_attempts_ended_total{service="other",end="Answered"} %d`, 2*mostLabels)})
+	qt.Assert(t, *lr.sv.metrics.routes.Load(), qt.HasLen, maxLabels+1)
+	qt.Assert(t, *lr.sv.metrics.services.Load(), qt.HasLen, maxLabels+1)
+	qt.Assert(t, series(lr.sv, `balsamwinch_requests_total{route="other"`), qt.DeepEquals,
+		[]string{fmt.Sprintf(`balsamwinch_requests_total{route="other",status="2xx"} %d`, 2*maxLabels)})
+	qt.Assert(t, series(lr.sv, `balsamwinch_attempts_ended_total{service="other"`), qt.DeepEquals,
+		[]string{fmt.Sprintf(`balsamwinch_attempts_ended_total{service="other",end="Answered"} %d`, 2*maxLabels)})
 }
 
-// Each request is counted some thirty times; that must cost it nothing to speak of.
-func TestMetersAllocateNothing(t *testing.T) {
-	lo := newLogged(t)
-	ca := &call{sv: lo.sv, ro: &route.Route{Name: "quotes"}, status: 200, code: result.Complete}
+// Each request updates about thirty counters, which must not allocate.
+func TestMetricsDoNotAllocate(t *testing.T) {
+	lr := newLogRig(t)
+	ca := &call{sv: lr.sv, ro: &route.Route{Name: "quotes"}, status: 200, code: result.Complete}
 	rs := upstream.Result{Outcome: upstream.Answered, Reply: &upstream.Reply{Status: 200}}
 	ctx := t.Context()
 	qt.Assert(t, testing.AllocsPerRun(100, func() {
-		lo.sv.mt.request(ca, time.Millisecond, false)
-		lo.sv.mt.began("desk", scatter.First)
-		lo.sv.mt.ended(ctx, "desk", rs)
+		lr.sv.metrics.countRequest(ca, time.Millisecond, false)
+		lr.sv.metrics.countAttempt("desk", scatter.First)
+		lr.sv.metrics.countAttemptEnd(ctx, "desk", rs)
 	}), qt.Equals, 0.0)
 }
--- a/gateway/network_test.go
+++ b/gateway/network_test.go
@@ -12,7 +12,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// network is what callers, the gateway and backend servers of a test meet on.
+// network connects callers, the gateway and backend servers of a test.
 type network interface {
 	// listen opens a listener at an address of its own.
 	listen(tb testing.TB) net.Listener
@@ -20,7 +20,7 @@
 	dial(ctx context.Context, address string) (net.Conn, error)
 }
 
-// loopback is the machine's own network, with real sockets.
+// loopback is the loopback interface, with real sockets.
 type loopback struct{}
 
 func (loopback) listen(tb testing.TB) net.Listener {
@@ -34,42 +34,42 @@
 	return di.DialContext(ctx, "tcp", address)
 }
 
-// pipes is a network in memory for tests with synctest's time: a goroutine that
-// waits for a real socket would hold that time up.
-type pipes struct {
-	mu        sync.Mutex
-	listeners map[string]*pipeListener
-	dark      map[string]bool // dark are addresses from which nothing ever comes.
-	last      int
+// memNetwork is an in-memory network for tests in synctest's virtual time, which stands
+// still while a goroutine waits for a real socket.
+type memNetwork struct {
+	mu         sync.Mutex
+	listeners  map[string]*memListener
+	blackholed map[string]bool // addresses that never answer connection attempts
+	last       int
 }
 
-func newPipes() *pipes {
-	return &pipes{listeners: make(map[string]*pipeListener), dark: make(map[string]bool)}
+func newMemNetwork() *memNetwork {
+	return &memNetwork{listeners: make(map[string]*memListener), blackholed: make(map[string]bool)}
 }
 
-// darken makes connections to an address never open.
-func (pi *pipes) darken(address string) {
-	pi.mu.Lock()
-	defer pi.mu.Unlock()
-	pi.dark[address] = true
+// blackhole makes connection attempts to an address hang.
+func (mn *memNetwork) blackhole(address string) {
+	mn.mu.Lock()
+	defer mn.mu.Unlock()
+	mn.blackholed[address] = true
 }
 
-func (pi *pipes) listen(testing.TB) net.Listener {
-	pi.mu.Lock()
-	defer pi.mu.Unlock()
-	pi.last++
-	li := &pipeListener{address: pipeAddress(fmt.Sprintf("10.0.0.%d:80", pi.last)), ch: make(chan net.Conn), done: make(chan struct{})}
-	pi.listeners[li.address.String()] = li
+func (mn *memNetwork) listen(testing.TB) net.Listener {
+	mn.mu.Lock()
+	defer mn.mu.Unlock()
+	mn.last++
+	li := &memListener{address: memAddress(fmt.Sprintf("10.0.0.%d:80", mn.last)), ch: make(chan net.Conn), done: make(chan struct{})}
+	mn.listeners[li.address.String()] = li
 	return li
 }
 
 var errRefused = errors.New("connection refused")
 
-func (pi *pipes) dial(ctx context.Context, address string) (net.Conn, error) {
-	pi.mu.Lock()
-	li, dark := pi.listeners[address], pi.dark[address]
-	pi.mu.Unlock()
-	if dark {
+func (mn *memNetwork) dial(ctx context.Context, address string) (net.Conn, error) {
+	mn.mu.Lock()
+	li, hangs := mn.listeners[address], mn.blackholed[address]
+	mn.mu.Unlock()
+	if hangs {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -87,38 +87,38 @@
 	}
 }
 
-type pipeAddress string
+type memAddress string
 
-func (pipeAddress) Network() string   { return "tcp" }
-func (pa pipeAddress) String() string { return string(pa) }
+func (memAddress) Network() string   { return "tcp" }
+func (ma memAddress) String() string { return string(ma) }
 
-type pipeListener struct {
-	address pipeAddress
+type memListener struct {
+	address memAddress
 	ch      chan net.Conn
 	done    chan struct{}
 	once    sync.Once
 }
 
-func (pl *pipeListener) Accept() (net.Conn, error) {
+func (ml *memListener) Accept() (net.Conn, error) {
 	select {
-	case nc := <-pl.ch:
+	case nc := <-ml.ch:
 		return nc, nil
-	case <-pl.done:
+	case <-ml.done:
 		return nil, net.ErrClosed
 	}
 }
 
-func (pl *pipeListener) Close() error {
-	pl.once.Do(func() { close(pl.done) })
+func (ml *memListener) Close() error {
+	ml.once.Do(func() { close(ml.done) })
 	return nil
 }
 
-func (pl *pipeListener) Addr() net.Addr { return pl.address }
+func (ml *memListener) Addr() net.Addr { return ml.address }
 
-// onBoth runs a test over real sockets and over pipes in synctest's time.
-func onBoth(t *testing.T, test func(t *testing.T, nw network)) {
+// onBothNetworks runs a test over real sockets, and over memNetwork in virtual time.
+func onBothNetworks(t *testing.T, test func(t *testing.T, nw network)) {
 	t.Run("sockets", func(t *testing.T) { test(t, loopback{}) })
 	t.Run("pipes", func(t *testing.T) {
-		synctest.Test(t, func(t *testing.T) { test(t, newPipes()) })
+		synctest.Test(t, func(t *testing.T) { test(t, newMemNetwork()) })
 	})
 }
--- a/gateway/pass_test.go
+++ b/gateway/pass_test.go
@@ -14,8 +14,8 @@
 	"balsamwinch.example/route"
 )
 
-// own are the headers of a request that the gateway sets itself.
-func own(he http.Header) http.Header {
+// takeGatewayHeaders removes the headers that the gateway sets itself, and returns them.
+func takeGatewayHeaders(he http.Header) http.Header {
 	out := http.Header{}
 	for name := range he {
 		switch name {
@@ -27,70 +27,69 @@
 	return out
 }
 
-// A service answers a caller otherwise through the gateway than when it is asked
-// directly: a path was cleaned, a body lost its end or its length, a header was
-// dropped or joined with another. Whatever the request is, the backend server
-// gets the caller's bytes.
-func TestRequestUnchanged(t *testing.T) {
+// Guards against requests that the gateway alters: a cleaned path, a body without its end
+// or its length, a dropped or joined header. The backend server must get the caller's
+// bytes.
+func TestRequestForwardedUnchanged(t *testing.T) {
 	long := strings.Repeat("0123456789abcdef", limits.BodyBytes/16)
 	tests := []struct {
 		name  string
-		as    ask
-		lines []string // lines are those that arrive; those that were sent if nil.
+		rq    request
+		lines []string // arriving header lines; the sent ones if nil
 	}{
-		{name: "plain", as: ask{uri: "/"}},
-		{name: "query", as: ask{uri: "/a?b=c&&d=%20?e;f"}},
-		{name: "escapes", as: ask{uri: "/a%2Fb/%41/%C3%BC/;x=y"}},
-		{name: "dots and slashes", as: ask{uri: "//a/../b/./c//"}},
-		{name: "empty query", as: ask{uri: "/a?"}},
-		{name: "host with a port", as: ask{uri: "/", host: "A.Example:8080"}},
-		{name: "HEAD", as: ask{uri: "/a", method: http.MethodHead}},
-		{name: "DELETE", as: ask{uri: "/a", method: http.MethodDelete}},
-		{name: "OPTIONS", as: ask{uri: "/a", method: http.MethodOptions}},
-		{name: "unknown method", as: ask{uri: "/a", method: "PURGE"}},
-		{name: "POST", as: ask{uri: "/a", body: "a\r\n\x00\xff"}},
-		{name: "POST without a body", as: ask{uri: "/a", method: http.MethodPost, lines: []string{"Content-Length: 0"}}},
-		{name: "POST in chunks", as: ask{uri: "/a", body: long[:5000], chunked: true}, lines: []string{"Content-Length: 5000"}},
-		{name: "no chunks", as: ask{uri: "/a", method: http.MethodPut, chunked: true}, lines: []string{"Content-Length: 0"}},
-		{name: "GET with a body", as: ask{uri: "/a", method: http.MethodGet, body: "abc"}},
-		{name: "longest body", as: ask{uri: "/a", body: long}},
-		{name: "longest body in chunks", as: ask{uri: "/a", body: long, chunked: true}, lines: []string{"Content-Length: " + strconv.Itoa(len(long))}},
-		{name: "headers", as: ask{uri: "/a", lines: []string{
+		{name: "plain", rq: request{uri: "/"}},
+		{name: "query", rq: request{uri: "/a?b=c&&d=%20?e;f"}},
+		{name: "escapes", rq: request{uri: "/a%2Fb/%41/%C3%BC/;x=y"}},
+		{name: "dots and slashes", rq: request{uri: "//a/../b/./c//"}},
+		{name: "empty query", rq: request{uri: "/a?"}},
+		{name: "host with a port", rq: request{uri: "/", host: "A.Example:8080"}},
+		{name: "HEAD", rq: request{uri: "/a", method: http.MethodHead}},
+		{name: "DELETE", rq: request{uri: "/a", method: http.MethodDelete}},
+		{name: "OPTIONS", rq: request{uri: "/a", method: http.MethodOptions}},
+		{name: "unknown method", rq: request{uri: "/a", method: "PURGE"}},
+		{name: "POST", rq: request{uri: "/a", body: "a\r\n\x00\xff"}},
+		{name: "POST without a body", rq: request{uri: "/a", method: http.MethodPost, lines: []string{"Content-Length: 0"}}},
+		{name: "POST in chunks", rq: request{uri: "/a", body: long[:5000], chunked: true}, lines: []string{"Content-Length: 5000"}},
+		{name: "zero chunks", rq: request{uri: "/a", method: http.MethodPut, chunked: true}, lines: []string{"Content-Length: 0"}},
+		{name: "GET with a body", rq: request{uri: "/a", method: http.MethodGet, body: "abc"}},
+		{name: "longest body", rq: request{uri: "/a", body: long}},
+		{name: "longest body in chunks", rq: request{uri: "/a", body: long, chunked: true}, lines: []string{"Content-Length: " + strconv.Itoa(len(long))}},
+		{name: "headers", rq: request{uri: "/a", lines: []string{
 			"X-One: b", "X-One: a", "Cookie: a=b; c=d", "Accept-Encoding: gzip", "User-Agent: x/1 (y)", "Empty:", "Authorization: Basic YTpi", "If-None-Match: \"x\"",
 		}}},
-		{name: "headers of the connection", as: ask{uri: "/a", lines: []string{
+		{name: "hop-by-hop headers", rq: request{uri: "/a", lines: []string{
 			"Connection: keep-alive, X-Hop", "Keep-Alive: timeout=3", "X-Hop: 1", "Te: trailers", "Proxy-Authorization: x", "Upgrade: h2c", "X-End: 1",
 		}}, lines: []string{"X-End: 1"}},
-		{name: "headers of the gateway", as: ask{uri: "/a", lines: []string{names.ExpectServer + ": somebody-else"}}, lines: []string{}},
+		{name: "headers that the gateway sets", rq: request{uri: "/a", lines: []string{names.ExpectServer + ": somebody-else"}}, lines: []string{}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			onBoth(t, func(t *testing.T, nw network) {
+			onBothNetworks(t, func(t *testing.T, nw network) {
 				rg := newRig(t, nw, setup{})
-				be := rg.serve("s", 1)[0]
-				rg.table(route.Route{Prefix: "/", Targets: to("s")})
-				an := rg.ask(tt.as)
+				be := rg.startServers("s", 1)[0]
+				rg.setTable(route.Route{Prefix: "/", Targets: singleTarget("s")})
+				an := rg.send(tt.rq)
 				rg.checkStatus(an, http.StatusOK)
-				ars := rg.le.of(an.id)
+				ars := rg.hist.arrivalsOf(an.id)
 				qt.Assert(t, ars, qt.HasLen, 1)
-				ours := own(ars[0].header)
+				ours := takeGatewayHeaders(ars[0].header)
 				qt.Assert(t, ours[names.RequestID], qt.DeepEquals, []string{an.id})
 				qt.Assert(t, ours[names.ExpectServer], qt.DeepEquals, []string{be.id})
 				lines := tt.lines
 				if lines == nil {
-					lines = tt.as.lines
+					lines = tt.rq.lines
 				}
-				if tt.as.body != "" && !tt.as.chunked {
-					lines = append(lines, "Content-Length: "+strconv.Itoa(len(tt.as.body)))
+				if tt.rq.body != "" && !tt.rq.chunked {
+					lines = append(lines, "Content-Length: "+strconv.Itoa(len(tt.rq.body)))
 				}
-				qt.Assert(t, ars[0].header, qt.DeepEquals, headerOf(lines))
-				qt.Assert(t, ars[0].body == tt.as.body, qt.IsTrue)
+				qt.Assert(t, ars[0].header, qt.DeepEquals, parseHeader(lines))
+				qt.Assert(t, ars[0].body == tt.rq.body, qt.IsTrue)
 			})
 		})
 	}
 }
 
-func headerOf(lines []string) http.Header {
+func parseHeader(lines []string) http.Header {
 	he := http.Header{}
 	for _, li := range lines {
 		name, value, _ := strings.Cut(li, ":")
@@ -99,18 +98,18 @@
 	return he
 }
 
-// A caller gets another answer than the backend server gave: a guessed content
-// type, a date, a length where there was none, a body after HEAD. Status, headers
-// and body come back as they were, but for headers that concern one connection.
-func TestAnswerUnchanged(t *testing.T) {
+// Guards against answers that the gateway alters: a guessed content type, a date, an added
+// length, a body after HEAD. Status, headers and body come back unchanged, except for
+// hop-by-hop headers.
+func TestAnswerForwardedUnchanged(t *testing.T) {
 	tests := []struct {
 		name   string
 		method string
 		status int
 		lines  []string
 		body   string
-		header []string // header are the lines that come back, besides id, stamp and length; lines if nil.
-		length int64    // length is the Content-Length that comes back; -1 for none.
+		header []string // expected header lines besides ID, stamp and length; lines if nil
+		length int64    // expected Content-Length; -1 for none
 	}{
 		{name: "text", status: 200, body: "<html>", length: 6},
 		{name: "no body", status: 200, length: 0},
@@ -118,34 +117,34 @@
 		{name: "created", status: 201, body: "a", lines: []string{"Location: /b", "Content-Type: x/y", "Date: Thu, 01 Jan 1970 00:00:00 GMT"}, length: 1},
 		{name: "no content", status: 204, length: -1},
 		{name: "part", status: 206, body: "bc", lines: []string{"Content-Range: bytes 1-2/3"}, length: 2},
-		{name: "elsewhere", status: 302, lines: []string{"Location: http://b.example/?c"}, length: 0},
-		// The standard library's server leaves the length of a 304 out, as HTTP allows.
+		{name: "redirect", status: 302, lines: []string{"Location: http://b.example/?c"}, length: 0},
+		// net/http omits the length of a 304 response, as HTTP allows.
 		{name: "not modified", status: 304, body: "1234567", lines: []string{`Etag: "x"`}, length: -1},
-		{name: "bad", status: 400, body: "no", length: 2},
+		{name: "bad request", status: 400, body: "no", length: 2},
 		{name: "not found", status: 404, body: "no", length: 2},
 		{name: "conflict", status: 409, body: "no", length: 2},
 		{name: "teapot", status: 418, body: "no", length: 2},
 		{name: "failure", status: 500, body: "no", length: 2},
-		{name: "failure beyond", status: 599, body: "no", length: 2},
+		{name: "unassigned failure", status: 599, body: "no", length: 2},
 		{name: "HEAD", method: http.MethodHead, status: 200, body: "12345", lines: []string{"X-One: a"}, length: 5},
 		{name: "headers", status: 200, body: "a", lines: []string{"Set-Cookie: a=b", "Set-Cookie: c=d", "Load: 1,0,4", "Cache-Control: no-store", "X-Empty:"}, length: 1},
-		{name: "headers of the connection", status: 200, body: "a", lines: []string{"Connection: X-Hop", "X-Hop: 1", "Keep-Alive: timeout=4", "X-End: 1"}, header: []string{"X-End: 1"}, length: 1},
-		{name: "the connection's end", status: 200, body: "a", lines: []string{"Connection: close"}, header: []string{}, length: 1},
+		{name: "hop-by-hop headers", status: 200, body: "a", lines: []string{"Connection: X-Hop", "X-Hop: 1", "Keep-Alive: timeout=4", "X-End: 1"}, header: []string{"X-End: 1"}, length: 1},
+		{name: "connection close", status: 200, body: "a", lines: []string{"Connection: close"}, header: []string{}, length: 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			onBoth(t, func(t *testing.T, nw network) {
+			onBothNetworks(t, func(t *testing.T, nw network) {
 				rg := newRig(t, nw, setup{})
-				be := rg.serve("s", 1)[0]
-				rg.table(route.Route{Prefix: "/", MaxAttempts: 1, Targets: to("s")})
-				be.set(says(func(re *reply) { re.status, re.body, re.lines = tt.status, tt.body, tt.lines }))
-				an := rg.ask(ask{method: tt.method, uri: "/a"})
+				be := rg.startServers("s", 1)[0]
+				rg.setTable(route.Route{Prefix: "/", MaxAttempts: 1, Targets: singleTarget("s")})
+				be.setBehavior(respondWith(func(re *reply) { re.status, re.body, re.lines = tt.status, tt.body, tt.lines }))
+				an := rg.send(request{method: tt.method, uri: "/a"})
 				rg.checkStatus(an, tt.status)
 				header := tt.header
 				if header == nil {
 					header = tt.lines
 				}
-				want := headerOf(header)
+				want := parseHeader(header)
 				want.Set(names.RequestID, an.id)
 				want.Set(names.Stamp, an.header.Get(names.Stamp))
 				if tt.length >= 0 {
@@ -162,104 +161,103 @@
 	}
 }
 
-// A backend server frames its answer in chunks, or by the end of the connection,
-// or sends interim answers first. The caller gets the whole body, and only that.
+// A backend server frames its answer in chunks, ends it with the connection, or sends
+// interim answers first. The caller gets the whole body and nothing else.
 func TestAnswerFramings(t *testing.T) {
 	tests := []struct {
 		name string
-		ac   act
+		bh   behavior
 	}{
-		{"chunks", chunked},
-		{"end of the connection", ends(func(re *reply) {
+		{"chunks", respondChunked},
+		{"end of the connection", respondAndClose(func(re *reply) {
 			re.framed, re.body = false, "until the end"
 		})},
-		{"interim answers", act{do: func(wo *work) bool {
-			return wo.write("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n") && fine.do(wo)
+		{"interim answers", behavior{do: func(wo *work) bool {
+			return wo.write("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n") && respondOK.do(wo)
 		}}},
-		{"more than the answer", chatty},
-		{"two answers", double},
-		{"the end with the answer", closing},
+		{"answer with another ID after it", respondTwiceOtherID},
+		{"two answers", respondTwice},
+		{"connection close", respondConnectionClose},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			onBoth(t, func(t *testing.T, nw network) {
+			onBothNetworks(t, func(t *testing.T, nw network) {
 				rg := newRig(t, nw, setup{})
-				rg.serve("s", 1, tt.ac)
-				rg.table(route.Route{Prefix: "/", Kind: route.NotRepeatable, Targets: to("s")})
+				rg.startServers("s", 1, tt.bh)
+				rg.setTable(route.Route{Prefix: "/", Kind: route.NotRepeatable, Targets: singleTarget("s")})
 				for range 3 {
 					an := rg.get("/a", http.StatusOK)
-					qt.Assert(t, rg.le.runs(an.id), qt.Equals, 1)
+					qt.Assert(t, rg.hist.runs(an.id), qt.Equals, 1)
 				}
 			})
 		})
 	}
 }
 
-// An instance that can't serve a request says why in a way that callers act on:
-// 404, 400 and 413 end the request for good, 503 promises that it has not run and
-// says when to come back. A proper request that got one of the first three would
-// never be served.
-func TestOwnAnswers(t *testing.T) {
+// Callers act on the status of the gateway's own answers: 404, 400 and 413 are final, and
+// 503 promises that the request has not run and says when to retry. A valid request must
+// not get one of the first three, since it would never be served.
+func TestGatewayErrorStatuses(t *testing.T) {
 	long := strings.Repeat("x", limits.BodyBytes+1)
 	tests := []struct {
 		name   string
-		as     ask
+		rq     request
 		status int
 	}{
-		{"host", ask{host: "b.example", uri: "/a/"}, http.StatusNotFound},
-		{"path", ask{uri: "/b/"}, http.StatusNotFound},
-		{"path that ends before the prefix", ask{uri: "/a"}, http.StatusNotFound},
-		{"path in other case", ask{uri: "/A/"}, http.StatusNotFound},
-		{"no host", ask{host: " ", uri: "/a/"}, http.StatusNotFound},
-		{"no id", ask{uri: "/a/", noID: true}, http.StatusBadRequest},
-		{"long body", ask{uri: "/a/", body: long}, http.StatusRequestEntityTooLarge},
-		{"long body in chunks", ask{uri: "/a/", body: long, chunked: true}, http.StatusRequestEntityTooLarge},
-		{"nobody known", ask{uri: "/a/none/"}, http.StatusServiceUnavailable},
-		{"proper", ask{uri: "/a/"}, http.StatusOK},
+		{"host", request{host: "b.example", uri: "/a/"}, http.StatusNotFound},
+		{"path", request{uri: "/b/"}, http.StatusNotFound},
+		{"path shorter than the prefix", request{uri: "/a"}, http.StatusNotFound},
+		{"path in other letter case", request{uri: "/A/"}, http.StatusNotFound},
+		{"no host", request{host: " ", uri: "/a/"}, http.StatusNotFound},
+		{"no id", request{uri: "/a/", noID: true}, http.StatusBadRequest},
+		{"long body", request{uri: "/a/", body: long}, http.StatusRequestEntityTooLarge},
+		{"long body in chunks", request{uri: "/a/", body: long, chunked: true}, http.StatusRequestEntityTooLarge},
+		{"no server known", request{uri: "/a/none/"}, http.StatusServiceUnavailable},
+		{"valid", request{uri: "/a/"}, http.StatusOK},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			onBoth(t, func(t *testing.T, nw network) {
+			onBothNetworks(t, func(t *testing.T, nw network) {
 				rg := newRig(t, nw, setup{})
-				rg.serve("s", 1)
-				rg.table(
-					route.Route{Prefix: "/a/", Targets: to("s")},
-					route.Route{Prefix: "/a/none/", Aim: 50 * time.Millisecond, Targets: to("none")},
+				rg.startServers("s", 1)
+				rg.setTable(
+					route.Route{Prefix: "/a/", Targets: singleTarget("s")},
+					route.Route{Prefix: "/a/none/", Aim: 50 * time.Millisecond, Targets: singleTarget("none")},
 				)
-				an := rg.ask(tt.as)
+				an := rg.send(tt.rq)
 				rg.checkStatus(an, tt.status)
 				if tt.status != http.StatusOK {
 					qt.Assert(t, an.header.Values(names.Stamp), qt.HasLen, 0)
-					qt.Assert(t, rg.le.of(an.id), qt.HasLen, 0)
+					qt.Assert(t, rg.hist.arrivalsOf(an.id), qt.HasLen, 0)
 				}
 			})
 		})
 	}
 }
 
-// An instance has just started, or lost sight of all control instances before it
-// knew a configuration. 404 would end proper requests; with 503 callers ask
-// another instance.
-func TestNoTable(t *testing.T) {
-	onBoth(t, func(t *testing.T, nw network) {
+// An instance has just started, or lost all control instances before it had a
+// configuration. It must answer 503, so that callers try another instance; 404 would be
+// final.
+func TestRejectsWithoutTable(t *testing.T) {
+	onBothNetworks(t, func(t *testing.T, nw network) {
 		rg := newRig(t, nw, setup{})
-		rg.serve("s", 1)
+		rg.startServers("s", 1)
 		rg.get("/a/", http.StatusServiceUnavailable)
-		rg.table(route.Route{Prefix: "/a/", Targets: to("s")})
+		rg.setTable(route.Route{Prefix: "/a/", Targets: singleTarget("s")})
 		rg.get("/a/", http.StatusOK)
 	})
 }
 
-// A crowd of callers comes at once. The instance takes as many requests as it
-// has room for and tells the others at once to come back.
-func TestMostActive(t *testing.T) {
-	onBoth(t, func(t *testing.T, nw network) {
-		rg := newRig(t, nw, setup{mostActive: 2})
+// A burst of callers arrives. The instance accepts up to MaxInFlight requests and rejects
+// the others at once.
+func TestMaxInFlight(t *testing.T) {
+	onBothNetworks(t, func(t *testing.T, nw network) {
+		rg := newRig(t, nw, setup{maxInFlight: 2})
 		gate := make(chan struct{})
-		rg.serve("s", 1, held(gate, fine))
-		rg.table(route.Route{Prefix: "/", Kind: route.NotRepeatable, Targets: to("s")})
-		one, two := rg.begin(ask{uri: "/1"}), rg.begin(ask{uri: "/2"})
-		rg.le.awaitArrivals(2)
+		rg.startServers("s", 1, heldUntil(gate, respondOK))
+		rg.setTable(route.Route{Prefix: "/", Kind: route.NotRepeatable, Targets: singleTarget("s")})
+		one, two := rg.sendAsync(request{uri: "/1"}), rg.sendAsync(request{uri: "/2"})
+		rg.hist.awaitArrivals(2)
 		rg.get("/3", http.StatusServiceUnavailable)
 		close(gate)
 		rg.checkStatus(<-one, http.StatusOK)
@@ -268,30 +266,30 @@
 	})
 }
 
-// A caller breaks off within the body of its request. What the gateway has of it
-// is no request: a backend server that got it would run half an order.
-func TestHalfBody(t *testing.T) {
-	onBoth(t, func(t *testing.T, nw network) {
+// A caller disconnects within the body of its request. The incomplete request must not be
+// forwarded, or a backend server would run half of it.
+func TestTruncatedBodyIsNotForwarded(t *testing.T) {
+	onBothNetworks(t, func(t *testing.T, nw network) {
 		rg := newRig(t, nw, setup{})
-		rg.serve("s", 1)
-		rg.table(route.Route{Prefix: "/", Kind: route.NotRepeatable, Targets: to("s")})
-		for _, as := range []ask{{uri: "/1", body: "half"}, {uri: "/2", body: "half", chunked: true}} {
-			as := rg.fill(as)
+		rg.startServers("s", 1)
+		rg.setTable(route.Route{Prefix: "/", Kind: route.NotRepeatable, Targets: singleTarget("s")})
+		for _, rq := range []request{{uri: "/1", body: "half"}, {uri: "/2", body: "half", chunked: true}} {
+			rq := rg.register(rq)
 			ca := rg.connect()
-			text := as.head() + as.payload()
+			text := rq.head() + rq.payload()
 			_, err := io.WriteString(ca.nc, text[:len(text)-2])
 			qt.Assert(t, err, qt.IsNil)
 			ca.leave()
 		}
 		awaitIdle(rg)
-		qt.Assert(t, rg.le.of(""), qt.HasLen, 0)
+		qt.Assert(t, rg.hist.arrivalsOf(""), qt.HasLen, 0)
 	})
 }
 
-// A backend server works for a caller that has long given up, because it was
-// told more time than was left. What it is told is what is left of the caller's
-// time, or of the route's if that is less, at the moment at which it is asked.
-func TestTimeLeft(t *testing.T) {
+// Guards against backend servers that work for callers whose time is up. The timeout sent
+// to a server is the remaining time of the caller or of the route, whichever is less, at
+// the time of sending.
+func TestRemainingTimeIsForwarded(t *testing.T) {
 	tests := []struct {
 		name  string
 		lines []string
@@ -301,23 +299,23 @@
 		{"sooner", []string{"Deadline-Ms: 300"}, []string{"300", "200"}},
 		{"with spaces", []string{"Deadline-Ms:  300 "}, []string{"300", "200"}},
 		{"later", []string{"Deadline-Ms: 2001"}, []string{"2000", "1900"}},
-		{"almost none", []string{"Deadline-Ms: 101"}, []string{"101", "1"}},
-		{"none at all", []string{"Deadline-Ms: 0"}, []string{"2000", "1900"}},
-		{"below", []string{"Deadline-Ms: -5"}, []string{"2000", "1900"}},
-		{"no number", []string{"Deadline-Ms: soon"}, []string{"2000", "1900"}},
-		{"no 64 bits", []string{"Deadline-Ms: 99999999999999999999"}, []string{"2000", "1900"}},
+		{"one more than the delay", []string{"Deadline-Ms: 101"}, []string{"101", "1"}},
+		{"zero", []string{"Deadline-Ms: 0"}, []string{"2000", "1900"}},
+		{"negative", []string{"Deadline-Ms: -5"}, []string{"2000", "1900"}},
+		{"not a number", []string{"Deadline-Ms: soon"}, []string{"2000", "1900"}},
+		{"more than 64 bits", []string{"Deadline-Ms: 99999999999999999999"}, []string{"2000", "1900"}},
 		{"overflow", []string{"Deadline-Ms: 9223372036854775807"}, []string{"2000", "1900"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				rg := newRig(t, newPipes(), setup{})
-				rg.serve("s", 2, paused(100*time.Millisecond, shed(http.StatusServiceUnavailable)), fine)
-				rg.table(route.Route{Prefix: "/", Kind: route.NotRepeatable, Timeout: 2 * time.Second, Targets: to("s")})
-				an := rg.ask(ask{uri: "/a", lines: tt.lines})
+				rg := newRig(t, newMemNetwork(), setup{})
+				rg.startServers("s", 2, delayed(100*time.Millisecond, rejectNotRun(http.StatusServiceUnavailable)), respondOK)
+				rg.setTable(route.Route{Prefix: "/", Kind: route.NotRepeatable, Timeout: 2 * time.Second, Targets: singleTarget("s")})
+				an := rg.send(request{uri: "/a", lines: tt.lines})
 				rg.checkStatus(an, http.StatusOK)
 				var got []string
-				for _, ar := range rg.le.of(an.id) {
+				for _, ar := range rg.hist.arrivalsOf(an.id) {
 					got = append(got, ar.header.Values(names.Deadline)...)
 				}
 				qt.Assert(t, got, qt.DeepEquals, tt.want)
@@ -326,10 +324,9 @@
 	}
 }
 
-// A caller says how long it waits and the backend server stands still. The
-// caller gets the answer that nothing is promised at the end of that time, or of
-// the route's if that is less, and not later.
-func TestTimeOut(t *testing.T) {
+// The backend server never answers. The caller gets the answer that the outcome is unknown
+// exactly when its own timeout or the route's ends, whichever is first.
+func TestTimeoutOfCallerAndRoute(t *testing.T) {
 	tests := []struct {
 		kind  route.Kind
 		waits int
@@ -342,21 +339,21 @@
 	}
 	for _, tt := range tests {
 		synctest.Test(t, func(t *testing.T) {
-			rg := newRig(t, newPipes(), setup{})
-			rg.serve("s", 2, silent)
-			rg.table(route.Route{Prefix: "/", Kind: tt.kind, Timeout: 2 * time.Second, Aim: 100 * time.Millisecond, MaxAttempts: 2, Targets: to("s")})
-			an := rg.ask(ask{uri: "/a", waits: tt.waits})
+			rg := newRig(t, newMemNetwork(), setup{})
+			rg.startServers("s", 2, neverAnswer)
+			rg.setTable(route.Route{Prefix: "/", Kind: tt.kind, Timeout: 2 * time.Second, Aim: 100 * time.Millisecond, MaxAttempts: 2, Targets: singleTarget("s")})
+			an := rg.send(request{uri: "/a", timeoutMillis: tt.waits})
 			rg.checkUnknown(an)
 			qt.Assert(t, an.took, qt.Equals, tt.want)
-			rg.le.awaitEnded(len(rg.le.of(an.id)))
+			rg.hist.awaitAborted(len(rg.hist.arrivalsOf(an.id)))
 		})
 	}
 }
 
-// awaitIdle waits until no request is under way.
+// awaitIdle waits until no request is in flight.
 func awaitIdle(rg *rig) {
 	rg.tb.Helper()
-	ctx, cancel := contextOf()
+	ctx, cancel := testContext()
 	defer cancel()
 	qt.Assert(rg.tb, rg.gw.WaitIdle(ctx), qt.IsNil)
 }
--- a/gateway/property_test.go
+++ b/gateway/property_test.go
@@ -16,97 +16,100 @@
 	"balsamwinch.example/route"
 )
 
-// weather decides at random what backend servers, callers and operators do.
-type weather struct {
+// chaos chooses randomly what backend servers, callers and operators do.
+type chaos struct {
 	mu sync.Mutex
 	rn *rand.Rand
-	// real says that time passes in earnest, so that pauses are short.
-	real bool
-	// faults are those that happen; none if empty.
+	// whether time is real, so that delays are kept short
+	realTime bool
+	// faults to inject; none if empty
 	faults []fault
 }
 
-func (we *weather) set(faults []fault) {
-	we.mu.Lock()
-	defer we.mu.Unlock()
-	we.faults = faults
+func (ch *chaos) setFaults(faults []fault) {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
+	ch.faults = faults
 }
 
-func (we *weather) intn(n int) int {
-	we.mu.Lock()
-	defer we.mu.Unlock()
-	return we.rn.IntN(n)
+func (ch *chaos) intn(n int) int {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
+	return ch.rn.IntN(n)
 }
 
-// span returns a time of up to so many milliseconds, a tenth of it in real time.
-func (we *weather) span(millis int) time.Duration {
-	sp := time.Duration(we.intn(1000*millis)) * time.Microsecond
-	if we.real {
+// randomDelay returns a random delay of up to millis milliseconds, a tenth of that in real
+// time.
+func (ch *chaos) randomDelay(millis int) time.Duration {
+	sp := time.Duration(ch.intn(1000*millis)) * time.Microsecond
+	if ch.realTime {
 		return sp / 10
 	}
 	return sp
 }
 
-// act returns what a backend server does with a request: mostly it answers, at
-// times late, and in a third of the cases it has one of the faults.
-func (we *weather) act(*work) act {
-	we.mu.Lock()
-	faults := we.faults
-	we.mu.Unlock()
+// behavior returns how a backend server treats a request: a third of requests get one of
+// the faults, most others an answer, some of them late.
+func (ch *chaos) behavior(*work) behavior {
+	ch.mu.Lock()
+	faults := ch.faults
+	ch.mu.Unlock()
 	if len(faults) == 0 {
-		return fine
+		return respondOK
 	}
-	ac := fine
-	if draw := we.intn(3 * len(faults)); draw < len(faults) {
-		ac = faults[draw].ac
-	} else if we.intn(10) == 0 {
-		ac = []act{chunked, closing, chatty, double}[we.intn(4)]
+	bh := respondOK
+	if draw := ch.intn(3 * len(faults)); draw < len(faults) {
+		bh = faults[draw].bh
+	} else if ch.intn(10) == 0 {
+		bh = []behavior{respondChunked, respondConnectionClose, respondTwiceOtherID, respondTwice}[ch.intn(4)]
 	}
-	if we.intn(40) == 0 {
-		return after(func(wo *work) bool { return wo.pause(we.span(250)) }, ac)
+	if ch.intn(40) == 0 {
+		return waitThen(func(wo *work) bool { return wo.waitFor(ch.randomDelay(250)) }, bh)
 	}
-	return after(func(wo *work) bool { return wo.pause(we.span(20)) }, ac)
+	return waitThen(func(wo *work) bool { return wo.waitFor(ch.randomDelay(20)) }, bh)
 }
 
-// world is a rig with routes of all kinds.
-type world struct {
+// chaosRig is a rig with all kinds of routes.
+type chaosRig struct {
 	*rig
-	we *weather
+	ch *chaos
 }
 
-// Services of the world. All names of shards may be in one version or another.
-var worldServices = []string{"plain", "order", "w1", "w2", "a1", "a2", "a3", "b1", "b2"}
+// Services of chaosRig. Each may be a shard in some version of the configuration.
+var chaosServices = []string{"plain", "order", "w1", "w2", "a1", "a2", "a3", "b1", "b2"}
 
-func newWorld(t *testing.T, nw network, seed uint64) *world {
-	wd := &world{we: &weather{rn: rand.New(rand.NewPCG(seed, 1)), faults: faultList}}
-	_, wd.we.real = nw.(loopback)
-	wd.rig = newRig(t, nw, setup{budget: budget.Config{Ratio: 0.2, Slack: 50, Window: 10 * time.Second, Fraction: 0.85}})
-	wd.any = wd.we.act
-	for _, service := range worldServices {
-		wd.serve(service, 3)
+func newChaosRig(t *testing.T, nw network, seed uint64) *chaosRig {
+	cr := &chaosRig{ch: &chaos{rn: rand.New(rand.NewPCG(seed, 1)), faults: faults}}
+	_, cr.ch.realTime = nw.(loopback)
+	cr.rig = newRig(t, nw, setup{budget: budget.Config{Ratio: 0.2, Slack: 50, Window: 10 * time.Second, Fraction: 0.85}})
+	cr.behave = cr.ch.behavior
+	for _, service := range chaosServices {
+		cr.startServers(service, 3)
 	}
-	wd.change()
-	return wd
+	cr.changeTable()
+	return cr
 }
 
-// change puts another version in force. Routes keep their kinds; services move.
-func (wd *world) change() {
+// changeTable puts a new version of the configuration in force. Routes keep their kinds,
+// and their services change.
+func (cr *chaosRig) changeTable() {
 	sets := [][]string{{"a1", "a2", "a3"}, {"a1", "b1"}, {"b1", "b2", "a3", "a2"}}
-	set := func() []string { return sets[wd.we.intn(len(sets))] }
-	plain := [][]route.Target{to("plain"), to("w1"), {{Service: "w1", Weight: 3}, {Service: "w2", Weight: 1}}}
-	kinds := []route.Target{{Service: "order", Weight: 1 + wd.we.intn(3)}, {Service: "w2", Weight: wd.we.intn(2)}}
+	set := func() []string { return sets[cr.ch.intn(len(sets))] }
+	plain := [][]route.Target{singleTarget("plain"), singleTarget("w1"), {{Service: "w1", Weight: 3}, {Service: "w2", Weight: 1}}}
+	kinds := []route.Target{{Service: "order", Weight: 1 + cr.ch.intn(3)}, {Service: "w2", Weight: cr.ch.intn(2)}}
 	const aim, timeout = 100 * time.Millisecond, 400 * time.Millisecond
-	wd.limited(limits, 30,
-		route.Route{Prefix: "/plain/", Timeout: timeout, Aim: aim, MaxAttempts: 1 + wd.we.intn(3), Targets: plain[wd.we.intn(len(plain))]},
+	cr.setLimitedTable(limits, 30,
+		route.Route{Prefix: "/plain/", Timeout: timeout, Aim: aim, MaxAttempts: 1 + cr.ch.intn(3), Targets: plain[cr.ch.intn(len(plain))]},
 		route.Route{Prefix: "/order/", Kind: route.NotRepeatable, Timeout: timeout, Aim: aim, MaxAttempts: 3, Targets: kinds},
 		route.Route{Prefix: "/some/", Timeout: timeout, Aim: aim, MaxAttempts: 2, Shards: set(), Merge: route.Merge{TopK: 7, LeastShare: 0.5}},
 		route.Route{Prefix: "/all/", Timeout: timeout, Aim: aim, MaxAttempts: 2, Shards: set(), Merge: route.Merge{TopK: 3, LeastShare: 1}},
 	)
 }
 
-// replace ends one backend server, or makes it leave, and starts another.
-func (wd *world) replace() {
-	be := wd.servers[wd.we.intn(len(wd.servers))]
+// replaceServer drains a backend server, or stops it if it drains already, and starts
+// another one.
+func (cr *chaosRig) replaceServer() {
+	be := cr.servers[cr.ch.intn(len(cr.servers))]
 	be.mu.Lock()
 	gone := be.state != registry.Ready
 	be.state = registry.Draining
@@ -115,62 +118,62 @@
 	}
 	be.mu.Unlock()
 	if gone {
-		be.refuse()
-		be.hangUp()
+		be.closeListener()
+		be.closeConns()
 	}
-	wd.serve(be.service, 1)
+	cr.startServers(be.service, 1)
 }
 
-// callOne is one caller's request. Some leave before they have an answer.
-func (wd *world) callOne(nth int) {
+// sendOne sends one request of a caller. Some callers leave before the answer.
+func (cr *chaosRig) sendOne(nth int) {
 	paths := []string{"/plain/", "/order/", "/some/", "/all/"}
-	as := ask{uri: fmt.Sprint(paths[wd.we.intn(len(paths))], nth)}
-	if wd.we.intn(3) == 0 {
-		as.body, as.chunked = strings.Repeat("b", wd.we.intn(40000)), wd.we.intn(2) == 0
+	rq := request{uri: fmt.Sprint(paths[cr.ch.intn(len(paths))], nth)}
+	if cr.ch.intn(3) == 0 {
+		rq.body, rq.chunked = strings.Repeat("b", cr.ch.intn(40000)), cr.ch.intn(2) == 0
 	}
-	if wd.we.intn(3) == 0 {
-		as.waits = 50 + wd.we.intn(500)
+	if cr.ch.intn(3) == 0 {
+		rq.timeoutMillis = 50 + cr.ch.intn(500)
 	}
-	ca := wd.connect()
+	ca := cr.connect()
 	defer ca.leave()
-	if wd.we.intn(10) == 0 {
-		tm := time.AfterFunc(wd.we.span(200), ca.leave)
+	if cr.ch.intn(10) == 0 {
+		tm := time.AfterFunc(cr.ch.randomDelay(200), ca.leave)
 		defer tm.Stop()
 	}
-	ca.do(as)
+	ca.do(rq)
 }
 
-// play lets callers ask while versions and backend servers change, and waits for
-// the last of them.
-func (wd *world) play(count int) {
+// run sends requests while versions and backend servers change, and waits until all have
+// ended.
+func (cr *chaosRig) run(count int) {
 	var wg sync.WaitGroup
 	for nth := range count {
-		switch wd.we.intn(20) {
+		switch cr.ch.intn(20) {
 		case 0:
-			wd.change()
+			cr.changeTable()
 		case 1:
-			wd.replace()
+			cr.replaceServer()
 		}
-		wg.Go(func() { wd.callOne(nth) })
-		if span := wd.we.span(10); span > 0 {
-			_ = wd.ts.Sleep(wd.tb.Context(), span)
+		wg.Go(func() { cr.sendOne(nth) })
+		if span := cr.ch.randomDelay(10); span > 0 {
+			_ = cr.ts.Sleep(cr.tb.Context(), span)
 		}
 	}
 	wg.Wait()
-	awaitIdle(wd.rig)
+	awaitIdle(cr.rig)
 }
 
-// counts returns how many requests got a success, a merged one among them, and
-// how many a refusal or failure.
-func (wd *world) counts() (good, merged, bad int) {
-	wd.le.mu.Lock()
-	defer wd.le.mu.Unlock()
-	for _, as := range wd.le.asked {
+// counts returns the numbers of successful answers, of merged ones among them, and of
+// rejections and failures.
+func (cr *chaosRig) counts() (good, merged, bad int) {
+	cr.hist.mu.Lock()
+	defer cr.hist.mu.Unlock()
+	for _, rq := range cr.hist.requests {
 		switch {
-		case as.got == nil || as.got.err != nil:
-		case as.got.status != http.StatusOK:
+		case rq.answer == nil || rq.answer.err != nil:
+		case rq.answer.status != http.StatusOK:
 			bad++
-		case as.got.header.Get(names.PartStamps) != "":
+		case rq.answer.header.Get(names.PartStamps) != "":
 			merged++
 			good++
 		default:
@@ -181,19 +184,19 @@
 }
 
 // Backend servers fail in every way at once, leave and are replaced, while the
-// configuration changes and callers go. Whatever happens: a success is the bytes
-// of the backend server whose stamp it has, or the merge of the parts whose stamps
-// it names, all given for this very request and all of one version's shards; an
-// order runs once at most; what is refused has not run; nothing is asked more often
-// than allowed. The ledger compares at the end of each play.
-func TestAnyFaults(t *testing.T) {
-	const plays, requests = 40, 120
+// configuration changes and callers disconnect. A success must be the answer of the backend
+// server whose stamp it has, or the merge of the parts whose stamps it lists, all for this
+// request and for the shards of one version. A non-repeatable request runs at most once, a
+// rejected request has not run, and no request has more attempts than allowed. The history
+// checks this at the end of each run.
+func TestRandomFaults(t *testing.T) {
+	const numRuns, requests = 40, 120
 	good, merged, bad := 0, 0, 0
-	for seed := range uint64(plays) {
+	for seed := range uint64(numRuns) {
 		synctest.Test(t, func(t *testing.T) {
-			wd := newWorld(t, newPipes(), seed)
-			wd.play(requests)
-			gd, me, ba := wd.counts()
+			cr := newChaosRig(t, newMemNetwork(), seed)
+			cr.run(requests)
+			gd, me, ba := cr.counts()
 			good, merged, bad = good+gd, merged+me, bad+ba
 		})
 		if t.Failed() {
@@ -201,37 +204,37 @@
 		}
 	}
 	t.Logf("%d good answers, %d of them merged, %d others", good, merged, bad)
-	if good < plays*requests/2 || merged < plays*requests/10 || bad == 0 {
-		t.Fatalf("%d good answers, %d merged and %d others show too little", good, merged, bad)
+	if good < numRuns*requests/2 || merged < numRuns*requests/10 || bad == 0 {
+		t.Fatalf("%d good answers, %d merged and %d others are too few to test anything", good, merged, bad)
 	}
 }
 
-// The same over real sockets, where bytes cross each other.
-func TestAnyFaultsOverSockets(t *testing.T) {
+// The same over real sockets, where messages can cross.
+func TestRandomFaultsOverSockets(t *testing.T) {
 	for seed := range uint64(4) {
-		wd := newWorld(t, loopback{}, seed)
-		wd.play(200)
+		cr := newChaosRig(t, loopback{}, seed)
+		cr.run(200)
 	}
 }
 
-// After a time of faults that ended, the instance believes the worst of all its
-// backend servers, and goes on refusing. Requests are what shows how they do: a few
-// seconds later all are served.
-func TestServedAfterFaults(t *testing.T) {
+// After a period of faults, the instance distrusts all its backend servers and continues to
+// reject. Only requests show that the servers have recovered: a few seconds later all
+// requests must be served.
+func TestRecoversAfterFaults(t *testing.T) {
 	for seed := range uint64(10) {
 		synctest.Test(t, func(t *testing.T) {
-			wd := newWorld(t, newPipes(), 1000+seed)
-			// One that says that it is another server never comes back.
-			wd.we.set(slices.DeleteFunc(slices.Clone(faultList), func(fa fault) bool { return fa.name == "is another server" }))
-			wd.play(150)
-			wd.we.set(nil)
+			cr := newChaosRig(t, newMemNetwork(), 1000+seed)
+			// A server that reports that it is another server never recovers.
+			cr.ch.setFaults(slices.DeleteFunc(slices.Clone(faults), func(fa fault) bool { return fa.name == "is another server" }))
+			cr.run(150)
+			cr.ch.setFaults(nil)
 			for nth := range 50 {
-				wd.callOne(nth)
+				cr.sendOne(nth)
 				time.Sleep(100 * time.Millisecond)
 			}
 			for _, path := range []string{"/plain/", "/order/", "/some/", "/all/"} {
 				for range 5 {
-					wd.get(path, http.StatusOK)
+					cr.get(path, http.StatusOK)
 				}
 			}
 		})
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -12,97 +12,101 @@
 	"balsamwinch.example/upstream"
 )
 
-// Events of the lines about requests under which servers end.
+// Events of the log lines about requests during which backend servers end.
 const (
-	eventSuspected = "request-suspected" // No server answered an attempt, and some ended under it.
-	eventCleared   = "request-cleared"   // A server has answered a request that was suspected.
+	eventSuspected = "request-suspected" // no server answered the request, and some ended during it
+	eventCleared   = "request-cleared"   // a server has answered a suspected request
 )
 
-// content stands for the content of the request, in whatever attempt it comes.
-func (ca *call) content() quarantine.Key {
-	if ca.key == (quarantine.Key{}) {
-		ca.key = quarantine.Content{
+// quarantineKey returns the key of the request's content, which is the same for all
+// attempts of the request.
+func (ca *call) quarantineKey() quarantine.Key {
+	if ca.contentKey == (quarantine.Key{}) {
+		ca.contentKey = quarantine.Content{
 			Method: ca.rq.Method, Host: ca.rq.Host, URI: ca.rq.RequestURI,
 			Authorization: ca.rq.Header.Get("Authorization"), Body: ca.body,
 		}.Key()
 	}
-	return ca.key
+	return ca.contentKey
 }
 
-// allowed reports whether the request may run, and refuses it if not: it would end the
-// servers that run it, whichever they are, and all who are served by them would wait.
-func (ca *call) allowed() bool {
+// checkQuarantine reports whether the request may run, and rejects it if not. A quarantined
+// request would crash every server that runs it, and all other callers of these servers
+// would wait.
+func (ca *call) checkQuarantine() bool {
 	qa := ca.sv.qa
 	if qa.Empty() {
 		return true
 	}
-	ve, left := qa.Check(ca.start, ca.content())
+	ve, left := qa.Check(ca.start, ca.quarantineKey())
 	switch ve {
 	case quarantine.Refuse:
-		ca.sv.mt.refused.Inc()
+		ca.sv.metrics.quarantined.Inc()
 		ca.setRetryAfter(left)
-		ca.fail(http.StatusServiceUnavailable, result.NotRunQuarantined, refusalQuarantined)
+		ca.respondError(http.StatusServiceUnavailable, result.NotRunQuarantined, reasonQuarantined)
 		return false
 	case quarantine.Probe:
-		ca.sv.mt.probed.Inc()
+		ca.sv.metrics.probed.Inc()
 		ca.probe = true
 	}
 	return true
 }
 
-// asProbe makes a plan ask one server of some shard before all others. Were it always the
-// same shard, that one would lose all its servers.
-func (ca *call) asProbe(pl scatter.Plan) scatter.Plan {
+// withProbe makes the plan of a suspected request ask one server before all others. Its
+// shard is random: otherwise the same shard would lose all its servers.
+func (ca *call) withProbe(pl scatter.Plan) scatter.Plan {
 	if ca.probe {
 		pl.Probe, pl.FirstShard = true, rand.IntN(pl.Shards)
 	}
 	return pl
 }
 
-// learn tells the quarantine what became of an attempt. An answer of any server clears
-// the request, unless it is a failure, which a server may give without having run it or at
-// a deadline before it would end. No answer, where servers broke off, speaks against it.
-// Whether a connection ended because its server did isn't known: that is why it takes
-// several servers, one after the other.
-func (ca *call) learn() {
+// updateQuarantine reports the outcome of the request to the quarantine. An answer of any
+// server clears the request, except for a failure, which a server may return without having
+// run the request, or at a deadline before it would crash. Lost connections without any
+// answer count against the request. It is not known whether a connection was lost because
+// its server crashed, so it takes several servers, one after the other.
+func (ca *call) updateQuarantine() {
 	qa := ca.sv.qa
-	if ca.anyAnswer() {
-		if !qa.Empty() && qa.RequestAnswered(ca.sv.ts.Now(), ca.content()) {
-			ca.sv.lg.Info(eventCleared, zap.Stringer("Content", ca.content()))
+	if ca.anyServerAnswered() {
+		if !qa.Empty() && qa.RequestAnswered(ca.sv.ts.Now(), ca.quarantineKey()) {
+			ca.sv.lg.Info(eventCleared, zap.Stringer("Content", ca.quarantineKey()))
 		}
 		return
 	}
-	ended := ca.brokeOff()
+	ended := ca.lostServers()
 	if len(ended) == 0 {
 		return
 	}
 	rc := qa.RecordLoss(ca.sv.ts.Now(), quarantine.Loss{
-		Key: ca.content(), Attempt: ca.id, Start: ca.start, Probe: ca.probe, Service: ca.onlyService(), Servers: ended,
+		Key: ca.quarantineKey(), Attempt: ca.id, Start: ca.start, Probe: ca.probe, Service: ca.lostService(), Servers: ended,
 	})
-	// The line of the request itself holds its id beside the content.
-	ca.sv.lg.Warn(eventSuspected, zap.Stringer("Content", ca.content()), zap.Bool("Probe", ca.probe),
+	// The log line of the request holds both its ID and the content key.
+	ca.sv.lg.Warn(eventSuspected, zap.Stringer("Content", ca.quarantineKey()), zap.Bool("Probe", ca.probe),
 		zap.Int("BrokeOff", len(ended)), zap.Int("Losses", len(rc.Losses)), zap.Strings("Servers", rc.Servers), zap.Stringer("Verdict", rc.Verdict()))
 }
 
-// anyAnswer reports whether any server has answered the request with other than a failure.
-func (ca *call) anyAnswer() bool {
-	for number := range ca.cr.notes {
-		if no := &ca.cr.notes[number]; no.ended && no.outcome == upstream.Answered && no.status < http.StatusInternalServerError {
+// anyServerAnswered reports whether any server has answered the request with something
+// other than a failure.
+func (ca *call) anyServerAnswered() bool {
+	for index := range ca.ex.attempts {
+		if ar := &ca.ex.attempts[index]; ar.ended && ar.outcome == upstream.Answered && ar.status < http.StatusInternalServerError {
 			return true
 		}
 	}
 	return false
 }
 
-// onlyService returns the service whose servers broke off, or nothing if there were several.
-func (ca *call) onlyService() string {
+// lostService returns the service whose servers lost the connection, or "" if there are
+// several.
+func (ca *call) lostService() string {
 	only := ""
-	for number := range ca.cr.notes {
-		no := &ca.cr.notes[number]
-		if !no.brokeOff() {
+	for index := range ca.ex.attempts {
+		ar := &ca.ex.attempts[index]
+		if !ar.connectionLost() {
 			continue
 		}
-		service := ca.cr.services[no.shard]
+		service := ca.ex.services[ar.shard]
 		if only != "" && only != service {
 			return ""
 		}
--- a/gateway/queue.go
+++ b/gateway/queue.go
@@ -7,156 +7,158 @@
 	"time"
 )
 
-// queue holds the requests that wait for room at the backend servers of a service,
-// the oldest first.
+// queue holds the shards of requests that wait for capacity at the backend servers of a
+// service, the oldest request first.
 //
-// Without it, each would look for room now and then. A connection that came free
-// would lie idle until one of them looks, and go to whichever looks first: in a burst,
-// requests that have waited longest would get none in time although the connections
-// could have served them all.
+// Without it, each request would poll for capacity. A free connection would stay idle until
+// some request polls, and would go to whichever polls first: in a burst, the requests that
+// have waited longest would get none in time, although the connections would have sufficed
+// for all.
 type queue struct {
-	waiting atomic.Int64 // waiting counts all places.
+	numWaiting atomic.Int64 // waiters of all services
 
-	mu     sync.Mutex
-	places map[string][]*place
+	mu      sync.Mutex
+	waiters map[string][]*waiter
 }
 
-// place is a shard of a request that waits.
-type place struct {
+// waiter is a shard of a request that waits for capacity.
+type waiter struct {
 	service string
 	shard   int
-	since   time.Time // since is when the request came.
-	tried   []string  // tried are the backend servers that are of no use to it.
-	woken   chan<- int
+	since   time.Time // when the request arrived
+	tried   []string  // backend servers that must not be chosen for it
+	wakeups chan<- int
 }
 
-func newQueue() *queue { return &queue{places: make(map[string][]*place)} }
+func newQueue() *queue { return &queue{waiters: make(map[string][]*waiter)} }
 
-// join puts a place among those of its service, and reports whether it wasn't there.
-func (qu *queue) join(pl *place) bool {
+// add adds a waiter to the queue of its service, and reports whether it was not queued
+// already.
+func (qu *queue) add(wt *waiter) bool {
 	qu.mu.Lock()
 	defer qu.mu.Unlock()
-	pls := qu.places[pl.service]
-	if slices.Contains(pls, pl) {
+	wts := qu.waiters[wt.service]
+	if slices.Contains(wts, wt) {
 		return false
 	}
-	ix, _ := slices.BinarySearchFunc(pls, pl.since, func(other *place, since time.Time) int {
+	ix, _ := slices.BinarySearchFunc(wts, wt.since, func(other *waiter, since time.Time) int {
 		if other.since.After(since) {
 			return 1
 		}
-		return -1 // Behind those that came at the same time.
+		return -1 // Behind those with the same arrival time.
 	})
-	qu.places[pl.service] = slices.Insert(pls, ix, pl)
-	qu.waiting.Add(1)
+	qu.waiters[wt.service] = slices.Insert(wts, ix, wt)
+	qu.numWaiting.Add(1)
 	return true
 }
 
-// leave takes a place out and reports whether it still waited.
-func (qu *queue) leave(pl *place) bool {
+// cancel removes a waiter and reports whether it was still queued.
+func (qu *queue) cancel(wt *waiter) bool {
 	qu.mu.Lock()
 	defer qu.mu.Unlock()
-	ix := slices.Index(qu.places[pl.service], pl)
+	ix := slices.Index(qu.waiters[wt.service], wt)
 	if ix < 0 {
 		return false
 	}
-	qu.remove(pl.service, ix)
+	qu.removeAt(wt.service, ix)
 	return true
 }
 
-func (qu *queue) remove(service string, ix int) {
-	pls := slices.Delete(qu.places[service], ix, ix+1)
-	qu.places[service] = pls
-	if len(pls) == 0 {
-		delete(qu.places, service)
+func (qu *queue) removeAt(service string, ix int) {
+	wts := slices.Delete(qu.waiters[service], ix, ix+1)
+	qu.waiters[service] = wts
+	if len(wts) == 0 {
+		delete(qu.waiters, service)
 	}
-	qu.waiting.Add(-1)
+	qu.numWaiting.Add(-1)
 }
 
-// wake tells the first that waits for a service, and for which the backend server may
-// be asked, that there is room at it.
+// wake wakes the oldest waiter of a service that may use the backend server, which has
+// capacity.
 func (qu *queue) wake(service, server string) {
-	if qu.waiting.Load() == 0 {
+	if qu.numWaiting.Load() == 0 {
 		return
 	}
 	qu.mu.Lock()
 	defer qu.mu.Unlock()
-	for ix, pl := range qu.places[service] {
-		if !slices.Contains(pl.tried, server) {
-			qu.remove(service, ix)
-			pl.wake()
+	for ix, wt := range qu.waiters[service] {
+		if !slices.Contains(wt.tried, server) {
+			qu.removeAt(service, ix)
+			wt.wake()
 			return
 		}
 	}
 }
 
-// wakeAll tells all who wait that there may be room.
+// wakeAll wakes all waiters, since there may be capacity.
 func (qu *queue) wakeAll() {
 	qu.mu.Lock()
 	defer qu.mu.Unlock()
-	for _, pls := range qu.places {
-		for _, pl := range pls {
-			pl.wake()
+	for _, wts := range qu.waiters {
+		for _, wt := range wts {
+			wt.wake()
 		}
-		qu.waiting.Add(-int64(len(pls)))
+		qu.numWaiting.Add(-int64(len(wts)))
 	}
-	clear(qu.places)
+	clear(qu.waiters)
 }
 
-// wake tells the request, unless more is told already than it has shards: it looks at
-// all of these then, or is over.
-func (pl *place) wake() {
+// wake notifies the request without blocking. If the channel is full, one wakeup for each
+// shard is pending already, or the request has ended.
+func (wt *waiter) wake() {
 	select {
-	case pl.woken <- pl.shard:
+	case wt.wakeups <- wt.shard:
 	default:
 	}
 }
 
-// queueing is what a carrier knows of its places in the queue.
-type queueing struct {
-	places []*place // places holds that of each shard; nil where it doesn't wait.
-	woken  chan int // woken tells the shards for which there is room.
+// waitState holds the waiters of one executor.
+type waitState struct {
+	waiters []*waiter // by shard; nil if the shard does not wait
+	wakeups chan int  // receives shards for which there may be capacity
 }
 
-// join makes a shard wait in the queue, and reports whether it didn't before.
-func (cr *carrier) join(sh int) bool {
-	qe := &cr.queueing
-	if qe.places == nil {
-		qe.places = make([]*place, len(cr.services))
-		qe.woken = make(chan int, len(cr.services))
+// enqueue makes a shard wait in the queue, and reports whether it did not wait before.
+func (ex *executor) enqueue(sh int) bool {
+	ws := &ex.waiting
+	if ws.waiters == nil {
+		ws.waiters = make([]*waiter, len(ex.services))
+		ws.wakeups = make(chan int, len(ex.services))
 	}
-	if qe.places[sh] == nil {
-		// The carrier goes on to change its own list of those that were tried.
-		tried := slices.Clone(cr.tried[sh])
-		qe.places[sh] = &place{service: cr.services[sh], shard: sh, since: cr.ca.start, tried: tried, woken: qe.woken}
+	if ws.waiters[sh] == nil {
+		// The executor continues to modify its own slice.
+		tried := slices.Clone(ex.tried[sh])
+		ws.waiters[sh] = &waiter{service: ex.services[sh], shard: sh, since: ex.ca.start, tried: tried, wakeups: ws.wakeups}
 	}
-	return cr.ca.sv.qu.join(qe.places[sh])
+	return ex.ca.sv.qu.add(ws.waiters[sh])
 }
 
-// unqueue takes a shard out of the queue, as it is asked or given up.
-func (cr *carrier) unqueue(sh int) {
-	if qe := &cr.queueing; qe.places != nil && qe.places[sh] != nil {
-		cr.ca.sv.qu.leave(qe.places[sh])
-		qe.places[sh] = nil
+// dequeue removes a shard from the queue when it is asked or given up.
+func (ex *executor) dequeue(sh int) {
+	if ws := &ex.waiting; ws.waiters != nil && ws.waiters[sh] != nil {
+		ex.ca.sv.qu.cancel(ws.waiters[sh])
+		ws.waiters[sh] = nil
 	}
 }
 
-// roomFor takes that there is room for a shard.
-func (cr *carrier) roomFor(sh int) {
-	if cr.qu.NeedsAttempt(sh) {
-		cr.qu.RetryNow(cr.ca.sv.ts.Now(), sh)
+// capacityFreed lets a shard try again, or passes the wakeup on if the shard no longer
+// needs an attempt.
+func (ex *executor) capacityFreed(sh int) {
+	if ex.qu.NeedsAttempt(sh) {
+		ex.qu.RetryNow(ex.ca.sv.ts.Now(), sh)
 		return
 	}
-	cr.unqueue(sh)
-	cr.ca.sv.qu.wake(cr.services[sh], "")
+	ex.dequeue(sh)
+	ex.ca.sv.qu.wake(ex.services[sh], "")
 }
 
-// leaveQueue takes all shards out of the queue when the request is over. Room that
-// one of them was told of and has not used goes to the next; lost, it would lie idle
-// until somebody looks.
-func (cr *carrier) leaveQueue() {
-	for _, pl := range cr.queueing.places {
-		if pl != nil && !cr.ca.sv.qu.leave(pl) {
-			cr.ca.sv.qu.wake(pl.service, "")
+// leaveQueue removes all shards from the queue when the request has ended. A wakeup that
+// was not used goes to the next waiter; otherwise the capacity would stay idle until some
+// request polls.
+func (ex *executor) leaveQueue() {
+	for _, wt := range ex.waiting.waiters {
+		if wt != nil && !ex.ca.sv.qu.cancel(wt) {
+			ex.ca.sv.qu.wake(wt.service, "")
 		}
 	}
 }
--- a/gateway/queue_test.go
+++ b/gateway/queue_test.go
@@ -7,22 +7,21 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Room comes free at one backend server. It goes to the request that has waited
-// longest of those for which that server may be asked; told to another one, it would
-// lie idle.
-func TestQueueOrder(t *testing.T) {
+// A backend server has capacity again. It must go to the oldest waiter that may use that
+// server; if another one were woken, the capacity would stay unused.
+func TestQueueWakesLongestWaiting(t *testing.T) {
 	start := time.Unix(1000, 0)
 	woken := make(chan int, 10)
-	at := func(shard, millis int, tried ...string) *place {
-		return &place{service: "s", shard: shard, since: start.Add(time.Duration(millis) * time.Millisecond), tried: tried, woken: woken}
+	at := func(shard, millis int, tried ...string) *waiter {
+		return &waiter{service: "s", shard: shard, since: start.Add(time.Duration(millis) * time.Millisecond), tried: tried, wakeups: woken}
 	}
 	qu := newQueue()
 	first, second, third := at(1, 10, "i-1"), at(2, 20), at(3, 20)
-	other := &place{service: "other", shard: 9, since: start, woken: woken}
-	for _, pl := range []*place{second, other, third, first} {
-		qt.Assert(t, qu.join(pl), qt.IsTrue)
+	other := &waiter{service: "other", shard: 9, since: start, wakeups: woken}
+	for _, wt := range []*waiter{second, other, third, first} {
+		qt.Assert(t, qu.add(wt), qt.IsTrue)
 	}
-	qt.Assert(t, qu.join(second), qt.IsFalse, qt.Commentf("it waits already"))
+	qt.Assert(t, qu.add(second), qt.IsFalse, qt.Commentf("it is queued already"))
 	next := func() int {
 		select {
 		case sh := <-woken:
@@ -39,25 +38,25 @@
 		qu.wake("s", tt.server)
 		qt.Assert(t, next(), qt.Equals, tt.want)
 	}
-	qt.Assert(t, qu.leave(first), qt.IsFalse, qt.Commentf("it was woken"))
-	qt.Assert(t, qu.join(first), qt.IsTrue)
-	qt.Assert(t, qu.leave(first), qt.IsTrue)
+	qt.Assert(t, qu.cancel(first), qt.IsFalse, qt.Commentf("it was woken"))
+	qt.Assert(t, qu.add(first), qt.IsTrue)
+	qt.Assert(t, qu.cancel(first), qt.IsTrue)
 	qu.wake("s", "i-2")
 	qt.Assert(t, next(), qt.Equals, 0)
 	qu.wakeAll()
 	qt.Assert(t, next(), qt.Equals, 9)
-	qt.Assert(t, qu.waiting.Load(), qt.Equals, int64(0))
-	qt.Assert(t, qu.places, qt.HasLen, 0)
+	qt.Assert(t, qu.numWaiting.Load(), qt.Equals, int64(0))
+	qt.Assert(t, qu.waiters, qt.HasLen, 0)
 }
 
-// A request that was told of room is over before it uses it, and more is told than it
-// has shards. Nobody who tells waits for it.
-func TestQueueToldTooMuch(t *testing.T) {
+// A request ends before it uses a wakeup, or gets more wakeups than it has shards. The
+// sender must not block.
+func TestQueueWakeDoesNotBlock(t *testing.T) {
 	qu := newQueue()
-	pl := &place{service: "s", shard: 1, woken: make(chan int, 1)}
+	wt := &waiter{service: "s", shard: 1, wakeups: make(chan int, 1)}
 	for range 3 {
-		qu.join(pl)
+		qu.add(wt)
 		qu.wake("s", "i-1")
 	}
-	qt.Assert(t, qu.waiting.Load(), qt.Equals, int64(0))
+	qt.Assert(t, qu.numWaiting.Load(), qt.Equals, int64(0))
 }
--- a/gateway/rig_test.go
+++ b/gateway/rig_test.go
@@ -26,72 +26,72 @@
 	"balsamwinch.example/upstream"
 )
 
-// names are the header names of the tests.
+// names holds the header names of the tests.
 var names = HeaderNames{
 	RequestID: "Request-Id", Deadline: "Deadline-Ms", ExpectServer: "Expect-Server", Stamp: "Stamp", NotRun: "Not-Run",
 	ServerLoad: "Load", ServerID: "Server-Id", PartStamps: "Part-Stamps", MissingParts: "Missing-Parts",
 }
 
-// host is the host of all routes but those that say otherwise.
+// host is the default host of routes and requests.
 const host = "a.example"
 
-// Times of the gateways of the tests.
+// Delays of the tests' gateways.
 const (
-	distance = 3 * time.Millisecond
-	margin   = 6 * time.Millisecond
+	callerDelay = 3 * time.Millisecond
+	holdMargin  = 6 * time.Millisecond
 )
 
-// setup is how a test's gateway differs from the usual one.
+// setup holds the options of a rig.
 type setup struct {
-	budget     budget.Config
-	mostActive int
-	entries    int
-	young      bool // young says that the gateway has just started.
-	noTable    bool
+	budget      budget.Config
+	maxInFlight int
+	entries     int
+	justStarted bool // the gateway has just started
+	noTable     bool
 }
 
 // rig is a gateway between callers and backend servers.
 type rig struct {
-	tb testing.TB
-	nw network
-	ts *timer.Service
-	le *ledger
-	up *upstream.Client
-	bu *budget.Budget
-	gw *Server
-	hs *http.Server
-	li net.Listener
-
-	mu      sync.Mutex
-	tables  []*route.Table
-	acts    map[string][]act // acts are those of the first, second, ... arrival of a request at a service; the last one stays.
-	any     func(wo *work) act
-	servers []*backend
-	last    int
+	tb   testing.TB
+	nw   network
+	ts   *timer.Service
+	hist *history
+	up   *upstream.Client
+	bu   *budget.Budget
+	gw   *Server
+	hs   *http.Server
+	li   net.Listener
+
+	mu        sync.Mutex
+	tables    []*route.Table
+	behaviors map[string][]behavior // by service: behavior at the first, second, ... arrival of a request; the last one repeats
+	behave    func(wo *work) behavior
+	servers   []*backend
+	lastID    int
 }
 
 func newRig(tb testing.TB, nw network, se setup) *rig {
-	rg := &rig{tb: tb, nw: nw, ts: timer.New(), le: newLedger(tb), acts: make(map[string][]act)}
+	rg := &rig{tb: tb, nw: nw, ts: timer.New(), hist: newHistory(tb), behaviors: make(map[string][]behavior)}
 	lg := zap.NewNop()
 	uc := upstream.Config{Names: names.Upstream()}
-	if _, ok := nw.(*pipes); ok {
+	if _, ok := nw.(*memNetwork); ok {
 		uc.Connect = nw.dial
 	}
 	rg.up = upstream.New(uc, rg.ts, lg)
 	if se.budget.Window == 0 {
 		se.budget = budget.Config{Ratio: 1, Slack: 1000, Window: 10 * time.Second}
 	}
-	if se.mostActive == 0 {
-		se.mostActive = 1000
+	if se.maxInFlight == 0 {
+		se.maxInFlight = 1000
 	}
 	// The budget is that of a process that has run for a whole window.
 	rg.bu = budget.New(se.budget, rg.ts.Now().Add(-se.budget.Window))
 	re := replica.New(replica.Config{Seed: 1, HedgeFraction: 0.08})
 	rg.gw = New(Config{
-		Names: names, CallerDelay: distance, HoldMargin: margin, MaxInFlight: se.mostActive,
+		Names: names, CallerDelay: callerDelay, HoldMargin: holdMargin, MaxInFlight: se.maxInFlight,
 	}, rg.ts, lg, rg.up, re, rg.bu, quarantine.New())
-	if !se.young {
-		rg.gw.started = rg.gw.started.Add(-youngFor)
+	if !se.justStarted {
+		rg.gw.started = rg.gw.started.Add(-startupDuration)
 	}
 	rg.gw.SetEntries(max(1, se.entries))
 	rg.li = nw.listen(tb)
@@ -101,32 +101,32 @@
 	tb.Cleanup(func() {
 		_ = rg.hs.Close()
 		wg.Wait()
-		if _, ok := nw.(*pipes); ok {
-			time.Sleep(time.Minute) // Whatever may still happen is in the ledger then.
+		if _, ok := nw.(*memNetwork); ok {
+			time.Sleep(time.Minute) // The history is complete by then.
 		}
 		rg.up.Close()
 		for _, be := range rg.servers {
 			be.stop()
 		}
-		rg.le.check(rg.tables)
+		rg.hist.check(rg.tables)
 	})
 	return rg
 }
 
-// limits are those of the tables of the tests.
+// limits holds the default limits of tables.
 var limits = route.Limits{HeaderBytes: 16 << 10, BodyBytes: 64 << 10, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 
-// maxConnections is what backend servers of the tests take.
+// maxConnections is the default connection limit of backend servers.
 const maxConnections = 100
 
-// table makes a table of the routes and puts it in force. Services are those that
-// the routes name.
-func (rg *rig) table(ros ...route.Route) {
+// setTable puts a table of the routes in force. Its services are those that the routes
+// name.
+func (rg *rig) setTable(ros ...route.Route) {
 	rg.tb.Helper()
-	rg.limited(limits, maxConnections, ros...)
+	rg.setLimitedTable(limits, maxConnections, ros...)
 }
 
-func (rg *rig) limited(li route.Limits, connections int, ros ...route.Route) {
+func (rg *rig) setLimitedTable(li route.Limits, connections int, ros ...route.Route) {
 	rg.tb.Helper()
 	var ses []route.Service
 	for ix := range ros {
@@ -143,7 +143,7 @@
 		if len(ro.Shards) > 0 {
 			ro.Merge.RecordBytes = recordBytes
 		}
-		for _, name := range namesOf(ro) {
+		for _, name := range servicesOf(ro) {
 			if !slices.ContainsFunc(ses, func(se route.Service) bool { return se.Name == name }) {
 				ses = append(ses, route.Service{Name: name, MaxConnections: connections})
 			}
@@ -158,7 +158,7 @@
 	rg.gw.SetTable(tb)
 }
 
-func namesOf(ro *route.Route) []string {
+func servicesOf(ro *route.Route) []string {
 	out := slices.Clone(ro.Shards)
 	for _, ta := range ro.Targets {
 		out = append(out, ta.Service)
@@ -166,21 +166,23 @@
 	return out
 }
 
-// to is the target of a plain route.
-func to(service string) []route.Target { return []route.Target{{Service: service, Weight: 1}} }
+// singleTarget returns the targets of a route to one service.
+func singleTarget(service string) []route.Target {
+	return []route.Target{{Service: service, Weight: 1}}
+}
 
-// serve starts backend servers of a service and announces them. What they do
-// with the first, second and further arrivals of each request at the service is
-// said by the acts, of which the last one stays; fine if there is none.
-func (rg *rig) serve(service string, count int, acs ...act) []*backend {
+// startServers starts backend servers of a service and announces them. The behaviors apply
+// to the first, second and further arrivals of each request at the service, and the last
+// one repeats; the default is respondOK.
+func (rg *rig) startServers(service string, count int, bhs ...behavior) []*backend {
 	rg.mu.Lock()
-	if len(acs) > 0 {
-		rg.acts[service] = acs
+	if len(bhs) > 0 {
+		rg.behaviors[service] = bhs
 	}
 	var out []*backend
 	for range count {
-		rg.last++
-		be := newBackend(rg, service, fmt.Sprintf("%s-%d", service, rg.last))
+		rg.lastID++
+		be := newBackend(rg, service, fmt.Sprintf("%s-%d", service, rg.lastID))
 		rg.servers = append(rg.servers, be)
 		out = append(out, be)
 	}
@@ -189,21 +191,21 @@
 	return out
 }
 
-// act returns what a backend server does with a request.
-func (rg *rig) act(wo *work) act {
+// behavior returns how a backend server treats a request.
+func (rg *rig) behavior(wo *work) behavior {
 	rg.mu.Lock()
 	defer rg.mu.Unlock()
-	if rg.any != nil {
-		return rg.any(wo)
+	if rg.behave != nil {
+		return rg.behave(wo)
 	}
-	acs := rg.acts[wo.be.service]
-	if len(acs) == 0 {
-		return fine
+	bhs := rg.behaviors[wo.be.service]
+	if len(bhs) == 0 {
+		return respondOK
 	}
-	return acs[min(wo.nth, len(acs)-1)]
+	return bhs[min(wo.nth, len(bhs)-1)]
 }
 
-// publish tells the gateway which backend servers there are.
+// publish sends the gateway the current set of backend servers.
 func (rg *rig) publish() {
 	rg.mu.Lock()
 	defer rg.mu.Unlock()
@@ -216,18 +218,18 @@
 	rg.gw.SetServers(ses)
 }
 
-// ask is a request of a caller. Fields that are not set take what is usual.
-type ask struct {
+// request is a request of a caller. Fields that are not set have defaults.
+type request struct {
 	method, host, uri string
 	id                string
 	noID              bool
-	lines             []string // lines are further lines of the head.
+	lines             []string // additional header lines
 	body              string
 	chunked           bool
-	waits             int // waits is how long the caller says it waits, in milliseconds.
+	timeoutMillis     int // timeout that the caller announces, in milliseconds
 }
 
-// answer is what a caller gets. Err is set if there is no whole one.
+// answer is what a caller gets. Field err is set if the answer is incomplete.
 type answer struct {
 	id     string
 	status int
@@ -239,30 +241,30 @@
 	err    error
 }
 
-// head returns the head of a request as it goes out.
-func (as *ask) head() string {
-	lines := []string{fmt.Sprintf("%s %s HTTP/1.1", as.method, as.uri), "Host: " + as.host}
-	if !as.noID {
-		lines = append(lines, names.RequestID+": "+as.id)
+// head returns the encoded request line and header.
+func (rq *request) head() string {
+	lines := []string{fmt.Sprintf("%s %s HTTP/1.1", rq.method, rq.uri), "Host: " + rq.host}
+	if !rq.noID {
+		lines = append(lines, names.RequestID+": "+rq.id)
 	}
-	if as.waits != 0 {
-		lines = append(lines, names.Deadline+": "+strconv.Itoa(as.waits))
+	if rq.timeoutMillis != 0 {
+		lines = append(lines, names.Deadline+": "+strconv.Itoa(rq.timeoutMillis))
 	}
 	switch {
-	case as.chunked:
+	case rq.chunked:
 		lines = append(lines, "Transfer-Encoding: chunked")
-	case as.body != "":
-		lines = append(lines, "Content-Length: "+strconv.Itoa(len(as.body)))
+	case rq.body != "":
+		lines = append(lines, "Content-Length: "+strconv.Itoa(len(rq.body)))
 	}
-	return strings.Join(append(lines, as.lines...), "\r\n") + "\r\n\r\n"
+	return strings.Join(append(lines, rq.lines...), "\r\n") + "\r\n\r\n"
 }
 
-// payload returns the body of a request as it goes out.
-func (as *ask) payload() string {
-	if !as.chunked {
-		return as.body
+// payload returns the encoded body.
+func (rq *request) payload() string {
+	if !rq.chunked {
+		return rq.body
 	}
-	return inChunks(as.body) + "0\r\n\r\n"
+	return encodeChunks(rq.body) + "0\r\n\r\n"
 }
 
 // caller is a connection of a caller to the gateway.
@@ -274,7 +276,7 @@
 
 func (rg *rig) connect() *caller {
 	rg.tb.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	nc, err := rg.nw.dial(ctx, rg.li.Addr().String())
 	qt.Assert(rg.tb, err, qt.IsNil)
@@ -282,49 +284,51 @@
 	return &caller{rg: rg, nc: nc, rd: bufio.NewReader(nc)}
 }
 
-// fill completes a request and notes it.
-func (rg *rig) fill(as ask) ask {
+// register sets the defaults of a request and records it.
+func (rg *rig) register(rq request) request {
 	rg.mu.Lock()
-	rg.last++
-	last := rg.last
+	rg.lastID++
+	last := rg.lastID
 	rg.mu.Unlock()
-	if as.method == "" {
-		as.method = http.MethodGet
-		if as.body != "" {
-			as.method = http.MethodPost
+	if rq.method == "" {
+		rq.method = http.MethodGet
+		if rq.body != "" {
+			rq.method = http.MethodPost
 		}
 	}
-	if as.host == "" {
-		as.host = host
+	if rq.host == "" {
+		rq.host = host
 	}
-	if as.id == "" && !as.noID {
-		as.id = fmt.Sprintf("q%d", last)
+	if rq.id == "" && !rq.noID {
+		rq.id = fmt.Sprintf("q%d", last)
 	}
-	rg.le.note(func() { rg.le.asked[as.id] = &asked{method: as.method, host: as.host, uri: as.uri, body: as.body} })
-	return as
+	rg.hist.update(func() {
+		rg.hist.requests[rq.id] = &callerRequest{method: rq.method, host: rq.host, uri: rq.uri, body: rq.body}
+	})
+	return rq
 }
 
-// send sends a request and returns it as it was sent.
-func (ca *caller) send(as ask) ask {
-	as = ca.rg.fill(as)
-	ca.write(as)
-	return as
+// send sends a request and returns it with its defaults set.
+func (ca *caller) send(rq request) request {
+	rq = ca.rg.register(rq)
+	ca.write(rq)
+	return rq
 }
 
-// write sends what was filled in. The gateway may answer, and close, before it
-// has read a body that is too long.
-func (ca *caller) write(as ask) { _, _ = io.WriteString(ca.nc, as.head()+as.payload()) }
+// write sends a registered request. Errors are ignored, since the gateway may answer and
+// close the connection before it has read a body that is too long.
+func (ca *caller) write(rq request) { _, _ = io.WriteString(ca.nc, rq.head()+rq.payload()) }
 
-// receive reads the answer to a request.
-func (ca *caller) receive(as ask) *answer {
-	an := ca.read(as)
-	ca.rg.le.note(func() { ca.rg.le.asked[as.id].got = an })
+// receive reads the answer to a request and records it.
+func (ca *caller) receive(rq request) *answer {
+	an := ca.read(rq)
+	ca.rg.hist.update(func() { ca.rg.hist.requests[rq.id].answer = an })
 	return an
 }
 
-func (ca *caller) read(as ask) *answer {
-	an := &answer{id: as.id}
-	rs, err := http.ReadResponse(ca.rd, &http.Request{Method: as.method})
+func (ca *caller) read(rq request) *answer {
+	an := &answer{id: rq.id}
+	rs, err := http.ReadResponse(ca.rd, &http.Request{Method: rq.method})
 	if err != nil {
 		an.err = err
 		return an
@@ -335,15 +339,15 @@
 }
 
 // do sends a request and reads the answer.
-func (ca *caller) do(as ask) *answer {
+func (ca *caller) do(rq request) *answer {
 	start := ca.rg.ts.Now()
-	as = ca.rg.fill(as)
+	rq = ca.rg.register(rq)
 	sent := make(chan struct{})
 	go func() {
 		defer close(sent)
-		ca.write(as)
+		ca.write(rq)
 	}()
-	an := ca.receive(as)
+	an := ca.receive(rq)
 	an.took = ca.rg.ts.Now().Sub(start)
 	if an.err == nil && !an.close {
 		<-sent
@@ -354,17 +358,17 @@
 // leave closes the connection.
 func (ca *caller) leave() { _ = ca.nc.Close() }
 
-// ask sends a request on a connection of its own.
-func (rg *rig) ask(as ask) *answer {
+// send sends a request on a new connection and returns the answer.
+func (rg *rig) send(rq request) *answer {
 	ca := rg.connect()
 	defer ca.leave()
-	return ca.do(as)
+	return ca.do(rq)
 }
 
-// get asks for a path and fails the test unless the status is the wanted one.
+// get requests a path and fails the test unless the status matches.
 func (rg *rig) get(uri string, status int) *answer {
 	rg.tb.Helper()
-	an := rg.ask(ask{uri: uri})
+	an := rg.send(request{uri: uri})
 	rg.checkStatus(an, status)
 	return an
 }
@@ -372,11 +376,11 @@
 func (rg *rig) checkStatus(an *answer, status int) {
 	rg.tb.Helper()
 	qt.Assert(rg.tb, an.err, qt.IsNil)
-	qt.Assert(rg.tb, an.status, qt.Equals, status, qt.Commentf("%s: %s\n%s", an.id, an.body, rg.le))
+	qt.Assert(rg.tb, an.status, qt.Equals, status, qt.Commentf("%s: %s\n%s", an.id, an.body, rg.hist))
 }
 
-// checkUnknown fails the test unless the answer says that it is not known whether
-// the request has run.
+// checkUnknown fails the test unless the answer says that it is unknown whether the request
+// has run.
 func (rg *rig) checkUnknown(an *answer) {
 	rg.tb.Helper()
 	if an.err == nil && an.status == http.StatusGatewayTimeout {
@@ -385,7 +389,7 @@
 	rg.checkStatus(an, http.StatusBadGateway)
 }
 
-// checkFault is checkStatus with 502 for either of 502 and 504.
+// checkFault is checkStatus, except that 502 also accepts 504.
 func (rg *rig) checkFault(an *answer, status int) {
 	rg.tb.Helper()
 	if status == http.StatusBadGateway {
@@ -395,14 +399,14 @@
 	rg.checkStatus(an, status)
 }
 
-// begin starts a request and returns where its answer arrives.
-func (rg *rig) begin(as ask) <-chan *answer {
+// sendAsync starts a request and returns a channel for its answer.
+func (rg *rig) sendAsync(rq request) <-chan *answer {
 	ch := make(chan *answer, 1)
-	go func() { ch <- rg.ask(as) }()
+	go func() { ch <- rg.send(rq) }()
 	return ch
 }
 
-// contextOf returns a context that bounds a wait.
-func contextOf() (context.Context, context.CancelFunc) {
-	return context.WithTimeout(context.Background(), patience)
+// testContext returns a context with timeout testTimeout.
+func testContext() (context.Context, context.CancelFunc) {
+	return context.WithTimeout(context.Background(), testTimeout)
 }
