--- a/gateway/run.go
+++ b/gateway/run.go
@@ -11,213 +11,214 @@
 	"balsamwinch.example/upstream"
 )
 
-// Pauses before an ask that was denied is tried again.
+// Delays before an attempt that could not be started is tried again.
 const (
-	noServerPause = 20 * time.Millisecond
-	budgetPause   = 25 * time.Millisecond
-	// busyPause is only for room that the queue is not told of, such as that of a
+	noServerRetryDelay = 20 * time.Millisecond
+	budgetRetryDelay   = 25 * time.Millisecond
+	// busyRetryDelay covers only capacity that the queue is not notified of, such as a
 	// connection that was opened for a caller who has left.
-	busyPause = 20 * time.Millisecond
-	// hedgePause is for a hedge, which doesn't queue.
-	hedgePause = 4 * time.Millisecond
+	busyRetryDelay = 20 * time.Millisecond
+	// hedgeRetryDelay is for a hedge, which is not queued.
+	hedgeRetryDelay = 4 * time.Millisecond
 )
 
-// ended is an attempt that is over.
-type ended struct {
-	shard  int
-	number int
-	rs     upstream.Result
+// attemptResult is the result of an attempt that has ended.
+type attemptResult struct {
+	shard int
+	index int
+	rs    upstream.Result
 }
 
-// attempt is one arrival at a backend server.
+// attempt is one request to a backend server.
 type attempt struct {
-	shard  int
-	number int // number is that of its note.
-	pk     replica.Pick
-	spent  time.Time // spent is when the retry budget was charged for it; zero if it wasn't.
+	shard     int
+	index     int // of executor.attempts
+	pk        replica.Pick
+	chargedAt time.Time // when the retry budget was charged; zero if it was not
 }
 
-// carrier carries out one query.
-type carrier struct {
+// executor executes the query of one request.
+type executor struct {
 	ca       *call
 	qu       *scatter.Query
 	services []string
 	rq       *upstream.Request
-	replies  []*upstream.Reply // replies holds the newest reply of each shard.
-	tried    [][]string        // tried holds the backend servers asked for each shard.
-	picks    []replica.Pick    // picks holds the newest attempt of each shard.
-	arrived  []bool            // arrived says that a request for the shard counts as arrived.
-	notes    []note            // notes tell of every attempt.
-	ends     chan ended
-	queueing queueing
+	replies  []*upstream.Reply // newest reply of each shard
+	tried    [][]string        // IDs of the backend servers asked for each shard
+	picks    []replica.Pick    // newest attempt of each shard
+	arrived  []bool            // whether a request for the shard may have reached a backend server
+	attempts []attemptRecord   // all attempts of the request
+	results  chan attemptResult
+	waiting  waitState
 }
 
-// carry runs a query over the shards that the services hold and returns it with
-// the reply of each shard. It returns false if the caller has left.
-func (ca *call) carry(pl scatter.Plan, services []string) (*carrier, bool) {
-	cr := &carrier{
+// execute runs a query over one shard for each of the services and returns its executor,
+// which holds the replies. It returns false if the caller has disconnected.
+func (ca *call) execute(pl scatter.Plan, services []string) (*executor, bool) {
+	ex := &executor{
 		ca:       ca,
 		qu:       scatter.New(pl),
 		services: services,
-		rq:       ca.request(),
+		rq:       ca.upstreamRequest(),
 		replies:  make([]*upstream.Reply, len(services)),
 		tried:    make([][]string, len(services)),
 		picks:    make([]replica.Pick, len(services)),
 		arrived:  make([]bool, len(services)),
-		ends:     make(chan ended, 2*len(services)),
+		results:  make(chan attemptResult, 2*len(services)),
 	}
-	cr.rq.Deadline = pl.Deadline
+	ex.rq.Deadline = pl.Deadline
 	if len(services) > 1 {
-		ca.sv.up.Prepare(cr.rq)
+		ca.sv.up.Prepare(ex.rq)
 	}
-	ca.cr = cr
-	cr.begin(ca.sv.ts.Now())
-	defer ca.learn()
-	return cr, cr.loop()
+	ca.ex = ex
+	ex.start(ca.sv.ts.Now())
+	defer ca.updateQuarantine()
+	return ex, ex.run()
 }
 
-// loop performs what the query wants until it is over.
-func (cr *carrier) loop() bool {
-	ts := cr.ca.sv.ts
-	caller := cr.ca.rq.Context()
+// run starts the attempts that the query wants until the query ends. It returns false if
+// the caller has disconnected.
+func (ex *executor) run() bool {
+	ts := ex.ca.sv.ts
+	caller := ex.ca.rq.Context()
 	ctx, cancel := upstream.WithCancel(context.WithoutCancel(caller))
 	defer cancel(upstream.ErrSuperseded)
-	defer cr.leaveQueue()
+	defer ex.leaveQueue()
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	var wants []scatter.Attempt
+	var attempts []scatter.Attempt
 	for {
 		now := ts.Now()
-		wants = cr.qu.Next(now, wants[:0])
-		for _, wa := range wants {
-			cr.try(ctx, now, wa)
+		attempts = ex.qu.Next(now, attempts[:0])
+		for _, sa := range attempts {
+			ex.startAttempt(ctx, now, sa)
 		}
-		if cr.qu.State() != scatter.Running {
+		if ex.qu.State() != scatter.Running {
 			return true
 		}
-		timer.Reset(cr.qu.WakeAt(now).Sub(now))
+		timer.Reset(ex.qu.WakeAt(now).Sub(now))
 		select {
-		case en := <-cr.ends:
-			cr.ended(en)
-			cr.drain()
-		case sh := <-cr.queueing.woken:
-			cr.roomFor(sh)
+		case res := <-ex.results:
+			ex.handleResult(res)
+			ex.drainResults()
+		case sh := <-ex.waiting.wakeups:
+			ex.capacityFreed(sh)
 		case <-timer.C:
 		case <-caller.Done():
-			// The caller has left: what it asked for ends at the backend servers too.
+			// The caller has left: its requests at the backend servers are canceled, too.
 			cancel(context.Canceled)
 			return false
 		}
 	}
 }
 
-// drain takes in what else has ended. Exchanges that can go on do so before: with one
-// core, each of their replies would take a turn of the loop otherwise. An answer that
-// is whole doesn't wait for that.
-func (cr *carrier) drain() {
-	if cr.qu.State() == scatter.Running {
+// drainResults handles the other results that are ready. It yields first, so that exchanges
+// which can proceed do so: with one core, each reply would otherwise take an iteration of
+// run. A complete answer does not wait for that.
+func (ex *executor) drainResults() {
+	if ex.qu.State() == scatter.Running {
 		runtime.Gosched()
 	}
-	for cr.qu.State() == scatter.Running {
+	for ex.qu.State() == scatter.Running {
 		select {
-		case en := <-cr.ends:
-			cr.ended(en)
+		case res := <-ex.results:
+			ex.handleResult(res)
 		default:
 			return
 		}
 	}
 }
 
-// try begins an attempt, or tells the query why it can't.
-func (cr *carrier) try(ctx context.Context, now time.Time, wa scatter.Attempt) {
-	sv := cr.ca.sv
-	service := cr.services[wa.Shard]
-	if wa.Kind == scatter.Hedge {
-		sv.re.Overdue(now, cr.picks[wa.Shard])
+// startAttempt starts an attempt, or tells the query why it could not.
+func (ex *executor) startAttempt(ctx context.Context, now time.Time, sa scatter.Attempt) {
+	sv := ex.ca.sv
+	service := ex.services[sa.Shard]
+	if sa.Kind == scatter.Hedge {
+		sv.re.Overdue(now, ex.picks[sa.Shard])
 	}
-	as := replica.Request{Service: service, Class: cr.ca.ro.Name, Avoid: cr.tried[wa.Shard], NoProbe: !cr.ca.repeatable() || cr.ca.probe, HedgeFraction: hedgeShare(len(cr.services))}
-	pk, ok := cr.choose(now, wa, as)
+	rr := replica.Request{Service: service, Class: ex.ca.ro.Name, Avoid: ex.tried[sa.Shard], NoProbe: !ex.ca.repeatable() || ex.ca.probe, HedgeFraction: hedgeFraction(len(ex.services))}
+	pk, ok := ex.chooseServer(now, sa, rr)
 	if !ok {
-		cr.nobody(now, wa)
+		ex.noServerChosen(now, sa)
 		return
 	}
-	cr.unqueue(wa.Shard)
-	var spent time.Time
-	if cr.costs(wa) {
+	ex.dequeue(sa.Shard)
+	var chargedAt time.Time
+	if ex.needsBudget(sa) {
 		if !sv.bu.Spend(now, service) {
 			sv.re.Done(now, pk, replica.Report{Outcome: replica.Canceled})
-			cr.denied(service)
-			cr.qu.AttemptDeferred(now, wa.Shard, scatter.CauseBudget, now.Add(budgetPause))
+			ex.recordDenied(service)
+			ex.qu.AttemptDeferred(now, sa.Shard, scatter.CauseBudget, now.Add(budgetRetryDelay))
 			return
 		}
-		spent = now
+		chargedAt = now
 	}
-	switch wa.Kind {
+	switch sa.Kind {
 	case scatter.Hedge:
-		cr.ca.hedged++
+		ex.ca.numHedges++
 	case scatter.Retry:
-		cr.ca.again++
+		ex.ca.numRetries++
 	}
-	cr.ca.sent++
-	cr.picks[wa.Shard] = pk
-	cr.tried[wa.Shard] = append(cr.tried[wa.Shard], pk.Server.ID)
+	ex.ca.numSent++
+	ex.picks[sa.Shard] = pk
+	ex.tried[sa.Shard] = append(ex.tried[sa.Shard], pk.Server.ID)
 	var hedgeAt time.Time
-	if cr.ca.repeatable() && !(wa.Kind == scatter.Hedge && pk.Unhealthy) {
-		hedgeAt = now.Add(sv.re.HedgeDelay(now, as, pk))
+	if ex.ca.repeatable() && !(sa.Kind == scatter.Hedge && pk.Unhealthy) {
+		hedgeAt = now.Add(sv.re.HedgeDelay(now, rr, pk))
 	}
-	cr.qu.AttemptStarted(wa.Shard, hedgeAt)
-	go cr.exchange(ctx, attempt{shard: wa.Shard, number: cr.began(now, wa, pk.Server.ID), pk: pk, spent: spent})
+	ex.qu.AttemptStarted(sa.Shard, hedgeAt)
+	go ex.runAttempt(ctx, attempt{shard: sa.Shard, index: ex.recordStart(now, sa, pk.Server.ID), pk: pk, chargedAt: chargedAt})
 }
 
-// choose chooses a backend server, or makes the shard wait in the queue for room at
-// one. It looks once more then: for room that came free just before, others were
-// woken. A hedge doesn't queue, or those who have no attempt at all would wait for it.
-func (cr *carrier) choose(now time.Time, wa scatter.Attempt, as replica.Request) (replica.Pick, bool) {
-	re := cr.ca.sv.re
-	pk, ok := re.Choose(now, as)
-	if ok || wa.Kind == scatter.Hedge || !cr.join(wa.Shard) {
+// chooseServer chooses a backend server, or queues the shard until one has capacity. After
+// queueing it tries once more, since capacity freed just before has woken others. A hedge
+// is not queued, because shards without any attempt would wait behind it.
+func (ex *executor) chooseServer(now time.Time, sa scatter.Attempt, rr replica.Request) (replica.Pick, bool) {
+	re := ex.ca.sv.re
+	pk, ok := re.Choose(now, rr)
+	if ok || sa.Kind == scatter.Hedge || !ex.enqueue(sa.Shard) {
 		return pk, ok
 	}
-	return re.Choose(now, as)
+	return re.Choose(now, rr)
 }
 
-// costs reports whether an attempt is an arrival beyond the first. A retry is
-// none if no earlier attempt has reached a backend server; a hedge always is,
-// since the attempt beside it has been sent by then.
-func (cr *carrier) costs(wa scatter.Attempt) bool {
-	return wa.Kind == scatter.Hedge || wa.Kind == scatter.Retry && cr.arrived[wa.Shard]
+// needsBudget reports whether an attempt is an extra arrival that the retry budget pays
+// for. A retry is none if no earlier attempt has reached a backend server; a hedge always
+// is, since the attempt it accompanies was sent before.
+func (ex *executor) needsBudget(sa scatter.Attempt) bool {
+	return sa.Kind == scatter.Hedge || sa.Kind == scatter.Retry && ex.arrived[sa.Shard]
 }
 
-// exchange runs one attempt and reports it.
-func (cr *carrier) exchange(ctx context.Context, at attempt) {
-	sv := cr.ca.sv
+// runAttempt runs one attempt and delivers its result.
+func (ex *executor) runAttempt(ctx context.Context, at attempt) {
+	sv := ex.ca.sv
 	se := at.pk.Server
-	rs := sv.up.Do(ctx, sv.target(se), cr.rq)
+	rs := sv.up.Do(ctx, sv.target(se), ex.rq)
 	now := sv.ts.Now()
-	sv.re.Done(now, at.pk, report(ctx, rs))
-	if rs.Outcome != upstream.NoConnection { // Two that find none would wake each other for ever.
+	sv.re.Done(now, at.pk, replicaReport(ctx, rs))
+	if rs.Outcome != upstream.NoConnection { // Two attempts without a connection would wake each other forever.
 		sv.qu.wake(se.Service, se.ID)
 	}
-	if !at.spent.IsZero() && !arrives(rs) {
-		sv.bu.Refund(now, at.spent, se.Service)
+	if !at.chargedAt.IsZero() && !mayHaveArrived(rs) {
+		sv.bu.Refund(now, at.chargedAt, se.Service)
 	}
-	sv.mt.ended(ctx, cr.services[at.shard], rs)
+	sv.metrics.countAttemptEnd(ctx, ex.services[at.shard], rs)
 	if rs.Outcome == upstream.Answered && !sv.qa.Empty() {
 		sv.qa.ServiceAnswered(se.Service)
 	}
 	select {
-	case cr.ends <- ended{at.shard, at.number, rs}:
+	case ex.results <- attemptResult{at.shard, at.index, rs}:
 	case <-ctx.Done():
 	}
 }
 
-// arrives reports whether a request may have reached its backend server.
-func arrives(rs upstream.Result) bool {
+// mayHaveArrived reports whether a request may have reached its backend server.
+func mayHaveArrived(rs upstream.Result) bool {
 	return rs.Outcome != upstream.NotSent && rs.Outcome != upstream.NoConnection
 }
 
-// report says what an exchange tells about its backend server.
-func report(ctx context.Context, rs upstream.Result) replica.Report {
+// replicaReport converts the result of an exchange to a report about its backend server.
+func replicaReport(ctx context.Context, rs upstream.Result) replica.Report {
 	re := replica.Report{}
 	if rs.Reply != nil && rs.Reply.HasLoad {
 		ld := rs.Reply.Load
@@ -237,8 +238,8 @@
 	case upstream.NotSent:
 		re.Outcome = replica.Unreachable
 	case upstream.NoConnection:
-		// Connections that wait for a reply nobody wants, or to be opened, are in the
-		// way: the server stands still or is gone.
+		// All connections are being opened or wait for replies that nobody needs:
+		// the server is stalled or gone.
 		re.Outcome, re.LocalCause = replica.Shed, true
 	case upstream.Lost, upstream.Wrong:
 		re.Outcome = replica.Failed
@@ -255,54 +256,54 @@
 	return re
 }
 
-// ended gives the end of an attempt to the query.
-func (cr *carrier) ended(en ended) {
-	cr.over(cr.ca.sv.ts.Now(), en.number, en.rs)
-	if arrives(en.rs) {
-		cr.arrived[en.shard] = true
+// handleResult passes the end of an attempt to the query.
+func (ex *executor) handleResult(res attemptResult) {
+	ex.recordEnd(ex.ca.sv.ts.Now(), res.index, res.rs)
+	if mayHaveArrived(res.rs) {
+		ex.arrived[res.shard] = true
 	}
-	if !en.rs.Sent {
-		cr.uncount(en)
+	if !res.rs.Sent {
+		ex.uncountAttempt(res)
 	}
-	if en.rs.Outcome == upstream.NoConnection {
-		cr.retract(en)
+	if res.rs.Outcome == upstream.NoConnection {
+		ex.allowServerAgain(res)
 	}
-	if !cr.qu.HasPart(en.shard) && en.rs.Outcome == upstream.Answered && !unsigned(en.rs.Reply) {
-		cr.replies[en.shard] = en.rs.Reply
+	if !ex.qu.HasPart(res.shard) && res.rs.Outcome == upstream.Answered && !lacksStamp(res.rs.Reply) {
+		ex.replies[res.shard] = res.rs.Reply
 	}
-	cr.qu.AttemptEnded(cr.ca.sv.ts.Now(), en.shard, cr.ca.reply(en.rs))
-	if en.rs.Outcome == upstream.NoConnection && cr.qu.NeedsAttempt(en.shard) {
-		cr.join(en.shard)
+	ex.qu.AttemptEnded(ex.ca.sv.ts.Now(), res.shard, ex.ca.scatterOutcome(res.rs))
+	if res.rs.Outcome == upstream.NoConnection && ex.qu.NeedsAttempt(res.shard) {
+		ex.enqueue(res.shard)
 	}
 }
 
-// uncount takes an attempt of which nothing has left out of what the line counts.
-func (cr *carrier) uncount(en ended) {
-	cr.ca.sent--
-	switch cr.notes[en.number].kind {
+// uncountAttempt reverts the log counters for an attempt of which nothing was sent.
+func (ex *executor) uncountAttempt(res attemptResult) {
+	ex.ca.numSent--
+	switch ex.attempts[res.index].kind {
 	case scatter.Hedge:
-		cr.ca.hedged--
+		ex.ca.numHedges--
 	case scatter.Retry:
-		cr.ca.again--
+		ex.ca.numRetries--
 	}
 }
 
-// retract lets a backend server be chosen again that was not asked after all.
-func (cr *carrier) retract(en ended) {
-	id := cr.notes[en.number].server
-	cr.tried[en.shard] = slices.DeleteFunc(cr.tried[en.shard], func(other string) bool { return other == id })
+// allowServerAgain lets a backend server be chosen again that was not asked after all.
+func (ex *executor) allowServerAgain(res attemptResult) {
+	id := ex.attempts[res.index].server
+	ex.tried[res.shard] = slices.DeleteFunc(ex.tried[res.shard], func(other string) bool { return other == id })
 }
 
-// reply says what an exchange means for the query. Only a success is a part of a
-// merged answer; an answer of any kind but a server's own fault is one for a
-// request to a single backend server, and is passed on as it came.
-func (ca *call) reply(rs upstream.Result) scatter.Outcome {
+// scatterOutcome returns what an exchange means for the query. Only a success is a part of
+// a merged answer. For a request to a single backend server, any answer except a server
+// error counts as a part and is forwarded unchanged.
+func (ca *call) scatterOutcome(rs upstream.Result) scatter.Outcome {
 	switch rs.Outcome {
 	case upstream.Answered:
-		if unsigned(rs.Reply) {
+		if lacksStamp(rs.Reply) {
 			return scatter.OutcomeLost
 		}
-		return ca.answered(rs.Reply.Status)
+		return ca.outcomeForStatus(rs.Reply.Status)
 	case upstream.NoConnection:
 		return scatter.OutcomeNoConnection
 	case upstream.NotRun, upstream.NotSent:
@@ -312,17 +313,17 @@
 	}
 }
 
-// unsigned reports whether a success bears no stamp. Nothing proves that a backend
-// server made it for this request, so it must not be passed on as one.
-func unsigned(rp *upstream.Reply) bool {
-	return rp.Stamp == "" && success(rp.Status)
+// lacksStamp reports whether a success has no stamp. Nothing proves then that a backend
+// server produced it for this request, so it must not be forwarded.
+func lacksStamp(rp *upstream.Reply) bool {
+	return rp.Stamp == "" && isSuccess(rp.Status)
 }
 
-func success(status int) bool { return status >= 200 && status < 300 }
+func isSuccess(status int) bool { return status >= 200 && status < 300 }
 
-func (ca *call) answered(status int) scatter.Outcome {
+func (ca *call) outcomeForStatus(status int) scatter.Outcome {
 	switch {
-	case success(status):
+	case isSuccess(status):
 		return scatter.OutcomePart
 	case len(ca.ro.Shards) > 0 || status >= 500:
 		return scatter.OutcomeFailed
--- a/gateway/share.go
+++ b/gateway/share.go
@@ -12,93 +12,94 @@
 	"balsamwinch.example/warmup"
 )
 
-// entryMemory is how long an entry instance that was seen still counts. One that
-// is replaced overlaps with its successor, and its connections end late.
-const entryMemory = 20 * time.Second
+// entryCountTTL is how long an entry instance still counts after it was last seen. A
+// replaced instance overlaps with its successor, and its connections end late.
+const entryCountTTL = 20 * time.Second
 
 const (
-	// youngShare is the part of a backend server's connections that all entry instances
-	// together may open, in place of roster.ConnectionShare, for an instance that has
-	// just started, until youngFor has passed. If its predecessor lost power, so did
-	// perhaps all others, and the backend servers still count connections whose other
-	// ends are gone: until they notice, what is opened beyond their limit is reset, with
-	// the request on it.
-	youngShare = 0.45
-	youngFor   = 6 * time.Second
-	// newFor is how long an instance opens one connection to each backend server
-	// at most: it does not know yet how many others there are.
-	newFor = time.Second
+	// startupFraction replaces roster.ConnectionFraction, the fraction of a backend
+	// server's connections that all entry instances together may open, until
+	// startupDuration after the start of this instance. If its predecessor lost power,
+	// perhaps all others did, and the backend servers still count connections whose other
+	// ends are gone. Until they notice, connections opened beyond their limit are reset
+	// together with the requests on them.
+	startupFraction = 0.45
+	startupDuration = 6 * time.Second
+	// singleConnectionDuration is how long after its start an instance opens at most one
+	// connection to each backend server, since it does not know yet how many other
+	// instances there are.
+	singleConnectionDuration = time.Second
 )
 
-// entryCount is how many entry instances there are, and the highest number that
-// was seen lately.
+// entryCount is the number of entry instances and its recent peak.
 type entryCount struct {
-	now, top int
-	fell     time.Time // fell is until when there were as many as top.
+	current, peak int
+	peakUntil     time.Time // when the count was last at its peak
 }
 
-// with takes over a count. The highest one counts from when it last held: after a
-// long calm, the first fall must not be taken over at once.
-func (ec entryCount) with(now time.Time, count int) entryCount {
+// update returns the count after an update. The TTL of a peak starts when the count last
+// equalled it; otherwise, after a long stable phase, the first decrease would take effect
+// at once.
+func (ec entryCount) update(now time.Time, count int) entryCount {
 	switch {
-	case count >= ec.highest(now):
-		return entryCount{now: count, top: count}
-	case ec.now == ec.top:
-		ec.fell = now
+	case count >= ec.recentPeak(now):
+		return entryCount{current: count, peak: count}
+	case ec.current == ec.peak:
+		ec.peakUntil = now
 	}
-	ec.now = count
+	ec.current = count
 	return ec
 }
 
-// highest returns the highest count within entryMemory.
-func (ec entryCount) highest(now time.Time) int {
-	if ec.now < ec.top && now.Sub(ec.fell) >= entryMemory {
-		return ec.now
+// recentPeak returns the highest count within entryCountTTL.
+func (ec entryCount) recentPeak(now time.Time) int {
+	if ec.current < ec.peak && now.Sub(ec.peakUntil) >= entryCountTTL {
+		return ec.current
 	}
-	return ec.top
+	return ec.peak
 }
 
-// counted returns a count with a new one, and has connections divided anew once a higher
-// one of before counts no more.
-func (sv *Server) counted(ec entryCount, now time.Time, count int) entryCount {
-	ec = ec.with(now, count)
-	if count < ec.top {
-		sv.ts.Timeout(entryMemory, sv.share)
+// updateCount returns the updated count. It schedules a new division of connections for
+// when an earlier, higher count expires.
+func (sv *Server) updateCount(ec entryCount, now time.Time, count int) entryCount {
+	ec = ec.update(now, count)
+	if count < ec.peak {
+		sv.ts.Timeout(entryCountTTL, sv.divideConnections)
 	}
 	return ec
 }
 
-// share divides each backend server's connections among the entry instances, so
-// that together they never open more than it takes: what is over is reset, with
-// whatever request was on it.
-func (sv *Server) share() {
+// divideConnections divides each backend server's connections among the entry instances, so
+// that together they never open more than the server accepts. A server resets the excess
+// connections together with their requests.
+func (sv *Server) divideConnections() {
 	tb := sv.tb.Load()
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	entries := sv.sharing(sv.ts.Now())
-	part := sv.connectionPart()
+	entries := sv.sharingEntries(sv.ts.Now())
+	fraction := sv.connectionFraction()
 	shares, warmups := make(map[string]int), make(map[string]replica.Warmup)
-	sc := &scarcity{home: make(map[string]bool), away: make(map[string]bool)}
+	sc := &scarceServers{home: make(map[string]bool), others: make(map[string]bool)}
 	targets := make(map[string]upstream.Target)
 	for name, ses := range sv.servers {
-		most := 1
+		maxConns := 1
 		if limit := sv.limit(tb, name); limit > 0 {
-			most = max(1, int(part*float64(limit)/float64(entries)))
+			maxConns = max(1, int(fraction*float64(limit)/float64(entries)))
 			if roster.ConnectionFraction*float64(limit) < float64(entries) {
 				sc.add(sv.cf.Name, sv.cf.DataCentre, ses)
 			}
 		}
-		shares[name] = most
+		shares[name] = maxConns
 		if wa := sv.warmup(tb, name); wa.Bounded() {
 			warmups[name] = replica.Warmup{Allowance: wa.PerSender(entries), Duration: wa.Duration}
 		}
 		for _, se := range ses {
-			targets[se.ID] = upstream.Target{ID: se.ID, Address: se.Address, Incarnation: se.Born, MaxConnections: most, IdleTimeout: sc.idle(se.ID)}
+			targets[se.ID] = upstream.Target{ID: se.ID, Address: se.Address, Incarnation: se.Born, MaxConnections: maxConns, IdleTimeout: sc.idleTimeout(se.ID)}
 		}
 	}
-	sv.scarce.Store(sc)
+	sv.scarceServers.Store(sc)
 	maps.DeleteFunc(sv.limits, func(name string, _ int) bool { return sv.servers[name] == nil })
-	sv.shares.Store(&shares)
+	sv.connections.Store(&shares)
 	sv.re.SetMaxInFlight(shares)
 	sv.re.SetWarmups(warmups)
 	sv.re.SetPreferred(sc.home)
@@ -106,16 +107,17 @@
 	sv.qu.wakeAll()
 }
 
-// sharing returns among how many entry instances connections are divided.
-func (sv *Server) sharing(now time.Time) int {
-	entries := sv.entries.highest(now)
-	if sharers := sv.sharers.highest(now); sharers > 0 {
+// sharingEntries returns the number of entry instances that connections are divided among,
+// at least 1.
+func (sv *Server) sharingEntries(now time.Time) int {
+	entries := sv.entries.recentPeak(now)
+	if sharers := sv.sharers.recentPeak(now); sharers > 0 {
 		entries = min(entries, sharers)
 	}
 	return max(1, entries)
 }
 
-// warmup returns what a cold backend server of a service bears.
+// warmup returns the limit of requests to a cold backend server of a service.
 func (sv *Server) warmup(tb *route.Table, name string) warmup.Limit {
 	if tb == nil {
 		return warmup.Limit{}
@@ -126,9 +128,9 @@
 	return wa
 }
 
-// limit returns how many connections a backend server of a service takes, 0 if
-// that is not known. A service that a new version no longer names keeps its
-// limit: requests that began under the version before still go there.
+// limit returns how many connections a backend server of a service accepts, 0 if unknown. A
+// service that a new version no longer names keeps its limit, because requests that started
+// under the previous version may still use it.
 func (sv *Server) limit(tb *route.Table, name string) int {
 	if tb != nil {
 		if se, ok := tb.Service(name); ok {
@@ -138,23 +140,23 @@
 	return sv.limits[name]
 }
 
-// connectionPart returns the part of a backend server's connections that is
-// divided at this age of the process.
-func (sv *Server) connectionPart() float64 {
+// connectionFraction returns the fraction of a backend server's connections that is divided
+// at the current age of the process.
+func (sv *Server) connectionFraction() float64 {
 	switch age := sv.ts.Now().Sub(sv.started); {
-	case age < newFor:
+	case age < singleConnectionDuration:
 		return 0
-	case age < youngFor:
-		return youngShare
+	case age < startupDuration:
+		return startupFraction
 	default:
 		return roster.ConnectionFraction
 	}
 }
 
-// target returns how a backend server is reached.
+// target returns how to reach a backend server.
 func (sv *Server) target(se registry.Server) upstream.Target {
 	return upstream.Target{
 		ID: se.ID, Address: se.Address, Incarnation: se.Born,
-		MaxConnections: max(1, (*sv.shares.Load())[se.Service]), IdleTimeout: sv.scarce.Load().idle(se.ID),
+		MaxConnections: max(1, (*sv.connections.Load())[se.Service]), IdleTimeout: sv.scarceServers.Load().idleTimeout(se.ID),
 	}
 }
--- a/gateway/share_test.go
+++ b/gateway/share_test.go
@@ -11,63 +11,63 @@
 	"balsamwinch.example/route"
 )
 
-// Nine entry instances run in calm for a minute, then three are cut off from
-// control. They still hold their connections, so the six others must not divide the
-// backend servers' connections among six: together they would open more than the
-// backend servers take, and these reset what is over, with the requests on it.
-func TestEntryCount(t *testing.T) {
+// Nine entry instances run for a minute, then three are cut off from control. They still
+// hold their connections, so the other six must not divide the backend servers' connections
+// among six: together all would exceed the servers' limit, and the servers would reset the
+// excess connections with their requests.
+func TestEntryCountRemembersPeak(t *testing.T) {
 	c := qt.New(t)
 	start := time.Unix(1000, 0)
 	at := func(second int) time.Time { return start.Add(time.Duration(second) * time.Second) }
-	ec := entryCount{}.with(at(0), 3).with(at(1), 9)
-	c.Assert(ec.highest(at(60)), qt.Equals, 9)
-	ec = ec.with(at(61), 6)
-	c.Assert(ec.highest(at(61)), qt.Equals, 9)
-	ec = ec.with(at(70), 5)
-	c.Assert(ec.highest(at(80)), qt.Equals, 9)
-	c.Assert(ec.highest(at(81)), qt.Equals, 5)
-	ec = ec.with(at(90), 7)
-	c.Assert(ec.highest(at(90)), qt.Equals, 7)
-	ec = ec.with(at(91), 6)
-	c.Assert(ec.highest(at(110)), qt.Equals, 7)
-	c.Assert(ec.highest(at(111)), qt.Equals, 6)
+	ec := entryCount{}.update(at(0), 3).update(at(1), 9)
+	c.Assert(ec.recentPeak(at(60)), qt.Equals, 9)
+	ec = ec.update(at(61), 6)
+	c.Assert(ec.recentPeak(at(61)), qt.Equals, 9)
+	ec = ec.update(at(70), 5)
+	c.Assert(ec.recentPeak(at(80)), qt.Equals, 9)
+	c.Assert(ec.recentPeak(at(81)), qt.Equals, 5)
+	ec = ec.update(at(90), 7)
+	c.Assert(ec.recentPeak(at(90)), qt.Equals, 7)
+	ec = ec.update(at(91), 6)
+	c.Assert(ec.recentPeak(at(110)), qt.Equals, 7)
+	c.Assert(ec.recentPeak(at(111)), qt.Equals, 6)
 }
 
-// Three of nine entry instances are cut off for a while, and their callers connect to
-// the others. Nothing would bring them back while their new connections serve them;
-// so each connection is used for a bounded time, at random, and then ended with an
-// answer.
-func TestLifetime(t *testing.T) {
+// Three of nine entry instances are cut off for a while, and their callers connect to the
+// others. Nothing would move the callers back while their new connections work, so each
+// connection is closed with an answer after a bounded random time.
+func TestConnectionLifetime(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	c.Assert(outlived(t.Context(), now), qt.IsFalse)
+	c.Assert(lifetimeExpired(t.Context(), now), qt.IsFalse)
 	for range 100 {
 		ctx := WithLifetime(t.Context(), now)
-		c.Assert(outlived(ctx, now.Add(leastLifetime)), qt.IsFalse)
-		c.Assert(outlived(ctx, now.Add(mostLifetime)), qt.IsTrue)
+		c.Assert(lifetimeExpired(ctx, now.Add(minLifetime)), qt.IsFalse)
+		c.Assert(lifetimeExpired(ctx, now.Add(maxLifetime)), qt.IsTrue)
 	}
 }
 
-// Callers are led to 49 of 191 entry instances, and backend servers take 123 connections.
-// Divided among all, each instance would have a single one to each server and a second
-// request would wait or go elsewhere; divided among those with callers, it has two. While
-// their number isn't known, or was higher lately, fewer connections are opened.
-func TestSharers(t *testing.T) {
+// Callers are sent to 49 of 191 entry instances, and backend servers accept 123
+// connections. Divided among all instances, each would have a single connection to each
+// server, and a second request would wait or go elsewhere; divided among the instances with
+// callers, each has two. While their number is unknown, or was higher recently, fewer
+// connections are opened.
+func TestConnectionsAreDividedAmongSharers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		rg := newRig(t, newPipes(), setup{entries: 191})
-		rg.limited(limits, 123, route.Route{Prefix: "/", Timeout: time.Second, Targets: to("s")})
+		rg := newRig(t, newMemNetwork(), setup{entries: 191})
+		rg.setLimitedTable(limits, 123, route.Route{Prefix: "/", Timeout: time.Second, Targets: singleTarget("s")})
 		rg.gw.SetServers(map[string][]registry.Server{"s": {{ID: "i", Service: "s", Address: "a"}}})
-		share := func() int { return rg.gw.target(registry.Server{ID: "i", Service: "s"}).MaxConnections }
-		c.Assert(share(), qt.Equals, 1)
+		connections := func() int { return rg.gw.target(registry.Server{ID: "i", Service: "s"}).MaxConnections }
+		c.Assert(connections(), qt.Equals, 1)
 		rg.gw.SetSharers(49)
-		c.Assert(share(), qt.Equals, 2)
+		c.Assert(connections(), qt.Equals, 2)
 		rg.gw.SetSharers(95)
-		c.Assert(share(), qt.Equals, 1)
+		c.Assert(connections(), qt.Equals, 1)
 		rg.gw.SetSharers(49)
-		c.Assert(share(), qt.Equals, 1)
-		time.Sleep(entryMemory)
+		c.Assert(connections(), qt.Equals, 1)
+		time.Sleep(entryCountTTL)
 		synctest.Wait()
-		c.Assert(share(), qt.Equals, 2)
+		c.Assert(connections(), qt.Equals, 2)
 	})
 }
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -10,53 +10,52 @@
 	"balsamwinch.example/route"
 )
 
-// The platform stops an instance. Callers that hold connections to it must leave
-// it without a request being cut: each answer says that the connection ends, and
-// the connection ends after it, not before.
-func TestCloseAfterAnswer(t *testing.T) {
-	onBoth(t, func(t *testing.T, nw network) {
+// The platform stops an instance. Callers with open connections must move away without
+// losing a request: each answer announces that the connection closes, and it closes only
+// after the answer.
+func TestCloseAfterResponse(t *testing.T) {
+	onBothNetworks(t, func(t *testing.T, nw network) {
 		rg := newRig(t, nw, setup{})
 		gate := make(chan struct{})
 		close(gate)
-		rg.serve("s", 1, held(gate, fine))
-		rg.table(route.Route{Prefix: "/", Kind: route.NotRepeatable, Targets: to("s")})
+		rg.startServers("s", 1, heldUntil(gate, respondOK))
+		rg.setTable(route.Route{Prefix: "/", Kind: route.NotRepeatable, Targets: singleTarget("s")})
 		ca := rg.connect()
 		for range 3 {
-			an := ca.do(ask{uri: "/a"})
+			an := ca.do(request{uri: "/a"})
 			rg.checkStatus(an, http.StatusOK)
 			qt.Assert(t, an.close, qt.IsFalse)
 		}
 		rg.gw.CloseAfterResponse()
-		an := ca.do(ask{uri: "/a"})
+		an := ca.do(request{uri: "/a"})
 		rg.checkStatus(an, http.StatusOK)
 		qt.Assert(t, an.close, qt.IsTrue)
 		_, err := ca.rd.ReadByte()
 		qt.Assert(t, err, qt.IsNotNil)
 		an = rg.get("/b", http.StatusOK)
-		qt.Assert(t, an.close, qt.IsTrue, qt.Commentf("callers that come late are served too"))
+		qt.Assert(t, an.close, qt.IsTrue, qt.Commentf("late callers are served, too"))
 	})
 }
 
-// Near the end of a stop what still comes is refused, with the promise that it has
-// not run, and what is under way is finished. The process may end once nothing is
-// under way.
-func TestRefuse(t *testing.T) {
-	onBoth(t, func(t *testing.T, nw network) {
+// Near the end of a shutdown, new requests are rejected as not run, and requests in flight
+// finish. The process may exit once no request is in flight.
+func TestRejectAllFinishesInFlight(t *testing.T) {
+	onBothNetworks(t, func(t *testing.T, nw network) {
 		rg := newRig(t, nw, setup{})
 		gate := make(chan struct{})
-		rg.serve("s", 2, held(gate, fine))
-		rg.serve("p1", 1, held(gate, fine))
-		rg.table(
-			route.Route{Prefix: "/", Kind: route.NotRepeatable, Targets: to("s")},
+		rg.startServers("s", 2, heldUntil(gate, respondOK))
+		rg.startServers("p1", 1, heldUntil(gate, respondOK))
+		rg.setTable(
+			route.Route{Prefix: "/", Kind: route.NotRepeatable, Targets: singleTarget("s")},
 			route.Route{Prefix: "/m/", MaxAttempts: 1, Shards: []string{"s", "p1"}, Merge: route.Merge{TopK: 3, LeastShare: 1}},
 		)
-		one, two := rg.begin(ask{uri: "/a"}), rg.begin(ask{uri: "/m/"})
-		rg.le.awaitArrivals(3)
+		one, two := rg.sendAsync(request{uri: "/a"}), rg.sendAsync(request{uri: "/m/"})
+		rg.hist.awaitArrivals(3)
 		rg.gw.CloseAfterResponse()
 		rg.gw.RejectAll()
 		an := rg.get("/b", http.StatusServiceUnavailable)
 		qt.Assert(t, an.close, qt.IsTrue)
-		qt.Assert(t, rg.le.of(an.id), qt.HasLen, 0)
+		qt.Assert(t, rg.hist.arrivalsOf(an.id), qt.HasLen, 0)
 
 		qt.Assert(t, rg.gw.InFlight(), qt.Equals, 2)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -75,9 +74,9 @@
 	})
 }
 
-// An instance that has no configuration yet is stopped. It refuses as before.
-func TestRefuseWithoutTable(t *testing.T) {
-	onBoth(t, func(t *testing.T, nw network) {
+// An instance without a configuration is stopped. It continues to reject requests.
+func TestRejectAllWithoutTable(t *testing.T) {
+	onBothNetworks(t, func(t *testing.T, nw network) {
 		rg := newRig(t, nw, setup{})
 		rg.gw.CloseAfterResponse()
 		rg.gw.RejectAll()
--- a/gateway/warmup_test.go
+++ b/gateway/warmup_test.go
@@ -14,9 +14,9 @@
 	"balsamwinch.example/warmup"
 )
 
-// cool makes all backend servers of a service cold, and this instance send none of them
-// anything.
-func (rg *rig) cool(service string) {
+// makeCold makes all backend servers of a service cold, with a limit that lets this
+// instance send them nothing.
+func (rg *rig) makeCold(service string) {
 	ses := make(map[string][]registry.Server)
 	for _, be := range rg.servers {
 		se := be.record()
@@ -29,28 +29,29 @@
 	rg.gw.re.SetWarmups(map[string]replica.Warmup{service: {Allowance: warmup.Allowance{MinInterval: time.Second}, Duration: 3 * time.Second}})
 }
 
-// Guards against callers who wait for cold backend servers that get what they bear already.
-func TestColdServersRefuseAtOnce(t *testing.T) {
+// Guards against requests that wait for cold backend servers that already get as many
+// requests as they can take.
+func TestColdServersRejectAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rg := newRig(t, newPipes(), setup{})
-		rg.table(route.Route{Prefix: "/", Aim: 100 * time.Millisecond, Targets: to("s")})
-		rg.serve("s", 2)
-		rg.cool("s")
+		rg := newRig(t, newMemNetwork(), setup{})
+		rg.setTable(route.Route{Prefix: "/", Aim: 100 * time.Millisecond, Targets: singleTarget("s")})
+		rg.startServers("s", 2)
+		rg.makeCold("s")
 		an := rg.get("/a", http.StatusServiceUnavailable)
 		qt.Assert(t, an.took, qt.Equals, time.Duration(0))
 		qt.Assert(t, an.header.Get("Retry-After"), qt.Not(qt.Equals), "")
-		qt.Assert(t, rg.le.of(an.id), qt.HasLen, 0)
+		qt.Assert(t, rg.hist.arrivalsOf(an.id), qt.HasLen, 0)
 	})
 }
 
-// Guards against a merged answer that is held for a shard whose servers are all cold.
+// Guards against a merged answer that waits for a shard whose servers are all cold.
 func TestColdShardIsLeftOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rg := newRig(t, newPipes(), setup{})
-		rg.table(route.Route{Prefix: "/", Aim: 100 * time.Millisecond, Shards: []string{"a", "b"}, Merge: route.Merge{TopK: 3, LeastShare: 0.5}})
-		rg.serve("a", 2)
-		rg.serve("b", 2)
-		rg.cool("b")
+		rg := newRig(t, newMemNetwork(), setup{})
+		rg.setTable(route.Route{Prefix: "/", Aim: 100 * time.Millisecond, Shards: []string{"a", "b"}, Merge: route.Merge{TopK: 3, LeastShare: 0.5}})
+		rg.startServers("a", 2)
+		rg.startServers("b", 2)
+		rg.makeCold("b")
 		an := rg.get("/a", http.StatusOK)
 		qt.Assert(t, an.took < 50*time.Millisecond, qt.IsTrue, qt.Commentf("%v", an.took))
 		qt.Assert(t, an.header.Get(names.MissingParts), qt.Equals, "1")
