--- a/gateway/lines_test.go
+++ b/gateway/lines_test.go
@@ -295,7 +295,7 @@
 
 // Backend servers crash one after the other, perhaps always during the same request. Its ID
 // differs in each attempt, so the line gives the content key and the servers that lost the
-// connection.
+// connection, even if another server has answered in the end.
 func TestLogLineNamesContentAndLostServers(t *testing.T) {
 	withLogRig(t, func(t *testing.T, lr *logRig) {
 		lr.setRoute(route.Route{Targets: deskTarget(), Kind: route.Repeatable, MaxAttempts: 2})
