--- a/tier/addresses.go
+++ b/tier/addresses.go
@@ -8,23 +8,23 @@
 	"balsamwinch.example/feed"
 )
 
-// leastAddressTTL is how long an address list may be kept at least: callers must not
-// ask before each request.
-const leastAddressTTL = 500 * time.Millisecond
+// minAddressTTL is the minimum TTL of an address list, so that callers don't look up
+// addresses before each request.
+const minAddressTTL = 500 * time.Millisecond
 
 // addressTTL returns how long callers may keep an address list.
 //
-// The longer, the fewer look-ups fail while the nearest control instance is down, for
-// which callers wait a second. But an entry instance that stops serves those who hold
-// an older list only until shortly before the end of its stop; one who kept its list for
-// longer would find it gone. So the time that it serves bounds it.
+// With a longer TTL, fewer look-ups fail while the nearest control instance is down;
+// callers wait a second for each. But an entry instance that stops serves callers with an
+// older list only until shortly before the end of its stop, and callers that keep a list
+// for longer would find it gone. So that serving time is the upper bound.
 func (ti Timing) addressTTL() time.Duration {
-	return min(ti.AddressTTL, max(leastAddressTTL, ti.StopWithin-answerWithin-exitBefore))
+	return min(ti.AddressTTL, max(minAddressTTL, ti.StopWithin-inFlightTimeout-exitMargin))
 }
 
-// addresses returns the callers' addresses of the entry instances that are ready,
-// those of the data centre first, and otherwise in random order: an answer may
-// hold fewer than there are, and the same ones must not be left out each time.
+// addresses returns the addresses for callers of the ready entry instances, those of the
+// data centre first, and shuffled otherwise: a response may be cut to fewer addresses,
+// and must not leave out the same ones each time.
 func addresses(ens []feed.Entry, dataCentre string) []string {
 	var near, far []string
 	for _, en := range ens {
--- a/tier/control.go
+++ b/tier/control.go
@@ -19,23 +19,23 @@
 	"balsamwinch.example/trail"
 )
 
-// Times of a control instance.
+// Limits and timeouts of a control instance.
 const (
-	// silentAnnouncements is after how many missed announcements a control
-	// instance no longer says that it hears a backend server.
-	silentAnnouncements = 4
-	// proposeWithin bounds one try to have a configuration accepted; operators
-	// send it again to another instance.
-	proposeWithin = 900 * time.Millisecond
-	// readWithin bounds a read of the configuration.
-	readWithin = 900 * time.Millisecond
-	// lastWords is how long a stopping control instance goes on answering.
-	lastWords = 300 * time.Millisecond
+	// maxMissedAnnouncements is the number of missed announcements after which a control
+	// instance no longer lists a backend server.
+	maxMissedAnnouncements = 4
+	// proposeTimeout bounds one attempt to commit a change. Operators retry at another
+	// instance.
+	proposeTimeout = 900 * time.Millisecond
+	// readTimeout bounds a read of the configuration.
+	readTimeout = 900 * time.Millisecond
+	// resignTimeout is how long a stopping control instance goes on serving.
+	resignTimeout = 300 * time.Millisecond
 )
 
 // control is a control instance.
 type control struct {
-	sh *shared
+	ls *liveSettings
 	nd *fleet.Node
 	pu *feed.Publisher
 	lu *lookUps
@@ -44,68 +44,68 @@
 	ts *timer.Service
 }
 
-func runControl(ctx context.Context, se Settings, sh *shared, di Dialect, lc link.Config, ts *timer.Service, lg *zap.Logger, mws []MetricsWriter) error {
-	co := &control{sh: sh, lu: newLookUps(ts, lg), lg: lg, ts: ts}
+func runControl(ctx context.Context, se Settings, ls *liveSettings, di Dialect, lc link.Config, ts *timer.Service, lg *zap.Logger, mws []MetricsWriter) error {
+	co := &control{ls: ls, lu: newLookUps(ts, lg), lg: lg, ts: ts}
 	qa := quarantine.New()
 	co.pu = feed.NewPublisher(feed.PublisherConfig{
-		Name: se.Name, DataCentre: se.DataCentre, SilenceTimeout: silentAnnouncements * se.Timing.Announcement, Quarantine: qa,
+		Name: se.Name, DataCentre: se.DataCentre, SilenceTimeout: maxMissedAnnouncements * se.Timing.Announcement, Quarantine: qa,
 	}, ts, lg)
 	co.ro = newRosters(di.Tables(), co.pu, ts, lg)
-	me := memory{dir: se.DataFolder, pu: co.pu, ot: &others{suspect: co.pu.AddSuspects}, ro: co.ro, qa: qa, ts: ts, lg: lg}
-	me.restore(se.Timing.Announcement)
+	ss := stateStore{dir: se.DataFolder, pu: co.pu, ps: &peerServers{hearSuspects: co.pu.AddSuspects}, ro: co.ro, qa: qa, ts: ts, lg: lg}
+	ss.restore(se.Timing.Announcement)
 	co.nd = fleet.New(fleet.Config{
-		Name: se.Name, Address: se.LinkAddress(), Seeds: sh.linkSeeds, FirstStart: se.FirstStart, MaxFailures: se.Losses,
+		Name: se.Name, Address: se.LinkAddress(), Seeds: ls.linkSeeds, FirstStart: se.FirstStart, MaxFailures: se.Losses,
 		Dir: se.DataFolder, ElectionTimeout: se.Timing.Election, HeartbeatInterval: se.Timing.Heartbeat, Link: lc,
 	}, ts, lg, co)
 	li, err := listen(se.LinkAddress())
 	if err != nil {
 		return err
 	}
-	sp := supervise("control", lg)
-	cu := newCounted(co, ts)
-	if err := serveHTTP(sp, "operators", se.Listen.Control, di.ControlHandler(cu)); err != nil {
+	sp := newSupervisor("control", lg)
+	ia := newInstrumentedAPI(co, ts)
+	if err := serveHTTP(sp, "operators", se.Listen.Control, di.ControlHandler(ia)); err != nil {
 		return err
 	}
-	if err := serveHTTP(sp, "addresses", se.Listen.Addresses, di.AddressHandler(cu)); err != nil {
+	if err := serveHTTP(sp, "addresses", se.Listen.Addresses, di.AddressHandler(ia)); err != nil {
 		return err
 	}
-	serveMetrics(sp, se.Metrics, lg, append(mws, writeGroup(co.nd, co.pu), cu.set.WritePrometheus)...)
+	serveMetrics(sp, se.Metrics, lg, append(mws, writeGroupMetrics(co.nd, co.pu), ia.set.WritePrometheus)...)
 	sp.Add(service{"links", func(ctx context.Context) error { return link.Serve(ctx, li, lc, co.handle) }})
 	sp.Add(service{"fleet", co.nd.Serve})
 	sp.Add(service{"feed", co.pu.Serve})
 	sp.Add(service{"roster", co.ro.serve})
-	addMemory(sp, me, se, sh, lc)
+	addStateStore(sp, ss, se, ls, lc)
 	sp.Add(service{"look-ups", func(ctx context.Context) error { return co.lu.serve(ctx, co.pu.ReadyEntries) }})
-	serveUntil(ctx, sp, co.leave)
+	serveUntil(ctx, sp, co.stop)
 	return nil
 }
 
-// addMemory adds what keeps the notes of a control instance, and invites the entry
-// instances that were noted before this start.
-func addMemory(sp *suture.Supervisor, me memory, se Settings, sh *shared, lc link.Config) {
+// addStateStore adds the service that persists the state of a control instance, and
+// invites the entry instances that were saved before this start.
+func addStateStore(sp *suture.Supervisor, ss stateStore, se Settings, ls *liveSettings, lc link.Config) {
 	su := feed.NewSubscriber(feed.SubscriberConfig{
-		Self: feed.Entry{Name: se.Name, DataCentre: se.DataCentre}, Seeds: sh.linkSeeds, Link: lc, RetentionTimeout: serverHold, OwnAddress: se.LinkAddress(),
-	}, me.ts, me.lg, me.ot)
-	invitees := me.invitees(se.DataCentre)
+		Self: feed.Entry{Name: se.Name, DataCentre: se.DataCentre}, Seeds: ls.linkSeeds, Link: lc, RetentionTimeout: serverRetentionTimeout, OwnAddress: se.LinkAddress(),
+	}, ss.ts, ss.lg, ss.ps)
+	invitees := ss.invitees(se.DataCentre)
 	sp.Add(service{"others", su.Serve})
-	sp.Add(service{"memory", func(ctx context.Context) error { return me.serve(ctx, se.LinkPort) }})
+	sp.Add(service{"memory", func(ctx context.Context) error { return ss.serve(ctx, se.LinkPort) }})
 	sp.Add(service{"invite", func(ctx context.Context) error {
-		feed.InviteAll(ctx, lc, me.lg, feed.Invite{Name: se.Name, Address: se.LinkAddress()}, invitees, me.pu.HasLink)
+		feed.InviteAll(ctx, lc, ss.lg, feed.Invite{Name: se.Name, Address: se.LinkAddress()}, invitees, ss.pu.HasLink)
 		return suture.ErrDoNotRestart
 	}})
 }
 
-// leave hands the lead over and goes on answering for a moment.
-func (co *control) leave() {
+// stop hands over the leadership and goes on serving until resignTimeout has passed.
+func (co *control) stop() {
 	co.lg.Info("instance-stopping", trail.AtOnce())
-	last, cancel := context.WithTimeout(context.Background(), lastWords)
+	last, cancel := context.WithTimeout(context.Background(), resignTimeout)
 	defer cancel()
 	co.nd.Resign(last)
 	<-last.Done()
 }
 
-// handle serves a link that another instance opened; its first message says
-// which kind of instance it is.
+// handle serves a link that another instance opened. The first message tells which kind
+// of instance it is.
 func (co *control) handle(ctx context.Context, cn *link.Conn) {
 	first, err := cn.Receive()
 	if err != nil {
@@ -113,8 +113,8 @@
 	}
 	if su, ok := first.(feed.Subscribe); ok {
 		if !su.FromControl {
-			co.lu.opened(su.Name, su.State)
-			defer co.lu.closed(su.Name)
+			co.lu.linkOpened(su.Name, su.State)
+			defer co.lu.linkClosed(su.Name)
 		}
 		co.pu.Handle(ctx, cn, su)
 		return
@@ -122,16 +122,16 @@
 	co.nd.Handle(ctx, cn, first)
 }
 
-// DocumentCommitted tells the entry instances of a configuration.
+// DocumentCommitted publishes a committed configuration to the entry instances.
 func (co *control) DocumentCommitted(version uint64, data []byte) {
 	co.pu.SetConfiguration(version, data)
 	co.ro.setDocument(version, data)
 }
 
-// EvacuationsCommitted tells the entry instances which data centres are evacuated.
+// EvacuationsCommitted publishes the evacuated data centres to the entry instances.
 func (co *control) EvacuationsCommitted(st evacuation.Set) { co.pu.SetEvacuations(st) }
 
-// MembersChanged tells the entry instances which control instances there are.
+// MembersChanged publishes the control instances to the entry instances.
 func (co *control) MembersChanged(ms []fleet.Member) {
 	out := make([]feed.Member, 0, len(ms))
 	for _, me := range ms {
@@ -140,9 +140,9 @@
 	co.pu.SetMembers(out)
 }
 
-// Accept makes a configuration the one in force unless a higher version is held.
+// Accept commits a configuration unless a higher version is in force.
 func (co *control) Accept(ctx context.Context, version uint64, data []byte) error {
-	ctx, cancel := context.WithTimeout(ctx, proposeWithin)
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	start := co.ts.Now()
 	err := co.nd.Propose(ctx, version, data)
@@ -151,24 +151,24 @@
 	return err
 }
 
-// Newest returns the newest accepted configuration.
+// Newest returns the latest committed configuration.
 func (co *control) Newest(ctx context.Context) (uint64, []byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, readWithin)
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	version, data, err := co.nd.Read(ctx)
 	if err == nil && version == 0 {
-		err = &result.Error{Code: result.ControlUnavailable, Op: "read configuration", Detail: "none was accepted yet"}
+		err = &result.Error{Code: result.ControlUnavailable, Op: "read configuration", Detail: "no configuration has been accepted yet"}
 	}
 	co.lg.Info("configuration-read", zap.Uint64("Version", version), zap.Error(err), trail.AtOnce())
 	return version, data, err
 }
 
-// Evacuate evacuates a data centre or withdraws that.
+// Evacuate evacuates a data centre or ends its evacuation.
 func (co *control) Evacuate(ctx context.Context, dataCentre string, evacuate bool, from string) error {
-	ctx, cancel := context.WithTimeout(ctx, proposeWithin)
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	start := co.ts.Now()
-	st, err := evacuation.Set{}, co.known(dataCentre)
+	st, err := evacuation.Set{}, co.checkDataCentre(dataCentre)
 	if err == nil {
 		st, err = co.nd.Evacuate(ctx, dataCentre, evacuate)
 	}
@@ -178,9 +178,10 @@
 	return err
 }
 
-// known returns an error if the settings list the data centres and lack one.
-func (co *control) known(dataCentre string) error {
-	all := co.sh.se.Load().DataCentres
+// checkDataCentre returns an error if the name is malformed, or if the settings list the
+// data centres and lack it.
+func (co *control) checkDataCentre(dataCentre string) error {
+	all := co.ls.se.Load().DataCentres
 	if err := evacuation.CheckName(dataCentre); err != nil || len(all) == 0 {
 		return err
 	}
@@ -190,29 +191,30 @@
 	return &result.Error{Code: result.Invalid, Op: "order evacuation", Detail: fmt.Sprintf("the settings name no data centre %q", dataCentre)}
 }
 
-// Evacuated returns which data centres are evacuated as far as this instance knows.
+// Evacuated returns the evacuated data centres that this instance knows of.
 func (co *control) Evacuated() evacuation.Set { return co.nd.Evacuations() }
 
-// Announce takes a backend server's announcement.
+// Announce processes a backend server's announcement.
 func (co *control) Announce(se registry.Server) { co.pu.Announce(se) }
 
-// Leave takes a backend server's word that it leaves.
+// Leave removes a backend server that says that it leaves.
 func (co *control) Leave(id string) { co.pu.Leave(id) }
 
-// Ignore takes that what was announced is no backend server's word.
+// Ignore records that an announcement was ignored and why.
 func (co *control) Ignore(id, detail string) { co.pu.Ignore(id, detail) }
 
-// BodyLimit bounds a body of these calls in bytes.
-func (co *control) BodyLimit() int64 { return apiBodyBytes }
+// BodyLimit returns the maximum size of a request body in bytes.
+func (co *control) BodyLimit() int64 { return maxAPIBodyBytes }
 
-// Addresses returns the entry instances to use: those that callers of the host are led to
-// in their data centre, or all, those of the data centre first.
+// Addresses returns the addresses of entry instances for a caller: the subset that serves
+// callers of the host in their data centre, or else all instances, those of the data
+// centre first.
 func (co *control) Addresses(host, dataCentre, _ string) ([]string, time.Duration) {
 	ready := co.pu.ReadyEntries()
-	co.lu.note(ready)
+	co.lu.record(ready)
 	list := co.ro.addresses(host, dataCentre, ready)
 	if len(list) == 0 {
 		list = addresses(ready, dataCentre)
 	}
-	return list, co.sh.se.Load().Timing.addressTTL()
+	return list, co.ls.se.Load().Timing.addressTTL()
 }
--- a/tier/crash_test.go
+++ b/tier/crash_test.go
@@ -13,56 +13,59 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// fatal is in the path of the request that ends whoever runs it.
+// fatal is in the path of a request that crashes every server that runs it.
 const fatal = "fatal"
 
-// crashServers are backend servers that end when they run a fatal request. Each that ended
-// starts anew when the test says so, under another id and at another address.
+// crashServers are backend servers that crash when they run a fatal request. The test
+// restarts crashed ones, under another id and address.
 type crashServers struct {
-	wd       *world
+	cl       *cluster
 	services []string
 
-	mu     sync.Mutex
-	live   map[string]*backend // live holds those that have not ended, by id.
-	starts int
-	harms  map[string]*harm // harms are those of the fatal requests, by path.
-	counts map[string]int   // counts says how many servers each attempt reached.
+	mu             sync.Mutex
+	running        map[string]*backend // servers that have not crashed, by id
+	numStarts      int
+	records        map[string]*crashRecord // by path of the fatal request
+	serversReached map[string]int          // number of servers that each attempt reached
 }
 
-// harm is what a fatal request did to servers.
-type harm struct {
-	ended int                 // ended counts those that ended under it so far.
-	third time.Time           // third is when the third one ended.
-	after map[string]struct{} // after holds the attempts that reached a server later than newsWithin after that.
+// crashRecord tells what a fatal request did to servers.
+type crashRecord struct {
+	crashes      int                 // servers that crashed so far
+	thirdCrash   time.Time           // time of the third crash
+	lateAttempts map[string]struct{} // attempts that reached a server after mustBeKnown
 }
 
-// late reports whether three servers have ended so long ago that all instances must know.
-func (ha *harm) late() bool { return ha.ended >= 3 && time.Since(ha.third) > newsWithin }
+// mustBeKnown reports whether the third crash is so long ago that all instances must know
+// of it.
+func (cr *crashRecord) mustBeKnown() bool {
+	return cr.crashes >= 3 && time.Since(cr.thirdCrash) > propagationTimeout
+}
 
 const (
-	// crashReplicas is how many servers each service has.
+	// crashReplicas is the number of servers of each service.
 	crashReplicas = 3
-	// newsWithin is how long after a server has ended an instance may not know of it.
-	newsWithin = 4 * time.Second
+	// propagationTimeout is how long after a crash an instance may not know of it.
+	propagationTimeout = 4 * time.Second
 )
 
-func newCrashServers(wd *world, services ...string) *crashServers {
+func newCrashServers(cl *cluster, services ...string) *crashServers {
 	cs := &crashServers{
-		wd: wd, services: services, live: make(map[string]*backend),
-		harms: make(map[string]*harm), counts: make(map[string]int),
+		cl: cl, services: services, running: make(map[string]*backend),
+		records: make(map[string]*crashRecord), serversReached: make(map[string]int),
 	}
-	cs.replace()
+	cs.restartCrashed()
 	return cs
 }
 
-// replace starts a server in the place of each that has ended.
-func (cs *crashServers) replace() {
+// restartCrashed starts a replacement for each crashed server.
+func (cs *crashServers) restartCrashed() {
 	missing := make(map[string]int)
 	cs.mu.Lock()
 	for _, service := range cs.services {
 		missing[service] = crashReplicas
 	}
-	for _, be := range cs.live {
+	for _, be := range cs.running {
 		missing[be.service]--
 	}
 	cs.mu.Unlock()
@@ -75,10 +78,10 @@
 
 func (cs *crashServers) start(service string) {
 	cs.mu.Lock()
-	cs.starts++
-	id := fmt.Sprintf("i-%s-%d", service, cs.starts)
+	cs.numStarts++
+	id := fmt.Sprintf("i-%s-%d", service, cs.numStarts)
 	cs.mu.Unlock()
-	be := cs.wd.serveOne(service, id, func(be *backend) http.Handler {
+	be := cs.cl.startServer(service, id, func(be *backend) http.Handler {
 		return http.HandlerFunc(func(wr http.ResponseWriter, rq *http.Request) {
 			if strings.Contains(rq.URL.Path, fatal) && rq.Header.Get("Balsamwinch-Expect-Instance") == be.id {
 				cs.crash(be, rq)
@@ -87,81 +90,82 @@
 		})
 	})
 	cs.mu.Lock()
-	cs.live[id] = be
+	cs.running[id] = be
 	cs.mu.Unlock()
 }
 
-// crash ends a server as the end of its process does: all its connections at once, and
-// without a word to control.
+// crash ends a server like the end of its process: it closes all connections at once and
+// doesn't tell control.
 func (cs *crashServers) crash(be *backend, rq *http.Request) {
 	request := rq.Header.Get("Balsamwinch-Request-Id")
 	cs.mu.Lock()
-	ha := cs.harm(rq.URL.Path)
-	if _, ok := cs.live[be.id]; ok {
-		if ha.late() && cs.counts[request] == 0 {
-			ha.after[request] = struct{}{}
+	cr := cs.record(rq.URL.Path)
+	if _, ok := cs.running[be.id]; ok {
+		if cr.mustBeKnown() && cs.serversReached[request] == 0 {
+			cr.lateAttempts[request] = struct{}{}
 		}
-		cs.counts[request]++
-		if ha.ended++; ha.ended == 3 {
-			ha.third = time.Now()
+		cs.serversReached[request]++
+		if cr.crashes++; cr.crashes == 3 {
+			cr.thirdCrash = time.Now()
 		}
-		delete(cs.live, be.id)
+		delete(cs.running, be.id)
 	}
 	cs.mu.Unlock()
-	be.end()
+	be.stopAnnouncing()
 	_ = be.hs.Listener.Close()
 	be.hs.CloseClientConnections()
 	panic(http.ErrAbortHandler)
 }
 
-// harm returns that of a fatal request. The lock is held.
-func (cs *crashServers) harm(path string) *harm {
-	if cs.harms[path] == nil {
-		cs.harms[path] = &harm{after: make(map[string]struct{})}
+// record returns the record of a fatal request. The lock must be held.
+func (cs *crashServers) record(path string) *crashRecord {
+	if cs.records[path] == nil {
+		cs.records[path] = &crashRecord{lateAttempts: make(map[string]struct{})}
 	}
-	return cs.harms[path]
+	return cs.records[path]
 }
 
-// late reports whether all instances must know of a fatal request.
-func (cs *crashServers) late(path string) bool {
+// mustBeKnown reports whether all instances must know of a fatal request.
+func (cs *crashServers) mustBeKnown(path string) bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	return cs.harm(path).late()
+	return cs.record(path).mustBeKnown()
 }
 
-// reached returns how many servers a request has reached.
+// reached returns the number of servers that a request reached.
 func (cs *crashServers) reached(re *response) int {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	return cs.counts[re.id]
+	return cs.serversReached[re.id]
 }
 
-// check fails the test if more attempts reached servers than may after three have ended and
-// all instances must have known.
+// check fails the test if more than three attempts reached servers after three had
+// crashed and all instances must have known.
 func (cs *crashServers) check(path string) {
-	cs.wd.t.Helper()
+	cs.cl.t.Helper()
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	ha := cs.harm(path)
-	qt.Check(cs.wd.t, len(ha.after) <= 3, qt.IsTrue, qt.Commentf("%s: %d attempts reached servers after three had ended, %d ended in all", path, len(ha.after), ha.ended))
+	cr := cs.record(path)
+	qt.Check(cs.cl.t, len(cr.lateAttempts) <= 3, qt.IsTrue, qt.Commentf("%s: %d attempts reached servers after three had crashed, %d crashed in all", path, len(cr.lateAttempts), cr.crashes))
 }
 
-// newCrashWorld starts a tier whose shards and plain service end under fatal requests.
-func newCrashWorld(t *testing.T, controls, entries int, prepare ...func(in *instance)) (*world, *crashServers) {
-	wd := newWorld(t, controls, entries, prepare...)
-	cs := newCrashServers(wd, "s1", "p1", "p2", "p3")
-	wd.configure(config(3, "s1", "/extra/"), wd.controls...)
-	wd.whole()
-	return wd, cs
+// newCrashCluster starts a tier whose shards and plain service crash under fatal
+// requests.
+func newCrashCluster(t *testing.T, controls, entries int, prepare ...func(in *instance)) (*cluster, *crashServers) {
+	cl := newCluster(t, controls, entries, prepare...)
+	cs := newCrashServers(cl, "s1", "p1", "p2", "p3")
+	cl.configure(config(3, "s1", "/extra/"), cl.controls...)
+	cl.awaitAllRoutes()
+	return cl, cs
 }
 
-// whole waits until each entry instance serves all routes.
-func (wd *world) whole() {
-	wd.t.Helper()
-	for _, en := range wd.entries {
-		wd.await("all routes are served", func() bool {
+// awaitAllRoutes waits until each entry instance serves all routes.
+func (cl *cluster) awaitAllRoutes() {
+	cl.t.Helper()
+	for _, en := range cl.entries {
+		cl.await("all routes are served", func() bool {
 			for _, path := range []string{"/one/a", "/all/a", "/extra/a"} {
-				if wd.get(en, path).status != http.StatusOK {
+				if cl.get(en, path).status != http.StatusOK {
 					return false
 				}
 			}
@@ -170,31 +174,31 @@
 	}
 }
 
-// All callers of a route are refused for seconds, again and again: one request ends each
-// backend server that runs it. It goes to a server of each shard at once and by hedges
-// and retries to the next ones, and its caller sends it again, with a new id, to whatever
-// entry instance the caller meets. No instance knew that servers had ended under the
-// same content before. Evidence: the lines of all attempts name the same content, and no
-// server ever answered one.
+// Guards against a request that crashes every backend server that runs it. It goes to a
+// server of each shard at once, by hedges and retries to the next ones, and its caller
+// sends it again, with a new id, to other entry instances. In the incident, all callers
+// of the route were refused for seconds, again and again: the log lines of all attempts
+// named the same content, no server ever answered one, and no instance remembered what
+// had become of servers under an earlier attempt.
 //
-// The cause: what became of servers was forgotten with each attempt. Each instance now
-// remembers a content under which servers ended and that none has answered, tells the
-// others, and lets one server alone run it until one has; after the third loss it is
-// refused. Three attempts at most may reach servers after the third has ended. All other
-// requests are served, also those that callers ask all the time while servers end.
-func TestRequestThatEndsServersIsStopped(t *testing.T) {
+// Each instance now remembers content under which servers crashed and that none has
+// answered, and tells the others. It lets a single server run such a request until one
+// answers it, and refuses it after the third crash. At most three attempts may reach
+// servers after the third crash, and all other requests must be served, also those that
+// callers send continuously while servers crash.
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	paths := []string{"/all/" + fatal, "/extra/" + fatal, "/one/" + fatal}
-	wd, cs := newCrashWorld(t, 3, 3)
-	defer wd.popular("/all/a", "/extra/a", "/one/a")()
+	cl, cs := newCrashCluster(t, 3, 3)
+	defer cl.startBackgroundRequests("/all/a", "/extra/a", "/one/a")()
 	for nth, late := 0, 0; late < 6; nth++ {
-		if !slices.ContainsFunc(paths, func(path string) bool { return !cs.late(path) }) {
+		if !slices.ContainsFunc(paths, func(path string) bool { return !cs.mustBeKnown(path) }) {
 			late++
 		}
 		for _, path := range paths {
-			re := wd.get(wd.entries[nth%len(wd.entries)], path)
+			re := cl.get(cl.entries[nth%len(cl.entries)], path)
 			qt.Assert(t, re.status >= http.StatusInternalServerError, qt.IsTrue, qt.Commentf("%d", re.status))
-			cs.replace()
-			wd.whole()
+			cs.restartCrashed()
+			cl.awaitAllRoutes()
 		}
 	}
 	for _, path := range paths {
@@ -203,21 +207,21 @@
 	}
 }
 
-// popular has callers ask for paths, at one instance after the other, until the returned
-// function is called.
-func (wd *world) popular(paths ...string) func() {
-	ctx, cancel := context.WithCancel(wd.ctx)
+// startBackgroundRequests has callers request the paths at one instance after the other,
+// until the returned function is called.
+func (cl *cluster) startBackgroundRequests(paths ...string) func() {
+	ctx, cancel := context.WithCancel(cl.ctx)
 	var wg sync.WaitGroup
 	for _, path := range paths {
 		wg.Go(func() {
-			tk := time.NewTicker(look)
+			tk := time.NewTicker(pollInterval)
 			defer tk.Stop()
 			for nth := 0; ; nth++ {
 				select {
 				case <-ctx.Done():
 					return
 				case <-tk.C:
-					wd.get(wd.entries[nth%len(wd.entries)], path)
+					cl.get(cl.entries[nth%len(cl.entries)], path)
 				}
 			}
 		})
@@ -228,14 +232,14 @@
 	}
 }
 
-// untilRefused sends the fatal request until all entry instances refuse it.
-func (cs *crashServers) untilRefused(path string) {
-	cs.wd.t.Helper()
-	for _, en := range cs.wd.entries {
-		cs.wd.await("the request is refused", func() bool {
-			re := cs.wd.get(en, path)
-			cs.replace()
-			cs.wd.whole()
+// awaitRefused sends the fatal request until all entry instances refuse it.
+func (cs *crashServers) awaitRefused(path string) {
+	cs.cl.t.Helper()
+	for _, en := range cs.cl.entries {
+		cs.cl.await("the request is refused", func() bool {
+			re := cs.cl.get(en, path)
+			cs.restartCrashed()
+			cs.cl.awaitAllRoutes()
 			return re.status == http.StatusServiceUnavailable && cs.reached(re) == 0
 		})
 	}
@@ -243,43 +247,43 @@
 
 // checkRefused fails the test unless each entry instance refuses the request.
 func (cs *crashServers) checkRefused(path string) {
-	cs.wd.t.Helper()
-	for _, en := range cs.wd.entries {
-		re := cs.wd.get(en, path)
-		qt.Check(cs.wd.t, re.status, qt.Equals, http.StatusServiceUnavailable, qt.Commentf("%s: %s", en.se.Name, re.body))
-		qt.Check(cs.wd.t, re.header.Get("Retry-After") != "", qt.IsTrue)
-		qt.Check(cs.wd.t, cs.reached(re), qt.Equals, 0, qt.Commentf("%s", en.se.Name))
+	cs.cl.t.Helper()
+	for _, en := range cs.cl.entries {
+		re := cs.cl.get(en, path)
+		qt.Check(cs.cl.t, re.status, qt.Equals, http.StatusServiceUnavailable, qt.Commentf("%s: %s", en.se.Name, re.body))
+		qt.Check(cs.cl.t, re.header.Get("Retry-After") != "", qt.IsTrue)
+		qt.Check(cs.cl.t, cs.reached(re), qt.Equals, 0, qt.Commentf("%s", en.se.Name))
 	}
 }
 
-// Instances are killed or replaced while a request that ends servers still comes. One that
-// knew nothing of it would let it end all servers once more. An entry instance learns it
-// with the first message of a control instance, and control instances note it, so that it
-// is known even after all have stopped at once. While no control instance runs, each entry
-// instance goes by what it knows.
-func TestRefusalOutlastsRestarts(t *testing.T) {
+// Guards against instances that are killed or replaced while a request that crashes
+// servers still arrives: one that knew nothing of it would let it crash all servers
+// again. An entry instance learns of it with the first message of a control instance, and
+// control instances persist it, so that it is known even after all have stopped at once.
+// While no control instance runs, each entry instance decides by what it knows.
+func TestQuarantineSurvivesRestarts(t *testing.T) {
 	const path = "/all/" + fatal
-	wd, cs := newCrashWorld(t, 3, 2)
-	cs.untilRefused(path)
+	cl, cs := newCrashCluster(t, 3, 2)
+	cs.awaitRefused(path)
 
-	again := func(ins ...*instance) {
+	restart := func(ins ...*instance) {
 		for _, in := range ins {
-			qt.Assert(t, in.end(), qt.IsNil)
+			qt.Assert(t, in.shutdown(), qt.IsNil)
 		}
 		for _, in := range ins {
 			in.se.FirstStart = false
-			wd.start(in)
+			cl.start(in)
 		}
-		wd.whole()
+		cl.awaitAllRoutes()
 	}
-	again(wd.entries...)
+	restart(cl.entries...)
 	cs.checkRefused(path)
-	again(wd.controls...)
+	restart(cl.controls...)
 	cs.checkRefused(path)
-	again(append(slices.Clone(wd.controls), wd.entries...)...)
+	restart(append(slices.Clone(cl.controls), cl.entries...)...)
 	cs.checkRefused(path)
-	for _, co := range wd.controls {
-		qt.Assert(t, co.end(), qt.IsNil)
+	for _, co := range cl.controls {
+		qt.Assert(t, co.shutdown(), qt.IsNil)
 	}
 	cs.checkRefused(path)
 	cs.check(path)
--- a/tier/dialect.go
+++ b/tier/dialect.go
@@ -14,60 +14,60 @@
 	"balsamwinch.example/route"
 )
 
-// Dialect is how the outside speaks: the names of headers, the format of a
-// configuration, and the calls of operators, backend servers and callers.
+// Dialect defines the interface to operators, backend servers and callers: header names,
+// the format of configurations, and the HTTP APIs.
 type Dialect interface {
 	// Names returns the header names.
 	Names() gateway.HeaderNames
-	// Tables returns what reads accepted configurations one after the other.
+	// Tables returns a new parser for accepted configurations.
 	Tables() ConfigurationParser
-	// ControlHandler serves operators and backend servers.
+	// ControlHandler returns the API for operators and backend servers.
 	ControlHandler(co ControlAPI) http.Handler
-	// AddressHandler tells callers which entry instances to use.
+	// AddressHandler returns the API that tells callers which entry instances to use.
 	AddressHandler(ad AddressAPI) http.Handler
-	// ReadyHandler tells whether this instance serves callers.
+	// ReadyHandler returns the readiness check of an entry instance.
 	ReadyHandler(ready func() bool) http.Handler
 }
 
-// Tables reads accepted configurations one after the other. Of each it may keep what the
-// next one is likely to have in common with it. It is used by one goroutine at a time.
+// ConfigurationParser parses accepted configurations one after the other. It may cache
+// parts that successive configurations are likely to share. It is not safe for concurrent
+// use.
 type ConfigurationParser interface {
 	Table(data []byte) (*route.Table, error)
 }
 
-// ControlCalls are what a control instance does for operators and backend
-// servers. Errors are *result.Error.
+// ControlAPI is what a control instance offers to operators and backend servers. Errors
+// are of type *result.Error.
 type ControlAPI interface {
-	// Accept makes a configuration the one in force unless a higher version is
-	// held. It returns nil once a majority has it on disk.
+	// Accept commits a configuration unless a higher version is in force. It returns nil
+	// once a majority has persisted it.
 	Accept(ctx context.Context, version uint64, data []byte) error
-	// Newest returns the newest accepted configuration, or an error if this
-	// instance can't be sure which it is.
+	// Newest returns the latest committed configuration, or an error if this instance
+	// can't be sure which one that is.
 	Newest(ctx context.Context) (version uint64, data []byte, err error)
-	// Evacuate has the backend servers of a data centre get no requests, or get them
-	// again. It returns nil once a majority has the order on disk. From is the operator's
-	// address, for the log.
+	// Evacuate evacuates a data centre, so that its backend servers get no requests, or
+	// ends its evacuation. It returns nil once a majority has persisted the change. from
+	// is the operator's address, for the log.
 	Evacuate(ctx context.Context, dataCentre string, evacuate bool, from string) error
-	// Evacuated returns which data centres are evacuated as far as this instance knows.
+	// Evacuated returns the evacuated data centres that this instance knows of.
 	Evacuated() evacuation.Set
-	// Announce takes a backend server's announcement, Gone for one that leaves and
-	// says which start of it does.
+	// Announce processes an announcement of a backend server. One that leaves has the
+	// state Gone and tells which of its starts it belongs to.
 	Announce(se registry.Server)
-	// Leave takes a backend server's word that it leaves.
+	// Leave removes a backend server that says that it leaves.
 	Leave(id string)
-	// Ignore takes that something was announced under an id which no backend server
-	// says of itself, and why.
+	// Ignore records that an announcement was ignored because it came under an id that no
+	// backend server uses. detail gives the reason.
 	Ignore(id, detail string)
-	// BodyLimit bounds a body of these calls in bytes.
+	// BodyLimit returns the maximum size of a request body in bytes.
 	BodyLimit() int64
 }
 
-// AcceptStatus returns the HTTP status with which a dialect answers an operator
-// whose configuration was sound and was given to Accept, which returned the error.
-// 200 says that it is accepted. 413 says that it is larger than control keeps: a
-// sound one is invalid for control only for that, and 5xx would have the operator
-// send it again for ever. 503 says that the outcome is unknown and that it is to be
-// sent again.
+// AcceptStatus returns the HTTP status for an operator whose configuration parsed, given
+// the error that Accept returned. 200 means that it is accepted. 413 means that it is
+// larger than control instances can store: size is the only reason for which Accept
+// rejects a valid configuration, and a 5xx would make the operator retry forever. 503
+// means that the outcome is unknown and the operator should retry.
 func AcceptStatus(err error) int {
 	var re *result.Error
 	switch {
@@ -80,9 +80,9 @@
 	}
 }
 
-// EvacuateStatus returns the HTTP status with which a dialect answers an operator whose
-// order was given to Evacuate, which returned the error: 200 for one that is in force, 404
-// for a data centre that there can't be, and 503 for an outcome that is unknown.
+// EvacuateStatus returns the HTTP status for an operator's evacuation order, given the
+// error that Evacuate returned: 200 if it is committed, 404 if the data centre can't
+// exist, and 503 if the outcome is unknown.
 func EvacuateStatus(err error) int {
 	var re *result.Error
 	switch {
@@ -95,14 +95,14 @@
 	}
 }
 
-// AddressCalls answer callers that ask where to connect.
+// AddressAPI serves address look-ups of callers.
 type AddressAPI interface {
-	// Addresses returns the entry instances to use, those in the data centre
-	// first, and for how long the answer may be kept.
+	// Addresses returns the entry instances to use, those in the data centre first, and
+	// how long the caller may keep the list.
 	Addresses(host, dataCentre, region string) ([]string, time.Duration)
 }
 
-// WriteJSON answers a call with a body in JSON.
+// WriteJSON writes a response with a JSON body.
 func WriteJSON(wr http.ResponseWriter, status int, body any) {
 	data, err := json.Marshal(body)
 	if err != nil {
--- a/tier/dialect_test.go
+++ b/tier/dialect_test.go
@@ -15,8 +15,8 @@
 	"balsamwinch.example/timer"
 )
 
-// An operator's command goes on for ever with a configuration that can never be
-// accepted, or gives up one that may be in force.
+// Guards against an operator's command that retries forever with a configuration that can
+// never be accepted, or gives up on one that may be in force.
 func TestAcceptStatus(t *testing.T) {
 	tests := []struct {
 		err  error
--- a/tier/entry.go
+++ b/tier/entry.go
@@ -24,66 +24,67 @@
 	"balsamwinch.example/warmup"
 )
 
-// Bounds of an entry instance.
+// Limits and timeouts of an entry instance.
 const (
-	holdMargin  = 6 * time.Millisecond
-	mostActive  = 400
-	budgetShare = 0.95
-	// serverHold is how long a backend server that no control instance hears any
-	// more is still used: control instances restart, and the announcements that
-	// they missed come only by and by.
-	serverHold = 6 * time.Second
-	// answerWithin is how much of a stop is kept for requests under way after the
-	// last one was taken.
-	answerWithin = 1500 * time.Millisecond
-	// exitBefore is how long before the end of the time for a stop the process ends.
-	exitBefore = 300 * time.Millisecond
+	holdMargin     = 6 * time.Millisecond
+	maxInFlight    = 400
+	budgetFraction = 0.95
+	// serverRetentionTimeout is how long a backend server that no control instance
+	// receives announcements from stays in use. After a restart, a control instance
+	// learns the servers only gradually, as their announcements arrive.
+	serverRetentionTimeout = 6 * time.Second
+	// inFlightTimeout is the part of a stop that is reserved for requests that are in
+	// flight when the instance begins to reject new ones.
+	inFlightTimeout = 1500 * time.Millisecond
+	// exitMargin is how long before the end of the stop timeout the process exits.
+	exitMargin = 300 * time.Millisecond
 )
 
 // entry is an entry instance.
 type entry struct {
-	tbs  ConfigurationParser
-	gw   *gateway.Server
-	su   *feed.Subscriber
-	door *door
-	re   *replica.Balancer
-	qa   *quarantine.Tracker
-	ts   *timer.Service
-	lg   *zap.Logger
-	st   *standing
+	parser  ConfigurationParser
+	gw      *gateway.Server
+	su      *feed.Subscriber
+	callers *callerServer
+	re      *replica.Balancer
+	qa      *quarantine.Tracker
+	ts      *timer.Service
+	lg      *zap.Logger
+	sr      *stateReporter
 
-	// servers and evacuations are as the subscriber told them last, by its goroutine.
+	// servers and evacuations are the latest state from the subscriber. Only the
+	// subscriber's goroutine accesses them.
 	servers     map[string][]registry.Server
 	evacuations evacuation.Set
 }
 
-func runEntry(ctx context.Context, se Settings, sh *shared, di Dialect, lc link.Config, ts *timer.Service, lg *zap.Logger, mws []MetricsWriter) error {
+func runEntry(ctx context.Context, se Settings, ls *liveSettings, di Dialect, lc link.Config, ts *timer.Service, lg *zap.Logger, mws []MetricsWriter) error {
 	up := upstream.New(upstream.Config{Names: di.Names().Upstream()}, ts, lg)
-	en := newEntry(se, sh, di, lc, up, ts, lg)
+	en := newEntry(se, ls, di, lc, up, ts, lg)
 	li, err := listen(se.Listen.Callers)
 	if err != nil {
 		return err
 	}
-	en.door = newDoor(li, en.gw, ts, lg)
-	sp := supervise("entry", lg)
+	en.callers = newCallerServer(li, en.gw, ts, lg)
+	sp := newSupervisor("entry", lg)
 	if err := serveHTTP(sp, "ready", se.Listen.Ready, di.ReadyHandler(en.ready)); err != nil {
 		return err
 	}
-	serveMetrics(sp, se.Metrics, lg, append(mws, writeLinks(en.su), en.gw.WriteMetrics)...)
+	serveMetrics(sp, se.Metrics, lg, append(mws, writeLinkMetrics(en.su), en.gw.WriteMetrics)...)
 	sp.Add(service{"feed", en.su.Serve})
 	en.addInvitations(sp, se.LinkAddress(), lc)
-	sp.Add(service{"callers", en.door.Serve})
-	sp.Add(service{"news", en.tellNews})
-	sp.Add(service{"load", en.tellLoad})
-	sp.Add(service{"suspects", en.tellSuspects})
-	sp.Add(service{"house", func(ctx context.Context) error { return keepHouse(ctx, up, en.re, ts, lg) }})
-	serveUntil(ctx, sp, func() { en.leave(se.Timing.StopWithin, ts) })
+	sp.Add(service{"callers", en.callers.Serve})
+	sp.Add(service{"news", en.sendObservations})
+	sp.Add(service{"load", en.sendLoad})
+	sp.Add(service{"suspects", en.sendSuspects})
+	sp.Add(service{"house", func(ctx context.Context) error { return runHousekeeping(ctx, up, en.re, ts, lg) }})
+	serveUntil(ctx, sp, func() { en.stop(se.Timing.StopWithin, ts) })
 	return nil
 }
 
-// addInvitations adds what takes invitations of control instances. Without it the
-// instance still finds them by its seeds: the port may be a control instance's that runs
-// on the same machine.
+// addInvitations adds a listener for invitations from control instances. If the port is
+// taken, as by a control instance on the same machine, the entry instance still finds
+// control instances through its seeds.
 func (en *entry) addInvitations(sp *suture.Supervisor, address string, lc link.Config) {
 	li, err := listen(address)
 	if err != nil {
@@ -94,56 +95,57 @@
 }
 
 // newEntry returns an entry instance that has no listener yet.
-func newEntry(se Settings, sh *shared, di Dialect, lc link.Config, up *upstream.Client, ts *timer.Service, lg *zap.Logger) *entry {
+func newEntry(se Settings, ls *liveSettings, di Dialect, lc link.Config, up *upstream.Client, ts *timer.Service, lg *zap.Logger) *entry {
 	now := ts.Now()
 	re := replica.New(replica.Config{DataCentre: se.DataCentre, Seed: uint64(now.UnixNano())})
-	bu := budget.New(budget.Config{Ratio: se.Budget.Ratio, Slack: int(se.Budget.Slack), Window: se.Budget.Window, Fraction: budgetShare}, now)
+	bu := budget.New(budget.Config{Ratio: se.Budget.Ratio, Slack: int(se.Budget.Slack), Window: se.Budget.Window, Fraction: budgetFraction}, now)
 	qa := quarantine.New()
-	en := &entry{tbs: di.Tables(), re: re, qa: qa, ts: ts, lg: lg}
+	en := &entry{parser: di.Tables(), re: re, qa: qa, ts: ts, lg: lg}
 	en.gw = gateway.New(gateway.Config{
 		Names: di.Names(), Name: se.Name, DataCentre: se.DataCentre,
-		CallerDelay: se.Timing.CallerDistance, HoldMargin: holdMargin, MaxInFlight: mostActive,
+		CallerDelay: se.Timing.CallerDistance, HoldMargin: holdMargin, MaxInFlight: maxInFlight,
 		Warmup: warmup.Limit{BurstFactor: se.Warmup.Overage, Slack: se.Warmup.Slack},
 	}, ts, lg, up, re, bu, qa)
 	en.su = feed.NewSubscriber(feed.SubscriberConfig{
 		Self:  feed.Entry{Name: se.Name, DataCentre: se.DataCentre, Address: se.Listen.Callers, State: feed.Starting},
-		Seeds: sh.linkSeeds, Link: lc, RetentionTimeout: serverHold,
+		Seeds: ls.linkSeeds, Link: lc, RetentionTimeout: serverRetentionTimeout,
 		Suspects: func() []quarantine.Record { return qa.Records(ts.Now()) },
 	}, ts, lg, en)
-	en.st = &standing{tell: en.su.SetState}
+	en.sr = &stateReporter{report: en.su.SetState}
 	return en
 }
 
-// ready reports whether callers may be sent here.
-func (en *entry) ready() bool { return !en.st.left() && en.gw.Table() != nil }
+// ready reports whether callers may be sent to this instance.
+func (en *entry) ready() bool { return !en.sr.isDraining() && en.gw.Table() != nil }
 
-// leave stops without cutting a request off. Callers are told at once not to
-// come; those who hold an older list are served until it must have run out.
-func (en *entry) leave(within time.Duration, ts *timer.Service) {
+// stop shuts down gracefully, so that no request is cut off. The instance at once asks to
+// be taken off the address lists, and serves callers that hold an older list until that
+// list must have expired.
+func (en *entry) stop(timeout time.Duration, ts *timer.Service) {
 	start := ts.Now()
-	en.st.leave()
+	en.sr.drain()
 	en.gw.CloseAfterResponse()
-	en.lg.Info("instance-stopping", zap.Int("Active", en.gw.InFlight()), zap.Duration("Within", within), trail.AtOnce())
+	en.lg.Info("instance-stopping", zap.Int("Active", en.gw.InFlight()), zap.Duration("Within", timeout), trail.AtOnce())
 	ctx := context.Background()
-	_ = ts.Sleep(ctx, within-answerWithin-exitBefore)
+	_ = ts.Sleep(ctx, timeout-inFlightTimeout-exitMargin)
 	en.gw.RejectAll()
-	ctx, cancel := context.WithDeadline(ctx, start.Add(within-exitBefore))
+	ctx, cancel := context.WithDeadline(ctx, start.Add(timeout-exitMargin))
 	defer cancel()
 	err := en.gw.WaitIdle(ctx)
-	en.door.Close(ctx)
+	en.callers.Close(ctx)
 	en.lg.Info("callers-served", zap.Int("Active", en.gw.InFlight()), zap.Error(err), trail.AtOnce())
 }
 
-// ConfigurationChanged puts a configuration in force.
+// ConfigurationChanged parses a configuration and puts it in force.
 func (en *entry) ConfigurationChanged(version uint64, data []byte) error {
-	tb, err := en.tbs.Table(data)
+	tb, err := en.parser.Table(data)
 	if err != nil {
 		return &result.Error{Code: result.Invalid, Op: "read configuration", Err: err}
 	}
 	en.su.SetServices(serviceNames(tb))
 	en.gw.SetTable(tb)
-	en.door.SetLimits(tb.Limits())
-	en.st.ready()
+	en.callers.SetLimits(tb.Limits())
+	en.sr.setReady()
 	en.lg.Info("configuration-in-force", zap.Uint64("Version", version), zap.Int("Routes", len(tb.Routes())), zap.Int("Services", len(tb.Services())))
 	return nil
 }
@@ -156,39 +158,41 @@
 	return names
 }
 
-// ServersChanged takes over which backend servers exist.
+// ServersChanged updates the backend servers.
 func (en *entry) ServersChanged(ses map[string][]registry.Server) {
 	en.servers = ses
-	en.gw.SetServers(evacuated(ses, en.evacuations))
+	en.gw.SetServers(drainEvacuated(ses, en.evacuations))
 }
 
-// EvacuationsChanged takes over which data centres are evacuated.
+// EvacuationsChanged updates the evacuated data centres.
 func (en *entry) EvacuationsChanged(st evacuation.Set) {
 	en.evacuations = st
-	en.gw.SetServers(evacuated(en.servers, st))
+	en.gw.SetServers(drainEvacuated(en.servers, st))
 	en.lg.Info("evacuations-in-force", zap.Uint64("Revision", st.Revision), zap.Strings("Evacuated", st.DataCentres), trail.AtOnce())
 }
 
-// EntriesChanged takes over which entry instances share the backend servers.
+// EntriesChanged updates the entry instances that share the backend servers.
 func (en *entry) EntriesChanged(live []feed.Entry) { en.gw.SetEntries(len(live)) }
 
-// SharersChanged takes over how many of the entry instances callers are led to.
+// SharersChanged updates the number of entry instances that callers of merged routes are
+// sent to.
 func (en *entry) SharersChanged(count int) {
 	en.lg.Info("sharers-changed", zap.Int("Sharers", count))
 	en.gw.SetSharers(count)
 }
 
-// OutliersFound takes over what all entry instances together saw of backend servers.
+// OutliersFound applies findings about backend servers that combine the samples of all
+// entry instances.
 func (en *entry) OutliersFound(fis []outlier.Finding) { en.re.ApplyFindings(en.ts.Now(), fis) }
 
-// SuspectsHeard takes over what all instances know of requests under which servers ended.
+// SuspectsHeard merges what other instances know of requests under which servers crashed.
 func (en *entry) SuspectsHeard(_ string, rcs []quarantine.Record) []quarantine.Record {
 	return en.qa.Merge(en.ts.Now(), rcs)
 }
 
-// tellSuspects tells at once of requests under which servers ended here, until the context
-// ends.
-func (en *entry) tellSuspects(ctx context.Context) error {
+// sendSuspects sends new records of requests under which servers crashed here, without
+// delay, until the context ends.
+func (en *entry) sendSuspects(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -200,49 +204,50 @@
 }
 
 const (
-	// newsPeriod is how often an entry instance tells what it saw of backend servers,
-	// and mostNews of how many at most. A sample takes some 25 bytes.
-	newsPeriod = 300 * time.Millisecond
-	mostNews   = 48
-	// newsDelay is how long news of slow and failing servers wait for others like them.
-	// A query that meets such a server most often meets several.
-	newsDelay = 30 * time.Millisecond
+	// observationInterval is how often an entry instance sends its samples of backend
+	// servers, and maxObservations is the maximum number of servers in one message. A
+	// sample takes about 25 bytes.
+	observationInterval = 300 * time.Millisecond
+	maxObservations     = 48
+	// urgentObservationDelay is how long samples of slow or failing servers are held back
+	// to collect more of them. A query that meets one such server usually meets several.
+	urgentObservationDelay = 30 * time.Millisecond
 )
 
-// tellNews tells what this instance saw of backend servers until the context ends: all
-// of it now and then, and soon if any of them is slow or fails.
-func (en *entry) tellNews(ctx context.Context) error {
-	su := en.ts.Subscribe(newsPeriod)
+// sendObservations sends this instance's samples of backend servers until the context
+// ends: at each interval, and after a short delay if a server is slow or fails.
+func (en *entry) sendObservations(ctx context.Context) error {
+	su := en.ts.Subscribe(observationInterval)
 	defer su.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-en.re.Urgent():
-			if err := en.ts.Sleep(ctx, newsDelay); err != nil {
+			if err := en.ts.Sleep(ctx, urgentObservationDelay); err != nil {
 				return err
 			}
 		case <-su.C:
 		}
-		en.su.SendSamples(en.re.TakeSamples(en.ts.Now(), mostNews))
+		en.su.SendSamples(en.re.TakeSamples(en.ts.Now(), maxObservations))
 	}
 }
 
 const (
-	// watchedPeriod is how often the process looks whether it stood still.
-	watchedPeriod = 250 * time.Millisecond
-	// stoodStill is the time between two looks from which it did.
-	stoodStill = time.Second
-	// idlePeriod is how often connections that nobody uses are looked at.
-	idlePeriod = time.Second
+	// stallCheckInterval is how often the process checks whether it was stalled.
+	stallCheckInterval = 250 * time.Millisecond
+	// stallThreshold is the time between two checks from which the process counts as
+	// stalled.
+	stallThreshold = time.Second
+	// idleCheckInterval is how often idle connections are checked for expiry.
+	idleCheckInterval = time.Second
 )
 
-// keepHouse closes connections to backend servers that were idle for too long,
-// and tells the choice of replicas when the process stood still: what requests
-// seem to have taken then says nothing of their servers, and learned as real
-// latencies it would set them all aside.
-func keepHouse(ctx context.Context, up *upstream.Client, re *replica.Balancer, ts *timer.Service, lg *zap.Logger) error {
-	su := ts.Subscribe(watchedPeriod)
+// runHousekeeping closes expired idle connections to backend servers and notifies the
+// balancer after a stall of the process. Latencies measured across a stall say nothing
+// about the servers; recorded as real ones, they would get all servers ejected.
+func runHousekeeping(ctx context.Context, up *upstream.Client, re *replica.Balancer, ts *timer.Service, lg *zap.Logger) error {
+	su := ts.Subscribe(stallCheckInterval)
 	defer su.Stop()
 	last, closed := ts.Now(), ts.Now()
 	for {
@@ -252,11 +257,11 @@
 		case <-su.C:
 		}
 		now := ts.Now()
-		if gap := now.Sub(last); gap >= stoodStill {
+		if gap := now.Sub(last); gap >= stallThreshold {
 			re.Resumed(now)
 			lg.Warn("process-stood-still", zap.Duration("For", gap))
 		}
-		if now.Sub(closed) >= idlePeriod {
+		if now.Sub(closed) >= idleCheckInterval {
 			up.CloseIdle(now)
 			closed = now
 		}
--- a/tier/entrylist.go
+++ b/tier/entrylist.go
@@ -12,74 +12,75 @@
 	"balsamwinch.example/roster"
 )
 
-// notedEntry is an entry instance as a control instance notes it for its next start.
-type notedEntry struct {
+// savedEntry is an entry instance that a control instance saves for its next start.
+type savedEntry struct {
 	Name, DataCentre string
-	Address          string // Address is where it takes invitations, as IP:port.
+	Address          string // where it accepts invitations, as IP:port
 }
 
-// entryList is the entry instances that are noted, with the time when they last had a
-// link.
+// entryList holds the entry instances to save, with the time when each last had a link.
 type entryList struct {
-	seen map[notedEntry]time.Time
+	lastLinked map[savedEntry]time.Time
 }
 
-func newEntryList(now time.Time, nes []notedEntry) entryList {
-	el := entryList{seen: make(map[notedEntry]time.Time)}
+func newEntryList(now time.Time, nes []savedEntry) entryList {
+	el := entryList{lastLinked: make(map[savedEntry]time.Time)}
 	for _, ne := range nes {
-		el.seen[ne] = now
+		el.lastLinked[ne] = now
 	}
 	return el
 }
 
-// look takes over who has a link now, and reports whether the list has changed.
-func (el entryList) look(now time.Time, linked []feed.Entry, port int) (changed bool) {
+// update records the entry instances that have a link now, and reports whether the list
+// changed.
+func (el entryList) update(now time.Time, linked []feed.Entry, port int) (changed bool) {
 	for _, en := range linked {
 		host, _, err := net.SplitHostPort(en.Address)
 		if err != nil {
 			continue
 		}
-		ne := notedEntry{Name: en.Name, DataCentre: en.DataCentre, Address: net.JoinHostPort(host, strconv.Itoa(port))}
-		if _, ok := el.seen[ne]; !ok {
+		ne := savedEntry{Name: en.Name, DataCentre: en.DataCentre, Address: net.JoinHostPort(host, strconv.Itoa(port))}
+		if _, ok := el.lastLinked[ne]; !ok {
 			changed = true
 		}
-		el.seen[ne] = now
+		el.lastLinked[ne] = now
 	}
-	for ne, at := range el.seen {
-		if now.Sub(at) >= entryKeep {
-			delete(el.seen, ne)
+	for ne, at := range el.lastLinked {
+		if now.Sub(at) >= entryTTL {
+			delete(el.lastLinked, ne)
 			changed = true
 		}
 	}
 	return changed
 }
 
-// noted returns the entry instances in the order of their addresses.
-func (el entryList) noted() []notedEntry {
-	out := make([]notedEntry, 0, len(el.seen))
-	for ne := range el.seen {
+// entries returns the entry instances sorted by address.
+func (el entryList) entries() []savedEntry {
+	out := make([]savedEntry, 0, len(el.lastLinked))
+	for ne := range el.lastLinked {
 		out = append(out, ne)
 	}
-	slices.SortFunc(out, func(a, b notedEntry) int {
+	slices.SortFunc(out, func(a, b savedEntry) int {
 		return cmp.Or(strings.Compare(a.Address, b.Address), strings.Compare(a.Name, b.Name))
 	})
 	return out
 }
 
-// invitees returns the noted entry instances in the order in which a control instance of a
-// data centre invites them: those that callers are led to first, as the sizes of before
-// say, of its own data centre before others. An invitation, the link and the picture that
-// follow cost a control instance at 0.24 of a core some 3 ms; in the order of addresses,
-// those of the last of five data centres served 0.4 s after those of the first.
-func invitees(nes []notedEntry, gs roster.Groups, dataCentre string) []feed.Invitee {
+// invitees returns the saved entry instances in the order in which a control instance of
+// the data centre invites them: first those that callers are sent to according to the
+// saved roster sizes, and among these the ones of its own data centre first. An
+// invitation and the link and snapshot that follow cost a control instance about 3 ms at
+// 0.24 of a core. Invited in the order of addresses, the instances of the last of five
+// data centres served 0.4 s after those of the first.
+func invitees(nes []savedEntry, gs roster.Groups, dataCentre string) []feed.Invitee {
 	ins := make([]roster.Instance, len(nes))
 	for ix, ne := range nes {
 		ins[ix] = roster.Instance{Name: ne.Name, DataCentre: ne.DataCentre, Address: ne.Address}
 	}
-	led := gs.Members(ins)
+	members := gs.Members(ins)
 	rank := func(in roster.Instance) int {
 		out := 0
-		if !led[in.Name] {
+		if !members[in.Name] {
 			out += 2
 		}
 		if in.DataCentre != dataCentre {
--- a/tier/entrylist_test.go
+++ b/tier/entrylist_test.go
@@ -12,47 +12,48 @@
 	"balsamwinch.example/roster"
 )
 
-// Entry instances are noted where they take invitations. All processes are killed, the
-// links of entry instances end first, and the note must still name them.
-func TestEntryList(t *testing.T) {
+// Entry instances are saved with the address at which they accept invitations. When all
+// processes are killed, the links of entry instances may end first, and the list must
+// still hold them.
+func TestEntryListKeepsUnlinkedEntriesForTTL(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(0, 0)
 	el := newEntryList(now, nil)
 	ens := []feed.Entry{{Name: "one", Address: "10.1.0.9:80"}, {Name: "two", DataCentre: "lima", Address: "10.1.0.2:81"}, {Name: "none"}}
-	one, two := notedEntry{Name: "one", Address: "10.1.0.9:7740"}, notedEntry{Name: "two", DataCentre: "lima", Address: "10.1.0.2:7740"}
-	c.Assert(el.look(now, ens, 7740), qt.IsTrue)
-	c.Assert(el.noted(), qt.DeepEquals, []notedEntry{two, one})
-	c.Assert(el.look(now.Add(entryKeep-1), ens[:1], 7740), qt.IsFalse)
-	c.Assert(el.look(now.Add(entryKeep), ens[:1], 7740), qt.IsTrue)
-	c.Assert(el.noted(), qt.DeepEquals, []notedEntry{one})
+	one, two := savedEntry{Name: "one", Address: "10.1.0.9:7740"}, savedEntry{Name: "two", DataCentre: "lima", Address: "10.1.0.2:7740"}
+	c.Assert(el.update(now, ens, 7740), qt.IsTrue)
+	c.Assert(el.entries(), qt.DeepEquals, []savedEntry{two, one})
+	c.Assert(el.update(now.Add(entryTTL-1), ens[:1], 7740), qt.IsFalse)
+	c.Assert(el.update(now.Add(entryTTL), ens[:1], 7740), qt.IsTrue)
+	c.Assert(el.entries(), qt.DeepEquals, []savedEntry{one})
 }
 
-// The power of all is lost while callers are led to two of six entry instances in each of
-// two data centres. A control instance that comes back must invite these first, those of
-// its own data centre before the others: callers come to them alone.
-func TestInviteesInOrder(t *testing.T) {
+// All instances lose power while callers use two of the six entry instances in each of
+// two data centres. A control instance that restarts must invite these first, because
+// callers use only them, and those of its own data centre before the others.
+func TestInviteesOrderedByRosterAndDataCentre(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		me := newMemory(t.TempDir())
+		ss := newTestStore(t.TempDir())
 		var ins []roster.Instance
-		var nes []notedEntry
+		var nes []savedEntry
 		for _, dc := range []string{"cusco", "lima"} {
 			for ix := range 6 {
-				ne := notedEntry{Name: fmt.Sprint(dc, ix), DataCentre: dc, Address: fmt.Sprintf("%s-%d:7740", dc, ix)}
+				ne := savedEntry{Name: fmt.Sprint(dc, ix), DataCentre: dc, Address: fmt.Sprintf("%s-%d:7740", dc, ix)}
 				nes = append(nes, ne)
 				ins = append(ins, roster.Instance{Name: ne.Name, DataCentre: dc})
 			}
 		}
-		me.write(entriesName, nes)
-		me.write(chosenName, []roster.SavedSize{{Key: "wide", DataCentre: "cusco", Members: 2}, {Key: "wide", DataCentre: "lima", Members: 2}})
-		me.restore(time.Second)
-		got := me.invitees("lima")
+		ss.save(entriesFile, nes)
+		ss.save(rosterSizesFile, []roster.SavedSize{{Key: "wide", DataCentre: "cusco", Members: 2}, {Key: "wide", DataCentre: "lima", Members: 2}})
+		ss.restore(time.Second)
+		got := ss.invitees("lima")
 		c.Assert(got, qt.HasLen, 12)
 		var want []string
 		for _, here := range [][]roster.Instance{ins[6:], ins[:6]} {
-			led := roster.Choose("wide", here, 2)
-			c.Assert(led, qt.HasLen, 2)
-			for _, in := range led {
+			members := roster.Choose("wide", here, 2)
+			c.Assert(members, qt.HasLen, 2)
+			for _, in := range members {
 				want = append(want, in.Name)
 			}
 		}
--- a/tier/evacuated.go
+++ b/tier/evacuated.go
@@ -7,9 +7,10 @@
 	"balsamwinch.example/registry"
 )
 
-// evacuated returns the backend servers with those in evacuated data centres as Draining:
-// they end what they have and get nothing new. The given map stays as it is.
-func evacuated(ses map[string][]registry.Server, st evacuation.Set) map[string][]registry.Server {
+// drainEvacuated returns the backend servers with the ready ones of evacuated data
+// centres set to Draining, so that they finish their requests and get no new ones. The
+// given map isn't modified.
+func drainEvacuated(ses map[string][]registry.Server, st evacuation.Set) map[string][]registry.Server {
 	if len(st.DataCentres) == 0 {
 		return ses
 	}
--- a/tier/export_test.go
+++ b/tier/export_test.go
@@ -2,8 +2,8 @@
 
 import "net"
 
-// SetListen makes instances open their listeners with the given function, until
-// the returned one is called.
+// SetListen replaces the function that opens listeners of instances, until restore is
+// called.
 func SetListen(open func(network, address string) (net.Listener, error)) (restore func()) {
 	was := openListener
 	openListener = open
--- a/tier/load.go
+++ b/tier/load.go
@@ -7,61 +7,60 @@
 )
 
 const (
-	// rightMerging is how many merged requests an entry instance should have under way
-	// in the mean. Their parts share its link and its processor: at 0.2 one request in six
-	// meets another (M/M/1), and 63 parts of 1,400 bytes hold a link of 20 Mbit/s for
-	// 35 ms each time.
-	rightMerging = 0.2
-	// loadPeriod is how often an instance looks at what it carries.
-	loadPeriod = 500 * time.Millisecond
-	// loadGain is the weight of a new look. Queries come seldom and at random, so that
-	// a single look says little.
-	loadGain = 0.25
-	// loadStep and loadAgain are by how much what it carries must change to be
-	// told, and after how long a smaller change is.
-	loadStep  = 0.15
-	loadAgain = 5 * time.Second
+	// targetMerging is the mean number of merged requests in flight that an entry
+	// instance should have. The parts of a request share its link and its processor: at
+	// 0.2, one request in six overlaps another (M/M/1), and 63 parts of 1,400 bytes
+	// occupy a link of 20 Mbit/s for 35 ms each time.
+	targetMerging = 0.2
+	// loadInterval is how often an instance measures its load.
+	loadInterval = 500 * time.Millisecond
+	// loadWeight is the EWMA weight of a new measurement. Queries are rare and arrive at
+	// random, so a single measurement says little.
+	loadWeight = 0.25
+	// A change of the load by minLoadChange is reported at once, a smaller one after
+	// loadRefreshInterval.
+	minLoadChange       = 0.15
+	loadRefreshInterval = 5 * time.Second
 )
 
-// loadMeter measures what an entry instance carries, as a part of what it should, and what it
-// told of it.
+// loadMeter measures the load of an entry instance relative to targetMerging, and decides
+// when to report it.
 type loadMeter struct {
-	load, told float64
-	toldAt     time.Time
-	merging    time.Duration // merging is the sum at the last look.
-	at         time.Time
+	load, reported float64
+	reportedAt     time.Time
+	lastMerging    time.Duration // total at the last update
+	lastAt         time.Time
 }
 
-// look takes in the sum of the time that merged requests were under way, and reports
-// whether the load is to be told.
-func (lm *loadMeter) look(now time.Time, merging time.Duration) bool {
-	span := now.Sub(lm.at)
+// update records the total time for which merged requests were in flight so far, and
+// reports whether the load should be sent.
+func (lm *loadMeter) update(now time.Time, merging time.Duration) bool {
+	span := now.Sub(lm.lastAt)
 	if span <= 0 {
 		return false
 	}
-	seen := float64(merging-lm.merging) / float64(span) / rightMerging
-	lm.at, lm.merging = now, merging
-	lm.load += loadGain * (seen - lm.load)
-	moved := math.Abs(lm.load - lm.told)
-	if moved < loadStep && (now.Sub(lm.toldAt) < loadAgain || moved == 0 && !lm.toldAt.IsZero()) {
+	seen := float64(merging-lm.lastMerging) / float64(span) / targetMerging
+	lm.lastAt, lm.lastMerging = now, merging
+	lm.load += loadWeight * (seen - lm.load)
+	moved := math.Abs(lm.load - lm.reported)
+	if moved < minLoadChange && (now.Sub(lm.reportedAt) < loadRefreshInterval || moved == 0 && !lm.reportedAt.IsZero()) {
 		return false
 	}
-	lm.told, lm.toldAt = lm.load, now
+	lm.reported, lm.reportedAt = lm.load, now
 	return true
 }
 
-// tellLoad tells the control instances what this instance carries until the context
-// ends.
-func (en *entry) tellLoad(ctx context.Context) error {
-	su := en.ts.Subscribe(loadPeriod)
+// sendLoad sends this instance's load to the control instances until the context ends.
+func (en *entry) sendLoad(ctx context.Context) error {
+	su := en.ts.Subscribe(loadInterval)
 	defer su.Stop()
-	lm := loadMeter{at: en.ts.Now()}
+	lm := loadMeter{lastAt: en.ts.Now()}
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-su.C:
-			if lm.look(en.ts.Now(), en.gw.MergedRequestTime()) {
+			if lm.update(en.ts.Now(), en.gw.MergedRequestTime()) {
 				en.su.SetLoad(lm.load)
 			}
 		}
--- a/tier/load_test.go
+++ b/tier/load_test.go
@@ -7,28 +7,28 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// An instance is idle, then serves a query now and then, then is busy. It tells a change
-// soon, a small one seldom, and nothing while nothing changes.
-func TestLoadIsToldWhenItChanges(t *testing.T) {
+// An instance is idle, then serves a query now and then, then is busy. It must report a
+// large change soon, a small one rarely, and nothing while nothing changes.
+func TestLoadIsReportedWhenItChanges(t *testing.T) {
 	c := qt.New(t)
 	now, sum := time.Unix(1000, 0), time.Duration(0)
-	lm := loadMeter{at: now}
-	pass := func(length time.Duration, merging float64) (told int) {
+	lm := loadMeter{lastAt: now}
+	advance := func(length time.Duration, merging float64) (numReported int) {
 		for end := now.Add(length); now.Before(end); {
-			now = now.Add(loadPeriod)
-			sum += time.Duration(merging * float64(loadPeriod))
-			if lm.look(now, sum) {
-				told++
+			now = now.Add(loadInterval)
+			sum += time.Duration(merging * float64(loadInterval))
+			if lm.update(now, sum) {
+				numReported++
 			}
 		}
-		return told
+		return numReported
 	}
-	c.Assert(pass(20*time.Second, 0), qt.Equals, 1)
-	c.Assert(pass(2*time.Second, rightMerging) >= 2, qt.IsTrue)
-	pass(20*time.Second, rightMerging)
+	c.Assert(advance(20*time.Second, 0), qt.Equals, 1)
+	c.Assert(advance(2*time.Second, targetMerging) >= 2, qt.IsTrue)
+	advance(20*time.Second, targetMerging)
 	c.Assert(lm.load > 0.95 && lm.load < 1.05, qt.IsTrue)
-	c.Assert(pass(20*time.Second, rightMerging) <= 4, qt.IsTrue)
-	pass(3*time.Second, 4*rightMerging)
-	c.Assert(lm.told > 2, qt.IsTrue)
-	c.Assert(lm.look(now, sum), qt.IsFalse) // No time has passed.
+	c.Assert(advance(20*time.Second, targetMerging) <= 4, qt.IsTrue)
+	advance(3*time.Second, 4*targetMerging)
+	c.Assert(lm.reported > 2, qt.IsTrue)
+	c.Assert(lm.update(now, sum), qt.IsFalse) // no time has passed
 }
--- a/tier/lookups.go
+++ b/tier/lookups.go
@@ -11,34 +11,34 @@
 	"balsamwinch.example/timer"
 )
 
-// lookUpsPeriod is the time that one line about look-ups covers.
-const lookUpsPeriod = time.Second
+// lookUpLogInterval is the time that one log line about look-ups covers.
+const lookUpLogInterval = time.Second
 
-// lookUps notes callers' look-ups of addresses that got none. Such a caller sends
-// nothing, so that no entry instance has a line of it: without these lines the log
-// of a time in which nobody was served is empty. There is at most one line for each
-// second, however many callers ask.
+// lookUps logs address look-ups of callers that got no address. Such a caller sends no
+// request, so no entry instance logs anything about it: without these lines, the log of
+// an outage in which nobody was served would be empty. There is at most one line a
+// second, however many callers look up.
 type lookUps struct {
 	ts *timer.Service
 	lg *zap.Logger
 
-	mu     sync.Mutex
-	linked map[string]*linkedEntry // linked holds the entry instances with a link to this one, by name.
-	ready  []feed.Entry            // ready is the list that was seen last.
-	asked  int                     // asked counts the look-ups since the last line was due.
-	empty  int                     // empty counts those that got no address.
-	stand  standings               // stand is how things stood at the first of these.
+	mu         sync.Mutex
+	linked     map[string]*linkedEntry // entry instances with a link to this instance, by name
+	lastReady  []feed.Entry            // list passed to the latest updateReady
+	numLookUps int                     // look-ups since the last log interval
+	numEmpty   int                     // those of numLookUps that got no address
+	counts     entryCounts             // entry instances at the first of numEmpty
 }
 
 // linkedEntry is an entry instance with one or more links to this control instance.
 type linkedEntry struct {
-	links  int
-	served bool // served says that it was ready, on this link or before.
+	links    int
+	wasReady bool // whether it has been ready, on this link or before
 }
 
-// standings counts the entry instances that a control instance knows while none of
-// them is ready, by state.
-type standings struct {
+// entryCounts holds the number of known entry instances in each state while none of them
+// is ready.
+type entryCounts struct {
 	starting, draining int
 }
 
@@ -46,9 +46,9 @@
 	return &lookUps{ts: ts, lg: lg, linked: make(map[string]*linkedEntry)}
 }
 
-// opened takes in that an entry instance has opened a link. One that begins anew
-// was not ready before.
-func (lu *lookUps) opened(name string, state feed.EntryState) {
+// linkOpened records that an entry instance opened a link. An instance that is still
+// starting was not ready before.
+func (lu *lookUps) linkOpened(name string, state feed.EntryState) {
 	lu.mu.Lock()
 	defer lu.mu.Unlock()
 	le, ok := lu.linked[name]
@@ -57,12 +57,12 @@
 		lu.linked[name] = le
 	}
 	le.links++
-	le.served = state != feed.Starting
-	lu.ready = nil // The list may be the one that was seen, and name it.
+	le.wasReady = state != feed.Starting
+	lu.lastReady = nil // So that the next updateReady doesn't skip the list, which may name this instance.
 }
 
-// closed takes in that a link of an entry instance has ended.
-func (lu *lookUps) closed(name string) {
+// linkClosed records that a link of an entry instance ended.
+func (lu *lookUps) linkClosed(name string) {
 	lu.mu.Lock()
 	defer lu.mu.Unlock()
 	le := lu.linked[name]
@@ -72,42 +72,42 @@
 	}
 }
 
-// note takes in a look-up, which got the addresses of the instances that are ready.
-func (lu *lookUps) note(ready []feed.Entry) {
+// record records a look-up, which got the addresses of the ready instances.
+func (lu *lookUps) record(ready []feed.Entry) {
 	lu.mu.Lock()
 	defer lu.mu.Unlock()
-	lu.see(ready)
-	lu.asked++
+	lu.updateReady(ready)
+	lu.numLookUps++
 	if len(ready) > 0 {
 		return
 	}
-	if lu.empty == 0 {
-		lu.stand = lu.standings()
+	if lu.numEmpty == 0 {
+		lu.counts = lu.countEntries()
 	}
-	lu.empty++
+	lu.numEmpty++
 }
 
-// see notes which instances are ready. The list is replaced whenever it changes, so
-// that one that was seen before is passed over.
-func (lu *lookUps) see(ready []feed.Entry) {
-	if len(ready) == len(lu.ready) && (len(ready) == 0 || &ready[0] == &lu.ready[0]) {
+// updateReady records which instances are ready. The publisher replaces the list on every
+// change, so the same list again is skipped.
+func (lu *lookUps) updateReady(ready []feed.Entry) {
+	if len(ready) == len(lu.lastReady) && (len(ready) == 0 || &ready[0] == &lu.lastReady[0]) {
 		return
 	}
-	lu.ready = ready
+	lu.lastReady = ready
 	for _, en := range ready {
 		if le, ok := lu.linked[en.Name]; ok {
-			le.served = true
+			le.wasReady = true
 		}
 	}
 }
 
-// standings counts the linked instances while none is ready. One that was ready
-// drains: none becomes ready a second time. One that was ready only between two
-// looks at the list counts as starting.
-func (lu *lookUps) standings() standings {
-	var st standings
+// countEntries counts the linked instances while none is ready. An instance that was
+// ready counts as draining, since none becomes ready a second time. An instance that was
+// ready only between two calls of updateReady counts as starting.
+func (lu *lookUps) countEntries() entryCounts {
+	var st entryCounts
 	for _, le := range lu.linked {
-		if le.served {
+		if le.wasReady {
 			st.draining++
 		} else {
 			st.starting++
@@ -116,30 +116,31 @@
 	return st
 }
 
-// serve writes the lines until the context ends, and then the last one.
+// serve logs a line for each interval until the context ends, and then one for the last
+// interval.
 func (lu *lookUps) serve(ctx context.Context, ready func() []feed.Entry) error {
-	su := lu.ts.Subscribe(lookUpsPeriod)
+	su := lu.ts.Subscribe(lookUpLogInterval)
 	defer su.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			lu.tell(ready())
+			lu.logSummary(ready())
 			return ctx.Err()
 		case <-su.C:
-			lu.tell(ready())
+			lu.logSummary(ready())
 		}
 	}
 }
 
-// tell writes the line for the time since the last one, if any look-up got nothing.
-func (lu *lookUps) tell(ready []feed.Entry) {
+// logSummary logs the look-ups since the last call, if any of them got no address.
+func (lu *lookUps) logSummary(ready []feed.Entry) {
 	lu.mu.Lock()
 	defer lu.mu.Unlock()
-	lu.see(ready)
-	if lu.empty > 0 {
-		st := lu.stand
-		lu.lg.Warn("look-ups-without-address", zap.Int("Count", lu.empty), zap.Int("LookUps", lu.asked),
+	lu.updateReady(ready)
+	if lu.numEmpty > 0 {
+		st := lu.counts
+		lu.lg.Warn("look-ups-without-address", zap.Int("Count", lu.numEmpty), zap.Int("LookUps", lu.numLookUps),
 			zap.Int("Entries", st.starting+st.draining), zap.Int("Starting", st.starting), zap.Int("Draining", st.draining))
 	}
-	lu.asked, lu.empty = 0, 0
+	lu.numLookUps, lu.numEmpty = 0, 0
 }
--- a/tier/meters.go
+++ b/tier/meters.go
@@ -18,14 +18,14 @@
 	"balsamwinch.example/timer"
 )
 
-// MetricsPath is where the metrics are, on the address that Settings.Metrics names.
+// MetricsPath is the HTTP path of the metrics, on the address in Settings.Metrics.
 const MetricsPath = "/metrics"
 
 // MetricsWriter writes metrics in the Prometheus text format.
 type MetricsWriter func(wr io.Writer)
 
-// serveMetrics adds the listener for metrics. An instance whose address for
-// metrics is taken serves all the same, and its log says so.
+// serveMetrics adds the HTTP server for metrics. If its address is taken, that is logged
+// and the instance runs without it.
 func serveMetrics(sp *suture.Supervisor, address string, lg *zap.Logger, mws ...MetricsWriter) {
 	if err := serveHTTP(sp, "metrics", address, metricsHandler(mws)); err != nil {
 		lg.Warn("metrics-not-served", zap.String("Address", address), zap.Error(err))
@@ -43,17 +43,17 @@
 	return mx
 }
 
-// runtimeMetrics are those of the Go runtime that say something of load, by the
-// name under which they are shown. Reading them stops nothing.
-var runtimeMetrics = []struct{ shown, name string }{
+// runtimeMetrics are the metrics of the Go runtime that indicate load, with the names
+// under which they are exposed. Reading them doesn't stop the world.
+var runtimeMetrics = []struct{ exposed, name string }{
 	{"balsamwinch_goroutines", "/sched/goroutines:goroutines"},
 	{"balsamwinch_heap_bytes", "/memory/classes/heap/objects:bytes"},
 	{"balsamwinch_memory_bytes", "/memory/classes/total:bytes"},
 	{"balsamwinch_garbage_collections_total", "/gc/cycles/total:gc-cycles"},
 }
 
-// writeProcess writes what concerns the process.
-func writeProcess(started time.Time, now func() time.Time) MetricsWriter {
+// writeProcessMetrics writes the metrics of the process.
+func writeProcessMetrics(started time.Time, now func() time.Time) MetricsWriter {
 	return func(wr io.Writer) {
 		samples := make([]metrics.Sample, len(runtimeMetrics))
 		for ix, rm := range runtimeMetrics {
@@ -62,20 +62,20 @@
 		metrics.Read(samples)
 		for ix, sa := range samples {
 			if sa.Value.Kind() == metrics.KindUint64 {
-				vm.WriteGaugeUint64(wr, runtimeMetrics[ix].shown, sa.Value.Uint64())
+				vm.WriteGaugeUint64(wr, runtimeMetrics[ix].exposed, sa.Value.Uint64())
 			}
 		}
 		vm.WriteGaugeFloat64(wr, "balsamwinch_running_seconds", now().Sub(started).Seconds())
 	}
 }
 
-// writeLinks writes what an entry instance knows of control.
-func writeLinks(su *feed.Subscriber) MetricsWriter {
+// writeLinkMetrics writes the number of an entry instance's links to control instances.
+func writeLinkMetrics(su *feed.Subscriber) MetricsWriter {
 	return func(wr io.Writer) { vm.WriteGaugeUint64(wr, "balsamwinch_control_links", uint64(su.NumConnected())) }
 }
 
-// writeGroup writes how a control instance stands in its group.
-func writeGroup(nd *fleet.Node, pu *feed.Publisher) MetricsWriter {
+// writeGroupMetrics writes the state of a control instance's consensus group.
+func writeGroupMetrics(nd *fleet.Node, pu *feed.Publisher) MetricsWriter {
 	return func(wr io.Writer) {
 		st := nd.Status()
 		vm.WriteGaugeUint64(wr, `balsamwinch_control_role{role="`+st.Role+`"}`, 1)
@@ -90,23 +90,23 @@
 	}
 }
 
-// callBounds are the upper bounds of the histograms of control calls in seconds.
-var callBounds = []float64{.001, .003, .01, .03, .1, .3, 1, 3}
+// callBuckets are the upper bounds in seconds of the call duration histograms.
+var callBuckets = []float64{.001, .003, .01, .03, .1, .3, 1, 3}
 
-// calls are those that a control instance takes.
-type calls interface {
+// controlInstanceAPI is the API of a control instance.
+type controlInstanceAPI interface {
 	ControlAPI
 	AddressAPI
 }
 
-// counted counts the calls that a control instance takes from operators, backend
-// servers and callers.
-type counted struct {
-	co            calls
+// instrumentedAPI counts and measures the calls to a control instance from operators,
+// backend servers and callers.
+type instrumentedAPI struct {
+	next          controlInstanceAPI
 	ts            *timer.Service
 	set           *vm.Set
-	accept, read  call
-	evacuate      call
+	accept, read  callMetrics
+	evacuate      callMetrics
 	announcements *vm.Counter
 	leaves        *vm.Counter
 	ignored       *vm.Counter
@@ -114,23 +114,23 @@
 	emptyLookUps  *vm.Counter
 }
 
-// call is the series of one kind of call.
-type call struct {
+// callMetrics are the metrics of one kind of call.
+type callMetrics struct {
 	seconds *vm.PrometheusHistogram
 	failed  *vm.Counter
 }
 
-func newCounted(co calls, ts *timer.Service) *counted {
+func newInstrumentedAPI(co controlInstanceAPI, ts *timer.Service) *instrumentedAPI {
 	set := vm.NewSet()
-	series := func(name string) call {
+	series := func(name string) callMetrics {
 		in := `{call="` + name + `"}`
-		return call{
-			seconds: set.NewPrometheusHistogramExt("balsamwinch_control_call_seconds"+in, callBounds),
+		return callMetrics{
+			seconds: set.NewPrometheusHistogramExt("balsamwinch_control_call_seconds"+in, callBuckets),
 			failed:  set.NewCounter("balsamwinch_control_calls_failed_total" + in),
 		}
 	}
-	return &counted{
-		co: co, ts: ts, set: set, accept: series("Accept"), read: series("Read"), evacuate: series("Evacuate"),
+	return &instrumentedAPI{
+		next: co, ts: ts, set: set, accept: series("Accept"), read: series("Read"), evacuate: series("Evacuate"),
 		announcements: set.NewCounter("balsamwinch_announcements_total"),
 		leaves:        set.NewCounter("balsamwinch_leaves_total"),
 		ignored:       set.NewCounter("balsamwinch_ignored_announcements_total"),
@@ -139,67 +139,67 @@
 	}
 }
 
-func (cl *call) done(took time.Duration, err error) {
-	cl.seconds.Update(took.Seconds())
+func (cm *callMetrics) observe(took time.Duration, err error) {
+	cm.seconds.Update(took.Seconds())
 	if err != nil {
-		cl.failed.Inc()
+		cm.failed.Inc()
 	}
 }
 
-// Accept counts and passes the call on.
-func (cu *counted) Accept(ctx context.Context, version uint64, data []byte) error {
-	start := cu.ts.Now()
-	err := cu.co.Accept(ctx, version, data)
-	cu.accept.done(cu.ts.Now().Sub(start), err)
+// Accept measures and forwards the call.
+func (ia *instrumentedAPI) Accept(ctx context.Context, version uint64, data []byte) error {
+	start := ia.ts.Now()
+	err := ia.next.Accept(ctx, version, data)
+	ia.accept.observe(ia.ts.Now().Sub(start), err)
 	return err
 }
 
-// Newest counts and passes the call on.
-func (cu *counted) Newest(ctx context.Context) (version uint64, data []byte, err error) {
-	start := cu.ts.Now()
-	version, data, err = cu.co.Newest(ctx)
-	cu.read.done(cu.ts.Now().Sub(start), err)
+// Newest measures and forwards the call.
+func (ia *instrumentedAPI) Newest(ctx context.Context) (version uint64, data []byte, err error) {
+	start := ia.ts.Now()
+	version, data, err = ia.next.Newest(ctx)
+	ia.read.observe(ia.ts.Now().Sub(start), err)
 	return version, data, err
 }
 
-// Evacuate counts and passes the call on.
-func (cu *counted) Evacuate(ctx context.Context, dataCentre string, evacuate bool, from string) error {
-	start := cu.ts.Now()
-	err := cu.co.Evacuate(ctx, dataCentre, evacuate, from)
-	cu.evacuate.done(cu.ts.Now().Sub(start), err)
+// Evacuate measures and forwards the call.
+func (ia *instrumentedAPI) Evacuate(ctx context.Context, dataCentre string, evacuate bool, from string) error {
+	start := ia.ts.Now()
+	err := ia.next.Evacuate(ctx, dataCentre, evacuate, from)
+	ia.evacuate.observe(ia.ts.Now().Sub(start), err)
 	return err
 }
 
-// Evacuated passes the call on.
-func (cu *counted) Evacuated() evacuation.Set { return cu.co.Evacuated() }
+// Evacuated forwards the call.
+func (ia *instrumentedAPI) Evacuated() evacuation.Set { return ia.next.Evacuated() }
 
-// Announce counts and passes the call on.
-func (cu *counted) Announce(se registry.Server) {
-	cu.announcements.Inc()
-	cu.co.Announce(se)
+// Announce counts and forwards the call.
+func (ia *instrumentedAPI) Announce(se registry.Server) {
+	ia.announcements.Inc()
+	ia.next.Announce(se)
 }
 
-// Leave counts and passes the call on.
-func (cu *counted) Leave(id string) {
-	cu.leaves.Inc()
-	cu.co.Leave(id)
+// Leave counts and forwards the call.
+func (ia *instrumentedAPI) Leave(id string) {
+	ia.leaves.Inc()
+	ia.next.Leave(id)
 }
 
-// Ignore counts and passes the call on.
-func (cu *counted) Ignore(id, detail string) {
-	cu.ignored.Inc()
-	cu.co.Ignore(id, detail)
+// Ignore counts and forwards the call.
+func (ia *instrumentedAPI) Ignore(id, detail string) {
+	ia.ignored.Inc()
+	ia.next.Ignore(id, detail)
 }
 
-// BodyLimit passes the call on.
-func (cu *counted) BodyLimit() int64 { return cu.co.BodyLimit() }
+// BodyLimit forwards the call.
+func (ia *instrumentedAPI) BodyLimit() int64 { return ia.next.BodyLimit() }
 
-// Addresses counts and passes the call on.
-func (cu *counted) Addresses(host, dataCentre, region string) ([]string, time.Duration) {
-	ads, keep := cu.co.Addresses(host, dataCentre, region)
-	cu.lookUps.Inc()
+// Addresses counts and forwards the call.
+func (ia *instrumentedAPI) Addresses(host, dataCentre, region string) ([]string, time.Duration) {
+	ads, keep := ia.next.Addresses(host, dataCentre, region)
+	ia.lookUps.Inc()
 	if len(ads) == 0 {
-		cu.emptyLookUps.Inc()
+		ia.emptyLookUps.Inc()
 	}
 	return ads, keep
 }
--- a/tier/meters_test.go
+++ b/tier/meters_test.go
@@ -24,8 +24,9 @@
 	"balsamwinch.example/timer"
 )
 
-// shown returns what a writer of metrics writes, without the lines that are 0.
-func shown(mw MetricsWriter, prefix string) []string {
+// nonZeroLines returns the lines with the prefix that the writer writes and whose value
+// isn't 0.
+func nonZeroLines(mw MetricsWriter, prefix string) []string {
 	var bu bytes.Buffer
 	mw(&bu)
 	var out []string
@@ -59,81 +60,81 @@
 	}
 }
 
-// Another process has the port for metrics. The instance must serve callers all
-// the same, and its log must say that nobody can read its metrics.
+// Guards against an instance that doesn't start because another process has the port for
+// metrics: it must serve callers, and log that its metrics aren't served.
 func TestMetricsAddressTaken(t *testing.T) {
 	li, err := net.Listen("tcp4", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	defer li.Close()
 	co, ob := observer.New(zapcore.InfoLevel)
 	lg := zap.New(co)
-	serveMetrics(supervise("test", lg), li.Addr().String(), lg)
+	serveMetrics(newSupervisor("test", lg), li.Addr().String(), lg)
 	qt.Assert(t, ob.FilterMessage("metrics-not-served").Len(), qt.Equals, 1)
-	serveMetrics(supervise("test", lg), "", lg)
+	serveMetrics(newSupervisor("test", lg), "", lg)
 	qt.Assert(t, ob.Len(), qt.Equals, 1)
 }
 
 func TestWriteProcess(t *testing.T) {
 	start := time.Unix(1000, 0)
-	mw := writeProcess(start, func() time.Time { return start.Add(90 * time.Second) })
-	qt.Assert(t, shown(mw, "balsamwinch_running_seconds"), qt.DeepEquals, []string{"balsamwinch_running_seconds 90"})
+	mw := writeProcessMetrics(start, func() time.Time { return start.Add(90 * time.Second) })
+	qt.Assert(t, nonZeroLines(mw, "balsamwinch_running_seconds"), qt.DeepEquals, []string{"balsamwinch_running_seconds 90"})
 	for _, rm := range runtimeMetrics[:3] {
-		qt.Check(t, shown(mw, rm.shown+" "), qt.HasLen, 1, qt.Commentf("%s", rm.shown))
+		qt.Check(t, nonZeroLines(mw, rm.exposed+" "), qt.HasLen, 1, qt.Commentf("%s", rm.exposed))
 	}
 }
 
-// What a control instance shows before its group is formed.
+// The metrics of a control instance before its group is formed.
 func TestWriteGroup(t *testing.T) {
 	ts, lg := timer.New(), zap.NewNop()
 	nd := fleet.New(fleet.Config{Name: "control-1", Dir: t.TempDir()}, ts, lg, nil)
 	pu := feed.NewPublisher(feed.PublisherConfig{Name: "control-1"}, ts, lg)
-	qt.Assert(t, shown(writeGroup(nd, pu), ""), qt.DeepEquals, []string{`balsamwinch_control_role{role="Starting"} 1`, ""})
+	qt.Assert(t, nonZeroLines(writeGroupMetrics(nd, pu), ""), qt.DeepEquals, []string{`balsamwinch_control_role{role="Starting"} 1`, ""})
 }
 
-// fakeCalls answers after a fixed time.
-type fakeCalls struct {
+// fakeAPI responds after a fixed time.
+type fakeAPI struct {
 	err   error
 	addrs []string
 }
 
-func (fc fakeCalls) Accept(context.Context, uint64, []byte) error {
+func (fa fakeAPI) Accept(context.Context, uint64, []byte) error {
 	time.Sleep(20 * time.Millisecond)
-	return fc.err
+	return fa.err
 }
 
-func (fc fakeCalls) Newest(context.Context) (uint64, []byte, error) {
+func (fa fakeAPI) Newest(context.Context) (uint64, []byte, error) {
 	time.Sleep(200 * time.Millisecond)
-	return 7, []byte("x"), fc.err
+	return 7, []byte("x"), fa.err
 }
-func (fc fakeCalls) Evacuate(context.Context, string, bool, string) error { return fc.err }
-func (fakeCalls) Evacuated() evacuation.Set                               { return evacuation.Set{Revision: 3} }
-func (fakeCalls) Announce(registry.Server)                                {}
-func (fakeCalls) Leave(string)                                            {}
-func (fakeCalls) Ignore(string, string)                                   {}
-func (fakeCalls) BodyLimit() int64                                        { return 9 }
-func (fc fakeCalls) Addresses(string, string, string) ([]string, time.Duration) {
-	return fc.addrs, time.Second
+func (fa fakeAPI) Evacuate(context.Context, string, bool, string) error { return fa.err }
+func (fakeAPI) Evacuated() evacuation.Set                               { return evacuation.Set{Revision: 3} }
+func (fakeAPI) Announce(registry.Server)                                {}
+func (fakeAPI) Leave(string)                                            {}
+func (fakeAPI) Ignore(string, string)                                   {}
+func (fakeAPI) BodyLimit() int64                                        { return 9 }
+func (fa fakeAPI) Addresses(string, string, string) ([]string, time.Duration) {
+	return fa.addrs, time.Second
 }
 
-func TestCounted(t *testing.T) {
+func TestInstrumentedAPI(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cu := newCounted(fakeCalls{addrs: []string{"10.0.0.1:80"}}, timer.New())
-		qt.Assert(t, cu.Accept(t.Context(), 7, nil), qt.IsNil)
-		version, data, err := cu.Newest(t.Context())
+		ia := newInstrumentedAPI(fakeAPI{addrs: []string{"10.0.0.1:80"}}, timer.New())
+		qt.Assert(t, ia.Accept(t.Context(), 7, nil), qt.IsNil)
+		version, data, err := ia.Newest(t.Context())
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, version, qt.Equals, uint64(7))
 		qt.Assert(t, string(data), qt.Equals, "x")
-		qt.Assert(t, cu.BodyLimit(), qt.Equals, int64(9))
-		cu.Announce(registry.Server{})
-		cu.Leave("i-1")
-		cu.Ignore("i-1", "no state")
-		addrs, keep := cu.Addresses("", "", "")
+		qt.Assert(t, ia.BodyLimit(), qt.Equals, int64(9))
+		ia.Announce(registry.Server{})
+		ia.Leave("i-1")
+		ia.Ignore("i-1", "no state")
+		addrs, keep := ia.Addresses("", "", "")
 		qt.Assert(t, addrs, qt.DeepEquals, []string{"10.0.0.1:80"})
 		qt.Assert(t, keep, qt.Equals, time.Second)
-		cu.co = fakeCalls{err: errors.New("no leader")}
-		qt.Assert(t, cu.Accept(t.Context(), 8, nil), qt.ErrorMatches, "no leader")
-		cu.Addresses("", "", "")
-		qt.Assert(t, shown(cu.set.WritePrometheus, "balsamwinch_control_call_seconds_"), qt.DeepEquals, []string{
+		ia.next = fakeAPI{err: errors.New("no leader")}
+		qt.Assert(t, ia.Accept(t.Context(), 8, nil), qt.ErrorMatches, "no leader")
+		ia.Addresses("", "", "")
+		qt.Assert(t, nonZeroLines(ia.set.WritePrometheus, "balsamwinch_control_call_seconds_"), qt.DeepEquals, []string{
 			`balsamwinch_control_call_seconds_bucket{call="Accept",le="0.03"} 2`,
 			`balsamwinch_control_call_seconds_bucket{call="Accept",le="0.1"} 2`,
 			`balsamwinch_control_call_seconds_bucket{call="Accept",le="0.3"} 2`,
@@ -149,11 +150,11 @@
 			`balsamwinch_control_call_seconds_sum{call="Read"} 0.2`,
 			`balsamwinch_control_call_seconds_count{call="Read"} 1`,
 		})
-		qt.Assert(t, shown(cu.set.WritePrometheus, "balsamwinch_control_calls_failed"), qt.DeepEquals, []string{`balsamwinch_control_calls_failed_total{call="Accept"} 1`})
-		qt.Assert(t, shown(cu.set.WritePrometheus, "balsamwinch_ignored"), qt.DeepEquals, []string{"balsamwinch_ignored_announcements_total 1"})
-		qt.Assert(t, shown(cu.set.WritePrometheus, "balsamwinch_a"), qt.DeepEquals, []string{
+		qt.Assert(t, nonZeroLines(ia.set.WritePrometheus, "balsamwinch_control_calls_failed"), qt.DeepEquals, []string{`balsamwinch_control_calls_failed_total{call="Accept"} 1`})
+		qt.Assert(t, nonZeroLines(ia.set.WritePrometheus, "balsamwinch_ignored"), qt.DeepEquals, []string{"balsamwinch_ignored_announcements_total 1"})
+		qt.Assert(t, nonZeroLines(ia.set.WritePrometheus, "balsamwinch_a"), qt.DeepEquals, []string{
 			"balsamwinch_address_look_ups_empty_total 1", "balsamwinch_address_look_ups_total 2", "balsamwinch_announcements_total 1",
 		})
-		qt.Assert(t, shown(cu.set.WritePrometheus, "balsamwinch_leaves"), qt.DeepEquals, []string{"balsamwinch_leaves_total 1"})
+		qt.Assert(t, nonZeroLines(ia.set.WritePrometheus, "balsamwinch_leaves"), qt.DeepEquals, []string{"balsamwinch_leaves_total 1"})
 	})
 }
--- a/tier/metrics_test.go
+++ b/tier/metrics_test.go
@@ -18,21 +18,21 @@
 )
 
 const (
-	// page is the operators' page.
+	// page is the operations manual.
 	page = "../docs/OPERATIONS.md"
-	// metricsHeading is where it lists metrics.
+	// metricsHeading is the heading of its list of metrics.
 	metricsHeading = "### Read the metrics\n"
 )
 
 var (
-	sample  = regexp.MustCompile(`^(balsamwinch_\w+)(?:\{(.*)\})? `)
-	label   = regexp.MustCompile(`(\w+)="[^"]*"`)
-	inPage  = regexp.MustCompile("`(balsamwinch_[^`]+)`")
-	listing = map[string]string{"| Metric of an entry instance ": "entry", "| Metric of a control instance ": "control", "| Metric of both ": "both"}
+	sample         = regexp.MustCompile(`^(balsamwinch_\w+)(?:\{(.*)\})? `)
+	label          = regexp.MustCompile(`(\w+)="[^"]*"`)
+	documentedName = regexp.MustCompile("`(balsamwinch_[^`]+)`")
+	tableKinds     = map[string]string{"| Metric of an entry instance ": "entry", "| Metric of a control instance ": "control", "| Metric of both ": "both"}
 )
 
-// metricNames returns the names of metrics in the text format, with the names of
-// their labels; a histogram has one.
+// metricNames returns the names of the metrics in the text format, with the names of
+// their labels. A histogram counts as one metric.
 func metricNames(text string) []string {
 	names, histograms := map[string]bool{}, []string{}
 	for li := range strings.Lines(text) {
@@ -72,29 +72,29 @@
 	return name + "{" + strings.Join(labels, ",") + "}"
 }
 
-// shownMetrics returns the names of the metrics that instances show that serve.
-func shownMetrics(t *testing.T) (entry, control []string) {
-	wd := newWorld(t, 1, 1, func(in *instance) {
+// exposedMetrics returns the names of the metrics that running instances expose.
+func exposedMetrics(t *testing.T) (entry, control []string) {
+	cl := newCluster(t, 1, 1, func(in *instance) {
 		in.se.Losses = 0
 		lg, wr := trail.New(io.Discard, trail.Config{}, timer.New())
 		in.lg, in.mws = lg, []tier.MetricsWriter{wr.WriteMetrics}
 	})
 	for _, service := range []string{"s1", "p1", "p2", "p3"} {
-		wd.serve(service, 1)
+		cl.startServers(service, 1)
 	}
-	wd.configure(config(3, "s1", "/first/"), wd.controls...)
-	wd.inForce(wd.entries[0], "s1", "/first/a", "")
+	cl.configure(config(3, "s1", "/first/"), cl.controls...)
+	cl.awaitInForce(cl.entries[0], "s1", "/first/a", "")
 	names := func(in *instance) []string {
-		status, text := wd.call(http.MethodGet, in.se.Metrics, tier.MetricsPath, nil)
+		status, text := cl.call(http.MethodGet, in.se.Metrics, tier.MetricsPath, nil)
 		qt.Assert(t, status, qt.Equals, http.StatusOK)
 		return metricNames(string(text))
 	}
-	return names(wd.entries[0]), names(wd.controls[0])
+	return names(cl.entries[0]), names(cl.controls[0])
 }
 
-// listedMetrics returns the metrics that the operators' page lists, and all text
-// about the routed tier.
-func listedMetrics(t *testing.T) (listed map[string][]string, text string) {
+// documentedMetrics returns the metrics that the page lists, and its whole text about the
+// routed tier.
+func documentedMetrics(t *testing.T) (listed map[string][]string, text string) {
 	data, err := os.ReadFile(page)
 	qt.Assert(t, err, qt.IsNil)
 	_, text, _ = strings.Cut(string(data), "## The routed tier on the users' machines\n")
@@ -109,36 +109,37 @@
 			kind = ""
 			continue
 		}
-		for heading, ki := range listing {
+		for heading, ki := range tableKinds {
 			if strings.HasPrefix(li, heading) {
 				kind = ki
 			}
 		}
 		first := strings.SplitN(li, "|", 3)[1]
-		for _, na := range inPage.FindAllStringSubmatch(first, -1) {
+		for _, na := range documentedName.FindAllStringSubmatch(first, -1) {
 			listed[kind] = append(listed[kind], na[1])
 		}
 	}
 	return listed, text
 }
 
-// An operator looks for a metric that the page names and the instance doesn't show,
-// or doesn't know of one that would have told. The golden files hold all that
-// instances show; the page lists just these, and names no other anywhere.
-func TestMetricNames(t *testing.T) {
-	entry, control := shownMetrics(t)
+// Guards against a page that names a metric which no instance exposes, or lacks one that
+// would have helped. The golden files hold all metrics that instances expose; the page
+// must list exactly these and name no others.
+func TestMetricNamesMatchOperationsPage(t *testing.T) {
+	entry, control := exposedMetrics(t)
 	goldenNames(t, "entry", entry)
 	goldenNames(t, "control", control)
-	listed, text := listedMetrics(t)
+	listed, text := documentedMetrics(t)
 	qt.Assert(t, slices.Sorted(slices.Values(slices.Concat(listed["entry"], listed["both"]))), qt.DeepEquals, entry)
 	qt.Assert(t, slices.Sorted(slices.Values(slices.Concat(listed["control"], listed["both"]))), qt.DeepEquals, control)
 	all := strings.Join(slices.Concat(entry, control), " ") + " "
-	for _, na := range inPage.FindAllStringSubmatch(text, -1) {
+	for _, na := range documentedName.FindAllStringSubmatch(text, -1) {
 		qt.Check(t, strings.Contains(all, na[1]+" ") || strings.Contains(all, na[1]+"{"), qt.IsTrue, qt.Commentf("%s", na[1]))
 	}
 }
 
-// goldenNames compares names with a golden file; the flag -update rewrites it.
+// goldenNames compares names with a golden file, and rewrites the file if the flag
+// -update is set.
 func goldenNames(t *testing.T, name string, names []string) {
 	t.Helper()
 	path, got := "testdata/metrics/"+name+".golden", strings.Join(names, "\n")+"\n"
--- a/tier/roster.go
+++ b/tier/roster.go
@@ -17,100 +17,103 @@
 	"balsamwinch.example/timer"
 )
 
-// rosterPeriod is how often a control instance looks to which entry instances callers are
-// led. A burst is answered within it, and the time that callers keep their list.
-const rosterPeriod = 250 * time.Millisecond
-
-// rosters leads callers to a part of the entry instances where backend servers take few
-// connections. Until it knows a configuration it leads them to all.
+// rosterInterval is how often a control instance updates which entry instances serve a
+// merged route. It adds to the time for which callers keep their address list before the
+// instances added for a burst get requests.
+const rosterInterval = 250 * time.Millisecond
+
+// rosters assigns a subset of the entry instances to the callers of each merged route, so
+// that backend servers have to accept fewer connections. Until a configuration is known,
+// callers may use all entry instances.
 type rosters struct {
-	tbs ConfigurationParser
-	pu  *feed.Publisher
-	ts  *timer.Service
-	lg  *zap.Logger
-	// entries gives the entry instances that are ready.
+	parser ConfigurationParser
+	pu     *feed.Publisher
+	ts     *timer.Service
+	lg     *zap.Logger
+	// entries returns the entry instances that are ready.
 	entries func() []feed.Entry
 
 	mu      sync.Mutex
 	version uint64
-	data    []byte // data is a configuration that is to be read; nil if none is.
+	pending []byte // configuration that is still to be parsed; nil if none is
 
-	decided atomic.Pointer[decision]
+	latest atomic.Pointer[decision]
 }
 
-// decision is what was decided last. It is never changed.
+// decision is the result of an update. It is immutable.
 type decision struct {
 	tb     *route.Table
 	groups groups
-	list   []roster.Group // list is groups.list().
+	list   []roster.Group // groups.list()
 	chosen roster.Groups
 }
 
-func newRosters(tbs ConfigurationParser, pu *feed.Publisher, ts *timer.Service, lg *zap.Logger) *rosters {
-	ro := &rosters{tbs: tbs, pu: pu, ts: ts, lg: lg, entries: pu.ReadyEntries}
-	ro.decided.Store(&decision{})
+func newRosters(parser ConfigurationParser, pu *feed.Publisher, ts *timer.Service, lg *zap.Logger) *rosters {
+	ro := &rosters{parser: parser, pu: pu, ts: ts, lg: lg, entries: pu.ReadyEntries}
+	ro.latest.Store(&decision{})
 	return ro
 }
 
-// restore takes over the sizes that were noted before this start.
+// restore applies the sizes that were saved before this start.
 func (ro *rosters) restore(nos []roster.SavedSize) {
-	ro.decided.Store(&decision{chosen: roster.Restore(ro.ts.Now(), nos)})
+	ro.latest.Store(&decision{chosen: roster.Restore(ro.ts.Now(), nos)})
 }
 
-// note returns the sizes that are to be noted for the next start.
-func (ro *rosters) note() []roster.SavedSize { return ro.decided.Load().chosen.SavedSizes() }
+// savedSizes returns the sizes to save for the next start.
+func (ro *rosters) savedSizes() []roster.SavedSize { return ro.latest.Load().chosen.SavedSizes() }
 
-// setDocument takes over a configuration. It is read at the next look, since its
-// commit waits for this.
+// setDocument sets the configuration. It is parsed at the next update, because the commit
+// of the configuration waits for this call.
 func (ro *rosters) setDocument(version uint64, data []byte) {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
-	ro.version, ro.data = version, data
+	ro.version, ro.pending = version, data
 }
 
-// serve looks again and again until the context ends.
+// serve updates the subsets at each interval until the context ends.
 func (ro *rosters) serve(ctx context.Context) error {
-	su := ro.ts.Subscribe(rosterPeriod)
+	su := ro.ts.Subscribe(rosterInterval)
 	defer su.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-su.C:
-			ro.look(ro.ts.Now())
+			ro.update(ro.ts.Now())
 		}
 	}
 }
 
-func (ro *rosters) look(now time.Time) {
-	de := *ro.decided.Load()
-	if tb := ro.read(); tb != nil {
+func (ro *rosters) update(now time.Time) {
+	de := *ro.latest.Load()
+	if tb := ro.parsePending(); tb != nil {
 		de.tb, de.groups = tb, groupsOf(tb)
 		de.list = de.groups.list()
 	}
 	if de.tb == nil {
 		return
 	}
-	was := de.chosen.Sharers()
+	before := de.chosen.Sharers()
 	ins := ro.instances()
 	de.chosen = de.chosen.Update(now, de.list, ins)
-	ro.decided.Store(&de)
-	if sharers := de.chosen.Sharers(); sharers != was {
-		ro.lg.Info("entry-instances-chosen", zap.Int("Sharers", sharers), zap.Int("Before", was), zap.Int("Ready", len(ins)))
+	ro.latest.Store(&de)
+	if sharers := de.chosen.Sharers(); sharers != before {
+		ro.lg.Info("entry-instances-chosen", zap.Int("Sharers", sharers), zap.Int("Before", before), zap.Int("Ready", len(ins)))
 		ro.pu.SetSharers(sharers)
 	}
 }
 
-// read returns the table of a configuration that came since the last look, or nil.
-func (ro *rosters) read() *route.Table {
+// parsePending parses the configuration that was set since the last update. It returns
+// nil if there is none or it is invalid.
+func (ro *rosters) parsePending() *route.Table {
 	ro.mu.Lock()
-	version, data := ro.version, ro.data
-	ro.data = nil
+	version, data := ro.version, ro.pending
+	ro.pending = nil
 	ro.mu.Unlock()
 	if data == nil {
 		return nil
 	}
-	tb, err := ro.tbs.Table(data)
+	tb, err := ro.parser.Table(data)
 	if err != nil {
 		ro.lg.Error("configuration-not-read", zap.Uint64("Version", version), zap.Error(err))
 		return nil
@@ -127,15 +130,16 @@
 	return out
 }
 
-// addresses returns the addresses that a caller of a host is led to, none if these are
-// all. An instance that isn't ready any more is left out at once, and not only after the
-// next look: callers would go on coming to one that is about to end.
+// addresses returns the addresses for a caller of the host, or none if the caller may use
+// all instances. An instance that is no longer ready is left out at once and not only
+// after the next update, since callers would otherwise still connect to one that is about
+// to stop.
 func (ro *rosters) addresses(host, dataCentre string, ready []feed.Entry) []string {
-	de := ro.decided.Load()
+	de := ro.latest.Load()
 	if de.tb == nil {
 		return nil
 	}
-	gr, ok := de.groups.of(de.tb, host)
+	gr, ok := de.groups.forHost(de.tb, host)
 	if !ok {
 		return nil
 	}
@@ -145,16 +149,17 @@
 	})
 }
 
-// groups are the groups of a table, by the first shard of their routes.
+// groups holds the groups of a table, by the first shard of their routes.
 type groups map[string]roster.Group
 
-// groupsOf returns the groups of a table. Merged routes of the same backend servers are
-// one group: were their callers led to other entry instances each, these would share the
-// servers' connections all the same. Only merged requests are led to a part of the
-// instances: each takes a connection to a server of every shard.
+// groupsOf returns the groups of a table. Merged routes to the same backend servers form
+// one group: if their callers used different entry instances, all of these would still
+// share the servers' connections. Only merged routes are limited to a subset of the
+// instances, since each merged request takes a connection to a server of every shard.
 //
-// A group is named after its first host and not after its services: when shards are cut
-// anew, its callers stay, and no other instances have to connect to all the new servers.
+// The key of a group is its first host and not its services. So its callers keep their
+// instances when shards are repartitioned, and no other instances have to connect to all
+// the new servers.
 func groupsOf(tb *route.Table) groups {
 	gs := make(groups)
 	for _, ro := range tb.Merged() {
@@ -170,14 +175,15 @@
 	return gs
 }
 
-// list returns the groups in the order of their keys.
+// list returns the groups sorted by key.
 func (gs groups) list() []roster.Group {
 	return slices.SortedFunc(maps.Values(gs), func(a, b roster.Group) int { return strings.Compare(a.Key, b.Key) })
 }
 
-// of returns the group of a host, and false if its callers may go to all. Callers of one
-// host can't be told apart, so one merged route decides for the others.
-func (gs groups) of(tb *route.Table, host string) (roster.Group, bool) {
+// forHost returns the group of a host, or false if its callers may use all instances.
+// Look-ups name only a host, so one merged route of a host decides for its other routes
+// too.
+func (gs groups) forHost(tb *route.Table, host string) (roster.Group, bool) {
 	for _, ro := range tb.Of(host) {
 		if len(ro.Shards) == 0 {
 			continue
--- a/tier/roster_test.go
+++ b/tier/roster_test.go
@@ -16,17 +16,18 @@
 	"balsamwinch.example/timer"
 )
 
-// fixedTables gives a table, or an error if it is nil.
-type fixedTables struct{ tb *route.Table }
+// fixedParser returns a fixed table, or an error if it is nil.
+type fixedParser struct{ tb *route.Table }
 
-func (ft fixedTables) Table([]byte) (*route.Table, error) {
-	if ft.tb == nil {
+func (fp fixedParser) Table([]byte) (*route.Table, error) {
+	if fp.tb == nil {
 		return nil, errors.New("not a configuration")
 	}
-	return ft.tb, nil
+	return fp.tb, nil
 }
 
-// wideTable has one merged route and one to a single server, on hosts of their own.
+// wideTable returns a table with one merged route and one plain route, on different
+// hosts.
 func wideTable(c *qt.C) *route.Table {
 	tb, err := route.New(1, []route.Route{
 		{Name: "wide", Host: "wide.example", Prefix: "/", Timeout: time.Second, Shards: []string{"s1", "s2"}, Merge: route.Merge{TopK: 5, RecordBytes: 16, LeastShare: 0.5}},
@@ -36,7 +37,7 @@
 	return tb
 }
 
-func someEntries(count int) []feed.Entry {
+func newEntries(count int) []feed.Entry {
 	var out []feed.Entry
 	for ix := range count {
 		name := fmt.Sprint("e-", ix)
@@ -45,40 +46,41 @@
 	return out
 }
 
-// Forty entry instances share servers of ten connections. Callers of the merged route are
-// led to few of them; others, and all before a configuration is known, to all. One that
-// begins to stop is left out of the very next answer.
-func TestCallersAreLedToFew(t *testing.T) {
+// Forty entry instances share servers with ten connections each. Callers of the merged
+// route must get a small subset of them; callers of other hosts, and all callers before a
+// configuration is known, must get no subset. An instance that begins to stop must be
+// left out of the very next look-up.
+func TestMergedRouteCallersGetSubset(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		ts := timer.New()
 		pu := feed.NewPublisher(feed.PublisherConfig{Name: "one", SilenceTimeout: time.Second}, ts, zap.NewNop())
-		ens := someEntries(40)
-		ro := newRosters(fixedTables{wideTable(c)}, pu, ts, zap.NewNop())
+		ens := newEntries(40)
+		ro := newRosters(fixedParser{wideTable(c)}, pu, ts, zap.NewNop())
 		ro.entries = func() []feed.Entry { return ens }
-		ro.look(ts.Now())
+		ro.update(ts.Now())
 		c.Assert(ro.addresses("wide.example", "lima", ens), qt.HasLen, 0)
 		ro.setDocument(1, []byte("x"))
-		ro.look(ts.Now())
-		led := ro.addresses("Wide.example:80", "lima", ens)
-		c.Assert(led, qt.HasLen, 8)
+		ro.update(ts.Now())
+		subset := ro.addresses("Wide.example:80", "lima", ens)
+		c.Assert(subset, qt.HasLen, 8)
 		c.Assert(ro.addresses("plain.example", "lima", ens), qt.HasLen, 0)
 		c.Assert(ro.addresses("other.example", "lima", ens), qt.HasLen, 0)
 		c.Assert(ro.addresses("wide.example", "cusco", ens), qt.HasLen, 0)
 		for ix := range ens {
-			if ens[ix].Address == led[0] {
+			if ens[ix].Address == subset[0] {
 				ens = append(append([]feed.Entry{}, ens[:ix]...), ens[ix+1:]...)
 				break
 			}
 		}
-		c.Assert(ro.addresses("wide.example", "lima", ens), qt.DeepEquals, led[1:])
+		c.Assert(ro.addresses("wide.example", "lima", ens), qt.DeepEquals, subset[1:])
 	})
 }
 
-// Shards are cut anew: the routes stay and name other services. Their callers must stay
-// where they are, or twice as many entry instances would connect to all new servers in
-// the seconds in which these are cold. Two hosts of the same shards are one group.
-func TestCallersStayWhenShardsAreCutAnew(t *testing.T) {
+// Guards against twice as many entry instances that connect to all new servers while
+// these are cold. When shards are repartitioned, routes stay and name other services;
+// their callers must keep their instances. Two hosts with the same shards form one group.
+func TestRepartitionKeepsRoster(t *testing.T) {
 	c := qt.New(t)
 	wide := func(service string) *route.Table {
 		merge := route.Merge{TopK: 5, RecordBytes: 16, LeastShare: 0.5}
@@ -95,27 +97,27 @@
 		gs := groupsOf(tb)
 		c.Assert(gs.list(), qt.DeepEquals, want)
 		for _, host := range []string{"one.example", "A-two.example:80"} {
-			gr, ok := gs.of(tb, host)
+			gr, ok := gs.forHost(tb, host)
 			c.Assert(ok, qt.IsTrue)
 			c.Assert(gr, qt.Equals, want[0])
 		}
 	}
 }
 
-// A configuration that can't be read leaves what was decided by the one before.
-func TestUnreadableConfigurationChangesNoList(t *testing.T) {
+// A configuration that can't be parsed must not change the subsets of the one before.
+func TestUnreadableConfigurationKeepsRoster(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		ts := timer.New()
 		pu := feed.NewPublisher(feed.PublisherConfig{Name: "one", SilenceTimeout: time.Second}, ts, zap.NewNop())
-		ro := newRosters(fixedTables{wideTable(c)}, pu, ts, zap.NewNop())
-		ens := someEntries(40)
+		ro := newRosters(fixedParser{wideTable(c)}, pu, ts, zap.NewNop())
+		ens := newEntries(40)
 		ro.entries = func() []feed.Entry { return ens }
 		ro.setDocument(1, []byte("x"))
-		ro.look(ts.Now())
-		ro.tbs = fixedTables{}
+		ro.update(ts.Now())
+		ro.parser = fixedParser{}
 		ro.setDocument(2, []byte("y"))
-		ro.look(ts.Now())
+		ro.update(ts.Now())
 		c.Assert(ro.addresses("wide.example", "lima", ens), qt.HasLen, 8)
 	})
 }
--- a/tier/run_test.go
+++ b/tier/run_test.go
@@ -14,15 +14,15 @@
 	"balsamwinch.example/trail"
 )
 
-// A part of the process fails. The line that says so has the fault in a field of
-// its own: a second field Event was hidden from whoever reads the line as JSON.
-func TestServiceEvent(t *testing.T) {
+// Guards against a failure of a service whose log line has two fields named Event: the
+// second one hid the first from JSON readers. The failure must be in a field of its own.
+func TestServiceFailureLogLineHasOneEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		lg, wr := trail.New(&out, trail.Config{}, timer.New())
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		sp := supervise("test", lg)
+		sp := newSupervisor("test", lg)
 		failed := false
 		sp.Add(service{"frail", func(ctx context.Context) error {
 			if !failed {
@@ -32,18 +32,17 @@
 			<-ctx.Done()
 			return ctx.Err()
 		}})
-		left := false
-		serveUntil(ctx, sp, func() { left = true })
-		qt.Assert(t, left, qt.IsTrue)
+		stopped := false
+		serveUntil(ctx, sp, func() { stopped = true })
+		qt.Assert(t, stopped, qt.IsTrue)
 		qt.Assert(t, wr.Close(), qt.IsNil)
 		qt.Assert(t, strings.Count(out.String(), `"Event":`), qt.Equals, 1)
 		qt.Assert(t, out.String(), qt.Matches, `(?s).*"Event":"service-event","Detail":".*frail.*`)
 	})
 }
 
-// A deployment bounds the time in which news must have arrived more tightly than
-// others. Its links must be found silent early enough for a new one; the deployments
-// with the usual bounds keep their times.
+// Guards against links whose silence is detected too late in a deployment with shorter
+// deadlines for updates. Deployments with the usual deadlines must keep their timeouts.
 func TestLinkSilence(t *testing.T) {
 	tests := []struct{ drain, apply, want time.Duration }{
 		{Defaults().Timing.Drain, Defaults().Timing.Apply, 1200 * time.Millisecond},
--- a/tier/settings.go
+++ b/tier/settings.go
@@ -1,8 +1,8 @@
-// Package tier runs one instance of the routed tier: an entry instance, which
-// passes requests on routes to backend servers, or a control instance, which
-// keeps the configuration, hears backend servers and tells callers which entry
-// instances to use. It wires the packages that decide; how the outside speaks is
-// given to it as a Dialect.
+// Package tier runs one instance of the routed tier: an entry instance, which forwards
+// requests on routes to backend servers, or a control instance, which stores the
+// configuration, tracks backend servers and tells callers which entry instances to use.
+// It wires up the packages that implement these; header names, formats and HTTP APIs are
+// supplied as a Dialect.
 package tier
 
 import (
@@ -14,74 +14,76 @@
 	"balsamwinch.example/settings"
 )
 
-// Settings are those of one instance, in a YAML file. Times are written like
+// Settings configures one instance. It is read from a YAML file, with durations such as
 // 250ms or 3s.
 type Settings struct {
 	Name       string
 	DataCentre string
 	Region     string
-	// DataCentres holds the region of each data centre of the whole tier; empty if not known.
+	// DataCentres maps each data centre of the whole tier to its region; empty if
+	// unknown.
 	DataCentres map[string]string
-	Address     string // Address is the IP number for links between instances.
-	LinkPort    int    // LinkPort is the same on all instances.
+	Address     string // IP address for links between instances
+	LinkPort    int    // port for links between instances, the same on all
 	Listen      Listen
-	Seeds       []string // Seeds are addresses of control instances, IP:port; the port is not used for links.
-	FirstStart  bool     // FirstStart says that the whole tier starts for the first time, with empty disks.
-	Losses      int      // Losses is how many control instances may be lost at once.
+	Seeds       []string // addresses of control instances, IP:port; links use LinkPort instead of the port
+	FirstStart  bool     // set when the whole tier starts for the first time, with empty disks
+	Losses      int      // number of control instances that may fail at the same time
 	DataFolder  string
 	Limits      MachineLimits
 	Timing      Timing
 	Budget      Budget
 	Warmup      Warmup
-	Metrics     string // Metrics is the IP:port for metrics; none if empty.
+	Metrics     string // IP:port that serves metrics; empty for none
 }
 
-// Listen names the addresses, IP:port, that an instance listens on for others
-// than instances. One with an address for callers is an entry instance, one with
-// an address for control a control instance.
+// Listen holds the addresses, IP:port, that an instance serves everyone but other
+// instances on. An instance with an address for callers is an entry instance, one with an
+// address for control a control instance.
 type Listen struct {
-	Callers   string // Callers is for requests.
-	Ready     string // Ready tells whether this instance serves callers.
-	Control   string // Control is for operators and backend servers.
-	Addresses string // Addresses tells callers which entry instances to use.
+	Callers   string // requests of callers
+	Ready     string // readiness check of an entry instance
+	Control   string // API for operators and backend servers
+	Addresses string // address look-ups of callers
 }
 
-// MachineLimits are what the instance may use.
+// MachineLimits holds the resources that the instance may use.
 type MachineLimits struct {
 	MemoryMegabytes int
 	Descriptors     int
 }
 
-// Timing holds the times of an instance.
+// Timing holds the timeouts and intervals of an instance.
 type Timing struct {
-	Announcement time.Duration // Announcement is how often a backend server announces itself.
-	AddressTTL   time.Duration // AddressTTL is how long callers may keep an address list; see addressTTL.
-	StopWithin   time.Duration // StopWithin is how long a planned stop may take.
-	// Drain is how long a backend server that says that it leaves may still get
-	// requests, and Apply is within what a configuration must be in force. Links that
-	// fall silent are found within a part of the shorter one.
+	Announcement time.Duration // interval between the announcements of a backend server
+	AddressTTL   time.Duration // how long callers may keep an address list; see addressTTL
+	StopWithin   time.Duration // timeout of a planned stop
+	// Drain is how long a backend server that has said that it leaves may still get
+	// requests. Apply is the deadline for a configuration to be in force. Silent links
+	// are detected within a fraction of the shorter one.
 	Drain          time.Duration
 	Apply          time.Duration
-	CallerDistance time.Duration // CallerDistance is the one-way time to callers.
+	CallerDistance time.Duration // one-way delay to callers
 	Election       time.Duration
 	Heartbeat      time.Duration
 }
 
-// Budget bounds arrivals at backend servers beyond the first of each request.
+// Budget bounds the requests to backend servers beyond the first one for each caller's
+// request.
 type Budget struct {
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
 }
 
-// Warmup bounds what arrives at a cold backend server in any second: Overage times the
-// rate that its service names, and Slack.
+// Warmup bounds the requests that a cold backend server receives in any second, to
+// Overage times the rate in its service's configuration plus Slack.
 type Warmup struct {
 	Overage float64
 	Slack   float64
 }
 
-// Defaults returns the settings that a file need not name.
+// Defaults returns the values of settings that a file may omit.
 func Defaults() Settings {
 	return Settings{
 		Losses: 1,
@@ -101,8 +103,9 @@
 	}
 }
 
-// Parse reads a settings file. The error is a *result.Error with the code
-// BadSettings that lists all faults.
+// Parse parses and checks a settings file. The error is a *result.Error with the code
+// BadSettings that lists all syntax and type errors, or else the first value that is out
+// of range.
 func Parse(file string, data []byte) (Settings, error) {
 	se := Defaults()
 	fs := settings.Decode(file, data, &se)
@@ -115,13 +118,13 @@
 	return se, nil
 }
 
-// Entry reports whether the instance serves callers.
+// Entry reports whether the instance is an entry instance.
 func (se Settings) Entry() bool { return se.Listen.Callers != "" }
 
 // Control reports whether the instance is a control instance.
 func (se Settings) Control() bool { return se.Listen.Control != "" }
 
-// Check returns the first fault of the settings, or nil.
+// Check returns an error for the first invalid setting, or nil.
 func (se Settings) Check() error {
 	switch {
 	case se.Name == "":
@@ -169,13 +172,13 @@
 	return nil
 }
 
-// LinkAddress returns where other instances reach this one.
+// LinkAddress returns the address at which other instances open links to this one.
 func (se Settings) LinkAddress() string {
 	return net.JoinHostPort(se.Address, fmt.Sprint(se.LinkPort))
 }
 
-// LinkSeeds returns where the seeds are reached by other instances: the port of
-// links is the same on all.
+// LinkSeeds returns the link addresses of the seeds. Seeds that aren't of the form
+// IP:port are skipped.
 func (se Settings) LinkSeeds() []string {
 	var out []string
 	for _, sd := range se.Seeds {
@@ -187,12 +190,12 @@
 	return out
 }
 
-// fieldError is a field with a value that can't be used.
+// fieldError is an error about the value of one setting.
 type fieldError struct {
 	field, want, got string
 }
 
-// Error says what was expected and found.
+// Error returns the field with the wanted and the actual value.
 func (fe *fieldError) Error() string {
 	return fmt.Sprintf("%s: want %s, got %s", fe.field, fe.want, fe.got)
 }
--- a/tier/settings_test.go
+++ b/tier/settings_test.go
@@ -30,14 +30,14 @@
 	qt.Assert(tb, got, qt.Equals, string(want))
 }
 
-// render returns settings as text.
+// render returns settings as text, one field a line.
 func render(se Settings) string {
 	return strings.ReplaceAll(fmt.Sprintf("%+v\n", se), " ", "\n")
 }
 
-// A machine's settings have a mistake. Without the checks its instance would run
-// with a default in place of what was written, or end later at a place that names
-// no field. Each file holds one mistake, or several that are reported together.
+// Guards against settings with mistakes: without the checks, an instance would run with a
+// default instead of the written value, or fail later with an error that names no field.
+// Each file holds one mistake, or several that are reported together.
 func TestParse(t *testing.T) {
 	files, err := filepath.Glob("testdata/settings/*.yaml")
 	qt.Assert(t, err, qt.IsNil)
@@ -59,7 +59,7 @@
 	}
 }
 
-// TestDefaults has the settings that a file need not name.
+// TestDefaults checks the values of settings that a file may omit.
 func TestDefaults(t *testing.T) {
 	golden(t, "testdata/settings/defaults.golden", render(Defaults()))
 }
@@ -70,14 +70,14 @@
 	qt.Assert(t, se.LinkAddress(), qt.Equals, "10.0.0.9:7740")
 }
 
-// section and placeholder are what the platform fills in of the template.
+// section and placeholder match the parts of the template that the platform replaces.
 var (
 	section     = regexp.MustCompile(`(?s)\{\{#([^{}]*)\}\}(.*?)\{\{/([^{}]*)\}\}`)
 	placeholder = regexp.MustCompile(`\{\{([^{}|]*)(\|json)?\}\}`)
 )
 
-// fill fills in a template like the platform: a path gives a value, nothing if
-// there is none, and JSON where that is asked for. A section stays if its path has a
+// fill expands a template like the platform: a path is replaced by its value, by nothing
+// if there is none, and by JSON if that is asked for. A section is kept if its path has a
 // value.
 func fill(tb testing.TB, template string, fields map[string]any) string {
 	tb.Helper()
@@ -137,11 +137,11 @@
 	return fmt.Sprint(value)
 }
 
-// The template of the settings doesn't fit what the program reads, or what the
-// platform gives: no instance starts, or one starts with another's values. The
-// files hold what the platform's page shows for an entry instance, the same for a
-// control instance, one with fractions and unknown fields, and one without the bounds
-// of rules that are not in force.
+// Guards against a settings template that doesn't fit what the program reads or what the
+// platform supplies, so that no instance starts or one starts with another's values. The
+// files hold the example of the platform's page for an entry instance, the same for a
+// control instance, one with fractions and unknown fields, and one without the limits of
+// rules that are not in force.
 func TestTemplate(t *testing.T) {
 	template, err := os.ReadFile("../deploy/settings.yaml")
 	qt.Assert(t, err, qt.IsNil)
@@ -164,7 +164,8 @@
 	}
 }
 
-// Guards against an instance that doesn't start where the machine names no data centres.
+// Guards against an instance that doesn't start on a machine whose settings list no data
+// centres.
 func TestNoDataCentres(t *testing.T) {
 	se, err := Parse("x.yaml", []byte("Name: a\nDataCentres: null\nAddress: 1.1.1.1\nLinkPort: 3\nSeeds: [\"1.1.1.1:3\"]\nListen:\n  Callers: \"1.1.1.1:4\"\n"))
 	qt.Assert(t, err, qt.IsNil)
--- a/tier/watch.go
+++ b/tier/watch.go
@@ -12,22 +12,21 @@
 	"balsamwinch.example/trail"
 )
 
-// watchPeriod is how often the settings file is looked at: it may change
-// without a signal.
-const watchPeriod = time.Second
+// watchInterval is how often the settings file is read. It may change without a signal.
+const watchInterval = time.Second
 
-// Watch reads a settings file again whenever it has changed, every watchPeriod
-// and at once when again receives, and sends what is sound to out. A file that
-// can't be used is logged once, and the last good one stays in force.
-func Watch(ctx context.Context, ts *timer.Service, file string, again <-chan os.Signal, out chan<- Settings, lg *zap.Logger) {
+// Watch reloads a settings file, at each watchInterval and at once when reload receives,
+// and sends changed settings to out. A file that can't be read or is invalid is skipped,
+// so that the last valid settings stay in force; an invalid one is logged once.
+func Watch(ctx context.Context, ts *timer.Service, file string, reload <-chan os.Signal, out chan<- Settings, lg *zap.Logger) {
 	last, _ := os.ReadFile(file)
-	su := ts.Subscribe(watchPeriod)
+	su := ts.Subscribe(watchInterval)
 	defer su.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-again:
+		case <-reload:
 			lg.Info("reload-asked")
 		case <-su.C:
 		}
--- a/tier/watch_test.go
+++ b/tier/watch_test.go
@@ -18,159 +18,159 @@
 	"balsamwinch.example/timer"
 )
 
-// watched is a settings file that is watched, in synctest's time.
-type watched struct {
-	t     *testing.T
-	file  string
-	again chan os.Signal
-	out   chan Settings
-	logs  *observer.ObservedLogs
-	end   context.CancelFunc
+// watchTest watches a settings file in synctest's time.
+type watchTest struct {
+	t      *testing.T
+	file   string
+	reload chan os.Signal
+	out    chan Settings
+	logs   *observer.ObservedLogs
+	end    context.CancelFunc
 }
 
-// goodSettings are sound; each seed makes others of them.
+// goodSettings returns valid settings with the given seed.
 func goodSettings(seed string) string {
 	return "Name: a\nAddress: 10.0.0.1\nLinkPort: 7740\nListen: {Callers: \"10.0.0.1:80\"}\nSeeds: [\"" + seed + ":80\"]\n"
 }
 
 // watch watches a file until the test ends.
-func watch(t *testing.T, text string) *watched {
+func watch(t *testing.T, text string) *watchTest {
 	co, logs := observer.New(zap.InfoLevel)
 	ctx, cancel := context.WithCancel(t.Context())
-	wa := &watched{
-		t: t, file: filepath.Join(t.TempDir(), "settings.yaml"), again: make(chan os.Signal), out: make(chan Settings, 10),
+	wt := &watchTest{
+		t: t, file: filepath.Join(t.TempDir(), "settings.yaml"), reload: make(chan os.Signal), out: make(chan Settings, 10),
 		logs: logs, end: cancel,
 	}
-	wa.write(text)
-	go Watch(ctx, timer.New(), wa.file, wa.again, wa.out, zap.New(co))
+	wt.write(text)
+	go Watch(ctx, timer.New(), wt.file, wt.reload, wt.out, zap.New(co))
 	t.Cleanup(cancel)
 	synctest.Wait()
-	return wa
+	return wt
 }
 
-func (wa *watched) write(text string) {
-	wa.t.Helper()
-	qt.Assert(wa.t, os.WriteFile(wa.file, []byte(text), 0o600), qt.IsNil)
+func (wt *watchTest) write(text string) {
+	wt.t.Helper()
+	qt.Assert(wt.t, os.WriteFile(wt.file, []byte(text), 0o600), qt.IsNil)
 }
 
-// check fails the test unless settings with these seeds have come since the last
-// check, and no others.
-func (wa *watched) check(seeds ...string) {
-	wa.t.Helper()
+// expectSeeds fails the test unless exactly the settings with these seeds arrived since
+// the last call.
+func (wt *watchTest) expectSeeds(seeds ...string) {
+	wt.t.Helper()
 	synctest.Wait()
 	got := []string{}
-	for len(wa.out) > 0 {
-		se := <-wa.out
+	for len(wt.out) > 0 {
+		se := <-wt.out
 		got = append(got, strings.TrimSuffix(se.Seeds[0], ":80"))
 	}
-	qt.Assert(wa.t, got, qt.DeepEquals, append([]string{}, seeds...))
+	qt.Assert(wt.t, got, qt.DeepEquals, append([]string{}, seeds...))
 }
 
-func (wa *watched) count(line string) int { return wa.logs.FilterMessage(line).Len() }
+func (wt *watchTest) count(line string) int { return wt.logs.FilterMessage(line).Len() }
 
-// The platform writes other seeds into the settings file and tells nobody. The
-// instance would go on with control instances that are gone. It looks by itself.
-func TestWatchChange(t *testing.T) {
+// Guards against control instances that are gone: the platform changes the seeds in the
+// settings file without a signal, and the instance must notice by itself.
+func TestWatchDetectsChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		wa := watch(t, goodSettings("10.0.0.2"))
-		time.Sleep(10 * watchPeriod)
-		wa.check()
-		wa.write(goodSettings("10.0.0.3"))
-		wa.check()
-		time.Sleep(watchPeriod)
-		wa.check("10.0.0.3")
-		time.Sleep(10 * watchPeriod)
-		wa.check()
+		wt := watch(t, goodSettings("10.0.0.2"))
+		time.Sleep(10 * watchInterval)
+		wt.expectSeeds()
+		wt.write(goodSettings("10.0.0.3"))
+		wt.expectSeeds()
+		time.Sleep(watchInterval)
+		wt.expectSeeds("10.0.0.3")
+		time.Sleep(10 * watchInterval)
+		wt.expectSeeds()
 	})
 }
 
-// With the signal, what has changed takes effect at once, and what hasn't changed
-// isn't sent again.
-func TestWatchSignal(t *testing.T) {
+// With the signal, a change must take effect at once, and unchanged settings must not be
+// sent again.
+func TestWatchReloadsOnSignal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		wa := watch(t, goodSettings("10.0.0.2"))
-		wa.again <- syscall.SIGHUP
-		wa.check()
-		wa.write(goodSettings("10.0.0.3"))
-		wa.again <- syscall.SIGHUP
-		wa.check("10.0.0.3")
-		wa.again <- syscall.SIGHUP
-		wa.check()
-		qt.Assert(t, wa.count("reload-asked"), qt.Equals, 3)
+		wt := watch(t, goodSettings("10.0.0.2"))
+		wt.reload <- syscall.SIGHUP
+		wt.expectSeeds()
+		wt.write(goodSettings("10.0.0.3"))
+		wt.reload <- syscall.SIGHUP
+		wt.expectSeeds("10.0.0.3")
+		wt.reload <- syscall.SIGHUP
+		wt.expectSeeds()
+		qt.Assert(t, wt.count("reload-asked"), qt.Equals, 3)
 	})
 }
 
-// The settings file is read while it is being written, or holds a mistake. The
-// instance goes on with the last good settings, says so once, and takes the next
-// good ones.
-func TestWatchBadFile(t *testing.T) {
+// Guards against a settings file that is read while it is being written, or is invalid:
+// the instance must keep the last valid settings, log that once, and apply the next valid
+// ones.
+func TestWatchKeepsLastGoodSettings(t *testing.T) {
 	good := goodSettings("10.0.0.3")
 	for name, bad := range map[string]string{
 		"empty": "", "cut short": good[:len(good)/2], "unknown field": good + "X: 1\n", "no seeds": strings.Replace(good, `["10.0.0.3:80"]`, "[]", 1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				wa := watch(t, goodSettings("10.0.0.2"))
-				wa.write(bad)
-				time.Sleep(10 * watchPeriod)
-				wa.again <- syscall.SIGHUP
-				wa.check()
-				qt.Assert(t, wa.count("settings-refused"), qt.Equals, 1)
-				wa.write(good)
-				time.Sleep(watchPeriod)
-				wa.check("10.0.0.3")
-				wa.write(bad)
-				time.Sleep(watchPeriod)
-				wa.check()
-				qt.Assert(t, wa.count("settings-refused"), qt.Equals, 2)
+				wt := watch(t, goodSettings("10.0.0.2"))
+				wt.write(bad)
+				time.Sleep(10 * watchInterval)
+				wt.reload <- syscall.SIGHUP
+				wt.expectSeeds()
+				qt.Assert(t, wt.count("settings-refused"), qt.Equals, 1)
+				wt.write(good)
+				time.Sleep(watchInterval)
+				wt.expectSeeds("10.0.0.3")
+				wt.write(bad)
+				time.Sleep(watchInterval)
+				wt.expectSeeds()
+				qt.Assert(t, wt.count("settings-refused"), qt.Equals, 2)
 			})
 		})
 	}
 }
 
-// The file is gone for a while, as one that is replaced by another may be.
-func TestWatchMissingFile(t *testing.T) {
+// The file is missing for a while, as happens when it is replaced by another.
+func TestWatchSurvivesMissingFile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		wa := watch(t, goodSettings("10.0.0.2"))
-		qt.Assert(t, os.Remove(wa.file), qt.IsNil)
-		time.Sleep(3 * watchPeriod)
-		wa.again <- syscall.SIGHUP
-		wa.check()
-		wa.write(goodSettings("10.0.0.2"))
-		time.Sleep(3 * watchPeriod)
-		wa.check()
-		qt.Assert(t, os.Remove(wa.file), qt.IsNil)
-		time.Sleep(watchPeriod)
-		wa.write(goodSettings("10.0.0.4"))
-		time.Sleep(watchPeriod)
-		wa.check("10.0.0.4")
+		wt := watch(t, goodSettings("10.0.0.2"))
+		qt.Assert(t, os.Remove(wt.file), qt.IsNil)
+		time.Sleep(3 * watchInterval)
+		wt.reload <- syscall.SIGHUP
+		wt.expectSeeds()
+		wt.write(goodSettings("10.0.0.2"))
+		time.Sleep(3 * watchInterval)
+		wt.expectSeeds()
+		qt.Assert(t, os.Remove(wt.file), qt.IsNil)
+		time.Sleep(watchInterval)
+		wt.write(goodSettings("10.0.0.4"))
+		time.Sleep(watchInterval)
+		wt.expectSeeds("10.0.0.4")
 	})
 }
 
-// The instance ends while nobody takes the settings that were read.
-func TestWatchEnds(t *testing.T) {
+// The context ends while nobody receives the reloaded settings.
+func TestWatchEndsWhileSendBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		wa := watch(t, goodSettings("10.0.0.2"))
-		for ix := range cap(wa.out) + 1 {
-			wa.write(goodSettings(fmt.Sprintf("10.0.1.%d", ix)))
-			time.Sleep(watchPeriod)
+		wt := watch(t, goodSettings("10.0.0.2"))
+		for ix := range cap(wt.out) + 1 {
+			wt.write(goodSettings(fmt.Sprintf("10.0.1.%d", ix)))
+			time.Sleep(watchInterval)
 			synctest.Wait()
 		}
-		qt.Assert(t, wa.out, qt.HasLen, cap(wa.out))
-		wa.end()
+		qt.Assert(t, wt.out, qt.HasLen, cap(wt.out))
+		wt.end()
 	})
 }
 
-// Seeds that were read again are those that links are made to from then on.
-func TestFollow(t *testing.T) {
+// Links must be opened to the seeds of the reloaded settings.
+func TestSeedChangesTakeEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		co, logs := observer.New(zap.InfoLevel)
 		se := Settings{LinkPort: 7740, Seeds: []string{"10.0.0.1:80"}}
-		sh := newShared(se)
+		sh := newLiveSettings(se)
 		changes := make(chan Settings)
-		go sh.follow(ctx, changes, zap.New(co))
+		go sh.applyChanges(ctx, changes, zap.New(co))
 		qt.Assert(t, sh.linkSeeds(), qt.DeepEquals, []string{"10.0.0.1:7740"})
 		se.Seeds = []string{"10.0.0.2:80", "10.0.0.3:80"}
 		changes <- se
