--- a/upstream/bench_test.go
+++ b/upstream/bench_test.go
@@ -14,9 +14,9 @@
 	"balsamwinch.example/timer"
 )
 
-// BenchmarkExchange measures one exchange on a kept connection over loopback,
-// with a request and a reply of the usual size. The server's part is in it: it
-// reads up to the empty line and writes prepared bytes.
+// BenchmarkExchange measures one exchange on a reused connection over loopback, with a
+// request and a reply of typical size. It includes the server's work, which is to read up
+// to the empty line and write a prepared reply.
 func BenchmarkExchange(be *testing.B) {
 	for _, cancellable := range []bool{false, true} {
 		be.Run(fmt.Sprintf("Cancellable=%v", cancellable), func(be *testing.B) {
@@ -45,7 +45,7 @@
 	}
 }
 
-// benchServer answers every request with the same bytes.
+// benchServer starts a server that answers every request with the same bytes.
 func benchServer(be *testing.B) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/upstream/error.go
+++ b/upstream/error.go
@@ -5,17 +5,17 @@
 	"fmt"
 )
 
-// Errors that callers may look for with errors.Is in Result.Err.
+// Errors in Result.Err that callers may check for with errors.Is.
 var (
-	// ErrSuperseded is the cause with which a caller cancels the context of a
-	// request that another one made superfluous.
+	// ErrSuperseded is the cause that callers cancel a context with when another request
+	// has made this one superfluous.
 	ErrSuperseded = errors.New("superseded by another request")
 	// ErrUnreachable means that no connection to the server could be opened.
 	ErrUnreachable = errors.New("server is unreachable")
-	// ErrRequest means that the request can't be written as it is. No server
-	// would take it.
+	// ErrInvalidRequest means that the request isn't valid HTTP and can't be sent to any
+	// server.
 	ErrInvalidRequest = errors.New("request is not valid HTTP")
-	// ErrLimit means that all connections that the target allows are in use.
+	// ErrConnectionLimit means that all connections that the target allows are in use.
 	ErrConnectionLimit = errors.New("all connections are in use")
 	// ErrClosed means that the client was closed.
 	ErrClosed = errors.New("client is closed")
@@ -23,24 +23,24 @@
 	ErrDeadline = errors.New("deadline passed")
 )
 
-// errStillUnreachable is the error of a request for which no connection is tried,
-// since those that others wait for are the last that the server allows.
-var errStillUnreachable = fmt.Errorf("%w: connections are being opened, and the last one never was", ErrUnreachable)
+// errStillUnreachable means that no connection is dialed for a request, because the
+// pending dials of other requests reach the server's limit and the last dial timed out.
+var errStillUnreachable = fmt.Errorf("%w: the last dial timed out, and all allowed connections are being dialed", ErrUnreachable)
 
-// What can be wrong with a reply or a connection.
+// errors of a reply or a connection
 var (
-	errNotHTTP   = errors.New("reply is not HTTP")
-	errRequestID = errors.New("reply is to another request")
-	errNoID      = errors.New("reply names no request")
-	errInterim   = errors.New("too many interim replies")
-	errLongHead  = errors.New("head of the reply is too long")
-	errLongBody  = errors.New("body of the reply is too long")
-	errEarly     = errors.New("bytes came before the request")
-	errExtra     = errors.New("bytes came after the reply")
-	errEnded     = errors.New("connection ended while idle")
+	errNotHTTP               = errors.New("reply is not HTTP")
+	errWrongRequestID        = errors.New("reply is to another request")
+	errMissingRequestID      = errors.New("reply has no request ID")
+	errTooManyInterimReplies = errors.New("too many interim replies")
+	errHeadTooLong           = errors.New("head of the reply is too long")
+	errBodyTooLong           = errors.New("body of the reply is too long")
+	errBytesBeforeRequest    = errors.New("bytes came before the request")
+	errBytesAfterReply       = errors.New("bytes came after the reply")
+	errClosedWhileIdle       = errors.New("connection ended while idle")
 )
 
-// Error says what went wrong in an exchange with a server.
+// Error is the error of an exchange with a server.
 type Error struct {
 	Server  string
 	Address string
--- a/upstream/fake_test.go
+++ b/upstream/fake_test.go
@@ -22,17 +22,17 @@
 	"balsamwinch.example/timer"
 )
 
-// peerConn is the server's end of one connection in a test.
+// peerConn is the server's end of a connection.
 type peerConn struct {
 	net.Conn
 	qc *qt.C
 	rd *bufio.Reader
-	// nth counts the connections to the server, from 0.
+	// number of the connection, from 0
 	nth int
 }
 
-// take reads one request whole.
-func (pc *peerConn) take() *http.Request {
+// readRequest reads a request with its body, or returns nil at the end of the connection.
+func (pc *peerConn) readRequest() *http.Request {
 	rq, err := http.ReadRequest(pc.rd)
 	if err != nil {
 		return nil
@@ -45,44 +45,44 @@
 	return rq
 }
 
-// head reads the head of a request and leaves its body unread.
-func (pc *peerConn) head() *http.Request {
+// readHead reads the head of a request and leaves its body unread.
+func (pc *peerConn) readHead() *http.Request {
 	rq, err := http.ReadRequest(pc.rd)
 	pc.qc.Check(err, qt.IsNil)
 	return rq
 }
 
-func (pc *peerConn) say(format string, args ...any) {
+func (pc *peerConn) printf(format string, args ...any) {
 	_, err := fmt.Fprintf(pc, format, args...)
 	pc.qc.Check(err, qt.IsNil)
 }
 
-// reset ends the connection so that the other end gets a reset.
+// reset closes the connection with a TCP reset.
 func (pc *peerConn) reset() {
 	pc.qc.Check(pc.Conn.(*net.TCPConn).SetLinger(0), qt.IsNil)
 	_ = pc.Close()
 }
 
-// awaitEnd reads until the other end has closed the connection.
-func (pc *peerConn) awaitEnd() {
+// awaitClose reads until the client has closed the connection.
+func (pc *peerConn) awaitClose() {
 	_, _ = io.Copy(io.Discard, pc.rd)
 }
 
-// answerAll answers every request with its own id and "ok".
+// answerAll answers every request with its own ID and "ok".
 func (pc *peerConn) answerAll() {
-	for rq := pc.take(); rq != nil; rq = pc.take() {
-		pc.say("%s", good(rq.Header.Get("Request-Id")))
+	for rq := pc.readRequest(); rq != nil; rq = pc.readRequest() {
+		pc.printf("%s", okReply(rq.Header.Get("Request-Id")))
 	}
 }
 
-// good is a whole reply to the request of that id.
-func good(id string) string {
+// okReply returns a complete reply to the request with that ID.
+func okReply(id string) string {
 	return "HTTP/1.1 200 OK\r\nRequest-Id: " + id + "\r\nStamp: st-" + id + "\r\nContent-Length: 2\r\n\r\nok"
 }
 
-// serve runs a server that handles each connection with the given function, one
-// goroutine each, and closes it afterwards.
-func serve(qc *qt.C, handle func(pc *peerConn)) Target {
+// startServer starts a server that handles each connection with the given function in its
+// own goroutine, and then closes it.
+func startServer(qc *qt.C, handle func(pc *peerConn)) Target {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	qc.Assert(err, qt.IsNil)
 	var wg sync.WaitGroup
@@ -98,7 +98,7 @@
 			})
 		}
 	})
-	// Clients are closed by later clean-ups, which run sooner.
+	// Clients are closed by clean-ups registered later, which run earlier.
 	qc.Cleanup(func() {
 		_ = ln.Close()
 		wg.Wait()
@@ -120,36 +120,37 @@
 
 var lastID atomic.Int64
 
-// get returns a request with an id of its own.
-func get() *Request {
+// newGet returns a GET request with a new ID.
+func newGet() *Request {
 	id := fmt.Sprintf("id-%d", lastID.Add(1))
 	return &Request{Method: http.MethodGet, URI: "/a?b=c", Host: "h.example", RequestID: id, Header: http.Header{"Request-Id": {id}}}
 }
 
-func post(body []byte) *Request {
-	rq := get()
+func newPost(body []byte) *Request {
+	rq := newGet()
 	rq.Method = http.MethodPost
 	rq.Body = body
 	return rq
 }
 
-// checkGood fails the test unless the request was answered.
-func checkGood(qc *qt.C, re Result, fresh bool) {
+// checkAnswered fails the test unless the request was answered, on a new connection or a
+// reused one as given.
+func checkAnswered(qc *qt.C, re Result, isNew bool) {
 	qc.Helper()
 	qc.Assert(re.Err, qt.IsNil)
 	qc.Assert(re.Outcome, qt.Equals, Answered)
 	qc.Assert(re.Sent, qt.IsTrue)
-	qc.Assert(re.NewConnection, qt.Equals, fresh)
+	qc.Assert(re.NewConnection, qt.Equals, isNew)
 }
 
-// checkCount fails the test unless so many connections are open and idle.
+// checkCount fails the test unless that many connections are open and idle.
 func checkCount(qc *qt.C, cl *Client, open, idle int) {
 	qc.Helper()
 	op, id := cl.Connections("i-1")
 	qc.Assert([]int{op, id}, qt.DeepEquals, []int{open, idle})
 }
 
-// awaitCount waits until so many connections are open and idle.
+// awaitCount waits until that many connections are open and idle.
 func awaitCount(cl *Client, open, idle int) {
 	for {
 		if op, id := cl.Connections("i-1"); op == open && id == idle {
@@ -159,7 +160,7 @@
 	}
 }
 
-// awaitIdle waits until all connections are idle and returns how many there are.
+// awaitIdle waits until all connections are idle and returns their number.
 func awaitIdle(cl *Client) int {
 	for {
 		if op, id := cl.Connections("i-1"); op == id {
@@ -169,7 +170,7 @@
 	}
 }
 
-// awaitIncoming waits until bytes or the end have come on the idle connection.
+// awaitIncoming waits until bytes or the end have arrived on the single idle connection.
 func awaitIncoming(qc *qt.C, cl *Client) {
 	qc.Helper()
 	po := cl.pool("i-1")
@@ -177,17 +178,17 @@
 	qc.Assert(po.idle, qt.HasLen, 1)
 	cn := po.idle[0]
 	po.mu.Unlock()
-	awaitNews(cn)
+	awaitReadable(cn)
 }
 
-func awaitNews(cn *conn) {
+func awaitReadable(cn *conn) {
 	for news := false; !news; runtime.Gosched() {
-		_ = cn.raw.Control(func(fd uintptr) { news = checkQuiet(int(fd)) != nil })
+		_ = cn.raw.Control(func(fd uintptr) { news = checkIdle(int(fd)) != nil })
 	}
 }
 
-// chatter returns a connector of pipes, for tests with synctest's time.
-func chatter(handle func(pc *peerConn), qc *qt.C) func(context.Context, string) (net.Conn, error) {
+// pipeConnector returns a connect function that uses pipes, for tests in synctest's time.
+func pipeConnector(handle func(pc *peerConn), qc *qt.C) func(context.Context, string) (net.Conn, error) {
 	var opened atomic.Int64
 	return func(context.Context, string) (net.Conn, error) {
 		ours, theirs := net.Pipe()
@@ -200,66 +201,66 @@
 	}
 }
 
-// unreachable is a connector that gets no answer.
+// unreachable is a connect function that gets no response.
 func unreachable(ctx context.Context, _ string) (net.Conn, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-// async starts a request and returns where its result arrives.
+// async starts a request and returns a channel with its result.
 func async(ctx context.Context, cl *Client, ta Target, rq *Request) <-chan Result {
 	ch := make(chan Result, 1)
 	go func() { ch <- cl.Do(ctx, ta, rq) }()
 	return ch
 }
 
-// counted is a connection that counts itself while it is open.
-type counted struct {
+// countedConn is a connection that is counted while it is open.
+type countedConn struct {
 	*net.TCPConn
 	once sync.Once
 	open *atomic.Int64
 }
 
-func (co *counted) Close() error {
+func (co *countedConn) Close() error {
 	co.once.Do(func() { co.open.Add(-1) })
 	return co.TCPConn.Close()
 }
 
-// countingConnector counts the connections open or being opened, and the most
-// there were.
+// countingConnector counts the connections that are open or being dialed, and their
+// maximum.
 type countingConnector struct {
-	open atomic.Int64
-	mu   sync.Mutex
-	most int64
+	open    atomic.Int64
+	mu      sync.Mutex
+	maxOpen int64
 }
 
 func (cc *countingConnector) connect(ctx context.Context, address string) (net.Conn, error) {
 	nu := cc.open.Add(1)
 	cc.mu.Lock()
-	cc.most = max(cc.most, nu)
+	cc.maxOpen = max(cc.maxOpen, nu)
 	cc.mu.Unlock()
 	nc, err := connectTCP(ctx, address)
 	if err != nil {
 		cc.open.Add(-1)
 		return nil, err
 	}
-	return &counted{TCPConn: nc.(*net.TCPConn), open: &cc.open}, nil
+	return &countedConn{TCPConn: nc.(*net.TCPConn), open: &cc.open}, nil
 }
 
-// meddler is a connection on which a deadline can be made to pass at once.
-type meddler struct {
+// expiringConn is a connection whose read deadline can be made to pass at once.
+type expiringConn struct {
 	*net.TCPConn
-	over atomic.Bool
+	expired atomic.Bool
 }
 
-func (me *meddler) SetReadDeadline(at time.Time) error {
-	if me.over.Load() {
-		at = past
+func (ec *expiringConn) SetReadDeadline(at time.Time) error {
+	if ec.expired.Load() {
+		at = pastDeadline
 	}
-	return me.TCPConn.SetReadDeadline(at)
+	return ec.TCPConn.SetReadDeadline(at)
 }
 
-// errorText returns the text of the innermost cause.
+// errorText returns the text of the innermost error.
 func errorText(err error) string {
 	var er *Error
 	if errors.As(err, &er) {
@@ -268,13 +269,13 @@
 	return fmt.Sprint(err)
 }
 
-// soon is a deadline that ends a request on a server that never answers.
-func soon() time.Time { return time.Now().Add(50 * time.Millisecond) }
+// shortDeadline returns a deadline for a request to a server that never replies.
+func shortDeadline() time.Time { return time.Now().Add(50 * time.Millisecond) }
 
-// lines joins lines as HTTP wants them.
-func lines(ls ...string) string { return strings.Join(ls, "\r\n") }
+// httpLines joins lines with CRLF.
+func httpLines(ls ...string) string { return strings.Join(ls, "\r\n") }
 
-func within(tb testing.TB) context.Context {
+func testContext(tb testing.TB) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	tb.Cleanup(cancel)
 	return ctx
@@ -282,17 +283,17 @@
 
 // answerOne answers one request.
 func (pc *peerConn) answerOne() {
-	if rq := pc.take(); rq != nil {
-		pc.say("%s", good(rq.Header.Get("Request-Id")))
+	if rq := pc.readRequest(); rq != nil {
+		pc.printf("%s", okReply(rq.Header.Get("Request-Id")))
 	}
 }
 
-// withID puts a request's id where a prepared reply has ID.
+// withID puts a request's ID in the place of ID in a reply.
 func withID(reply, id string) string {
 	return strings.ReplaceAll(reply, "Request-Id: ID", "Request-Id: "+id)
 }
 
-// readAll reads until the connection ends, however it does.
+// readAll reads until the connection ends in any way.
 func readAll(pc *peerConn) ([]byte, error) {
 	var bu bytes.Buffer
 	_, err := bu.ReadFrom(pc.rd)
--- a/upstream/group.go
+++ b/upstream/group.go
@@ -6,67 +6,67 @@
 	"time"
 )
 
-// past is a deadline that has passed.
-var past = time.Unix(1, 0)
+// pastDeadline is a deadline that has passed.
+var pastDeadline = time.Unix(1, 0)
 
-// group is a context and the exchanges that are interrupted when it ends.
-type group struct {
+// cancelGroup is a context with the exchanges that are interrupted when it ends.
+type cancelGroup struct {
 	context.Context
 
-	mu    sync.Mutex
-	ended bool
-	exs   []*exchange
+	mu       sync.Mutex
+	canceled bool
+	exs      []*exchange
 }
 
-// WithCancel returns a context as context.WithCancelCause does. Requests that are
-// ended together are given the same one: watching it costs Do next to nothing.
+// WithCancel is like context.WithCancelCause. Requests that are cancelled together should
+// share the context: Do then watches it at almost no cost.
 func WithCancel(parent context.Context) (context.Context, context.CancelCauseFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
-	gr := &group{Context: ctx}
-	context.AfterFunc(ctx, gr.end)
+	gr := &cancelGroup{Context: ctx}
+	context.AfterFunc(ctx, gr.interruptAll)
 	return gr, cancel
 }
 
-// groupOf returns the group that a context is, or one of its own, and a function
-// that ends its use.
-func groupOf(ctx context.Context) (*group, func() bool) {
-	if gr, ok := ctx.(*group); ok {
+// groupOf returns the context itself if it is a group, or else a new group for it, and a
+// function to call when the group is no longer used.
+func groupOf(ctx context.Context) (*cancelGroup, func() bool) {
+	if gr, ok := ctx.(*cancelGroup); ok {
 		return gr, func() bool { return true }
 	}
-	gr := &group{Context: ctx}
-	return gr, context.AfterFunc(ctx, gr.end)
+	gr := &cancelGroup{Context: ctx}
+	return gr, context.AfterFunc(ctx, gr.interruptAll)
 }
 
-// end interrupts the exchanges.
-func (gr *group) end() {
+// interruptAll interrupts the exchanges.
+func (gr *cancelGroup) interruptAll() {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
-	gr.ended = true
+	gr.canceled = true
 	for _, ex := range gr.exs {
-		ex.setDeadline(past)
+		ex.setDeadline(pastDeadline)
 	}
 }
 
-// enter has an exchange interrupted when the context ends, at once if it has.
-func (gr *group) enter(ex *exchange) {
+// add adds an exchange, which is interrupted when the context ends, or at once if it has
+// ended.
+func (gr *cancelGroup) add(ex *exchange) {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
-	ex.place = len(gr.exs)
+	ex.groupIndex = len(gr.exs)
 	gr.exs = append(gr.exs, ex)
-	if gr.ended {
-		ex.setDeadline(past)
+	if gr.canceled {
+		ex.setDeadline(pastDeadline)
 	}
 }
 
-// leave makes sure that an exchange is not interrupted any more: an interruption
-// that comes once the connection went to another request would hit that one. It
-// waits for one under way, which the lock tells.
-func (gr *group) leave(ex *exchange) {
+// remove removes an exchange. The lock makes it wait for an interruption in progress, so
+// that none can hit another request that uses the connection later.
+func (gr *cancelGroup) remove(ex *exchange) {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
 	last := len(gr.exs) - 1
-	gr.exs[ex.place] = gr.exs[last]
-	gr.exs[ex.place].place = ex.place
+	gr.exs[ex.groupIndex] = gr.exs[last]
+	gr.exs[ex.groupIndex].groupIndex = ex.groupIndex
 	gr.exs[last] = nil
 	gr.exs = gr.exs[:last]
 }
--- a/upstream/head.go
+++ b/upstream/head.go
@@ -7,10 +7,9 @@
 	"time"
 )
 
-// appendHead appends the head of a request, but for the lines that are only
-// known when it goes out and the empty line. It reports false if the request
-// can't be written: a line break in any of its parts would begin another line,
-// or another request.
+// appendHead appends the head of a request, without the lines that are only known when it
+// is sent and the empty line. It returns false if the request is invalid: a line break in
+// any part would start another header or another request.
 func appendHead(bs []byte, rq *Request, na *Names) ([]byte, bool) {
 	if !isToken(rq.Method) || rq.Method == http.MethodConnect || !isURI(rq.URI) || !isURI(rq.Host) {
 		return bs, false
@@ -23,7 +22,7 @@
 	bs = append(bs, "\r\n"...)
 	named := rq.Header["Connection"]
 	for ke, vs := range rq.Header {
-		if isOwn(ke, na) || isHop(ke) || isNamed(ke, named) {
+		if isReserved(ke, na) || isHopByHop(ke) || isListedIn(ke, named) {
 			continue
 		}
 		if !isToken(ke) {
@@ -44,8 +43,8 @@
 	return bs, true
 }
 
-// appendTail appends the last lines of a head: the time left, which server is
-// meant, and the empty line.
+// appendTail appends the last lines of a head: the time left, the target's ID, and the
+// empty line.
 func appendTail(bs []byte, na *Names, ta Target, rq *Request, now time.Time) []byte {
 	if na.Deadline != "" && !rq.Deadline.IsZero() {
 		bs = append(bs, na.Deadline...)
@@ -70,16 +69,15 @@
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
-// isOwn reports whether the exchange sets a header itself.
-func isOwn(name string, na *Names) bool {
+// isReserved reports whether the client sets a header itself.
+func isReserved(name string, na *Names) bool {
 	return strings.EqualFold(name, "Host") || strings.EqualFold(name, "Content-Length") ||
 		strings.EqualFold(name, na.Deadline) || strings.EqualFold(name, na.Expect)
 }
 
-// isHop reports whether a header concerns one connection only. It is asked for
-// names in any case: one that slips through could frame the body differently
-// from Content-Length.
-func isHop(name string) bool {
+// isHopByHop reports whether a header is hop-by-hop. The name may be in any case: a
+// header that slipped through could frame the body differently from Content-Length.
+func isHopByHop(name string) bool {
 	if name == "" {
 		return false
 	}
@@ -99,8 +97,8 @@
 	return false
 }
 
-// isNamed reports whether a header is named by the values of Connection.
-func isNamed(name string, values []string) bool {
+// isListedIn reports whether the values of Connection list a header.
+func isListedIn(name string, values []string) bool {
 	for _, va := range values {
 		for to := range strings.SplitSeq(va, ",") {
 			if strings.EqualFold(strings.TrimSpace(to), name) {
@@ -111,19 +109,19 @@
 	return false
 }
 
-// stripHop takes the headers that concern one connection out of a reply's. So it
-// does with names that end with a space: the reply reader lets them through and
-// doesn't heed them, and the next one might, as another length of the body.
-func stripHop(he http.Header) {
+// stripHopByHop removes the hop-by-hop headers from a reply. It also removes names that
+// contain a space: the reply reader accepts and ignores these, but the next reader might
+// take one for another length of the body.
+func stripHopByHop(he http.Header) {
 	named := he["Connection"]
 	for ke := range he {
-		if isHop(ke) || strings.IndexByte(ke, ' ') >= 0 || (named != nil && isNamed(ke, named)) {
+		if isHopByHop(ke) || strings.IndexByte(ke, ' ') >= 0 || (named != nil && isListedIn(ke, named)) {
 			delete(he, ke)
 		}
 	}
 }
 
-// isToken reports whether a string is a token of HTTP.
+// isToken reports whether a string is an HTTP token.
 func isToken(st string) bool {
 	if st == "" {
 		return false
@@ -136,7 +134,7 @@
 	return true
 }
 
-// isURI reports whether a string is without spaces and control characters.
+// isURI reports whether a string is not empty and has no spaces and control characters.
 func isURI(st string) bool {
 	if st == "" {
 		return false
@@ -149,7 +147,7 @@
 	return true
 }
 
-// isValue reports whether a string may be the value of a header.
+// isValue reports whether a string is valid as the value of a header.
 func isValue(st string) bool {
 	for _, ch := range []byte(st) {
 		if (ch < ' ' && ch != '\t') || ch == 0x7f {
--- a/upstream/head_test.go
+++ b/upstream/head_test.go
@@ -10,7 +10,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func headOf(rq *Request, expect bool, left time.Duration) (string, bool) {
+func requestHead(rq *Request, expect bool, left time.Duration) (string, bool) {
 	now := time.Now()
 	rq.SendTargetID = expect
 	if left != 0 {
@@ -21,12 +21,12 @@
 		return "", false
 	}
 	ls := strings.Split(string(appendTail(bs, &testNames, Target{ID: "i-7"}, rq, now)), "\r\n")
-	// The order of headers of different names is free.
+	// Headers with different names may come in any order.
 	sort.Strings(ls[1 : len(ls)-2])
 	return strings.Join(ls, "|"), true
 }
 
-func TestHead(t *testing.T) {
+func TestRequestHead(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		method string
@@ -39,7 +39,7 @@
 		{"plain", "GET", nil, "", false, 0, "GET /x?y HTTP/1.1|Host: h||"},
 		{"headers", "GET", http.Header{"A": {"1", "2"}, "B": {""}}, "", false, 0, "GET /x?y HTTP/1.1|A: 1|A: 2|B: |Host: h||"},
 		{"deadline", "GET", nil, "", false, 1999999 * time.Microsecond, "GET /x?y HTTP/1.1|Deadline-Ms: 1999|Host: h||"},
-		{"least deadline", "GET", nil, "", false, time.Microsecond, "GET /x?y HTTP/1.1|Deadline-Ms: 1|Host: h||"},
+		{"minimum deadline", "GET", nil, "", false, time.Microsecond, "GET /x?y HTTP/1.1|Deadline-Ms: 1|Host: h||"},
 		{"deadline passed", "GET", nil, "", false, -time.Second, "GET /x?y HTTP/1.1|Deadline-Ms: 1|Host: h||"},
 		{"expect", "GET", nil, "", true, 0, "GET /x?y HTTP/1.1|Expect-Server: i-7|Host: h||"},
 		{"caller's deadline replaced", "GET", http.Header{"Deadline-Ms": {"9"}}, "", false, time.Second, "GET /x?y HTTP/1.1|Deadline-Ms: 1000|Host: h||"},
@@ -58,16 +58,16 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			rq := &Request{Method: tc.method, URI: "/x?y", Host: "h", Header: tc.header, Body: []byte(tc.body)}
-			got, ok := headOf(rq, tc.expect, tc.left)
+			got, ok := requestHead(rq, tc.expect, tc.left)
 			qt.Assert(t, ok, qt.IsTrue)
 			qt.Assert(t, got, qt.Equals, tc.want)
 		})
 	}
 }
 
-// A caller hides a second request in a part of the first. It would run at the
-// server without ever having been a request of its own here, and its reply would
-// go to somebody else. Cause: a line break that is written as it came.
+// Guards against request smuggling: a line break in any part of a request would let a
+// caller hide a second request in it. The server would run that one, though it was never
+// checked here, and its reply would go to another caller.
 func TestHeadRefusesLineBreaks(t *testing.T) {
 	qc := qt.New(t)
 	for _, rq := range []Request{
@@ -86,23 +86,23 @@
 		{Method: "GET", URI: "/", Host: "h", Header: http.Header{"A ": {"d"}}},
 		{Method: "GET", URI: "/", Host: "h", Header: http.Header{"": {"d"}}},
 	} {
-		_, ok := headOf(&rq, false, 0)
+		_, ok := requestHead(&rq, false, 0)
 		qc.Check(ok, qt.IsFalse, qt.Commentf("%q", rq))
 	}
 	cl := newClient(qc, Config{Connect: unreachable})
-	rq := get()
+	rq := newGet()
 	rq.URI = "/a b"
-	re := cl.Do(within(t), Target{ID: "i-1", MaxConnections: 1}, rq)
+	re := cl.Do(testContext(t), Target{ID: "i-1", MaxConnections: 1}, rq)
 	qc.Assert(re.Outcome, qt.Equals, NotSent)
 	qc.Assert(re.Err, qt.ErrorIs, ErrInvalidRequest)
 }
 
-func TestStripHop(t *testing.T) {
+func TestStripHopByHop(t *testing.T) {
 	he := http.Header{
 		"Connection": {"Keep-Alive, x-a"}, "X-A": {"1"}, "X-B": {"1"}, "Keep-Alive": {"timeout=1"}, "Proxy-Authenticate": {"p"},
 		"Te": {"t"}, "Trailer": {"X"}, "Transfer-Encoding": {"chunked"}, "Upgrade": {"u"}, "Content-Type": {"c"},
 		"Content-Length ": {"1"}, "transfer-encoding ": {"chunked"},
 	}
-	stripHop(he)
+	stripHopByHop(he)
 	qt.Assert(t, he, qt.DeepEquals, http.Header{"X-B": {"1"}, "Content-Type": {"c"}})
 }
--- a/upstream/idle_test.go
+++ b/upstream/idle_test.go
@@ -8,9 +8,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A target may ask for a shorter idle time than the client's, and no longer one. The
-// newest word counts from the next use on.
-func TestTargetIdle(t *testing.T) {
+// A target may set a shorter idle timeout than the client's, but not a longer one. The
+// latest value applies from the next use of a connection.
+func TestTargetIdleTimeout(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
 		idle, kept time.Duration
@@ -22,17 +22,17 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				qc := qt.New(t)
-				cl := newClient(qc, Config{Connect: chatter(func(pc *peerConn) {
-					for rq := pc.take(); rq != nil; rq = pc.take() {
-						pc.say("%s", good(rq.Header.Get("Request-Id")))
+				cl := newClient(qc, Config{Connect: pipeConnector(func(pc *peerConn) {
+					for rq := pc.readRequest(); rq != nil; rq = pc.readRequest() {
+						pc.printf("%s", okReply(rq.Header.Get("Request-Id")))
 					}
 				}, qc)})
 				ta := Target{ID: "i-1", MaxConnections: 1, IdleTimeout: tc.idle}
-				checkGood(qc, cl.Do(t.Context(), ta, get()), true)
+				checkAnswered(qc, cl.Do(t.Context(), ta, newGet()), true)
 				time.Sleep(tc.kept - 1)
 				cl.CloseIdle(time.Now())
 				checkCount(qc, cl, 1, 1)
-				checkGood(qc, cl.Do(t.Context(), ta, get()), false)
+				checkAnswered(qc, cl.Do(t.Context(), ta, newGet()), false)
 				time.Sleep(tc.kept)
 				cl.CloseIdle(time.Now())
 				checkCount(qc, cl, 0, 0)
--- a/upstream/io.go
+++ b/upstream/io.go
@@ -5,17 +5,17 @@
 	"syscall"
 )
 
-// Read reads from the connection. The first call sends the request before: the
-// check that the connection is clean, the write and the wait for the reply are
-// then one turn at the descriptor, and no read is tried before bytes are there.
+// Read reads from the connection. The first call also sends the request, so that the
+// check for a clean connection, the write and the wait for the reply take a single wait
+// on the descriptor, and no read is tried before bytes have arrived.
 func (ex *exchange) Read(bs []byte) (int, error) {
-	if ex.budget <= 0 {
-		return 0, errLongHead
+	if ex.readBudget <= 0 {
+		return 0, errHeadTooLong
 	}
 	nu, err := ex.readConn(bs)
 	if nu > 0 {
-		ex.heard = true
-		ex.budget -= nu
+		ex.received = true
+		ex.readBudget -= nu
 	}
 	if err != nil {
 		ex.ioErr = err
@@ -24,57 +24,57 @@
 }
 
 func (ex *exchange) readConn(bs []byte) (int, error) {
-	if ex.cn.raw == nil && !ex.begun {
-		ex.begun = true
-		if err := ex.writePlain(); err != nil {
+	if ex.cn.raw == nil && !ex.started {
+		ex.started = true
+		if err := ex.writeWithoutDescriptor(); err != nil {
 			return 0, err
 		}
 	}
-	if ex.cn.raw == nil || ex.heard {
+	if ex.cn.raw == nil || ex.received {
 		return ex.cn.nc.Read(bs)
 	}
-	ex.dest, ex.read, ex.stepErr = bs, 0, nil
-	if err := ex.cn.raw.Read(ex.step); err != nil {
+	ex.readBuf, ex.numRead, ex.readErr = bs, 0, nil
+	if err := ex.cn.raw.Read(ex.readFunc); err != nil {
 		return 0, err
 	}
-	return ex.read, ex.stepErr
+	return ex.numRead, ex.readErr
 }
 
-// onTurn is called with the descriptor, and again whenever bytes may have come,
-// until it returns true.
+// onReady is called with the descriptor, and again whenever bytes may have arrived, until
+// it returns true.
 //
-// Bytes that came before the wait was armed wouldn't end it. The check before
-// the write finds those, so none is missed.
-func (ex *exchange) onTurn(fd uintptr) bool {
-	if !ex.begun {
-		ex.begun = true
-		ex.stepErr = ex.begin(int(fd))
-		return ex.stepErr != nil
-	}
-	nu, err := read(int(fd), ex.dest)
+// Bytes that arrived before the runtime waited for the descriptor wouldn't end that wait.
+// The check before the write detects these, so none is missed.
+func (ex *exchange) onReady(fd uintptr) bool {
+	if !ex.started {
+		ex.started = true
+		ex.readErr = ex.sendRequest(int(fd))
+		return ex.readErr != nil
+	}
+	nu, err := read(int(fd), ex.readBuf)
 	if err == syscall.EAGAIN {
 		return false
 	}
-	ex.read, ex.stepErr = nu, err
+	ex.numRead, ex.readErr = nu, err
 	return true
 }
 
-// begin writes the request if the connection is clean. It returns nil once bytes
-// left: a server that closed the connection then may have answered before.
-func (ex *exchange) begin(fd int) error {
-	if err := checkQuiet(fd); err != nil {
+// sendRequest writes the request if the connection is clean. It returns nil once any byte
+// was sent: even if the server then closed the connection, it may have replied before.
+func (ex *exchange) sendRequest(fd int) error {
+	if err := checkIdle(fd); err != nil {
 		return err
 	}
-	if err := ex.write(fd); err != nil && !ex.left {
+	if err := ex.write(fd); err != nil && !ex.anySent {
 		return err
 	}
 	return nil
 }
 
-// checkQuiet returns nil if a connection is open and nothing has come in on it.
-// The server may have closed it while it was idle, and a late or doubled reply
-// must not meet the next request.
-func checkQuiet(fd int) error {
+// checkIdle returns nil if the connection is open and nothing has arrived on it. The
+// server may have closed it while it was idle, and a late or duplicate reply must not be
+// taken for the reply to the next request.
+func checkIdle(fd int) error {
 	var one [1]byte
 	for {
 		nu, _, err := syscall.Recvfrom(fd, one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -85,9 +85,9 @@
 		case err != nil:
 			return err
 		case nu == 0:
-			return errEnded
+			return errClosedWhileIdle
 		default:
-			return errEarly
+			return errBytesBeforeRequest
 		}
 	}
 }
@@ -107,18 +107,18 @@
 	}
 }
 
-// write writes as much of the request as the system takes without a wait, within
-// a bound, and starts a goroutine for the rest. Without the bound, a server that
-// reads as fast as this writes would keep the end of the context from being seen.
+// write writes as much of the request as the kernel accepts without blocking, up to a
+// bound, and starts a goroutine for the rest. Without the bound, a server that reads as
+// fast as this writes would delay the reaction to the end of the context.
 func (ex *exchange) write(fd int) error {
-	head, err := ex.writeSome(fd, ex.out)
+	head, err := ex.writeNonblocking(fd, ex.out)
 	if err != nil {
 		return err
 	}
-	rest := ex.rest
+	rest := ex.bodyRest
 	if len(head) == 0 {
-		now := min(len(rest), nowBytes)
-		left, err := ex.writeSome(fd, rest[:now])
+		now := min(len(rest), maxBodyBeforeRead)
+		left, err := ex.writeNonblocking(fd, rest[:now])
 		if err != nil {
 			return err
 		}
@@ -128,12 +128,12 @@
 		ex.startWriter(head, rest)
 		return nil
 	}
-	ex.sent = true
+	ex.allSent = true
 	return nil
 }
 
-// writeSome returns what the system didn't take.
-func (ex *exchange) writeSome(fd int, bs []byte) ([]byte, error) {
+// writeNonblocking returns the bytes that the kernel didn't accept.
+func (ex *exchange) writeNonblocking(fd int, bs []byte) ([]byte, error) {
 	for len(bs) > 0 {
 		nu, err := syscall.Write(fd, bs)
 		switch {
@@ -143,32 +143,32 @@
 		case err != nil:
 			return bs, err
 		default:
-			ex.left = ex.left || nu > 0
+			ex.anySent = ex.anySent || nu > 0
 			bs = bs[nu:]
 		}
 	}
 	return bs, nil
 }
 
-// writePlain writes the request on a connection without a descriptor.
-func (ex *exchange) writePlain() error {
+// writeWithoutDescriptor writes the request on a connection that has no descriptor.
+func (ex *exchange) writeWithoutDescriptor() error {
 	nu, err := ex.cn.nc.Write(ex.out)
-	ex.left = nu > 0
+	ex.anySent = nu > 0
 	if err != nil {
 		return err
 	}
-	if len(ex.rest) > 0 {
-		ex.startWriter(nil, ex.rest)
+	if len(ex.bodyRest) > 0 {
+		ex.startWriter(nil, ex.bodyRest)
 		return nil
 	}
-	ex.sent = true
+	ex.allSent = true
 	return nil
 }
 
-// startWriter writes the end of a long request while the reply is awaited already.
+// startWriter writes the rest of a long request while the reply is already being read.
 func (ex *exchange) startWriter(head, rest []byte) {
-	ex.left, ex.writing = true, true
-	nc, written := ex.cn.nc, ex.written
+	ex.anySent, ex.writing = true, true
+	nc, written := ex.cn.nc, ex.writeDone
 	go func() {
 		var err error
 		for _, bs := range [...][]byte{head, rest} {
--- a/upstream/prepare_test.go
+++ b/upstream/prepare_test.go
@@ -8,24 +8,24 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A request goes to two servers one after the other. Each gets all of it, with its own
-// id as the one that is meant.
-func TestPrepare(t *testing.T) {
+// When a prepared request is sent to two servers, each must get the complete request with
+// its own ID as the target.
+func TestPreparedRequestToTwoServers(t *testing.T) {
 	qc := qt.New(t)
 	var seen []*http.Request
 	cl := newClient(qc, Config{})
-	rq := post([]byte("body"))
+	rq := newPost([]byte("body"))
 	rq.SendTargetID, rq.Deadline = true, time.Now().Add(time.Hour)
 	rq.Header.Set("Keep-Alive", "timeout=5")
 	cl.Prepare(rq)
 	for _, id := range []string{"i-1", "i-2"} {
-		ta := serve(qc, func(pc *peerConn) {
-			rq := pc.take()
+		ta := startServer(qc, func(pc *peerConn) {
+			rq := pc.readRequest()
 			seen = append(seen, rq)
-			pc.say("%s", good(rq.Header.Get("Request-Id")))
+			pc.printf("%s", okReply(rq.Header.Get("Request-Id")))
 		})
 		ta.ID = id
-		checkGood(qc, cl.Do(within(t), ta, rq), true)
+		checkAnswered(qc, cl.Do(testContext(t), ta, rq), true)
 	}
 	cl.Close()
 	qc.Assert(seen, qt.HasLen, 2)
@@ -38,15 +38,15 @@
 	}
 }
 
-// A line break in a header would begin another one. Prepared or not, no server gets
-// such a request.
-func TestPrepareRefused(t *testing.T) {
+// Guards against header injection by a line break in a header value: a request with one
+// must not be sent, even if it was prepared.
+func TestPreparedInvalidRequestIsRefused(t *testing.T) {
 	qc := qt.New(t)
 	cl := newClient(qc, Config{})
-	rq := get()
+	rq := newGet()
 	rq.Header.Set("Accept", "a\r\nb: c")
 	cl.Prepare(rq)
-	re := cl.Do(within(t), Target{ID: "i-1", Address: "192.0.2.1:1", MaxConnections: 1}, rq)
+	re := cl.Do(testContext(t), Target{ID: "i-1", Address: "192.0.2.1:1", MaxConnections: 1}, rq)
 	qc.Assert(re.Outcome, qt.Equals, NotSent)
 	qc.Assert(re.Err, qt.ErrorIs, ErrInvalidRequest)
 }
--- a/upstream/recycle_test.go
+++ b/upstream/recycle_test.go
@@ -9,28 +9,28 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Replies of all lengths are recycled one after the other, some read to the end of a
-// body in chunks. Each next one has its own body and headers, and nothing of those
-// before; one that was not recycled stays as it was.
-func TestRecycle(t *testing.T) {
+// Guards against content of a recycled reply in a later one: replies of various lengths,
+// some of them chunked, must each have their own body and headers, and a reply that
+// wasn't recycled must not change.
+func TestRecycledReplyHasOwnContent(t *testing.T) {
 	qc := qt.New(t)
 	lengths := []int{700, 3, 0, 699, 2000, 90000, 1, 701}
-	ta := serve(qc, func(pc *peerConn) {
+	ta := startServer(qc, func(pc *peerConn) {
 		for ix, le := range lengths {
-			rq := pc.take()
+			rq := pc.readRequest()
 			id := rq.Header.Get("Request-Id")
 			body := strings.Repeat(strconv.Itoa(ix), le)
 			if ix%2 == 0 {
-				pc.say("HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nStamp: s\r\nContent-Length: %d\r\n\r\n%s", id, le, body)
+				pc.printf("HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nStamp: s\r\nContent-Length: %d\r\n\r\n%s", id, le, body)
 				continue
 			}
-			pc.say("HTTP/1.1 500 Failed\r\nRequest-Id: %s\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", id, le, body)
+			pc.printf("HTTP/1.1 500 Failed\r\nRequest-Id: %s\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", id, le, body)
 		}
 	})
 	cl := newClient(qc, Config{})
 	var kept *Reply
 	for ix, le := range lengths {
-		re := cl.Do(within(t), ta, get())
+		re := cl.Do(testContext(t), ta, newGet())
 		qc.Assert(re.Outcome, qt.Equals, Answered)
 		ry := re.Reply
 		qc.Assert(string(ry.Body), qt.Equals, strings.Repeat(strconv.Itoa(ix), le))
--- a/upstream/reply.go
+++ b/upstream/reply.go
@@ -11,19 +11,20 @@
 )
 
 const (
-	// maxInterim bounds the interim replies before a reply.
-	maxInterim = 16
-	// leastGrowth is by how much the buffer of a body grows at least.
-	leastGrowth = 512
-	// bodyBytes is how much of a stated length is believed before bytes come.
-	bodyBytes = 64 << 10
-	// maxLoad is the greatest figure of a load that is believed.
-	maxLoad = 1 << 20
-	// maxKeep is the longest stated idle timeout that counts.
-	maxKeep = time.Hour
+	// maxInterimReplies bounds the interim replies (1xx) before a reply.
+	maxInterimReplies = 16
+	// minBodyGrowth is the minimum growth of a body's buffer in bytes.
+	minBodyGrowth = 512
+	// maxPreallocation bounds the bytes that are allocated for a stated length before
+	// bytes arrive. It also bounds the buffers of recycled replies.
+	maxPreallocation = 64 << 10
+	// maxLoadValue is the greatest number that is accepted in a load header.
+	maxLoadValue = 1 << 20
+	// maxKeepAlive caps the idle timeout that a server states.
+	maxKeepAlive = time.Hour
 )
 
-// headRequest tells the reply reader that no body follows.
+// headRequest makes the reply reader expect no body.
 var headRequest = &http.Request{Method: http.MethodHead}
 
 // receive reads the reply.
@@ -36,12 +37,12 @@
 	return ex.readBody()
 }
 
-// readHead reads the head of a reply and leaves out an interim one.
+// readHead reads one head. It stores the response unless that is an interim one.
 func (ex *exchange) readHead() error {
 	if _, err := ex.rd.Peek(1); err != nil {
 		return err
 	}
-	if !ex.beginsAsHTTP() {
+	if !ex.startsAsHTTP() {
 		return errNotHTTP
 	}
 	var hr *http.Request
@@ -57,21 +58,21 @@
 		return errNotHTTP
 	case rs.StatusCode >= http.StatusOK:
 		ex.rs = rs
-		ex.budget = noBudget
+		ex.readBudget = unlimited
 	default:
-		if ex.interim++; ex.interim > maxInterim {
-			return errInterim
+		if ex.numInterim++; ex.numInterim > maxInterimReplies {
+			return errTooManyInterimReplies
 		}
 	}
 	return nil
 }
 
-// beginsAsHTTP looks at the bytes that are there. Without it, bytes without a line
-// break would be waited on until the deadline.
-func (ex *exchange) beginsAsHTTP() bool {
-	const begin = "HTTP/1."
-	bs, _ := ex.rd.Peek(min(len(begin), ex.rd.Buffered()))
-	return string(bs) == begin[:len(bs)]
+// startsAsHTTP checks the bytes received so far. Without it, bytes of another protocol
+// without a line break would be waited on until the deadline.
+func (ex *exchange) startsAsHTTP() bool {
+	const prefix = "HTTP/1."
+	bs, _ := ex.rd.Peek(min(len(prefix), ex.rd.Buffered()))
+	return string(bs) == prefix[:len(bs)]
 }
 
 func (ex *exchange) readBody() error {
@@ -79,26 +80,26 @@
 	if rs.Body == http.NoBody {
 		return nil
 	}
-	most := ex.cl.cf.MaxReplyBytes
-	if rs.ContentLength > int64(most) {
-		return errLongBody
+	maxBytes := ex.cl.cf.MaxReplyBytes
+	if rs.ContentLength > int64(maxBytes) {
+		return errBodyTooLong
 	}
 	if ex.body == nil {
-		begin := leastGrowth
+		size := minBodyGrowth
 		if rs.ContentLength > 0 {
-			begin = min(int(rs.ContentLength), bodyBytes)
+			size = min(int(rs.ContentLength), maxPreallocation)
 		}
-		ex.body = ex.room(begin)
+		ex.body = ex.bodyBuffer(size)
 	}
 	for {
 		if len(ex.body) == cap(ex.body) {
-			ex.body = slices.Grow(ex.body, leastGrowth)
+			ex.body = slices.Grow(ex.body, minBodyGrowth)
 		}
 		nu, err := rs.Body.Read(ex.body[len(ex.body):cap(ex.body)])
 		ex.body = ex.body[:len(ex.body)+nu]
 		switch {
-		case len(ex.body) > most:
-			return errLongBody
+		case len(ex.body) > maxBytes:
+			return errBodyTooLong
 		case errors.Is(err, io.EOF):
 			return nil
 		case err != nil:
@@ -107,23 +108,24 @@
 	}
 }
 
-// room returns room for a body, that of a recycled reply if it is large enough.
-func (ex *exchange) room(size int) []byte {
-	ry, _ := ex.cl.replies.Get().(*Reply)
+// bodyBuffer returns an empty buffer of at least that capacity, from a recycled reply if
+// that is large enough.
+func (ex *exchange) bodyBuffer(size int) []byte {
+	ry, _ := ex.cl.replyPool.Get().(*Reply)
 	if ry == nil || cap(ry.Body) < size {
 		return make([]byte, 0, size)
 	}
-	ex.spare = ry
+	ex.recycled = ry
 	return ry.Body
 }
 
-// noteKeeping takes over what the reply says about keeping the connection, and
-// reports whether it can carry another request.
-func (ex *exchange) noteKeeping() bool {
+// updateKeepAlive records the idle timeout that the reply states, and reports whether the
+// connection can carry another request.
+func (ex *exchange) updateKeepAlive() bool {
 	if nu := ex.rd.Buffered(); nu > 0 {
-		// They belong to no request; the next one would take them for its reply.
-		sample, _ := ex.rd.Peek(min(nu, sampleBytes))
-		ex.po.wrongBytes(errExtra, sample)
+		// These bytes belong to no request. The next one would take them for its reply.
+		sample, _ := ex.rd.Peek(min(nu, maxSampleBytes))
+		ex.po.logWrongBytes(errBytesAfterReply, sample)
 		return false
 	}
 	if ex.rs.Close {
@@ -131,21 +133,21 @@
 	}
 	keep, ok := parseKeepAlive(ex.rs.Header["Keep-Alive"])
 	if ok {
-		ex.cn.keep = keep
+		ex.cn.keepAlive = keep
 	}
 	return !ok || keep > 0
 }
 
-// judge decides what the reply is and reports whether it answers this request.
-func (ex *exchange) judge(re *Result) bool {
+// classify sets the outcome and reports whether the reply answers this request.
+func (ex *exchange) classify(re *Result) bool {
 	rs, na := ex.rs, &ex.cl.cf.Names
 	_, notRun := rs.Header[na.NotRun]
 	notRun = notRun && na.NotRun != ""
 	re.Misdirected = rs.StatusCode == http.StatusMisdirectedRequest
-	if err := ex.checkID(notRun || re.Misdirected); err != nil {
+	if err := ex.checkRequestID(notRun || re.Misdirected); err != nil {
 		re.Outcome, re.Misdirected, re.Err = Wrong, false, ex.error(err)
 		id := rs.Header.Get(na.RequestID)
-		ex.po.wrongBytes(err, []byte(id[:min(len(id), sampleBytes)]))
+		ex.po.logWrongBytes(err, []byte(id[:min(len(id), maxSampleBytes)]))
 		return false
 	}
 	re.Outcome = Answered
@@ -156,34 +158,34 @@
 	return true
 }
 
-// checkID checks whose reply it is. Only a server that didn't run the request may
-// leave out its id: it may have refused before it read the head.
-func (ex *exchange) checkID(notRun bool) error {
+// checkRequestID checks which request the reply is to. Only a server that didn't run the
+// request may omit the ID, since it may have refused before it read the head.
+func (ex *exchange) checkRequestID(notRun bool) error {
 	na := ex.cl.cf.Names.RequestID
-	if na == "" || ex.id == "" {
+	if na == "" || ex.requestID == "" {
 		return nil
 	}
 	ids := ex.rs.Header[na]
 	for _, id := range ids {
-		if id != ex.id {
-			return errRequestID
+		if id != ex.requestID {
+			return errWrongRequestID
 		}
 	}
 	if len(ids) == 0 && !notRun {
-		return errNoID
+		return errMissingRequestID
 	}
 	return nil
 }
 
 func (ex *exchange) reply(notRun bool) *Reply {
 	rs, na := ex.rs, &ex.cl.cf.Names
-	ry := ex.spare
+	ry := ex.recycled
 	if ry == nil {
 		ry = &Reply{}
 	}
-	ex.spare = nil
+	ex.recycled = nil
 	*ry = Reply{Status: rs.StatusCode, Header: rs.Header, Body: ex.body, NotRun: notRun}
-	stripHop(ry.Header)
+	stripHopByHop(ry.Header)
 	if !ex.isHead && rs.StatusCode != http.StatusNotModified {
 		delete(ry.Header, "Content-Length")
 	}
@@ -196,14 +198,14 @@
 	return ry
 }
 
-// parseLoad reads "running,waiting,slots" with an optional pace behind. It reports
-// false if the value is anything else.
+// parseLoad parses "running,waiting,slots" with an optional service time in percent as
+// the fourth number. It returns false for anything else.
 func parseLoad(st string) (Load, bool) {
 	var fis [4]int
 	nu := 0
 	for pa := range strings.SplitSeq(st, ",") {
 		fi, err := strconv.Atoi(strings.TrimSpace(pa))
-		if err != nil || fi < 0 || fi > maxLoad || nu == len(fis) {
+		if err != nil || fi < 0 || fi > maxLoadValue || nu == len(fis) {
 			return Load{}, false
 		}
 		fis[nu] = fi
@@ -215,8 +217,8 @@
 	return Load{Running: fis[0], Waiting: fis[1], Slots: fis[2], ServiceTimePercent: fis[3]}, true
 }
 
-// parseKeepAlive reads how long a server keeps an idle connection, and reports
-// whether it says so.
+// parseKeepAlive returns the idle timeout that a server states, or false if it states
+// none.
 func parseKeepAlive(values []string) (time.Duration, bool) {
 	const name = "timeout="
 	for _, va := range values {
@@ -227,7 +229,7 @@
 			}
 			se, err := strconv.ParseUint(strings.Trim(pa[len(name):], `" `), 10, 32)
 			if err == nil {
-				return min(maxKeep, time.Duration(se)*time.Second), true
+				return min(maxKeepAlive, time.Duration(se)*time.Second), true
 			}
 		}
 	}
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,11 +1,10 @@
-// Package upstream exchanges HTTP/1.1 requests with backend servers over
-// connections that it holds itself. It sends a request at most once, on one
-// connection, and says for each whether bytes of it left; it never sends one
-// again after that. Which server is asked, and what follows a failure, is the
-// caller's decision.
+// Package upstream exchanges HTTP/1.1 requests with backend servers over its own
+// connection pools. It sends a request at most once, on one connection, reports whether
+// any byte of it may have been sent, and never sends it again after that. The caller
+// chooses the server and decides about retries.
 //
-// A connection carries one request at a time. One on which anything was wrong
-// is closed and never used again.
+// A connection carries one request at a time. It is closed and never reused after any
+// error on it.
 package upstream
 
 import (
@@ -21,51 +20,51 @@
 	"balsamwinch.example/timer"
 )
 
-// Defaults of Config.
+// defaults of Config
 const (
-	defaultDial       = 300 * time.Millisecond
-	defaultIdle       = 30 * time.Second
-	defaultReplyBytes = 8 << 20
+	defaultDialTimeout   = 300 * time.Millisecond
+	defaultIdleTimeout   = 30 * time.Second
+	defaultMaxReplyBytes = 8 << 20
 )
 
-// Names are the names of the headers that the exchange itself reads or writes.
-// A header without a name is neither read nor written.
+// Names holds the names of the headers that the client itself reads or writes. A header
+// with an empty name is neither read nor written.
 type Names struct {
-	RequestID string // RequestID names a request, and in a reply the request that is answered.
-	Deadline  string // Deadline tells the server the time left, in whole milliseconds.
-	Expect    string // Expect tells the server which one is meant.
-	Stamp     string // Stamp is a server's signature of its reply.
-	NotRun    string // NotRun is a server's word that it didn't run the request.
-	Load      string // Load is how busy the server is.
+	RequestID string // request ID, in requests and replies
+	Deadline  string // time left, in whole milliseconds, sent to the server
+	Expect    string // ID of the server that a request is meant for
+	Stamp     string // server's signature of its reply
+	NotRun    string // sent by a server that didn't run the request
+	Load      string // load of the server
 }
 
-// Config holds the settings of a Client. A zero field takes its default.
+// Config configures a Client. Zero fields take their defaults.
 type Config struct {
 	Names Names
-	// Dial bounds the opening of a connection; default 300 ms.
+	// DialTimeout bounds the opening of a connection; default 300 ms.
 	DialTimeout time.Duration
-	// Idle is when an idle connection is closed, unless the server's stated
-	// timeout is sooner; default 30 s.
+	// IdleTimeout is the time after which an idle connection is closed, unless the server
+	// states a shorter one; default 30 s.
 	IdleTimeout time.Duration
-	// Wait is how long a request may wait for a connection to come free while all
-	// that the server allows are in use; by default it doesn't.
+	// WaitTimeout is how long a request may wait for a free connection while the server's
+	// limit is reached; by default it doesn't wait.
 	WaitTimeout time.Duration
-	// ReplyBytes bounds the body of a reply; default 8 MiB.
+	// MaxReplyBytes bounds the body of a reply; default 8 MiB.
 	MaxReplyBytes int
-	// Connect opens a connection to an IP address and port; default TCP without
+	// Connect opens a connection to an IP address and port; default is TCP without
 	// keep-alive probes.
 	Connect func(ctx context.Context, address string) (net.Conn, error)
 }
 
 func (cf Config) withDefaults() Config {
 	if cf.DialTimeout <= 0 {
-		cf.DialTimeout = defaultDial
+		cf.DialTimeout = defaultDialTimeout
 	}
 	if cf.IdleTimeout <= 0 {
-		cf.IdleTimeout = defaultIdle
+		cf.IdleTimeout = defaultIdleTimeout
 	}
 	if cf.MaxReplyBytes <= 0 {
-		cf.MaxReplyBytes = defaultReplyBytes
+		cf.MaxReplyBytes = defaultMaxReplyBytes
 	}
 	if cf.Connect == nil {
 		cf.Connect = connectTCP
@@ -77,77 +76,79 @@
 	return cf
 }
 
-// Target says which backend server a request goes to. Connections bounds the
-// connections of this process to it, those being opened included.
+// Target is the backend server that a request goes to. MaxConnections bounds this
+// process's connections to it, including those being opened.
 type Target struct {
 	ID             string
-	Address        string // Address is an IP address and port.
-	Incarnation    int64  // Born tells a later start under the same ID and address from an earlier one; it is higher.
+	Address        string // IP address and port
+	Incarnation    int64  // higher for a later start of the server under the same ID and address
 	MaxConnections int
-	IdleTimeout    time.Duration // Idle is when an idle connection is closed; 0 for Config.Idle.
+	IdleTimeout    time.Duration // time after which an idle connection is closed; 0 for Config.IdleTimeout
 }
 
-// Request is one request to a backend server. The exchange doesn't change it,
-// and keeps nothing of it after Do returned.
+// Request is a request to a backend server. The client doesn't modify it, and keeps no
+// reference to it after Do has returned.
 type Request struct {
 	Method string
-	URI    string // URI is the path and query as they go out.
+	URI    string // path and query, sent unchanged
 	Host   string
-	// Header holds the end-to-end headers, the request id included. Headers that
-	// concern one connection, the body's framing, and those that the exchange
-	// sets itself (Names.Deadline, Names.Expect) are left out.
+	// Header holds the end-to-end headers, including the request ID. Hop-by-hop headers,
+	// the framing of the body, and headers that the client sets itself (Names.Deadline,
+	// Names.Expect) are left out.
 	Header       http.Header
 	Body         []byte
-	RequestID    string    // RequestID is what the reply must echo; empty checks nothing.
-	Deadline     time.Time // Deadline is when the exchange ends at the latest; zero for none.
-	SendTargetID bool      // Expect tells the server the id of the target.
+	RequestID    string    // the reply must carry this ID; empty disables the check
+	Deadline     time.Time // the exchange ends by then; zero for none
+	SendTargetID bool      // whether to send the target's ID
 
-	head []byte // head is what Prepare has written.
+	prepared []byte // head written by Prepare
 }
 
-// Reply is a whole reply. The caller owns it.
+// Reply is a complete reply. The caller owns it.
 type Reply struct {
 	Status int
-	// Header holds the end-to-end headers. Content-Length is in it only if Body
-	// doesn't show it: in a reply to HEAD and in status 304.
+	// Header holds the end-to-end headers. It contains Content-Length only if Body
+	// doesn't show the length: in a reply to HEAD and with status 304.
 	Header  http.Header
 	Body    []byte
 	Stamp   string
-	NotRun  bool // NotRun says that the server says that it didn't run the request.
+	NotRun  bool // whether the server states that it didn't run the request
 	Load    Load
 	HasLoad bool
 }
 
-// Load is how busy a server says it is.
+// Load is the load that a server reports.
 type Load struct {
 	Running, Waiting, Slots int
-	ServiceTimePercent      int // Pace is how long work takes there, 100 as usual; 0 if unknown.
+	ServiceTimePercent      int // current service time in percent of the usual one; 0 if unknown
 }
 
-// Outcome is how an exchange ended.
+// Outcome is the result of an exchange.
 type Outcome uint8
 
-// The outcomes of an exchange.
+// outcomes of an exchange
 const (
-	// Answered is a whole reply to this request, of whatever status.
+	// Answered means a complete reply to this request, with any status.
 	Answered Outcome = iota
-	// NotSent means that no byte of the request can have reached the server. It
-	// may be sent elsewhere even if it may not be repeated.
+	// NotSent means that no byte of the request can have reached the server. It may be
+	// sent to another server even if it isn't idempotent.
 	NotSent
-	// NotRun means that the server itself said that it didn't run the request, by
-	// header or by status 421.
+	// NotRun means that the server stated that it didn't run the request, by a header or
+	// by status 421.
 	NotRun
-	// Lost means that bytes left and no whole reply came.
+	// Lost means that bytes were sent and no complete reply was received.
 	Lost
-	// Wrong means that bytes left and the reply was to another request or none in
+	// Wrong means that bytes were sent and the reply was to another request or violated
 	// the protocol.
 	Wrong
-	// TimedOut means that the deadline passed; Result.Sent says if bytes left.
+	// TimedOut means that the deadline passed. Result.Sent tells whether bytes were sent.
 	TimedOut
-	// Canceled means that the context was cancelled; Result.Sent says if bytes left.
+	// Canceled means that the context was cancelled. Result.Sent tells whether bytes were
+	// sent.
 	Canceled
-	// NoConnection means that all connections that the target allows are in use.
-	// Nothing was sent.
+	// NoConnection means that no connection was available: all that the target allows are
+	// in use, the client is closed, or this process ran out of resources. Nothing was
+	// sent.
 	NoConnection
 )
 
@@ -163,14 +164,14 @@
 	return "Unknown"
 }
 
-// Result is the end of an exchange.
+// Result is the result of an exchange.
 type Result struct {
 	Outcome       Outcome
-	Reply         *Reply // Reply is set for Answered and NotRun.
-	Err           error  // Err is an *Error for all other outcomes.
-	Misdirected   bool   // Moved says that the address is another server's (status 421).
-	NewConnection bool   // Fresh says that the connection carried no request before.
-	Sent          bool   // Sent says that bytes of the request may have reached the server.
+	Reply         *Reply // set for Answered and NotRun
+	Err           error  // an *Error for all other outcomes
+	Misdirected   bool   // whether another server has the address (status 421)
+	NewConnection bool   // whether the connection carried no request before
+	Sent          bool   // whether bytes of the request may have reached the server
 }
 
 // Client exchanges requests with backend servers. It is safe for concurrent use.
@@ -179,32 +180,32 @@
 	ts *timer.Service
 	lg *zap.Logger
 
-	exchanges sync.Pool
-	replies   sync.Pool // replies holds those that were recycled.
+	exchangePool sync.Pool
+	replyPool    sync.Pool // recycled replies
 
 	mu     sync.RWMutex
 	pools  map[string]*pool
 	closed bool
 }
 
-// New returns a client without connections.
+// New returns a client without open connections.
 func New(cf Config, ts *timer.Service, lg *zap.Logger) *Client {
 	return &Client{cf: cf.withDefaults(), ts: ts, lg: lg, pools: make(map[string]*pool)}
 }
 
-// Prepare writes once what is the same for all servers, for a request that goes to
-// several. The request may not be changed any more. Do refuses one that can't be
-// written.
+// Prepare writes the part of a request that is the same for all servers, for a request
+// that is sent to several of them. The request must not be modified afterwards. If it is
+// invalid, Do returns the error.
 func (cl *Client) Prepare(rq *Request) {
 	const usual = 512
 	if head, ok := appendHead(make([]byte, 0, usual), rq, &cl.cf.Names); ok {
-		rq.head = head
+		rq.prepared = head
 	}
 }
 
-// Do sends a request to a server and reads the reply. It returns when the reply
-// is whole, at the request's deadline, or when the context ends; in the last two
-// cases the connection is closed at once, so that the server drops the request.
+// Do sends a request to a server and reads the reply. It returns when the reply is
+// complete, at the request's deadline, or when the context ends. In the last two cases it
+// closes the connection at once, so that the server drops the request.
 func (cl *Client) Do(ctx context.Context, ta Target, rq *Request) Result {
 	ex := cl.newExchange(rq)
 	if err := ex.prepare(rq); err != nil {
@@ -225,17 +226,17 @@
 	}
 }
 
-// Recycle takes back a reply that nobody uses any more, its body included: the next
-// one is read into it.
+// Recycle takes back a reply that is no longer used, so that its body buffer is reused
+// for a later reply.
 func (cl *Client) Recycle(ry *Reply) {
-	if cap(ry.Body) > 0 && cap(ry.Body) <= bodyBytes {
+	if cap(ry.Body) > 0 && cap(ry.Body) <= maxPreallocation {
 		*ry = Reply{Body: ry.Body[:0]}
-		cl.replies.Put(ry)
+		cl.replyPool.Put(ry)
 	}
 }
 
-// Retain names the servers that are in use, by id. Connections to others are
-// closed, busy ones when their request has ended.
+// Retain sets the servers in use, by ID. It closes the connections to all others; busy
+// ones are closed when their request ends.
 func (cl *Client) Retain(tas map[string]Target) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -244,16 +245,16 @@
 			po.retain(ta)
 			continue
 		}
-		// A pool is forgotten only once nothing of it is open, or a server that
-		// comes back would get its connections on top of the old ones.
+		// A pool is deleted only once none of its connections is open. Otherwise a server
+		// that comes back could get its full limit of connections on top of the old ones.
 		if po.retire() {
 			delete(cl.pools, id)
 		}
 	}
 }
 
-// Open counts the connections to a server: all, those being opened included, and
-// the idle ones among them.
+// Connections returns the number of connections to a server, including those being
+// opened, and the number of idle ones among them.
 func (cl *Client) Connections(id string) (open, idle int) {
 	cl.mu.RLock()
 	po := cl.pools[id]
@@ -264,9 +265,9 @@
 	return po.count()
 }
 
-// CloseIdle closes the connections that have been idle for too long at the given
-// time. They are not used any more anyway; this returns their descriptors and the
-// server's. A call every few seconds is enough.
+// CloseIdle closes the connections whose idle timeout has passed at the given time. They
+// aren't reused in any case; closing them frees descriptors here and at the server. A
+// call every few seconds is enough.
 func (cl *Client) CloseIdle(now time.Time) {
 	cl.mu.RLock()
 	defer cl.mu.RUnlock()
@@ -275,8 +276,8 @@
 	}
 }
 
-// Close closes all connections, busy ones when their request has ended. Requests
-// from then on get NoConnection.
+// Close closes all connections, busy ones when their request ends. Later requests get
+// NoConnection.
 func (cl *Client) Close() {
 	cl.mu.Lock()
 	cl.closed = true
@@ -284,7 +285,7 @@
 	cl.Retain(nil)
 }
 
-func (cl *Client) acquire(ctx context.Context, ta Target, until time.Time) (*pool, grant) {
+func (cl *Client) acquire(ctx context.Context, ta Target, deadline time.Time) (*pool, grant) {
 	for {
 		if ctx.Err() != nil {
 			return nil, contextGrant(ctx)
@@ -293,7 +294,7 @@
 		if po == nil {
 			return nil, grant{outcome: NoConnection, err: ErrClosed}
 		}
-		if gr, ok := po.take(ctx, ta, until); ok {
+		if gr, ok := po.acquire(ctx, ta, deadline); ok {
 			return po, gr
 		}
 	}
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -21,22 +21,22 @@
 func TestExchange(t *testing.T) {
 	qc := qt.New(t)
 	var seen []*http.Request
-	ta := serve(qc, func(pc *peerConn) {
-		for rq := pc.take(); rq != nil; rq = pc.take() {
+	ta := startServer(qc, func(pc *peerConn) {
+		for rq := pc.readRequest(); rq != nil; rq = pc.readRequest() {
 			seen = append(seen, rq)
-			pc.say("%s", good(rq.Header.Get("Request-Id")))
+			pc.printf("%s", okReply(rq.Header.Get("Request-Id")))
 		}
 	})
 	cl := newClient(qc, Config{})
-	rq := post([]byte("body"))
+	rq := newPost([]byte("body"))
 	rq.SendTargetID = true
 	rq.Deadline = time.Now().Add(time.Hour)
-	re := cl.Do(within(t), ta, rq)
-	checkGood(qc, re, true)
+	re := cl.Do(testContext(t), ta, rq)
+	checkAnswered(qc, re, true)
 	qc.Assert(re.Reply.Status, qt.Equals, http.StatusOK)
 	qc.Assert(string(re.Reply.Body), qt.Equals, "ok")
 	qc.Assert(re.Reply.Stamp, qt.Equals, "st-"+rq.RequestID)
-	checkGood(qc, cl.Do(context.Background(), ta, get()), false)
+	checkAnswered(qc, cl.Do(context.Background(), ta, newGet()), false)
 	checkCount(qc, cl, 1, 1)
 	cl.Close()
 
@@ -50,16 +50,16 @@
 	qc.Assert(seen[1].Header, qt.DeepEquals, http.Header{"Request-Id": seen[1].Header["Request-Id"]})
 }
 
-// The server is told how long the caller still waits, not how long it said at
-// first: 250 ms of its second went by before the request went out.
-func TestDeadlineHeader(t *testing.T) {
+// The deadline header must hold the time that is left when the request is sent, not the
+// caller's original timeout: of one second, the dial has already taken 250 ms.
+func TestDeadlineHeaderIsTimeLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		qc := qt.New(t)
-		var told []string
-		connect := chatter(func(pc *peerConn) {
-			for rq := pc.take(); rq != nil; rq = pc.take() {
-				told = append(told, rq.Header.Get("Deadline-Ms"))
-				pc.say("%s", good(rq.Header.Get("Request-Id")))
+		var deadlines []string
+		connect := pipeConnector(func(pc *peerConn) {
+			for rq := pc.readRequest(); rq != nil; rq = pc.readRequest() {
+				deadlines = append(deadlines, rq.Header.Get("Deadline-Ms"))
+				pc.printf("%s", okReply(rq.Header.Get("Request-Id")))
 			}
 		}, qc)
 		slow := func(ctx context.Context, address string) (net.Conn, error) {
@@ -67,169 +67,169 @@
 			return connect(ctx, address)
 		}
 		cl := newClient(qc, Config{Connect: slow})
-		rq := get()
+		rq := newGet()
 		rq.Deadline = time.Now().Add(time.Second)
-		checkGood(qc, cl.Do(t.Context(), Target{ID: "i-1", MaxConnections: 1}, rq), true)
+		checkAnswered(qc, cl.Do(t.Context(), Target{ID: "i-1", MaxConnections: 1}, rq), true)
 		rq.Deadline = time.Now().Add(time.Second)
-		checkGood(qc, cl.Do(t.Context(), Target{ID: "i-1", MaxConnections: 1}, rq), false)
+		checkAnswered(qc, cl.Do(t.Context(), Target{ID: "i-1", MaxConnections: 1}, rq), false)
 		cl.Close()
 		synctest.Wait()
-		qc.Assert(told, qt.DeepEquals, []string{"750", "1000"})
+		qc.Assert(deadlines, qt.DeepEquals, []string{"750", "1000"})
 	})
 }
 
-// A caller uploads a long body; the server answers 200 after the head and keeps
-// the connection. The next request's bytes would be read as the rest of that body,
-// and its sender would get no answer or another's.
-func TestEarlyAnswerToLongBody(t *testing.T) {
+// Guards against reuse of a connection on which a server replied before it had read a
+// long body and kept the connection open: it would read the next request as the rest of
+// that body, and its sender would get no reply or another's.
+func TestConnectionNotReusedAfterEarlyReply(t *testing.T) {
 	qc := qt.New(t)
-	goOn, rest := make(chan struct{}), make(chan []byte, 1)
-	ta := serve(qc, func(pc *peerConn) {
+	proceed, rest := make(chan struct{}), make(chan []byte, 1)
+	ta := startServer(qc, func(pc *peerConn) {
 		if pc.nth > 0 {
 			pc.answerAll()
 			return
 		}
-		rq := pc.head()
-		pc.say("%s", good(rq.Header.Get("Request-Id")))
-		// Nothing is read until the client has the answer.
-		<-goOn
+		rq := pc.readHead()
+		pc.printf("%s", okReply(rq.Header.Get("Request-Id")))
+		// Nothing is read until the client has got the reply.
+		<-proceed
 		bs, _ := readAll(pc)
 		rest <- bs
 	})
 	cl := newClient(qc, Config{})
-	body := patterned(16 << 20)
-	checkGood(qc, cl.Do(within(t), ta, post(body)), true)
+	body := patternedBody(16 << 20)
+	checkAnswered(qc, cl.Do(testContext(t), ta, newPost(body)), true)
 	checkCount(qc, cl, 0, 0)
-	checkGood(qc, cl.Do(within(t), ta, get()), true)
-	close(goOn)
+	checkAnswered(qc, cl.Do(testContext(t), ta, newGet()), true)
+	close(proceed)
 	got := <-rest
 	qc.Assert(len(got) < len(body), qt.IsTrue)
 	qc.Assert(bytes.HasPrefix(body, got), qt.IsTrue)
 }
 
-// A server refuses a long upload with a whole answer and ends the connection
-// before it has read the body. The caller should get that answer, not an error
-// about its own upload.
-func TestEarlyRefusalOfLongBody(t *testing.T) {
+// Guards against a lost reply when a server refuses a long upload and closes the
+// connection before it has read the body: the caller must get that reply, not a write
+// error.
+func TestEarlyRefusalOfLongBodyIsReturned(t *testing.T) {
 	qc := qt.New(t)
-	ta := serve(qc, func(pc *peerConn) {
-		rq := pc.head()
-		pc.say("%s", lines("HTTP/1.1 503 No", "Request-Id: "+rq.Header.Get("Request-Id"), "Not-Run: 1", "Connection: close", "Content-Length: 0", "", ""))
-		pc.awaitEnd()
+	ta := startServer(qc, func(pc *peerConn) {
+		rq := pc.readHead()
+		pc.printf("%s", httpLines("HTTP/1.1 503 No", "Request-Id: "+rq.Header.Get("Request-Id"), "Not-Run: 1", "Connection: close", "Content-Length: 0", "", ""))
+		pc.awaitClose()
 	})
 	cl := newClient(qc, Config{})
-	re := cl.Do(within(t), ta, post(patterned(16<<20)))
+	re := cl.Do(testContext(t), ta, newPost(patternedBody(16<<20)))
 	qc.Assert(re.Outcome, qt.Equals, NotRun, qt.Commentf("%v", re.Err))
 	checkCount(qc, cl, 0, 0)
 }
 
-// The caller leaves while its long body is still on the way. The body is the
-// caller's again when Do returned, so nothing may read it any more (the race
-// detector would see it), and the server sees the end.
-func TestCancelDuringLongBody(t *testing.T) {
+// Guards against reading a caller's body after Do has returned, when the caller cancels
+// while a long body is being written (the race detector would report it). The server must
+// see the end of the connection.
+func TestCancelStopsWritingLongBody(t *testing.T) {
 	qc := qt.New(t)
-	began, goOn, ended := make(chan struct{}), make(chan struct{}), make(chan struct{})
-	ta := serve(qc, func(pc *peerConn) {
-		pc.head()
-		close(began)
-		// What isn't read fills the way from the client, so that it can't write on.
-		<-goOn
-		pc.awaitEnd()
+	started, proceed, ended := make(chan struct{}), make(chan struct{}), make(chan struct{})
+	ta := startServer(qc, func(pc *peerConn) {
+		pc.readHead()
+		close(started)
+		// The unread bytes fill the socket buffers, so that the client's write blocks.
+		<-proceed
+		pc.awaitClose()
 		close(ended)
 	})
 	cl := newClient(qc, Config{})
-	ctx, cancel := context.WithCancelCause(within(t))
-	rq := post(patterned(64 << 20))
-	hold := async(ctx, cl, ta, rq)
-	<-began
+	ctx, cancel := context.WithCancelCause(testContext(t))
+	rq := newPost(patternedBody(64 << 20))
+	result := async(ctx, cl, ta, rq)
+	<-started
 	cancel(ErrSuperseded)
-	re := <-hold
+	re := <-result
 	clear(rq.Body)
-	close(goOn)
+	close(proceed)
 	qc.Assert(re.Outcome, qt.Equals, Canceled)
 	qc.Assert(re.Sent, qt.IsTrue)
 	<-ended
 	awaitCount(cl, 0, 0)
 }
 
-// After a whole answer the server sends more bytes in the same moment. The next
-// request on that connection would get them as its answer.
-func TestExtraBytesAtOnce(t *testing.T) {
+// Guards against extra bytes that a server sends right after a complete reply: the next
+// request on that connection would get them as its reply.
+func TestExtraBytesAfterReplyCloseConnection(t *testing.T) {
 	qc := qt.New(t)
-	ta := serve(qc, func(pc *peerConn) {
-		rq := pc.take()
-		pc.say("%s", good(rq.Header.Get("Request-Id"))+good("extra"))
-		pc.awaitEnd()
+	ta := startServer(qc, func(pc *peerConn) {
+		rq := pc.readRequest()
+		pc.printf("%s", okReply(rq.Header.Get("Request-Id"))+okReply("extra"))
+		pc.awaitClose()
 	})
-	ob, lg := watchLog()
+	ob, lg := observeLogs()
 	cl := newLoggingClient(qc, Config{}, lg)
-	re := cl.Do(within(t), ta, get())
-	checkGood(qc, re, true)
+	re := cl.Do(testContext(t), ta, newGet())
+	checkAnswered(qc, re, true)
 	qc.Assert(string(re.Reply.Body), qt.Equals, "ok")
 	checkCount(qc, cl, 0, 0)
-	checkGood(qc, cl.Do(within(t), ta, get()), true)
-	// One line a second about one server, at most.
+	checkAnswered(qc, cl.Do(testContext(t), ta, newGet()), true)
+	// At most one line a second is logged for a server.
 	qc.Assert(ob.FilterMessage("connection-closed-for-wrong-bytes").Len(), qt.Equals, 1)
-	qc.Assert(ob.All()[0].ContextMap()["Bytes"], qt.Equals, good("extra")[:sampleBytes])
+	qc.Assert(ob.All()[0].ContextMap()["Bytes"], qt.Equals, okReply("extra")[:maxSampleBytes])
 }
 
-// The extra bytes come while the connection is idle. The next request must go out
-// on another connection, and nobody notices.
-func TestExtraBytesWhileIdle(t *testing.T) {
+// Guards against extra bytes that arrive while a connection is idle: the next request
+// must be sent on another connection without an error.
+func TestExtraBytesWhileIdleReplaceConnection(t *testing.T) {
 	qc := qt.New(t)
-	ta := serve(qc, func(pc *peerConn) {
-		rq := pc.take()
-		pc.say("%s", good(rq.Header.Get("Request-Id")))
+	ta := startServer(qc, func(pc *peerConn) {
+		rq := pc.readRequest()
+		pc.printf("%s", okReply(rq.Header.Get("Request-Id")))
 		if pc.nth == 0 {
-			pc.say("%s", good(rq.Header.Get("Request-Id")))
+			pc.printf("%s", okReply(rq.Header.Get("Request-Id")))
 		}
-		pc.awaitEnd()
+		pc.awaitClose()
 	})
-	ob, lg := watchLog()
+	ob, lg := observeLogs()
 	cl := newLoggingClient(qc, Config{}, lg)
-	re := cl.Do(within(t), ta, get())
-	checkGood(qc, re, true)
-	// Both answers may have come in one piece; then the connection is closed already.
+	re := cl.Do(testContext(t), ta, newGet())
+	checkAnswered(qc, re, true)
+	// If both replies arrived together, the connection is closed already.
 	if _, idle := cl.Connections("i-1"); idle == 1 {
 		awaitIncoming(qc, cl)
 	}
-	checkGood(qc, cl.Do(within(t), ta, get()), true)
+	checkAnswered(qc, cl.Do(testContext(t), ta, newGet()), true)
 	checkCount(qc, cl, 1, 1)
 	qc.Assert(ob.FilterMessage("connection-closed-for-wrong-bytes").Len(), qt.Equals, 1)
 }
 
-// An extra answer to the first request comes late, where the answer to the second
-// is expected: after the second went out. Taken for it, the second caller would
-// get what the first asked for.
-func TestLateExtraAnswer(t *testing.T) {
+// Guards against an extra reply to the first request that arrives after the second was
+// sent: taken for its reply, it would give the second caller what the first one asked
+// for.
+func TestLateExtraReplyIsRejected(t *testing.T) {
 	qc := qt.New(t)
-	ta := serve(qc, func(pc *peerConn) {
+	ta := startServer(qc, func(pc *peerConn) {
 		if pc.nth > 0 {
 			pc.answerAll()
 			return
 		}
-		first := pc.take().Header.Get("Request-Id")
-		pc.say("%s", good(first))
-		second := pc.take().Header.Get("Request-Id")
-		pc.say("%s", good(first)+good(second))
-		pc.awaitEnd()
+		first := pc.readRequest().Header.Get("Request-Id")
+		pc.printf("%s", okReply(first))
+		second := pc.readRequest().Header.Get("Request-Id")
+		pc.printf("%s", okReply(first)+okReply(second))
+		pc.awaitClose()
 	})
 	cl := newClient(qc, Config{})
-	checkGood(qc, cl.Do(within(t), ta, get()), true)
-	re := cl.Do(within(t), ta, get())
+	checkAnswered(qc, cl.Do(testContext(t), ta, newGet()), true)
+	re := cl.Do(testContext(t), ta, newGet())
 	qc.Assert(re.Outcome, qt.Equals, Wrong)
-	qc.Assert(re.Err, qt.ErrorIs, errRequestID)
+	qc.Assert(re.Err, qt.ErrorIs, errWrongRequestID)
 	qc.Assert(re.Sent, qt.IsTrue)
 	qc.Assert(re.NewConnection, qt.IsFalse)
 	qc.Assert(re.Reply, qt.IsNil)
 	checkCount(qc, cl, 0, 0)
-	checkGood(qc, cl.Do(within(t), ta, get()), true)
+	checkAnswered(qc, cl.Do(testContext(t), ta, newGet()), true)
 }
 
-// The server closes or resets connections that are idle. A request that meets
-// such a connection goes out on another one, also one that may not be repeated:
-// nothing of it left.
-func TestIdleConnectionEnds(t *testing.T) {
+// Guards against requests lost to connections that the server closed or reset while they
+// were idle: such a request must be sent on another connection, even if it isn't
+// idempotent, since no byte of it was sent.
+func TestClosedIdleConnectionIsReplaced(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		end  func(pc *peerConn)
@@ -239,14 +239,14 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			qc := qt.New(t)
-			ta := serve(qc, func(pc *peerConn) {
-				rq := pc.take()
-				pc.say("%s", good(rq.Header.Get("Request-Id")))
+			ta := startServer(qc, func(pc *peerConn) {
+				rq := pc.readRequest()
+				pc.printf("%s", okReply(rq.Header.Get("Request-Id")))
 				tc.end(pc)
 			})
 			cl := newClient(qc, Config{})
 			for range 3 {
-				checkGood(qc, cl.Do(within(t), ta, post([]byte("x"))), true)
+				checkAnswered(qc, cl.Do(testContext(t), ta, newPost([]byte("x"))), true)
 				awaitIncoming(qc, cl)
 			}
 			checkCount(qc, cl, 1, 1)
@@ -254,12 +254,13 @@
 	}
 }
 
-// The server resets connections beyond those it allows, before it has read a
-// byte. If the reset is there when the request would go out, it may go elsewhere.
-func TestResetBeforeRequest(t *testing.T) {
+// A server resets connections beyond its limit before it has read a byte. If the reset
+// has arrived when the request would be sent, the request must be reported as not sent,
+// so that it may go to another server.
+func TestResetBeforeRequestIsNotSent(t *testing.T) {
 	qc := qt.New(t)
 	connected := make(chan struct{}, 1)
-	ta := serve(qc, func(pc *peerConn) {
+	ta := startServer(qc, func(pc *peerConn) {
 		<-connected
 		pc.reset()
 	})
@@ -267,134 +268,134 @@
 		nc, err := connectTCP(ctx, address)
 		connected <- struct{}{}
 		if err == nil {
-			awaitNews(newConn(nc, address))
+			awaitReadable(newConn(nc, address))
 		}
 		return nc, err
 	}})
-	re := cl.Do(within(t), ta, post([]byte("x")))
+	re := cl.Do(testContext(t), ta, newPost([]byte("x")))
 	qc.Assert(re.Outcome, qt.Equals, NotSent)
-	// The system tells a reset once; the wait of the test took it.
-	qc.Assert(re.Err, qt.ErrorIs, errEnded)
+	// The kernel reports a reset only once, which the test's wait consumed.
+	qc.Assert(re.Err, qt.ErrorIs, errClosedWhileIdle)
 	qc.Assert(re.Sent, qt.IsFalse)
 	qc.Assert(re.NewConnection, qt.IsTrue)
 	checkCount(qc, cl, 0, 0)
 }
 
-// The server has read the request and the connection is reset without an answer.
-// It may have run, so it must not look as if it had not been sent.
-func TestResetAfterRequest(t *testing.T) {
+// Guards against reporting a request as not sent when the server has read it and then
+// reset the connection without a reply: it may have run.
+func TestResetAfterRequestIsLost(t *testing.T) {
 	qc := qt.New(t)
-	ta := serve(qc, func(pc *peerConn) {
-		if rq := pc.take(); pc.nth == 0 {
-			pc.say("%s", good(rq.Header.Get("Request-Id")))
-			pc.take()
+	ta := startServer(qc, func(pc *peerConn) {
+		if rq := pc.readRequest(); pc.nth == 0 {
+			pc.printf("%s", okReply(rq.Header.Get("Request-Id")))
+			pc.readRequest()
 		}
 		pc.reset()
 	})
 	cl := newClient(qc, Config{})
-	checkGood(qc, cl.Do(within(t), ta, get()), true)
-	for _, fresh := range []bool{false, true} {
-		re := cl.Do(within(t), ta, get())
+	checkAnswered(qc, cl.Do(testContext(t), ta, newGet()), true)
+	for _, isNew := range []bool{false, true} {
+		re := cl.Do(testContext(t), ta, newGet())
 		qc.Assert(re.Outcome, qt.Equals, Lost)
 		qc.Assert(re.Err, qt.ErrorIs, syscall.ECONNRESET)
 		qc.Assert(re.Sent, qt.IsTrue)
-		qc.Assert(re.NewConnection, qt.Equals, fresh)
+		qc.Assert(re.NewConnection, qt.Equals, isNew)
 		checkCount(qc, cl, 0, 0)
 	}
 }
 
-// An answer without a length ends with its connection. One whose connection is
-// reset half-way would look whole with its end missing.
-func TestUnframedBody(t *testing.T) {
+// A reply without a length ends with its connection. If the connection is reset instead,
+// the reply must not be taken as complete, since its end may be missing.
+func TestUnframedBodyEndsWithConnection(t *testing.T) {
 	qc := qt.New(t)
 	arrived := make(chan struct{})
-	ta := serve(qc, func(pc *peerConn) {
-		rq := pc.take()
-		pc.say("%s", lines("HTTP/1.1 200 OK", "Request-Id: "+rq.Header.Get("Request-Id"), "", "abc"))
+	ta := startServer(qc, func(pc *peerConn) {
+		rq := pc.readRequest()
+		pc.printf("%s", httpLines("HTTP/1.1 200 OK", "Request-Id: "+rq.Header.Get("Request-Id"), "", "abc"))
 		if rq.Header.Get("X-Reset") != "" {
 			<-arrived
 			pc.reset()
 		}
 	})
 	cl := newClient(qc, Config{})
-	re := cl.Do(within(t), ta, get())
-	checkGood(qc, re, true)
+	re := cl.Do(testContext(t), ta, newGet())
+	checkAnswered(qc, re, true)
 	qc.Assert(string(re.Reply.Body), qt.Equals, "abc")
 	checkCount(qc, cl, 0, 0)
 
-	rq := get()
+	rq := newGet()
 	rq.Header.Set("X-Reset", "1")
-	hold := async(within(t), cl, ta, rq)
+	result := async(testContext(t), cl, ta, rq)
 	close(arrived)
-	re = <-hold
+	re = <-result
 	qc.Assert(re.Outcome, qt.Equals, Lost)
 	qc.Assert(re.Err, qt.ErrorIs, syscall.ECONNRESET)
 	qc.Assert(re.Reply, qt.IsNil)
 }
 
-// A server that is leaving says that it closes the connection, and closes it a
-// little later. A request sent meanwhile would be lost.
-func TestConnectionClose(t *testing.T) {
+// Guards against requests lost on a connection that a leaving server has announced to
+// close: it must not be reused.
+func TestConnectionNotReusedAfterClose(t *testing.T) {
 	for _, he := range []string{"Connection: close", "connection: x, Close", "Keep-Alive: timeout=0"} {
 		t.Run(he, func(t *testing.T) {
 			qc := qt.New(t)
-			ta := serve(qc, func(pc *peerConn) {
-				rq := pc.take()
-				pc.say("%s", lines("HTTP/1.1 200 OK", "Request-Id: "+rq.Header.Get("Request-Id"), he, "Content-Length: 0", "", ""))
-				pc.awaitEnd()
+			ta := startServer(qc, func(pc *peerConn) {
+				rq := pc.readRequest()
+				pc.printf("%s", httpLines("HTTP/1.1 200 OK", "Request-Id: "+rq.Header.Get("Request-Id"), he, "Content-Length: 0", "", ""))
+				pc.awaitClose()
 			})
 			cl := newClient(qc, Config{})
-			checkGood(qc, cl.Do(within(t), ta, get()), true)
+			checkAnswered(qc, cl.Do(testContext(t), ta, newGet()), true)
 			checkCount(qc, cl, 0, 0)
-			checkGood(qc, cl.Do(within(t), ta, get()), true)
+			checkAnswered(qc, cl.Do(testContext(t), ta, newGet()), true)
 		})
 	}
 }
 
-// The caller leaves while the server is at work. The server sees the connection's
-// end at once and drops the request.
-func TestCancel(t *testing.T) {
+// When the caller cancels while the server works, the server must see the end of the
+// connection at once, so that it drops the request.
+func TestCancelClosesConnection(t *testing.T) {
 	qc := qt.New(t)
-	took := make(chan struct{})
+	requestRead := make(chan struct{})
 	ended := make(chan struct{})
-	ta := serve(qc, func(pc *peerConn) {
-		pc.take()
-		took <- struct{}{}
-		pc.awaitEnd()
+	ta := startServer(qc, func(pc *peerConn) {
+		pc.readRequest()
+		requestRead <- struct{}{}
+		pc.awaitClose()
 		close(ended)
 	})
 	cl := newClient(qc, Config{})
-	ctx, cancel := context.WithCancel(within(t))
-	rq := get()
-	hold := async(ctx, cl, ta, rq)
-	<-took
+	ctx, cancel := context.WithCancel(testContext(t))
+	rq := newGet()
+	result := async(ctx, cl, ta, rq)
+	<-requestRead
 	cancel()
-	re := <-hold
+	re := <-result
 	qc.Assert(re.Outcome, qt.Equals, Canceled)
 	qc.Assert(re.Err, qt.ErrorIs, context.Canceled)
 	qc.Assert(re.Sent, qt.IsTrue)
 	<-ended
 	checkCount(qc, cl, 0, 0)
 
-	re = cl.Do(ctx, ta, get())
+	re = cl.Do(ctx, ta, newGet())
 	qc.Assert(re.Outcome, qt.Equals, Canceled)
 	qc.Assert(re.Sent, qt.IsFalse)
 }
 
-// The server never answers. At the deadline the exchange ends and the server sees
-// the end of the connection.
-func TestDeadline(t *testing.T) {
+// When the server never replies, the exchange must end at the deadline, and the server
+// must see the end of the connection.
+func TestDeadlineClosesConnection(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		with func(t *testing.T, rq *Request) context.Context
 		err  error
 	}{
 		{"request", func(t *testing.T, rq *Request) context.Context {
-			rq.Deadline = soon()
-			return within(t)
+			rq.Deadline = shortDeadline()
+			return testContext(t)
 		}, ErrDeadline},
 		{"context", func(t *testing.T, _ *Request) context.Context {
-			ctx, cancel := context.WithDeadline(within(t), soon())
+			ctx, cancel := context.WithDeadline(testContext(t), shortDeadline())
 			t.Cleanup(cancel)
 			return ctx
 		}, context.DeadlineExceeded},
@@ -402,15 +403,15 @@
 		t.Run(tc.name, func(t *testing.T) {
 			qc := qt.New(t)
 			ended := make(chan struct{})
-			ta := serve(qc, func(pc *peerConn) {
+			ta := startServer(qc, func(pc *peerConn) {
 				pc.answerOne()
-				pc.take()
-				pc.awaitEnd()
+				pc.readRequest()
+				pc.awaitClose()
 				close(ended)
 			})
 			cl := newClient(qc, Config{})
-			checkGood(qc, cl.Do(within(t), ta, get()), true)
-			rq := get()
+			checkAnswered(qc, cl.Do(testContext(t), ta, newGet()), true)
+			rq := newGet()
 			re := cl.Do(tc.with(t, rq), ta, rq)
 			qc.Assert(re.Outcome, qt.Equals, TimedOut)
 			qc.Assert(re.Err, qt.ErrorIs, tc.err)
@@ -421,25 +422,25 @@
 	}
 }
 
-// A request whose time is over before it could go out isn't sent.
-func TestDeadlinePassed(t *testing.T) {
+// A request whose deadline has passed must not be sent.
+func TestPassedDeadlineSendsNothing(t *testing.T) {
 	qc := qt.New(t)
-	ta := serve(qc, (*peerConn).answerAll)
+	ta := startServer(qc, (*peerConn).answerAll)
 	cl := newClient(qc, Config{})
 	for _, open := range []int{0, 1} {
-		rq := get()
+		rq := newGet()
 		rq.Deadline = time.Now().Add(-time.Millisecond)
-		re := cl.Do(within(t), ta, rq)
+		re := cl.Do(testContext(t), ta, rq)
 		qc.Assert(re.Outcome, qt.Equals, TimedOut)
 		qc.Assert(re.Sent, qt.IsFalse)
 		checkCount(qc, cl, open, open)
-		checkGood(qc, cl.Do(within(t), ta, get()), open == 0)
+		checkAnswered(qc, cl.Do(testContext(t), ta, newGet()), open == 0)
 	}
 }
 
-// The time of a request ends, or its caller leaves, between the choice of the
-// connection and the write. Nothing happened on the connection, so it is kept.
-func TestEndsBeforeWrite(t *testing.T) {
+// If the deadline passes or the caller cancels after a connection was chosen and before
+// the write, nothing has happened on the connection, so it must be kept.
+func TestEndBeforeWriteKeepsConnection(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		outcome Outcome
@@ -450,34 +451,35 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			qc := qt.New(t)
-			ta := serve(qc, (*peerConn).answerAll)
-			var me *meddler
-			ctx, cancel := context.WithCancel(within(t))
+			ta := startServer(qc, (*peerConn).answerAll)
+			var ec *expiringConn
+			ctx, cancel := context.WithCancel(testContext(t))
 			cl := newClient(qc, Config{Connect: func(_ context.Context, address string) (net.Conn, error) {
-				nc, err := connectTCP(within(t), address)
-				me = &meddler{TCPConn: nc.(*net.TCPConn)}
-				me.over.Store(true)
+				nc, err := connectTCP(testContext(t), address)
+				ec = &expiringConn{TCPConn: nc.(*net.TCPConn)}
+				ec.expired.Store(true)
 				tc.end(cancel)
-				return me, err
+				return ec, err
 			}})
-			re := cl.Do(ctx, ta, get())
+			re := cl.Do(ctx, ta, newGet())
 			qc.Assert(re.Outcome, qt.Equals, tc.outcome)
 			qc.Assert(re.Sent, qt.IsFalse)
 			awaitCount(cl, 1, 1)
-			me.over.Store(false)
-			checkGood(qc, cl.Do(within(t), ta, get()), true)
+			ec.expired.Store(false)
+			checkAnswered(qc, cl.Do(testContext(t), ta, newGet()), true)
 		})
 	}
 }
 
-// The system refuses to write on a connection that looked clean. Nothing left, so
-// a kept connection is replaced, and on a new one the request is told as unsent.
-func TestWriteFails(t *testing.T) {
+// The kernel refuses the write on a connection that passed the check. No byte was sent,
+// so on a reused connection the request must be sent on another one, and on a new one it
+// must be reported as not sent.
+func TestFailedWriteIsNotSent(t *testing.T) {
 	qc := qt.New(t)
 	ended := make(chan struct{})
-	ta := serve(qc, func(pc *peerConn) {
+	ta := startServer(qc, func(pc *peerConn) {
 		pc.answerAll()
-		// The server doesn't close its side, so that the check finds nothing.
+		// The server keeps its side open, so that the check passes.
 		<-ended
 	})
 	var last *net.TCPConn
@@ -491,14 +493,14 @@
 		return nc, err
 	}})
 	qc.Cleanup(func() { close(ended) })
-	checkGood(qc, cl.Do(within(t), ta, post([]byte("x"))), true)
+	checkAnswered(qc, cl.Do(testContext(t), ta, newPost([]byte("x"))), true)
 	qc.Assert(last.CloseWrite(), qt.IsNil)
-	checkGood(qc, cl.Do(within(t), ta, post([]byte("x"))), true)
+	checkAnswered(qc, cl.Do(testContext(t), ta, newPost([]byte("x"))), true)
 	checkCount(qc, cl, 1, 1)
 
 	qc.Assert(last.CloseWrite(), qt.IsNil)
 	shut = true
-	re := cl.Do(within(t), ta, post([]byte("x")))
+	re := cl.Do(testContext(t), ta, newPost([]byte("x")))
 	qc.Assert(re.Outcome, qt.Equals, NotSent)
 	qc.Assert(re.Err, qt.ErrorIs, syscall.EPIPE)
 	qc.Assert(re.Sent, qt.IsFalse)
@@ -506,24 +508,24 @@
 	checkCount(qc, cl, 0, 0)
 }
 
-// More requests than connections arrive at once, again and again. The server
-// resets connections beyond its limit, and with them requests of others, so that
-// no moment may see more than the limit, dials included.
-func TestConnectionLimit(t *testing.T) {
+// Guards against more connections than the limit, dials included, when more requests than
+// connections arrive at once: the server resets connections beyond its limit, and with
+// them requests of others.
+func TestConnectionLimitIncludesDials(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		wait time.Duration
 	}{{"no wait", 0}, {"wait", time.Minute}} {
 		t.Run(tc.name, func(t *testing.T) {
 			qc := qt.New(t)
-			ta := serve(qc, func(pc *peerConn) {
-				for rq := pc.take(); rq != nil; rq = pc.take() {
-					// Some connections end after an answer, so that others are dialed.
+			ta := startServer(qc, func(pc *peerConn) {
+				for rq := pc.readRequest(); rq != nil; rq = pc.readRequest() {
+					// Some connections end after a reply, so that others are dialed.
 					id, end := rq.Header.Get("Request-Id"), ""
 					if last := id[len(id)-1]; last == '3' || last == '7' {
 						end = "Connection: close\r\n"
 					}
-					pc.say("HTTP/1.1 200 OK\r\nRequest-Id: %s\r\n%sContent-Length: 0\r\n\r\n", id, end)
+					pc.printf("HTTP/1.1 200 OK\r\nRequest-Id: %s\r\n%sContent-Length: 0\r\n\r\n", id, end)
 				}
 			})
 			ta.MaxConnections = 3
@@ -533,7 +535,7 @@
 			for range 16 {
 				wg.Go(func() {
 					for range 20 {
-						re := cl.Do(within(t), ta, get())
+						re := cl.Do(testContext(t), ta, newGet())
 						if tc.wait == 0 && re.Outcome == NoConnection {
 							qc.Check(re.Err, qt.ErrorIs, ErrConnectionLimit)
 							qc.Check(re.Sent, qt.IsFalse)
@@ -544,11 +546,11 @@
 				})
 			}
 			wg.Wait()
-			// A connection may still be being opened for a request that got another.
+			// A dial may still be pending for a request that got another connection.
 			open := awaitIdle(cl)
 			cc.mu.Lock()
 			defer cc.mu.Unlock()
-			qc.Assert(cc.most <= 3, qt.IsTrue, qt.Commentf("%d at once", cc.most))
+			qc.Assert(cc.maxOpen <= 3, qt.IsTrue, qt.Commentf("%d at once", cc.maxOpen))
 			qc.Assert(int64(open), qt.Equals, cc.open.Load())
 			cl.Close()
 			qc.Assert(cc.open.Load(), qt.Equals, int64(0))
@@ -556,85 +558,87 @@
 	}
 }
 
-// All connections are busy. A request that may wait gets the first that comes
-// free; one that waits in vain is told so, unsent.
-func TestWait(t *testing.T) {
+// While all connections are busy, a request that may wait must get the first one that
+// becomes free. One whose deadline passes or that is cancelled must be reported as not
+// sent.
+func TestWaitForFreeConnection(t *testing.T) {
 	qc := qt.New(t)
-	took, goOn := make(chan struct{}, 1), make(chan struct{})
-	ta := serve(qc, func(pc *peerConn) {
-		for rq := pc.take(); rq != nil; rq = pc.take() {
-			took <- struct{}{}
-			<-goOn
-			pc.say("%s", good(rq.Header.Get("Request-Id")))
+	requestRead, proceed := make(chan struct{}, 1), make(chan struct{})
+	ta := startServer(qc, func(pc *peerConn) {
+		for rq := pc.readRequest(); rq != nil; rq = pc.readRequest() {
+			requestRead <- struct{}{}
+			<-proceed
+			pc.printf("%s", okReply(rq.Header.Get("Request-Id")))
 		}
 	})
 	ta.MaxConnections = 1
 	cl := newClient(qc, Config{WaitTimeout: time.Minute})
-	first := async(within(t), cl, ta, get())
-	<-took
-	second := async(within(t), cl, ta, get())
-	ctx, cancel := context.WithCancel(within(t))
-	third := async(ctx, cl, ta, get())
-	rq := get()
-	rq.Deadline = soon()
-	re := cl.Do(within(t), ta, rq)
+	first := async(testContext(t), cl, ta, newGet())
+	<-requestRead
+	second := async(testContext(t), cl, ta, newGet())
+	ctx, cancel := context.WithCancel(testContext(t))
+	third := async(ctx, cl, ta, newGet())
+	rq := newGet()
+	rq.Deadline = shortDeadline()
+	re := cl.Do(testContext(t), ta, rq)
 	qc.Assert(re.Outcome, qt.Equals, TimedOut)
 	qc.Assert(re.Sent, qt.IsFalse)
 	cancel()
 	re = <-third
 	qc.Assert(re.Outcome, qt.Equals, Canceled)
 	qc.Assert(re.Sent, qt.IsFalse)
-	close(goOn)
-	checkGood(qc, <-first, true)
-	checkGood(qc, <-second, false)
+	close(proceed)
+	checkAnswered(qc, <-first, true)
+	checkAnswered(qc, <-second, false)
 	checkCount(qc, cl, 1, 1)
 }
 
-func TestWaitInVain(t *testing.T) {
+func TestWaitTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		qc := qt.New(t)
-		cl := newClient(qc, Config{WaitTimeout: 20 * time.Millisecond, Connect: chatter(func(pc *peerConn) {
-			pc.take()
-			pc.awaitEnd()
+		cl := newClient(qc, Config{WaitTimeout: 20 * time.Millisecond, Connect: pipeConnector(func(pc *peerConn) {
+			pc.readRequest()
+			pc.awaitClose()
 		}, qc)})
 		ta := Target{ID: "i-1", MaxConnections: 1}
 		ctx, cancel := context.WithCancel(t.Context())
-		hold := async(ctx, cl, ta, get())
+		result := async(ctx, cl, ta, newGet())
 		synctest.Wait()
-		began := time.Now()
-		re := cl.Do(t.Context(), ta, get())
+		start := time.Now()
+		re := cl.Do(t.Context(), ta, newGet())
 		qc.Assert(re.Outcome, qt.Equals, NoConnection)
 		qc.Assert(re.Err, qt.ErrorIs, ErrConnectionLimit)
-		qc.Assert(time.Since(began), qt.Equals, 20*time.Millisecond)
+		qc.Assert(time.Since(start), qt.Equals, 20*time.Millisecond)
 		cancel()
-		<-hold
+		<-result
 	})
 }
 
-// A server's machine is gone, and no answer to the opening of a connection comes.
-// The request ends after the bound, unsent. One line tells it, one that it is back.
-func TestUnreachable(t *testing.T) {
+// A server's machine is down and dials get no response. The request must end at the dial
+// timeout and be reported as not sent. One log line must tell that the server is
+// unreachable and one that it is reachable again.
+func TestUnreachableServerFailsAtDialTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		qc := qt.New(t)
-		ob, lg := watchLog()
+		ob, lg := observeLogs()
 		connect := unreachable
 		cl := newLoggingClient(qc, Config{Connect: func(ctx context.Context, address string) (net.Conn, error) {
 			return connect(ctx, address)
 		}}, lg)
 		ta := Target{ID: "i-1", Address: "192.0.2.1:1", MaxConnections: 1}
 		for range 3 {
-			began := time.Now()
-			re := cl.Do(t.Context(), ta, get())
+			start := time.Now()
+			re := cl.Do(t.Context(), ta, newGet())
 			qc.Assert(re.Outcome, qt.Equals, NotSent)
 			qc.Assert(re.Err, qt.ErrorIs, ErrUnreachable)
 			qc.Assert(re.Err, qt.ErrorMatches, "server i-1 at 192.0.2.1:1: server is unreachable: context deadline exceeded")
 			qc.Assert(re.Sent, qt.IsFalse)
-			qc.Assert(time.Since(began), qt.Equals, 300*time.Millisecond)
+			qc.Assert(time.Since(start), qt.Equals, 300*time.Millisecond)
 			checkCount(qc, cl, 0, 0)
 		}
-		connect = chatter((*peerConn).answerAll, qc)
-		checkGood(qc, cl.Do(t.Context(), ta, get()), true)
-		checkGood(qc, cl.Do(t.Context(), ta, get()), false)
+		connect = pipeConnector((*peerConn).answerAll, qc)
+		checkAnswered(qc, cl.Do(t.Context(), ta, newGet()), true)
+		checkAnswered(qc, cl.Do(t.Context(), ta, newGet()), false)
 		var names []string
 		for _, le := range ob.All() {
 			names = append(names, le.Message)
@@ -643,14 +647,14 @@
 	})
 }
 
-// A server's machine is gone, and a connection that waits to be opened for a caller
-// that has left is all that the server allows. It is known to be unreachable, so
-// that the next request need not wait to learn it. Before the first failure, and if
-// a connection was refused, nothing is known of the one that is being opened.
-func TestUnreachableWhileOpening(t *testing.T) {
+// Guards against waiting for a server whose machine is down, while the dial of a
+// cancelled request takes up its connection limit: after a dial without a response, the
+// server must count as unreachable at once. Before the first failure, and after a refused
+// connection, the result of the pending dial is open.
+func TestUnreachableServerFailsWithoutWaiting(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		first func(ctx context.Context, address string) (net.Conn, error) // first fails the connection before; nil for none.
+		first func(ctx context.Context, address string) (net.Conn, error) // result of the previous dial, a failure; nil for none
 		want  Outcome
 	}{
 		{"nothing before", nil, NoConnection},
@@ -666,25 +670,25 @@
 				}})
 				ta := Target{ID: "i-1", Address: "192.0.2.1:1", MaxConnections: 1}
 				if tc.first != nil {
-					qc.Assert(cl.Do(t.Context(), ta, get()).Outcome, qt.Equals, NotSent)
+					qc.Assert(cl.Do(t.Context(), ta, newGet()).Outcome, qt.Equals, NotSent)
 				}
 				connect = unreachable
 				ctx, cancel := context.WithCancel(t.Context())
-				left := async(ctx, cl, ta, get())
+				left := async(ctx, cl, ta, newGet())
 				synctest.Wait()
 				cancel()
 				qc.Assert((<-left).Outcome, qt.Equals, Canceled)
-				began := time.Now()
-				re := cl.Do(t.Context(), ta, get())
+				start := time.Now()
+				re := cl.Do(t.Context(), ta, newGet())
 				qc.Assert(re.Outcome, qt.Equals, tc.want)
 				qc.Assert(errors.Is(re.Err, ErrUnreachable), qt.Equals, tc.want == NotSent)
 				qc.Assert(re.Sent, qt.IsFalse)
-				qc.Assert(time.Since(began), qt.Equals, time.Duration(0))
+				qc.Assert(time.Since(start), qt.Equals, time.Duration(0))
 				checkCount(qc, cl, 1, 0)
 
 				time.Sleep(time.Second)
-				connect = chatter((*peerConn).answerAll, qc)
-				checkGood(qc, cl.Do(t.Context(), ta, get()), true)
+				connect = pipeConnector((*peerConn).answerAll, qc)
+				checkAnswered(qc, cl.Do(t.Context(), ta, newGet()), true)
 			})
 		})
 	}
@@ -696,70 +700,70 @@
 	qc.Assert(err, qt.IsNil)
 	address := ln.Addr().String()
 	qc.Assert(ln.Close(), qt.IsNil)
-	re := newClient(qc, Config{}).Do(within(t), Target{ID: "i-1", Address: address, MaxConnections: 1}, get())
+	re := newClient(qc, Config{}).Do(testContext(t), Target{ID: "i-1", Address: address, MaxConnections: 1}, newGet())
 	qc.Assert(re.Outcome, qt.Equals, NotSent)
 	qc.Assert(re.Err, qt.ErrorIs, ErrUnreachable)
 	qc.Assert(re.Err, qt.ErrorIs, syscall.ECONNREFUSED)
 }
 
-// An address that is a name would be looked up, and could lead anywhere.
-func TestDialNoName(t *testing.T) {
+// Guards against resolving a host name as an address: it could resolve to another server.
+func TestDialRejectsHostNames(t *testing.T) {
 	qc := qt.New(t)
-	re := newClient(qc, Config{}).Do(within(t), Target{ID: "i-1", Address: "localhost:80", MaxConnections: 1}, get())
+	re := newClient(qc, Config{}).Do(testContext(t), Target{ID: "i-1", Address: "localhost:80", MaxConnections: 1}, newGet())
 	qc.Assert(re.Outcome, qt.Equals, NotSent)
 	qc.Assert(re.Err, qt.ErrorIs, ErrUnreachable)
 }
 
-// This process has no descriptors left. That says nothing about the server, which
-// must not be taken for unreachable.
-func TestOwnLack(t *testing.T) {
+// A lack of descriptors in this process says nothing about the server, which must not be
+// reported as unreachable.
+func TestLocalResourceShortageIsNotUnreachable(t *testing.T) {
 	qc := qt.New(t)
-	ob, lg := watchLog()
+	ob, lg := observeLogs()
 	cl := newLoggingClient(qc, Config{Connect: func(context.Context, string) (net.Conn, error) {
 		return nil, &net.OpError{Op: "dial", Err: syscall.EMFILE}
 	}}, lg)
-	re := cl.Do(within(t), Target{ID: "i-1", MaxConnections: 1}, get())
+	re := cl.Do(testContext(t), Target{ID: "i-1", MaxConnections: 1}, newGet())
 	qc.Assert(re.Outcome, qt.Equals, NoConnection)
 	qc.Assert(errors.Is(re.Err, ErrUnreachable), qt.IsFalse)
 	qc.Assert(ob.Len(), qt.Equals, 0)
 }
 
-// The caller leaves while a connection is being opened. It isn't broken off, as
-// the server has paid for it; the next request uses it, as its first.
-func TestCancelDuringDial(t *testing.T) {
+// If the caller cancels during a dial, the dial must go on, as the server may have paid
+// for it, and the next request must use the connection as its first.
+func TestCancelDuringDialKeepsConnection(t *testing.T) {
 	qc := qt.New(t)
-	ta := serve(qc, (*peerConn).answerAll)
-	dialing, goOn := make(chan struct{}), make(chan struct{})
+	ta := startServer(qc, (*peerConn).answerAll)
+	dialing, proceed := make(chan struct{}), make(chan struct{})
 	cl := newClient(qc, Config{DialTimeout: time.Minute, Connect: func(ctx context.Context, address string) (net.Conn, error) {
 		dialing <- struct{}{}
-		<-goOn
+		<-proceed
 		return connectTCP(ctx, address)
 	}})
-	ctx, cancel := context.WithCancel(within(t))
-	hold := async(ctx, cl, ta, get())
+	ctx, cancel := context.WithCancel(testContext(t))
+	result := async(ctx, cl, ta, newGet())
 	<-dialing
 	cancel()
-	re := <-hold
+	re := <-result
 	qc.Assert(re.Outcome, qt.Equals, Canceled)
 	qc.Assert(re.Sent, qt.IsFalse)
 	checkCount(qc, cl, 1, 0)
-	close(goOn)
+	close(proceed)
 	awaitCount(cl, 1, 1)
-	checkGood(qc, cl.Do(within(t), ta, get()), true)
+	checkAnswered(qc, cl.Do(testContext(t), ta, newGet()), true)
 }
 
-// While a connection is being opened for a request, another comes free. The
-// request takes that one, and the new one serves others.
-func TestFreeBeforeDialed(t *testing.T) {
+// If a connection becomes free while another one is being dialed for a request, the
+// request must use the free one, and the new one must serve others.
+func TestFreedConnectionServesDialingRequest(t *testing.T) {
 	qc := qt.New(t)
-	took, goOn := make(chan struct{}, 1), make(chan struct{})
-	ta := serve(qc, func(pc *peerConn) {
-		for rq := pc.take(); rq != nil; rq = pc.take() {
+	requestRead, proceed := make(chan struct{}, 1), make(chan struct{})
+	ta := startServer(qc, func(pc *peerConn) {
+		for rq := pc.readRequest(); rq != nil; rq = pc.readRequest() {
 			if pc.nth == 0 {
-				took <- struct{}{}
-				<-goOn
+				requestRead <- struct{}{}
+				<-proceed
 			}
-			pc.say("%s", good(rq.Header.Get("Request-Id")))
+			pc.printf("%s", okReply(rq.Header.Get("Request-Id")))
 		}
 	})
 	dialing, connected := make(chan struct{}, 2), make(chan struct{}, 1)
@@ -769,40 +773,40 @@
 		<-connected
 		return connectTCP(ctx, address)
 	}})
-	first := async(within(t), cl, ta, get())
+	first := async(testContext(t), cl, ta, newGet())
 	<-dialing
-	<-took
-	second := async(within(t), cl, ta, get())
+	<-requestRead
+	second := async(testContext(t), cl, ta, newGet())
 	<-dialing
-	close(goOn)
-	checkGood(qc, <-first, true)
-	checkGood(qc, <-second, false)
+	close(proceed)
+	checkAnswered(qc, <-first, true)
+	checkAnswered(qc, <-second, false)
 	close(connected)
 	awaitCount(cl, 2, 2)
 }
 
-// Servers close idle connections after the time they state. A request that crosses
-// the close is lost, so a connection retires at four fifths of it.
-func TestKeepAlive(t *testing.T) {
+// Guards against requests lost because they cross the close of a connection by the
+// server: an idle connection must expire at four fifths of the server's stated timeout.
+func TestKeepAliveTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		qc := qt.New(t)
-		cl := newClient(qc, Config{Connect: chatter(func(pc *peerConn) {
-			for rq := pc.take(); rq != nil; rq = pc.take() {
+		cl := newClient(qc, Config{Connect: pipeConnector(func(pc *peerConn) {
+			for rq := pc.readRequest(); rq != nil; rq = pc.readRequest() {
 				he := ""
 				if ka := rq.Header.Get("X-Keep"); ka != "" {
 					he = "Keep-Alive: " + ka + "\r\n"
 				}
-				pc.say("HTTP/1.1 200 OK\r\nRequest-Id: %s\r\n%sContent-Length: 0\r\n\r\n", rq.Header.Get("Request-Id"), he)
+				pc.printf("HTTP/1.1 200 OK\r\nRequest-Id: %s\r\n%sContent-Length: 0\r\n\r\n", rq.Header.Get("Request-Id"), he)
 			}
 		}, qc)})
 		ta := Target{ID: "i-1", MaxConnections: 1}
-		ask := func(keep string, fresh bool) {
+		ask := func(keep string, isNew bool) {
 			t.Helper()
-			rq := get()
+			rq := newGet()
 			if keep != "" {
 				rq.Header.Set("X-Keep", keep)
 			}
-			checkGood(qc, cl.Do(t.Context(), ta, rq), fresh)
+			checkAnswered(qc, cl.Do(t.Context(), ta, rq), isNew)
 		}
 		ask("timeout=10", true)
 		time.Sleep(8*time.Second - 1)
@@ -820,83 +824,83 @@
 	})
 }
 
-// The load has fallen. Connections beyond what is needed end after the idle time
-// though the one used last stays busy.
-func TestSurplusEnds(t *testing.T) {
+// When the load falls, surplus connections must expire after the idle timeout, although
+// the one used last stays in use.
+func TestSurplusConnectionsExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		qc := qt.New(t)
-		var goOn sync.WaitGroup
-		goOn.Add(3)
-		cl := newClient(qc, Config{Connect: chatter(func(pc *peerConn) {
-			id := pc.take().Header.Get("Request-Id")
-			goOn.Done()
-			goOn.Wait()
-			pc.say("%s", good(id))
+		var proceed sync.WaitGroup
+		proceed.Add(3)
+		cl := newClient(qc, Config{Connect: pipeConnector(func(pc *peerConn) {
+			id := pc.readRequest().Header.Get("Request-Id")
+			proceed.Done()
+			proceed.Wait()
+			pc.printf("%s", okReply(id))
 			pc.answerAll()
 		}, qc)})
 		ta := Target{ID: "i-1", MaxConnections: 3}
 		var wg sync.WaitGroup
 		for range 3 {
-			wg.Go(func() { checkGood(qc, cl.Do(t.Context(), ta, get()), true) })
+			wg.Go(func() { checkAnswered(qc, cl.Do(t.Context(), ta, newGet()), true) })
 		}
 		wg.Wait()
 		checkCount(qc, cl, 3, 3)
 		for range 6 {
 			time.Sleep(10 * time.Second)
-			checkGood(qc, cl.Do(t.Context(), ta, get()), false)
+			checkAnswered(qc, cl.Do(t.Context(), ta, newGet()), false)
 		}
 		checkCount(qc, cl, 1, 1)
 	})
 }
 
-// A server leaves. Its idle connections end at once, a busy one with its request,
-// and the place of the pool is given up after that.
-func TestRetain(t *testing.T) {
+// When a server is removed, its idle connections must be closed at once and a busy one
+// after its request, and then its pool must be deleted.
+func TestRetainClosesRemovedServers(t *testing.T) {
 	qc := qt.New(t)
-	took, goOn := make(chan struct{}, 1), make(chan struct{})
-	ta := serve(qc, func(pc *peerConn) {
-		for rq := pc.take(); rq != nil; rq = pc.take() {
+	requestRead, proceed := make(chan struct{}, 1), make(chan struct{})
+	ta := startServer(qc, func(pc *peerConn) {
+		for rq := pc.readRequest(); rq != nil; rq = pc.readRequest() {
 			if rq.Method == http.MethodPost {
-				took <- struct{}{}
-				<-goOn
+				requestRead <- struct{}{}
+				<-proceed
 			}
-			pc.say("%s", good(rq.Header.Get("Request-Id")))
+			pc.printf("%s", okReply(rq.Header.Get("Request-Id")))
 		}
 	})
 	cl := newClient(qc, Config{})
-	hold := async(within(t), cl, ta, post(nil))
-	<-took
-	checkGood(qc, cl.Do(within(t), ta, get()), true)
+	result := async(testContext(t), cl, ta, newPost(nil))
+	<-requestRead
+	checkAnswered(qc, cl.Do(testContext(t), ta, newGet()), true)
 	checkCount(qc, cl, 2, 1)
 	cl.Retain(map[string]Target{"i-1": ta, "i-2": {}})
 	checkCount(qc, cl, 2, 1)
 	cl.Retain(map[string]Target{"i-2": {}})
 	checkCount(qc, cl, 1, 0)
-	close(goOn)
-	checkGood(qc, <-hold, true)
+	close(proceed)
+	checkAnswered(qc, <-result, true)
 	checkCount(qc, cl, 0, 0)
 	cl.Retain(nil)
 	qc.Assert(cl.pools, qt.HasLen, 0)
-	checkGood(qc, cl.Do(within(t), ta, get()), true)
+	checkAnswered(qc, cl.Do(testContext(t), ta, newGet()), true)
 }
 
-// The share of connections to a server shrinks as more processes call it. Those
-// beyond it end, busy ones with their request.
-func TestShrink(t *testing.T) {
+// When the limit of connections to a server is lowered because more processes call it,
+// the surplus connections must be closed, busy ones after their request.
+func TestRetainAppliesLowerLimit(t *testing.T) {
 	qc := qt.New(t)
-	var goOn sync.WaitGroup
-	goOn.Add(3)
-	ta := serve(qc, func(pc *peerConn) {
-		id := pc.take().Header.Get("Request-Id")
-		goOn.Done()
-		goOn.Wait()
-		pc.say("%s", good(id))
-		pc.awaitEnd()
+	var proceed sync.WaitGroup
+	proceed.Add(3)
+	ta := startServer(qc, func(pc *peerConn) {
+		id := pc.readRequest().Header.Get("Request-Id")
+		proceed.Done()
+		proceed.Wait()
+		pc.printf("%s", okReply(id))
+		pc.awaitClose()
 	})
 	cl := newClient(qc, Config{})
 	var wg sync.WaitGroup
 	for range 3 {
-		wg.Go(func() { checkGood(qc, cl.Do(within(t), ta, get()), true) })
+		wg.Go(func() { checkAnswered(qc, cl.Do(testContext(t), ta, newGet()), true) })
 	}
 	wg.Wait()
 	checkCount(qc, cl, 3, 3)
@@ -908,14 +912,14 @@
 	checkCount(qc, cl, 0, 0)
 }
 
-func TestClose(t *testing.T) {
+func TestCloseClosesConnections(t *testing.T) {
 	qc := qt.New(t)
-	ta := serve(qc, (*peerConn).answerAll)
+	ta := startServer(qc, (*peerConn).answerAll)
 	cl := newClient(qc, Config{})
-	checkGood(qc, cl.Do(within(t), ta, get()), true)
+	checkAnswered(qc, cl.Do(testContext(t), ta, newGet()), true)
 	cl.Close()
 	checkCount(qc, cl, 0, 0)
-	re := cl.Do(within(t), ta, get())
+	re := cl.Do(testContext(t), ta, newGet())
 	qc.Assert(re.Outcome, qt.Equals, NoConnection)
 	qc.Assert(re.Err, qt.ErrorIs, ErrClosed)
 }
@@ -925,7 +929,7 @@
 	qt.Assert(t, (NoConnection + 1).String(), qt.Equals, "Unknown")
 }
 
-func watchLog() (*observer.ObservedLogs, *zap.Logger) {
+func observeLogs() (*observer.ObservedLogs, *zap.Logger) {
 	co, ob := observer.New(zapcore.DebugLevel)
 	return ob, zap.New(co)
 }
