--- a/limit/group.go
+++ b/limit/group.go
@@ -14,7 +14,7 @@
 const reviewEvery = 50 * time.Millisecond
 
 // Room is what the backend servers of a service can take from one instance.
-type Room struct {
+type ServiceCapacity struct {
 	// Queries is how many leaf requests the scarcest shard may have in flight;
 	// zero if unknown. Shards without a usable server don't count.
 	Queries float64
@@ -69,14 +69,14 @@
 
 	mu   sync.Mutex // mu lets one goroutine review at a time.
 	next atomic.Int64
-	room atomic.Pointer[Room]
+	room atomic.Pointer[ServiceCapacity]
 }
 
 // newGroup returns a group without servers that keeps the room of the one that
 // it replaces until its next review.
 func newGroup(se operator.Service, old *group) *group {
 	gr := &group{service: se, index: make(map[shardKey]int)}
-	gr.room.Store(&Room{})
+	gr.room.Store(&ServiceCapacity{})
 	if old != nil {
 		gr.room.Store(old.room.Load())
 		gr.next.Store(old.next.Load())
@@ -133,7 +133,7 @@
 	for ix, en := range gr.entries {
 		en.judge(Judged{Now: now, Typical: ju.typical, Verdict: ju.verdicts[ix], Reason: ju.reasons[ix]})
 	}
-	gr.room.Store(&Room{Queries: gr.queries(now, sv), Typical: ju.typical})
+	gr.room.Store(&ServiceCapacity{Queries: gr.queries(now, sv), Typical: ju.typical})
 }
 
 // queries returns the room of the scarcest shard, in the partition map that has
--- a/limit/queue.go
+++ b/limit/queue.go
@@ -108,14 +108,14 @@
 // need returns the part of the time left that the query needs once started. At
 // most half of it, or queries that wait for a stuck server would make the
 // instance refuse all others.
-func need(ro Room, left time.Duration) time.Duration {
+func need(ro ServiceCapacity, left time.Duration) time.Duration {
 	return min(left/2, 2*ro.Typical)
 }
 
 // patience returns how long a query that arrives now may wait. A burst may wait
 // as long as the deadline allows; but when the queue has been long for a while,
 // it holds more than a burst, and a longer one only makes answers late.
-func (qu *queue) patience(now time.Time, li *line, ro Room, left time.Duration) time.Duration {
+func (qu *queue) patience(now time.Time, li *line, ro ServiceCapacity, left time.Duration) time.Duration {
 	most := left - need(ro, left)
 	if qu.cf.Target > 0 && !li.long.IsZero() && now.Sub(li.long) >= qu.cf.Interval {
 		most = min(most, qu.cf.Target)
@@ -124,7 +124,7 @@
 }
 
 // pace returns the time between starts: as seen, or as the room suggests.
-func (li *line) pace(ro Room) time.Duration {
+func (li *line) pace(ro ServiceCapacity) time.Duration {
 	if li.gap == 0 && ro.Queries > 0 {
 		return time.Duration(float64(ro.Typical) / (roomFactor * ro.Queries))
 	}
@@ -247,7 +247,7 @@
 }
 
 // age stops counting the queries that have run for long.
-func (li *line) age(now time.Time, ro Room) {
+func (li *line) age(now time.Time, ro ServiceCapacity) {
 	if ro.Typical == 0 {
 		return
 	}
