--- a/limit/queue.go
+++ b/limit/queue.go
@@ -125,8 +125,8 @@
 
 // pace returns the time between starts: as seen, or as the room suggests.
 func (li *line) pace(ro ServiceCapacity) time.Duration {
-	if li.gap == 0 && ro.Queries > 0 {
-		return time.Duration(float64(ro.Typical) / (roomFactor * ro.Queries))
+	if li.gap == 0 && ro.Concurrency > 0 {
+		return time.Duration(float64(ro.Typical) / (roomFactor * ro.Concurrency))
 	}
 	return li.gap
 }
@@ -188,7 +188,7 @@
 		return false
 	}
 	ro := qu.cf.Room(li.name)
-	return ro.Queries == 0 || len(li.running) < max(1, int(roomFactor*ro.Queries))
+	return ro.Concurrency == 0 || len(li.running) < max(1, int(roomFactor*ro.Concurrency))
 }
 
 func (li *line) next(or Order) *waiting {
