--- a/limit/group.go
+++ b/limit/group.go
@@ -17,8 +17,8 @@
 type ServiceCapacity struct {
 	// Queries is how many leaf requests the scarcest shard may have in flight;
 	// zero if unknown. Shards without a usable server don't count.
-	Concurrency float64
-	Typical     time.Duration // Typical is the median leaf latency; zero if unknown.
+	Concurrency   float64
+	MedianLatency time.Duration // Typical is the median leaf latency; zero if unknown.
 }
 
 // shardKey names a shard of one partition map.
@@ -133,7 +133,7 @@
 	for ix, en := range gr.entries {
 		en.judge(Judged{Now: now, Typical: ju.typical, Verdict: ju.verdicts[ix], Reason: ju.reasons[ix]})
 	}
-	gr.room.Store(&ServiceCapacity{Concurrency: gr.queries(now, sv), Typical: ju.typical})
+	gr.room.Store(&ServiceCapacity{Concurrency: gr.queries(now, sv), MedianLatency: ju.typical})
 }
 
 // queries returns the room of the scarcest shard, in the partition map that has
--- a/limit/queue.go
+++ b/limit/queue.go
@@ -109,7 +109,7 @@
 // most half of it, or queries that wait for a stuck server would make the
 // instance refuse all others.
 func need(ro ServiceCapacity, left time.Duration) time.Duration {
-	return min(left/2, 2*ro.Typical)
+	return min(left/2, 2*ro.MedianLatency)
 }
 
 // patience returns how long a query that arrives now may wait. A burst may wait
@@ -126,7 +126,7 @@
 // pace returns the time between starts: as seen, or as the room suggests.
 func (li *line) pace(ro ServiceCapacity) time.Duration {
 	if li.gap == 0 && ro.Concurrency > 0 {
-		return time.Duration(float64(ro.Typical) / (roomFactor * ro.Concurrency))
+		return time.Duration(float64(ro.MedianLatency) / (roomFactor * ro.Concurrency))
 	}
 	return li.gap
 }
@@ -248,10 +248,10 @@
 
 // age stops counting the queries that have run for long.
 func (li *line) age(now time.Time, ro ServiceCapacity) {
-	if ro.Typical == 0 {
+	if ro.MedianLatency == 0 {
 		return
 	}
-	for len(li.running) > 0 && now.Sub(li.running[0].started) > agedFactor*ro.Typical {
+	for len(li.running) > 0 && now.Sub(li.running[0].started) > agedFactor*ro.MedianLatency {
 		li.running = li.running[1:]
 	}
 }
@@ -268,7 +268,7 @@
 func (qu *queue) nextAged() (time.Time, bool) {
 	var next time.Time
 	for _, li := range qu.lines {
-		typical := qu.cf.Room(li.name).Typical
+		typical := qu.cf.Room(li.name).MedianLatency
 		if len(li.waiting) == 0 || len(li.running) == 0 || typical == 0 {
 			continue
 		}
