--- a/limit/admission.go
+++ b/limit/admission.go
@@ -26,7 +26,7 @@
 	Capacity int
 	// Room says what the backend servers of a service can take; Table.Room is
 	// one. Without it only Capacity bounds what runs.
-	Room func(service string) ServiceCapacity
+	ServiceCapacity func(service string) ServiceCapacity
 	// Target is the longest wait in a queue that has been long for Interval. Zero
 	// is the default; a negative Target lets queries wait as their deadlines allow.
 	Target   time.Duration
@@ -67,8 +67,8 @@
 	if cf.Capacity <= 0 {
 		cf.Capacity = DefaultCapacity
 	}
-	if cf.Room == nil {
-		cf.Room = func(string) ServiceCapacity { return ServiceCapacity{} }
+	if cf.ServiceCapacity == nil {
+		cf.ServiceCapacity = func(string) ServiceCapacity { return ServiceCapacity{} }
 	}
 	if cf.Target == 0 {
 		cf.Target = DefaultTarget
--- a/limit/admission_test.go
+++ b/limit/admission_test.go
@@ -14,7 +14,7 @@
 
 // fixedRoom returns a config for servers that run one query at a time in 10 ms.
 func fixedRoom(queries float64) AdmissionConfig {
-	return AdmissionConfig{Room: func(string) ServiceCapacity {
+	return AdmissionConfig{ServiceCapacity: func(string) ServiceCapacity {
 		return ServiceCapacity{Concurrency: queries / roomFactor, MedianLatency: 10 * ms}
 	}}.withDefaults()
 }
--- a/limit/queue.go
+++ b/limit/queue.go
@@ -92,7 +92,7 @@
 // come back.
 func (qu *queue) arrive(now time.Time, service string, weight, cost int, deadline time.Time) (*waiting, time.Duration) {
 	li := qu.line(service, weight)
-	ro := qu.cf.Room(service)
+	ro := qu.cf.ServiceCapacity(service)
 	left := deadline.Sub(now)
 	pace := li.pace(ro)
 	wait := time.Duration(len(li.waiting)) * pace
@@ -159,7 +159,7 @@
 func (qu *queue) advance(now time.Time) {
 	for _, li := range qu.lines {
 		li.drop(now)
-		li.age(now, qu.cf.Room(li.name))
+		li.age(now, qu.cf.ServiceCapacity(li.name))
 	}
 	for {
 		li := qu.nextLine()
@@ -187,7 +187,7 @@
 	if qu.cost > 0 && qu.cost+li.next(qu.cf.Order).cost > qu.cf.Capacity {
 		return false
 	}
-	ro := qu.cf.Room(li.name)
+	ro := qu.cf.ServiceCapacity(li.name)
 	return ro.Concurrency == 0 || len(li.running) < max(1, int(roomFactor*ro.Concurrency))
 }
 
@@ -268,7 +268,7 @@
 func (qu *queue) nextAged() (time.Time, bool) {
 	var next time.Time
 	for _, li := range qu.lines {
-		typical := qu.cf.Room(li.name).MedianLatency
+		typical := qu.cf.ServiceCapacity(li.name).MedianLatency
 		if len(li.waiting) == 0 || len(li.running) == 0 || typical == 0 {
 			continue
 		}
