--- a/capacity/fanout.go
+++ b/capacity/fanout.go
@@ -115,7 +115,7 @@
 	if !connected {
 		sd = instant{}
 	}
-	ad := limit.NewAdmission(ts, limit.AdmissionConfig{ServiceCapacity: ta.Room})
+	ad := limit.NewAdmission(ts, limit.AdmissionConfig{ServiceCapacity: ta.ServiceCapacity})
 	nb := func(percent float64, burst int) fanout.Budget { return limit.NewBudget(percent, burst) }
 	ti.en = fanout.New("entry-000", ce, sd, ta, ad, nb, nil, ts, zap.NewNop(), fanout.NewMetrics(metrics.NewSet()))
 	return ti, nil
--- a/limit/sim_test.go
+++ b/limit/sim_test.go
@@ -117,7 +117,7 @@
 		en.ta.update(sm.now, vi)
 		if tr.admit != nil {
 			cf := *tr.admit
-			cf.ServiceCapacity = en.ta.Room
+			cf.ServiceCapacity = en.ta.ServiceCapacity
 			en.qu = newQueue(cf.withDefaults())
 		}
 		sm.members = append(sm.members, en)
--- a/limit/table.go
+++ b/limit/table.go
@@ -344,7 +344,7 @@
 
 // Room returns what the backend servers of a service can take from this
 // instance; the zero Room if nothing is known of it.
-func (ta *Table) Room(service string) ServiceCapacity {
+func (ta *Table) ServiceCapacity(service string) ServiceCapacity {
 	gr := ta.sn.Load().groups[service]
 	if gr == nil {
 		return ServiceCapacity{}
