--- a/instance/listeners.go
+++ b/instance/listeners.go
@@ -63,7 +63,7 @@
 		Settled:     func(sm backend.Settlement) { in.en.Settled(sm) },
 	})
 	in.ta = limit.NewTable(in.ts, limit.TableConfig{Seed: uint64(in.ts.Now().UnixNano())})
-	ad := limit.NewAdmission(in.ts, limit.AdmissionConfig{Capacity: in.cf.Limits.LeafRequests, ServiceCapacity: in.ta.ServiceCapacity})
+	ad := limit.NewAdmission(in.ts, limit.AdmissionConfig{MaxLeafRequests: in.cf.Limits.LeafRequests, ServiceCapacity: in.ta.ServiceCapacity})
 	nb := func(percent float64, burst int) fanout.Budget { return limit.NewBudget(percent, burst) }
 	re := &recorder{name: in.cf.Name, la: in.la}
 	in.en = fanout.New(in.cf.Name, in.ce, in.cl, in.ta, ad, nb, re, in.ts, in.lg, fanout.NewMetrics(in.set))
--- a/limit/admission.go
+++ b/limit/admission.go
@@ -23,7 +23,7 @@
 	// Capacity is how many leaf requests all queries together may have; zero is
 	// the default. It bounds the instance's memory and is what services share by
 	// their weights.
-	Capacity int
+	MaxLeafRequests int
 	// Room says what the backend servers of a service can take; Table.Room is
 	// one. Without it only Capacity bounds what runs.
 	ServiceCapacity func(service string) ServiceCapacity
@@ -64,8 +64,8 @@
 }
 
 func (cf AdmissionConfig) withDefaults() AdmissionConfig {
-	if cf.Capacity <= 0 {
-		cf.Capacity = DefaultCapacity
+	if cf.MaxLeafRequests <= 0 {
+		cf.MaxLeafRequests = DefaultCapacity
 	}
 	if cf.ServiceCapacity == nil {
 		cf.ServiceCapacity = func(string) ServiceCapacity { return ServiceCapacity{} }
--- a/limit/admission_test.go
+++ b/limit/admission_test.go
@@ -48,7 +48,7 @@
 // as much as before; its queries must not queue behind the surge.
 func TestSurgeStarvesNobody(t *testing.T) {
 	c := qt.New(t)
-	cf := AdmissionConfig{Capacity: 4, Target: -1}.withDefaults()
+	cf := AdmissionConfig{MaxLeafRequests: 4, Target: -1}.withDefaults()
 	qu := newQueue(cf)
 	now, deadline := t0, t0.Add(time.Hour)
 	var runs []*waiting
--- a/limit/queue.go
+++ b/limit/queue.go
@@ -184,7 +184,7 @@
 }
 
 func (qu *queue) fits(li *line) bool {
-	if qu.cost > 0 && qu.cost+li.next(qu.cf.Order).cost > qu.cf.Capacity {
+	if qu.cost > 0 && qu.cost+li.next(qu.cf.Order).cost > qu.cf.MaxLeafRequests {
 		return false
 	}
 	ro := qu.cf.ServiceCapacity(li.name)
