--- a/limit/admission.go
+++ b/limit/admission.go
@@ -12,9 +12,9 @@
 
 // The values that hold for what an AdmissionConfig leaves out.
 const (
-	DefaultCapacity = 16384
-	DefaultTarget   = 20 * time.Millisecond
-	DefaultInterval = 30 * time.Millisecond
+	DefaultMaxLeafRequests = 16384
+	DefaultTarget          = 20 * time.Millisecond
+	DefaultInterval        = 30 * time.Millisecond
 )
 
 // AdmissionConfig is what an Admission is made with. The zero AdmissionConfig
@@ -65,7 +65,7 @@
 
 func (cf AdmissionConfig) withDefaults() AdmissionConfig {
 	if cf.MaxLeafRequests <= 0 {
-		cf.MaxLeafRequests = DefaultCapacity
+		cf.MaxLeafRequests = DefaultMaxLeafRequests
 	}
 	if cf.ServiceCapacity == nil {
 		cf.ServiceCapacity = func(string) ServiceCapacity { return ServiceCapacity{} }
