--- a/capacity/connections.go
+++ b/capacity/connections.go
@@ -38,7 +38,7 @@
 				most = max(most, count)
 			}
 			perEntry := leafRequests / float64(servicesTwoYearsOut*tr.Size)
-			share := func(bound, divisor int) float64 { return float64(limit.ConnectionShare(bound, divisor)) }
+			share := func(bound, divisor int) float64 { return float64(limit.ConnectionsPerInstance(bound, divisor)) }
 			return []float64{
 				float64(len(counts)), float64(most), perEntry * float64(most), float64(most * QueryLeaves * replicas),
 				share(25, tr.Size), share(serverLimit, tr.Size), share(serverLimit, Instances),
--- a/instance/connections.go
+++ b/instance/connections.go
@@ -50,7 +50,7 @@
 			Server:      re.Server,
 			Address:     re.Address,
 			Incarnation: re.Incarnation,
-			Connections: limit.ConnectionShare(re.ConnectionLimit, vi.Divisor()),
+			Connections: limit.ConnectionsPerInstance(re.ConnectionLimit, vi.Divisor()),
 		}
 	}
 	return tas
--- a/limit/share.go
+++ b/limit/share.go
@@ -16,7 +16,7 @@
 // all of them stay within the limit, also while one replaces another. It is
 // zero when there are more instances than connections: then no instance may
 // connect, until MaxEntries is lower or the tier hands out seats by service.
-func ConnectionShare(limit, maxEntries int) int {
+func ConnectionsPerInstance(limit, maxEntries int) int {
 	if maxEntries <= 0 {
 		maxEntries = operator.DefaultMaxEntries
 	}
--- a/limit/share_test.go
+++ b/limit/share_test.go
@@ -19,7 +19,7 @@
 func TestConnectionShares(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		limit, most := rapid.IntRange(0, 200).Draw(rt, "limit"), rapid.IntRange(1, 1000).Draw(rt, "entries")
-		if sum := most * ConnectionShare(limit, most); sum > limit {
+		if sum := most * ConnectionsPerInstance(limit, most); sum > limit {
 			rt.Fatalf("%d connections over a limit of %d", sum, limit)
 		}
 	})
--- a/limit/table.go
+++ b/limit/table.go
@@ -157,7 +157,7 @@
 	if re.ConnectionLimit <= 0 {
 		return max(1, re.Slots)
 	}
-	return ConnectionShare(re.ConnectionLimit, divisor)
+	return ConnectionsPerInstance(re.ConnectionLimit, divisor)
 }
 
 // adopt adds a candidate that came with a newer view than the table's.
