--- a/caller/addresses.go
+++ b/caller/addresses.go
@@ -18,7 +18,7 @@
 func Choose(vi *view.View, service, dataCentre string, salt uint64) []view.Instance {
 	ins := entries(vi)
 	if se, ok := vi.Configuration.Services[service]; ok {
-		ins = limit.Subset(service, limit.Entries(se, vi.Servers), ins)
+		ins = limit.Subset(service, limit.NumEntries(se, vi.Servers), ins)
 	}
 	region := regionOf(vi, dataCentre)
 	slices.SortFunc(ins, func(aa, bb view.Instance) int {
--- a/limit/share.go
+++ b/limit/share.go
@@ -36,7 +36,7 @@
 // less than one each can only collide or coordinate for each request, and what
 // is left over is hardly used (BenchmarkSlots, BenchmarkSurge). It returns zero,
 // for all of them, if no server is known.
-func Entries(se operator.Service, servers []backend.Record) int {
+func NumEntries(se operator.Service, servers []backend.Record) int {
 	scarcest := 0
 	for ix := range servers {
 		re := &servers[ix]
--- a/limit/share_test.go
+++ b/limit/share_test.go
@@ -75,9 +75,9 @@
 	for slots, want := range []int{0, 2, 2, 3, 2, 5, 2, 2, 2, 3} {
 		servers := []backend.Record{{Server: "a", Service: "s", Slots: 8}, {Server: "b", Service: "s", Slots: slots}, {Service: "x", Slots: 1}}
 		se := operator.Service{Selector: operator.Selector{Service: "s"}, Exclude: []string{"a"}}
-		c.Check(Entries(se, servers), qt.Equals, want, qt.Commentf("%d slots", slots))
+		c.Check(NumEntries(se, servers), qt.Equals, want, qt.Commentf("%d slots", slots))
 		se.Entries = 9
-		c.Check(Entries(se, servers), qt.Equals, 9)
+		c.Check(NumEntries(se, servers), qt.Equals, 9)
 	}
 }
 
