--- a/fanout/attempt.go
+++ b/fanout/attempt.go
@@ -94,7 +94,7 @@
 func (rn *run) learn(oc limit.Outcome) {
 	switch oc.Kind {
 	case limit.OK:
-	case limit.Cancelled, limit.Timeout, limit.Silent:
+	case limit.Cancelled, limit.Timeout, limit.ConnectionLost:
 		if oc.Latency < rn.ru.HedgeDelay {
 			return
 		}
@@ -147,7 +147,7 @@
 	case er.Kind == backend.Deadline:
 		return limit.Timeout
 	default:
-		return limit.Silent
+		return limit.ConnectionLost
 	}
 }
 
--- a/limit/server.go
+++ b/limit/server.go
@@ -265,7 +265,7 @@
 		se = se.moved(drain, ev.Now)
 	case Failed:
 		se.failures++
-	case Silent, Timeout:
+	case ConnectionLost, Timeout:
 		se.failures++
 		se.latency = se.latency.withAtLeast(oc.Latency)
 	case Cancelled:
