--- a/fanout/attempt.go
+++ b/fanout/attempt.go
@@ -94,7 +94,7 @@
 func (rn *run) learn(oc limit.Outcome) {
 	switch oc.Kind {
 	case limit.OK:
-	case limit.Cancelled, limit.Timeout, limit.ConnectionLost:
+	case limit.Cancelled, limit.TimedOut, limit.ConnectionLost:
 		if oc.Latency < rn.ru.HedgeDelay {
 			return
 		}
@@ -126,7 +126,7 @@
 	case backend.ReplyVersionGone, backend.ReplyWrongShard, backend.ReplyBad:
 		return limit.Outcome{Kind: limit.NotSent}
 	case backend.ReplyDeadlinePassed:
-		return limit.Outcome{Kind: limit.Timeout, Stopped: true}
+		return limit.Outcome{Kind: limit.TimedOut, Stopped: true}
 	case backend.ReplyCancelled:
 		return limit.Outcome{Kind: limit.Cancelled, Stopped: true}
 	default:
@@ -145,7 +145,7 @@
 	case er.Kind == backend.Cancelled:
 		return limit.Cancelled
 	case er.Kind == backend.Deadline:
-		return limit.Timeout
+		return limit.TimedOut
 	default:
 		return limit.ConnectionLost
 	}
--- a/limit/outcome.go
+++ b/limit/outcome.go
@@ -16,14 +16,14 @@
 	Draining                          // Draining is a reply that the server is leaving; not run.
 	Failed                            // Failed is a reply that reports failure, or a refused connection.
 	ConnectionLost                    // Silent is a connection that was cut or made no progress.
-	Timeout                           // Timeout is a request given up at its deadline.
+	TimedOut                          // Timeout is a request given up at its deadline.
 	Cancelled                         // Cancelled is a request given up before its deadline.
 	NotSent                           // NotSent is a request of which no byte left.
 )
 
 // unproven reports whether the request may still hold a slot after its end.
 func (ki OutcomeKind) unproven() bool {
-	return ki == ConnectionLost || ki == Timeout || ki == Cancelled
+	return ki == ConnectionLost || ki == TimedOut || ki == Cancelled
 }
 
 // Outcome is how a leaf request ended, and after how long.
--- a/limit/server.go
+++ b/limit/server.go
@@ -265,7 +265,7 @@
 		se = se.moved(drain, ev.Now)
 	case Failed:
 		se.failures++
-	case ConnectionLost, Timeout:
+	case ConnectionLost, TimedOut:
 		se.failures++
 		se.latency = se.latency.withAtLeast(oc.Latency)
 	case Cancelled:
--- a/limit/server_test.go
+++ b/limit/server_test.go
@@ -135,7 +135,7 @@
 		now := t0
 		for range rapid.IntRange(1, 200).Draw(rt, "events") {
 			now = now.Add(5 * ms)
-			ki := rapid.SampledFrom([]OutcomeKind{OK, OK, Shed, Timeout, NotSent}).Draw(rt, "kind")
+			ki := rapid.SampledFrom([]OutcomeKind{OK, OK, Shed, TimedOut, NotSent}).Draw(rt, "kind")
 			la := time.Duration(rapid.IntRange(1, 100).Draw(rt, "ms")) * ms
 			se = se.Step(Sent{Now: now, Oldest: now}).Step(reply(now, ki, la, false))
 			if se.limit < se.least() || se.limit > se.most() {
@@ -156,7 +156,7 @@
 	for now.Before(t0.Add(time.Second)) {
 		if se.rest(now) == 0 {
 			sent++
-			se = se.Step(Sent{Now: now, Oldest: now}).Step(reply(now.Add(5*ms), Timeout, 5*ms, false))
+			se = se.Step(Sent{Now: now, Oldest: now}).Step(reply(now.Add(5*ms), TimedOut, 5*ms, false))
 		}
 		now = now.Add(5 * ms)
 	}
@@ -185,7 +185,7 @@
 	se.connections = 1
 	se = se.Step(Sent{Now: t0, Oldest: t0}).Step(Judged{Now: t0, Verdict: Aside, Reason: Stuck})
 	c.Assert(se.offer(t0.Add(time.Minute)), qt.Equals, full)
-	c.Assert(se.Step(reply(t0, Timeout, 0, false)).offer(t0.Add(time.Minute)), qt.Equals, overdue)
+	c.Assert(se.Step(reply(t0, TimedOut, 0, false)).offer(t0.Add(time.Minute)), qt.Equals, overdue)
 }
 
 // A backend server that queues sheds nothing until its queue is full; only its
