--- a/fanout/attempt.go
+++ b/fanout/attempt.go
@@ -126,9 +126,9 @@
 	case backend.ReplyVersionGone, backend.ReplyWrongShard, backend.ReplyBad:
 		return limit.Outcome{Kind: limit.NotSent}
 	case backend.ReplyDeadlinePassed:
-		return limit.Outcome{Kind: limit.TimedOut, Stopped: true}
+		return limit.Outcome{Kind: limit.TimedOut, SlotReleased: true}
 	case backend.ReplyCancelled:
-		return limit.Outcome{Kind: limit.Cancelled, Stopped: true}
+		return limit.Outcome{Kind: limit.Cancelled, SlotReleased: true}
 	default:
 		return limit.Outcome{Kind: limit.Failed}
 	}
--- a/limit/outcome.go
+++ b/limit/outcome.go
@@ -28,10 +28,10 @@
 
 // Outcome is how a leaf request ended, and after how long.
 type Outcome struct {
-	Kind       OutcomeKind
-	Latency    time.Duration // Latency is the time from sending to the end.
-	RetryAfter time.Duration // RetryAfter is what a Shed reply asked for; zero if nothing.
-	Stopped    bool          // Stopped says that the server has proved that it holds no slot.
+	Kind         OutcomeKind
+	Latency      time.Duration // Latency is the time from sending to the end.
+	RetryAfter   time.Duration // RetryAfter is what a Shed reply asked for; zero if nothing.
+	SlotReleased bool          // Stopped says that the server has proved that it holds no slot.
 }
 
 // Choice is a backend server that may be sent one leaf request. Each Choice
--- a/limit/table.go
+++ b/limit/table.go
@@ -285,7 +285,7 @@
 		return
 	}
 	var until time.Time
-	if oc.Kind.unproven() && !oc.Stopped && ta.cf.Hold == UntilProof {
+	if oc.Kind.unproven() && !oc.SlotReleased && ta.cf.Hold == UntilProof {
 		until = now.Add(ta.cf.HoldBound)
 	}
 	se, ok := ch.en.done(now, ch.ticket, oc, until)
--- a/limit/table_test.go
+++ b/limit/table_test.go
@@ -89,7 +89,7 @@
 		{"held to the bound", UntilProof, Outcome{Kind: TimedOut}, nil, DefaultHoldBound - 1, 1},
 		{"bound", UntilProof, Outcome{Kind: ConnectionLost}, nil, DefaultHoldBound, 0},
 		{"late reply", UntilProof, Outcome{Kind: Cancelled}, func(ta *Table, ch Choice) { ta.Stopped(t0, ch) }, 0, 0},
-		{"stopped at once", UntilProof, Outcome{Kind: Cancelled, Stopped: true}, nil, 0, 0},
+		{"stopped at once", UntilProof, Outcome{Kind: Cancelled, SlotReleased: true}, nil, 0, 0},
 		{"not running", UntilProof, Outcome{Kind: Shed}, nil, 0, 0},
 		{"freed", FreeAtOnce, Outcome{Kind: Cancelled}, nil, 0, 0},
 	} {
