--- a/fanout/engine_test.go
+++ b/fanout/engine_test.go
@@ -139,7 +139,7 @@
 	defer ti.mu.Unlock()
 	for _, re := range candidates {
 		if !ti.busy[re.Server] && !slices.Contains(exclude, re.Server) {
-			return limit.Choice{Server: re.Server, Record: re, Connections: 1}, true
+			return limit.Choice{Server: re.Server, Record: re, MaxConnections: 1}, true
 		}
 	}
 	return limit.Choice{}, false
--- a/limit/outcome.go
+++ b/limit/outcome.go
@@ -37,10 +37,10 @@
 // Choice is a backend server that may be sent one leaf request. Each Choice
 // must be given to Table.Done once.
 type Choice struct {
-	Server      string
-	Record      backend.Record
-	Connections int  // Connections is this instance's share of the connection limit.
-	Probe       bool // Probe says that the server is set aside and this request tries it.
+	Server         string
+	Record         backend.Record
+	MaxConnections int  // Connections is this instance's share of the connection limit.
+	Probe          bool // Probe says that the server is set aside and this request tries it.
 
 	en     *entry
 	ticket uint64
--- a/limit/table.go
+++ b/limit/table.go
@@ -193,7 +193,7 @@
 		if ok {
 			re := candidates[ix]
 			return Choice{
-				Server: re.Server, Record: re, Connections: connections, Probe: of == overdue, en: en, ticket: ticket,
+				Server: re.Server, Record: re, MaxConnections: connections, Probe: of == overdue, en: en, ticket: ticket,
 			}, true
 		}
 	}
--- a/limit/table_test.go
+++ b/limit/table_test.go
@@ -258,8 +258,8 @@
 				if !ok {
 					continue
 				}
-				if se, _ := ta.Server(now, ch.Server); se.inFlight > ch.Connections {
-					t.Errorf("%d in flight over %d connections", se.inFlight, ch.Connections)
+				if se, _ := ta.Server(now, ch.Server); se.inFlight > ch.MaxConnections {
+					t.Errorf("%d in flight over %d connections", se.inFlight, ch.MaxConnections)
 				}
 				ki := []OutcomeKind{OK, OK, Shed, Cancelled, Failed, NotSent}[rn.IntN(6)]
 				ta.Done(now, ch, Outcome{Kind: ki, Latency: 5 * ms})
