--- a/limit/table.go
+++ b/limit/table.go
@@ -25,7 +25,7 @@
 const (
 	// UntilProof keeps the slot taken until the server proves that the request
 	// has ended, or until HoldBound.
-	UntilProof HoldPolicy = iota
+	HoldUntilReleased HoldPolicy = iota
 	// FreeAtOnce frees the slot when the request is given up on.
 	FreeAtOnce
 )
@@ -285,7 +285,7 @@
 		return
 	}
 	var until time.Time
-	if oc.Kind.unproven() && !oc.SlotReleased && ta.cf.Hold == UntilProof {
+	if oc.Kind.unproven() && !oc.SlotReleased && ta.cf.Hold == HoldUntilReleased {
 		until = now.Add(ta.cf.HoldBound)
 	}
 	se, ok := ch.en.done(now, ch.ticket, oc, until)
--- a/limit/table_test.go
+++ b/limit/table_test.go
@@ -85,12 +85,12 @@
 		after   time.Duration
 		held    int
 	}{
-		{"held", UntilProof, Outcome{Kind: Cancelled}, nil, 0, 1},
-		{"held to the bound", UntilProof, Outcome{Kind: TimedOut}, nil, DefaultHoldBound - 1, 1},
-		{"bound", UntilProof, Outcome{Kind: ConnectionLost}, nil, DefaultHoldBound, 0},
-		{"late reply", UntilProof, Outcome{Kind: Cancelled}, func(ta *Table, ch Choice) { ta.Stopped(t0, ch) }, 0, 0},
-		{"stopped at once", UntilProof, Outcome{Kind: Cancelled, SlotReleased: true}, nil, 0, 0},
-		{"not running", UntilProof, Outcome{Kind: Shed}, nil, 0, 0},
+		{"held", HoldUntilReleased, Outcome{Kind: Cancelled}, nil, 0, 1},
+		{"held to the bound", HoldUntilReleased, Outcome{Kind: TimedOut}, nil, DefaultHoldBound - 1, 1},
+		{"bound", HoldUntilReleased, Outcome{Kind: ConnectionLost}, nil, DefaultHoldBound, 0},
+		{"late reply", HoldUntilReleased, Outcome{Kind: Cancelled}, func(ta *Table, ch Choice) { ta.Stopped(t0, ch) }, 0, 0},
+		{"stopped at once", HoldUntilReleased, Outcome{Kind: Cancelled, SlotReleased: true}, nil, 0, 0},
+		{"not running", HoldUntilReleased, Outcome{Kind: Shed}, nil, 0, 0},
 		{"freed", FreeAtOnce, Outcome{Kind: Cancelled}, nil, 0, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
