--- a/limit/sim_bench_test.go
+++ b/limit/sim_bench_test.go
@@ -96,7 +96,7 @@
 				}
 				name := fmt.Sprintf("%dx%d/load=%v/lag=%v/", sz.slots, sz.entries, load, lag)
 				measure(b, name+"held", tr)
-				tr.hold = FreeAtOnce
+				tr.hold = ReleaseImmediately
 				measure(b, name+"freed", tr)
 			}
 		}
--- a/limit/table.go
+++ b/limit/table.go
@@ -27,7 +27,7 @@
 	// has ended, or until HoldBound.
 	HoldUntilReleased HoldPolicy = iota
 	// FreeAtOnce frees the slot when the request is given up on.
-	FreeAtOnce
+	ReleaseImmediately
 )
 
 // DefaultHoldBound is how long a slot is held without proof.
--- a/limit/table_test.go
+++ b/limit/table_test.go
@@ -91,7 +91,7 @@
 		{"late reply", HoldUntilReleased, Outcome{Kind: Cancelled}, func(ta *Table, ch Choice) { ta.Stopped(t0, ch) }, 0, 0},
 		{"stopped at once", HoldUntilReleased, Outcome{Kind: Cancelled, SlotReleased: true}, nil, 0, 0},
 		{"not running", HoldUntilReleased, Outcome{Kind: Shed}, nil, 0, 0},
-		{"freed", FreeAtOnce, Outcome{Kind: Cancelled}, nil, 0, 0},
+		{"freed", ReleaseImmediately, Outcome{Kind: Cancelled}, nil, 0, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := qt.New(t)
