--- a/limit/sim_test.go
+++ b/limit/sim_test.go
@@ -113,7 +113,7 @@
 	}
 	for ix := range tr.entries {
 		en := &simEntry{sm: sm, waiting: make([][]*simRequest, tr.leafs), asleep: make([]bool, tr.leafs)}
-		en.ta = NewTable(nil, TableConfig{Seed: tr.seed*1000 + uint64(ix), Hold: tr.hold, HoldBound: 20 * simService})
+		en.ta = NewTable(nil, TableConfig{Seed: tr.seed*1000 + uint64(ix), Hold: tr.hold, HoldTimeout: 20 * simService})
 		en.ta.update(sm.now, vi)
 		if tr.admit != nil {
 			cf := *tr.admit
--- a/limit/table.go
+++ b/limit/table.go
@@ -46,9 +46,9 @@
 
 // TableConfig is what a Table is made with. The zero TableConfig is usable.
 type TableConfig struct {
-	Seed      uint64 // Seed is the seed of the random choices.
-	Hold      HoldPolicy
-	HoldBound time.Duration // HoldBound is zero for the default.
+	Seed        uint64 // Seed is the seed of the random choices.
+	Hold        HoldPolicy
+	HoldTimeout time.Duration // HoldBound is zero for the default.
 }
 
 // Table holds what is known of each backend server. It is safe for many
@@ -72,8 +72,8 @@
 
 // NewTable returns an empty table.
 func NewTable(ts *timer.Service, cf TableConfig) *Table {
-	if cf.HoldBound <= 0 {
-		cf.HoldBound = DefaultHoldBound
+	if cf.HoldTimeout <= 0 {
+		cf.HoldTimeout = DefaultHoldBound
 	}
 	ta := &Table{ts: ts, cf: cf}
 	ta.sn.Store(&servings{entries: make(map[string]*entry), instances: 1})
@@ -286,7 +286,7 @@
 	}
 	var until time.Time
 	if oc.Kind.unproven() && !oc.SlotReleased && ta.cf.Hold == HoldUntilReleased {
-		until = now.Add(ta.cf.HoldBound)
+		until = now.Add(ta.cf.HoldTimeout)
 	}
 	se, ok := ch.en.done(now, ch.ticket, oc, until)
 	if !ok {
