--- a/limit/table.go
+++ b/limit/table.go
@@ -31,7 +31,7 @@
 )
 
 // DefaultHoldBound is how long a slot is held without proof.
-const DefaultHoldBound = 2 * time.Second
+const DefaultHoldTimeout = 2 * time.Second
 
 const (
 	// fewCandidates is up to how many candidates are all looked at.
@@ -73,7 +73,7 @@
 // NewTable returns an empty table.
 func NewTable(ts *timer.Service, cf TableConfig) *Table {
 	if cf.HoldTimeout <= 0 {
-		cf.HoldTimeout = DefaultHoldBound
+		cf.HoldTimeout = DefaultHoldTimeout
 	}
 	ta := &Table{ts: ts, cf: cf}
 	ta.sn.Store(&servings{entries: make(map[string]*entry), instances: 1})
--- a/limit/table_test.go
+++ b/limit/table_test.go
@@ -86,8 +86,8 @@
 		held    int
 	}{
 		{"held", HoldUntilReleased, Outcome{Kind: Cancelled}, nil, 0, 1},
-		{"held to the bound", HoldUntilReleased, Outcome{Kind: TimedOut}, nil, DefaultHoldBound - 1, 1},
-		{"bound", HoldUntilReleased, Outcome{Kind: ConnectionLost}, nil, DefaultHoldBound, 0},
+		{"held to the bound", HoldUntilReleased, Outcome{Kind: TimedOut}, nil, DefaultHoldTimeout - 1, 1},
+		{"bound", HoldUntilReleased, Outcome{Kind: ConnectionLost}, nil, DefaultHoldTimeout, 0},
 		{"late reply", HoldUntilReleased, Outcome{Kind: Cancelled}, func(ta *Table, ch Choice) { ta.Stopped(t0, ch) }, 0, 0},
 		{"stopped at once", HoldUntilReleased, Outcome{Kind: Cancelled, SlotReleased: true}, nil, 0, 0},
 		{"not running", HoldUntilReleased, Outcome{Kind: Shed}, nil, 0, 0},
