--- a/fanout/engine.go
+++ b/fanout/engine.go
@@ -38,7 +38,7 @@
 	Pick(now time.Time, tactics operator.Tactics, candidates []backend.Record, exclude []string) (limit.Choice, bool)
 	Done(now time.Time, ch limit.Choice, oc limit.Outcome)
 	Stopped(now time.Time, ch limit.Choice)
-	Pause(now time.Time, candidates []backend.Record, exclude []string) (time.Duration, bool)
+	RetryDelay(now time.Time, candidates []backend.Record, exclude []string) (time.Duration, bool)
 	Await(now time.Time, candidates []backend.Record, exclude []string) *limit.Waiter
 	HedgeDelay(service string) time.Duration
 	Observe(service string, latency time.Duration)
--- a/fanout/engine_test.go
+++ b/fanout/engine_test.go
@@ -155,7 +155,7 @@
 	ti.note("%s %d", ch.Server, oc.Kind)
 }
 func (ti *tier) Stopped(_ time.Time, ch limit.Choice) { ti.note("%s stopped", ch.Server) }
-func (ti *tier) Pause(_ time.Time, candidates []backend.Record, _ []string) (time.Duration, bool) {
+func (ti *tier) RetryDelay(_ time.Time, candidates []backend.Record, _ []string) (time.Duration, bool) {
 	return time.Millisecond, len(candidates) > 0 && !ti.closed
 }
 func (ti *tier) Await(time.Time, []backend.Record, []string) *limit.Waiter { return nil }
--- a/limit/sim_test.go
+++ b/limit/sim_test.go
@@ -233,7 +233,7 @@
 		return
 	}
 	en.asleep[rq.ix] = true
-	wait, _ := en.ta.Pause(en.sm.now, rq.leaf.records, nil)
+	wait, _ := en.ta.RetryDelay(en.sm.now, rq.leaf.records, nil)
 	en.sm.after(wait, func() {
 		en.asleep[rq.ix] = false
 		en.pump(rq.ix)
--- a/limit/table.go
+++ b/limit/table.go
@@ -311,7 +311,7 @@
 
 // Pause returns how long to wait until one of the candidates may have room, and
 // whether any of them may have it at all. A Waiter hears of room earlier.
-func (ta *Table) Pause(now time.Time, candidates []backend.Record, exclude []string) (time.Duration, bool) {
+func (ta *Table) RetryDelay(now time.Time, candidates []backend.Record, exclude []string) (time.Duration, bool) {
 	least := mostPause
 	able := false
 	for ix := range candidates {
--- a/limit/table_test.go
+++ b/limit/table_test.go
@@ -139,7 +139,7 @@
 	ta.Done(t0, ch, Outcome{Kind: Draining})
 	ta.update(t0, &view.View{Servers: res})
 	c.Assert(picks(ta, t0, res, 100), qt.DeepEquals, map[string]int{"b": 100})
-	_, able := ta.Pause(t0, res, []string{"b"})
+	_, able := ta.RetryDelay(t0, res, []string{"b"})
 	c.Assert(able, qt.IsFalse)
 }
 
