--- a/fanout/attempt.go
+++ b/fanout/attempt.go
@@ -182,7 +182,7 @@
 func (hs *holds) keep(en *Engine, now time.Time, requestID string, ch limit.Choice) {
 	ot := hs.meet(requestID, &hold{when: now, choice: ch})
 	if ot != nil && ot.settlement != nil && ot.settlement.Stopped {
-		en.ta.Stopped(now, ch)
+		en.ta.ReleaseSlot(now, ch)
 	}
 }
 
@@ -190,7 +190,7 @@
 	now := en.ts.Now()
 	ot := hs.meet(sm.RequestID, &hold{when: now, settlement: &sm})
 	if ot != nil && ot.settlement == nil && sm.Stopped {
-		en.ta.Stopped(now, ot.choice)
+		en.ta.ReleaseSlot(now, ot.choice)
 	}
 }
 
--- a/fanout/engine.go
+++ b/fanout/engine.go
@@ -37,7 +37,7 @@
 type Servers interface {
 	Pick(now time.Time, tactics operator.Tactics, candidates []backend.Record, exclude []string) (limit.Choice, bool)
 	Done(now time.Time, ch limit.Choice, oc limit.Outcome)
-	Stopped(now time.Time, ch limit.Choice)
+	ReleaseSlot(now time.Time, ch limit.Choice)
 	RetryDelay(now time.Time, candidates []backend.Record, exclude []string) (time.Duration, bool)
 	Await(now time.Time, candidates []backend.Record, exclude []string) *limit.Waiter
 	HedgeDelay(service string) time.Duration
--- a/fanout/engine_test.go
+++ b/fanout/engine_test.go
@@ -154,7 +154,7 @@
 func (ti *tier) Done(_ time.Time, ch limit.Choice, oc limit.Outcome) {
 	ti.note("%s %d", ch.Server, oc.Kind)
 }
-func (ti *tier) Stopped(_ time.Time, ch limit.Choice) { ti.note("%s stopped", ch.Server) }
+func (ti *tier) ReleaseSlot(_ time.Time, ch limit.Choice) { ti.note("%s stopped", ch.Server) }
 func (ti *tier) RetryDelay(_ time.Time, candidates []backend.Record, _ []string) (time.Duration, bool) {
 	return time.Millisecond, len(candidates) > 0 && !ti.closed
 }
--- a/limit/sim_test.go
+++ b/limit/sim_test.go
@@ -246,7 +246,7 @@
 	end := func(ki OutcomeKind) {
 		over = true
 		if givenUp {
-			en.ta.Stopped(sm.now, ch)
+			en.ta.ReleaseSlot(sm.now, ch)
 		} else {
 			en.ta.Done(sm.now, ch, Outcome{Kind: ki, Latency: sm.now.Sub(sent)})
 			en.replied(rq, ki)
--- a/limit/table.go
+++ b/limit/table.go
@@ -303,7 +303,7 @@
 // Stopped says that the server has proved that the request of a choice, given
 // up on before, holds no slot any more: its late reply came, or the reply to
 // its cancellation said so.
-func (ta *Table) Stopped(_ time.Time, ch Choice) {
+func (ta *Table) ReleaseSlot(_ time.Time, ch Choice) {
 	if ch.en != nil {
 		ch.en.stopped(ch.ticket)
 	}
--- a/limit/table_test.go
+++ b/limit/table_test.go
@@ -88,7 +88,7 @@
 		{"held", HoldUntilReleased, Outcome{Kind: Cancelled}, nil, 0, 1},
 		{"held to the bound", HoldUntilReleased, Outcome{Kind: TimedOut}, nil, DefaultHoldTimeout - 1, 1},
 		{"bound", HoldUntilReleased, Outcome{Kind: ConnectionLost}, nil, DefaultHoldTimeout, 0},
-		{"late reply", HoldUntilReleased, Outcome{Kind: Cancelled}, func(ta *Table, ch Choice) { ta.Stopped(t0, ch) }, 0, 0},
+		{"late reply", HoldUntilReleased, Outcome{Kind: Cancelled}, func(ta *Table, ch Choice) { ta.ReleaseSlot(t0, ch) }, 0, 0},
 		{"stopped at once", HoldUntilReleased, Outcome{Kind: Cancelled, SlotReleased: true}, nil, 0, 0},
 		{"not running", HoldUntilReleased, Outcome{Kind: Shed}, nil, 0, 0},
 		{"freed", ReleaseImmediately, Outcome{Kind: Cancelled}, nil, 0, 0},
@@ -263,7 +263,7 @@
 				}
 				ki := []OutcomeKind{OK, OK, Shed, Cancelled, Failed, NotSent}[rn.IntN(6)]
 				ta.Done(now, ch, Outcome{Kind: ki, Latency: 5 * ms})
-				ta.Stopped(now, ch)
+				ta.ReleaseSlot(now, ch)
 				ta.Observe("s", 5*ms)
 			}
 		})
