--- a/fanout/engine.go
+++ b/fanout/engine.go
@@ -39,7 +39,7 @@
 	Done(now time.Time, ch limit.Choice, oc limit.Outcome)
 	ReleaseSlot(now time.Time, ch limit.Choice)
 	RetryDelay(now time.Time, candidates []backend.Record, exclude []string) (time.Duration, bool)
-	Await(now time.Time, candidates []backend.Record, exclude []string) *limit.Waiter
+	NewWaiter(now time.Time, candidates []backend.Record, exclude []string) *limit.Waiter
 	HedgeDelay(service string) time.Duration
 	Observe(service string, latency time.Duration)
 }
--- a/fanout/engine_test.go
+++ b/fanout/engine_test.go
@@ -158,8 +158,8 @@
 func (ti *tier) RetryDelay(_ time.Time, candidates []backend.Record, _ []string) (time.Duration, bool) {
 	return time.Millisecond, len(candidates) > 0 && !ti.closed
 }
-func (ti *tier) Await(time.Time, []backend.Record, []string) *limit.Waiter { return nil }
-func (ti *tier) HedgeDelay(string) time.Duration                           { return ti.delay }
+func (ti *tier) NewWaiter(time.Time, []backend.Record, []string) *limit.Waiter { return nil }
+func (ti *tier) HedgeDelay(string) time.Duration                               { return ti.delay }
 func (ti *tier) Observe(_ string, la time.Duration) {
 	ti.mu.Lock()
 	defer ti.mu.Unlock()
--- a/fanout/run.go
+++ b/fanout/run.go
@@ -302,7 +302,7 @@
 	if rn.waits[ix] != nil {
 		return
 	}
-	wa := rn.en.ta.Await(now, candidates, nil)
+	wa := rn.en.ta.NewWaiter(now, candidates, nil)
 	if wa == nil {
 		return
 	}
--- a/limit/table_test.go
+++ b/limit/table_test.go
@@ -282,7 +282,7 @@
 	c := qt.New(t)
 	ta, res := tableOf(TableConfig{}, 1)
 	ch, _ := ta.Pick(t0, operator.Adaptive, res, nil)
-	first, second := ta.Await(t0, res, nil), ta.Await(t0, res, nil)
+	first, second := ta.NewWaiter(t0, res, nil), ta.NewWaiter(t0, res, nil)
 	ta.Done(t0, ch, Outcome{Kind: OK, Latency: 5 * ms})
 	c.Assert([]int{len(first.Room()), len(second.Room())}, qt.DeepEquals, []int{1, 0})
 	first.Close()
--- a/limit/wait.go
+++ b/limit/wait.go
@@ -15,7 +15,7 @@
 
 // Await returns a Waiter for the candidates that are not excluded. Requests
 // that wait for the same server are told in the order in which they came.
-func (ta *Table) Await(now time.Time, candidates []backend.Record, exclude []string) *Waiter {
+func (ta *Table) NewWaiter(now time.Time, candidates []backend.Record, exclude []string) *Waiter {
 	wa := &Waiter{room: make(chan struct{}, 1)}
 	for ix := range candidates {
 		if slices.Contains(exclude, candidates[ix].Server) {
