--- a/fanout/attempt.go
+++ b/fanout/attempt.go
@@ -101,7 +101,7 @@
 	default:
 		return
 	}
-	rn.en.ta.Observe(rn.qu.Service, oc.Latency)
+	rn.en.ta.ObserveLatency(rn.qu.Service, oc.Latency)
 }
 
 // failureOf returns the error as a *backend.Error. Of any other it is not known
--- a/fanout/bench_test.go
+++ b/fanout/bench_test.go
@@ -37,7 +37,7 @@
 	return limit.Choice{Server: candidates[0].Server, Record: candidates[0]}, true
 }
 func (bare) Done(time.Time, limit.Choice, limit.Outcome) {}
-func (bare) Observe(string, time.Duration)               {}
+func (bare) ObserveLatency(string, time.Duration)        {}
 
 // BenchmarkRun measures what a query costs the entry itself, with servers that
 // reply at once: processor time and allocations for each leaf request, and the
--- a/fanout/engine.go
+++ b/fanout/engine.go
@@ -41,7 +41,7 @@
 	RetryDelay(now time.Time, candidates []backend.Record, exclude []string) (time.Duration, bool)
 	NewWaiter(now time.Time, candidates []backend.Record, exclude []string) *limit.Waiter
 	HedgeDelay(service string) time.Duration
-	Observe(service string, latency time.Duration)
+	ObserveLatency(service string, latency time.Duration)
 }
 
 // Admitter admits queries at the entry; *limit.Admission is one.
--- a/fanout/engine_test.go
+++ b/fanout/engine_test.go
@@ -160,7 +160,7 @@
 }
 func (ti *tier) NewWaiter(time.Time, []backend.Record, []string) *limit.Waiter { return nil }
 func (ti *tier) HedgeDelay(string) time.Duration                               { return ti.delay }
-func (ti *tier) Observe(_ string, la time.Duration) {
+func (ti *tier) ObserveLatency(_ string, la time.Duration) {
 	ti.mu.Lock()
 	defer ti.mu.Unlock()
 	ti.observed = append(ti.observed, la)
--- a/limit/bench_test.go
+++ b/limit/bench_test.go
@@ -50,7 +50,7 @@
 	ta := NewTable(nil, TableConfig{})
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			ta.Observe("s", 5*ms)
+			ta.ObserveLatency("s", 5*ms)
 		}
 	})
 }
--- a/limit/hedge.go
+++ b/limit/hedge.go
@@ -67,7 +67,7 @@
 
 // Observe takes in how long a leaf request of the service took, or, for one
 // that was given up, how long it was waited for.
-func (ta *Table) Observe(service string, la time.Duration) {
+func (ta *Table) ObserveLatency(service string, la time.Duration) {
 	he, ok := ta.hedges.Load(service)
 	if !ok {
 		he, _ = ta.hedges.LoadOrStore(service, newHedge())
--- a/limit/share_test.go
+++ b/limit/share_test.go
@@ -127,7 +127,7 @@
 			if ix%100 == 0 {
 				la *= 10
 			}
-			ta.Observe("s", la)
+			ta.ObserveLatency("s", la)
 		}
 		return ta.HedgeDelay("s").Round(ms)
 	}
--- a/limit/table_test.go
+++ b/limit/table_test.go
@@ -264,7 +264,7 @@
 				ki := []OutcomeKind{OK, OK, Shed, Cancelled, Failed, NotSent}[rn.IntN(6)]
 				ta.Done(now, ch, Outcome{Kind: ki, Latency: 5 * ms})
 				ta.ReleaseSlot(now, ch)
-				ta.Observe("s", 5*ms)
+				ta.ObserveLatency("s", 5*ms)
 			}
 		})
 	}
