--- a/fanout/run.go
+++ b/fanout/run.go
@@ -316,7 +316,7 @@
 		defer rn.leave()
 		defer wa.Close()
 		select {
-		case <-wa.Room():
+		case <-wa.Available():
 			rn.post(Room{Now: rn.en.ts.Now(), Shard: ix})
 		case <-ctx.Done():
 		}
--- a/limit/table_test.go
+++ b/limit/table_test.go
@@ -284,8 +284,8 @@
 	ch, _ := ta.Pick(t0, operator.Adaptive, res, nil)
 	first, second := ta.NewWaiter(t0, res, nil), ta.NewWaiter(t0, res, nil)
 	ta.Done(t0, ch, Outcome{Kind: OK, Latency: 5 * ms})
-	c.Assert([]int{len(first.Room()), len(second.Room())}, qt.DeepEquals, []int{1, 0})
+	c.Assert([]int{len(first.Available()), len(second.Available())}, qt.DeepEquals, []int{1, 0})
 	first.Close()
-	c.Assert(len(second.Room()), qt.Equals, 1)
+	c.Assert(len(second.Available()), qt.Equals, 1)
 	second.Close()
 }
--- a/limit/wait.go
+++ b/limit/wait.go
@@ -31,7 +31,7 @@
 }
 
 // Room returns a channel that receives once when a server may have room.
-func (wa *Waiter) Room() <-chan struct{} {
+func (wa *Waiter) Available() <-chan struct{} {
 	return wa.room
 }
 
