--- a/limit/entry.go
+++ b/limit/entry.go
@@ -47,7 +47,7 @@
 	switch se.state {
 	case StateCold, StateServing:
 		return se.openOrFull(now)
-	case StateSetAside, StateProbing:
+	case StateEjected, StateProbing:
 		if !se.probing && !now.Before(se.probeAt) {
 			return overdue
 		}
--- a/limit/judge.go
+++ b/limit/judge.go
@@ -127,7 +127,7 @@
 }
 
 func (se Server) aside() bool {
-	return (se.state == StateSetAside || se.state == StateProbing) && se.connections > 0
+	return (se.state == StateEjected || se.state == StateProbing) && se.connections > 0
 }
 
 // fault returns why the server ought to be set aside; empty if it ought not.
--- a/limit/server.go
+++ b/limit/server.go
@@ -29,7 +29,7 @@
 const (
 	StateCold     chart.State = "Cold"
 	StateServing  chart.State = "Serving"
-	StateSetAside chart.State = "SetAside"
+	StateEjected  chart.State = "SetAside"
 	StateProbing  chart.State = "Probing"
 	StateDraining chart.State = "Draining"
 	StateGone     chart.State = "Gone"
@@ -177,7 +177,7 @@
 
 // Reason returns why the server is set aside; empty if it is not.
 func (se Server) Reason() Reason {
-	if se.state == StateSetAside || se.state == StateProbing {
+	if se.state == StateEjected || se.state == StateProbing {
 		return se.reason
 	}
 	return ""
