--- a/limit/entry.go
+++ b/limit/entry.go
@@ -179,7 +179,7 @@
 func (en *entry) release(ix int) {
 	en.remove(ix)
 	defer en.tell()
-	en.se = en.se.Step(Proved{Oldest: en.oldest()})
+	en.se = en.se.Step(SlotReleased{Oldest: en.oldest()})
 }
 
 func (en *entry) find(ticket uint64) int {
--- a/limit/server.go
+++ b/limit/server.go
@@ -117,7 +117,7 @@
 }
 
 // Proved says that a held request has ended.
-type Proved struct {
+type SlotReleased struct {
 	Oldest time.Time
 }
 
@@ -145,12 +145,12 @@
 	Now time.Time
 }
 
-func (Announced) isEvent() {}
-func (Sent) isEvent()      {}
-func (Ended) isEvent()     {}
-func (Proved) isEvent()    {}
-func (Judged) isEvent()    {}
-func (Missed) isEvent()    {}
+func (Announced) isEvent()    {}
+func (Sent) isEvent()         {}
+func (Ended) isEvent()        {}
+func (SlotReleased) isEvent() {}
+func (Judged) isEvent()       {}
+func (Missed) isEvent()       {}
 
 // Step returns the server after an event.
 func (se Server) Step(ev Event) Server {
@@ -161,7 +161,7 @@
 		return se.sent(ev)
 	case Ended:
 		return se.end(ev)
-	case Proved:
+	case SlotReleased:
 		se.held--
 		se.oldest = ev.Oldest
 	case Judged:
