--- a/limit/entry.go
+++ b/limit/entry.go
@@ -214,7 +214,7 @@
 }
 
 // judge steps the server with the result of a comparison.
-func (en *entry) judge(ev Judged) {
+func (en *entry) judge(ev Compared) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	ev.Random = en.rn.Float64()
--- a/limit/health.go
+++ b/limit/health.go
@@ -68,7 +68,7 @@
 	return se
 }
 
-func (se Server) judged(ev Judged) Server {
+func (se Server) judged(ev Compared) Server {
 	se.typical = ev.Typical
 	switch ev.Verdict {
 	case Aside:
--- a/limit/judge_test.go
+++ b/limit/judge_test.go
@@ -42,7 +42,7 @@
 			sv[ix].failures = rapid.SampledFrom([]int{0, failuresSuspected}).Draw(rt, "failures")
 			switch rapid.IntRange(0, 3).Draw(rt, "state") {
 			case 0:
-				sv[ix] = sv[ix].Step(Judged{Verdict: Aside, Reason: Slow})
+				sv[ix] = sv[ix].Step(Compared{Verdict: Aside, Reason: Slow})
 			case 1:
 				sv[ix] = sv[ix].Step(reply(t0, Draining, 0, false))
 			}
@@ -54,7 +54,7 @@
 		ju := judge(t0, sv, shards)
 		after := make([]Server, n)
 		for ix := range sv {
-			after[ix] = sv[ix].Step(Judged{Verdict: ju.verdicts[ix], Reason: ju.reasons[ix]})
+			after[ix] = sv[ix].Step(Compared{Verdict: ju.verdicts[ix], Reason: ju.reasons[ix]})
 		}
 		for _, holders := range shards {
 			could := slices.ContainsFunc(holders, func(ix int) bool { return sv[ix].usable() || sv[ix].aside() })
--- a/limit/server.go
+++ b/limit/server.go
@@ -122,7 +122,7 @@
 }
 
 // Judged is the result of comparing the server with its peers.
-type Judged struct {
+type Compared struct {
 	Now     time.Time
 	Typical time.Duration // Typical is the median latency of the peers; zero if unknown.
 	Verdict Verdict
@@ -149,7 +149,7 @@
 func (Sent) isEvent()         {}
 func (Ended) isEvent()        {}
 func (SlotReleased) isEvent() {}
-func (Judged) isEvent()       {}
+func (Compared) isEvent()     {}
 func (Missed) isEvent()       {}
 
 // Step returns the server after an event.
@@ -164,7 +164,7 @@
 	case SlotReleased:
 		se.held--
 		se.oldest = ev.Oldest
-	case Judged:
+	case Compared:
 		return se.judged(ev)
 	case Missed:
 		return se.moved(leave, ev.Now)
