--- a/limit/group.go
+++ b/limit/group.go
@@ -131,7 +131,7 @@
 	}
 	ju := judge(now, sv, gr.shards)
 	for ix, en := range gr.entries {
-		en.judge(Compared{Now: now, Typical: ju.typical, Verdict: ju.verdicts[ix], Reason: ju.reasons[ix]})
+		en.judge(Compared{Now: now, MedianLatency: ju.typical, Verdict: ju.verdicts[ix], Reason: ju.reasons[ix]})
 	}
 	gr.room.Store(&ServiceCapacity{Concurrency: gr.queries(now, sv), MedianLatency: ju.typical})
 }
--- a/limit/health.go
+++ b/limit/health.go
@@ -69,7 +69,7 @@
 }
 
 func (se Server) judged(ev Compared) Server {
-	se.typical = ev.Typical
+	se.typical = ev.MedianLatency
 	switch ev.Verdict {
 	case Aside:
 		if to, ok := servers.Next(se.state, suspect); ok {
--- a/limit/server.go
+++ b/limit/server.go
@@ -123,11 +123,11 @@
 
 // Judged is the result of comparing the server with its peers.
 type Compared struct {
-	Now     time.Time
-	Typical time.Duration // Typical is the median latency of the peers; zero if unknown.
-	Verdict Verdict
-	Reason  Reason
-	Random  float64
+	Now           time.Time
+	MedianLatency time.Duration // Typical is the median latency of the peers; zero if unknown.
+	Verdict       Verdict
+	Reason        Reason
+	Random        float64
 }
 
 // Verdict is what a comparison says of a server.
--- a/limit/server_test.go
+++ b/limit/server_test.go
@@ -38,7 +38,7 @@
 	for range coldReplies {
 		se = se.Step(Sent{Now: t0, Oldest: t0}).Step(Ended{Now: t0, Outcome: Outcome{Kind: OK, Latency: 5 * ms}})
 	}
-	return se.Step(Compared{Now: t0, Typical: 5 * ms})
+	return se.Step(Compared{Now: t0, MedianLatency: 5 * ms})
 }
 
 func reply(now time.Time, ki OutcomeKind, la time.Duration, probe bool) Ended {
@@ -70,10 +70,10 @@
 	}
 	step("announced", 0, announced(1, 1, backend.Serving))
 	step("20 replies", 0, ok(20)...)
-	step("compared", 0, Compared{Now: now, Typical: 5 * ms})
+	step("compared", 0, Compared{Now: now, MedianLatency: 5 * ms})
 	step("shed", 0, Sent{Now: now, Oldest: now}, reply(now, Shed, 0, false))
 	step("20 ms later", 20*ms)
-	step("set aside", 0, Compared{Now: now, Typical: 5 * ms, Verdict: Aside, Reason: Slow, Random: 0.5})
+	step("set aside", 0, Compared{Now: now, MedianLatency: 5 * ms, Verdict: Aside, Reason: Slow, Random: 0.5})
 	step("250 ms later", 250*ms)
 	step("slow probe", 0, Sent{Now: now, Oldest: now, Probe: true}, reply(now, OK, 50*ms, true))
 	step("250 ms later", 250*ms)
@@ -88,7 +88,7 @@
 	step("new incarnation", 0, announced(2, 1, backend.Cold))
 	step("late old record", 0, announced(1, 9, backend.Draining))
 	step("20 replies", 0, ok(20)...)
-	step("compared, still cold", 0, Compared{Now: now, Typical: 5 * ms})
+	step("compared, still cold", 0, Compared{Now: now, MedianLatency: 5 * ms})
 	step("gone from the view", 0, Missed{Now: now})
 	checkGolden(c, "life.golden", sb.String())
 }
