--- a/limit/judge_test.go
+++ b/limit/judge_test.go
@@ -23,11 +23,11 @@
 	sv := []Server{withLatency(5 * ms), withLatency(50 * ms), withLatency(5 * ms), withLatency(60 * ms)}
 	ju := judge(t0, sv, [][]int{{0, 1}, {2, 3}})
 	// Shard 1's server 3 is the slowest; a third of four servers is one.
-	c.Assert(ju.verdicts, qt.DeepEquals, []Verdict{Keep, Keep, Keep, Aside})
+	c.Assert(ju.verdicts, qt.DeepEquals, []Verdict{NoChange, NoChange, NoChange, Aside})
 	ju = judge(t0, sv, [][]int{{0, 1}, {2}, {3}})
-	c.Assert(ju.verdicts, qt.DeepEquals, []Verdict{Keep, Aside, Keep, Keep})
+	c.Assert(ju.verdicts, qt.DeepEquals, []Verdict{NoChange, Aside, NoChange, NoChange})
 	ju = judge(t0, sv[:2], [][]int{{0, 1}})
-	c.Assert(ju.verdicts, qt.DeepEquals, []Verdict{Keep, Keep}, qt.Commentf("two latencies show nothing"))
+	c.Assert(ju.verdicts, qt.DeepEquals, []Verdict{NoChange, NoChange}, qt.Commentf("two latencies show nothing"))
 }
 
 // A whole data centre slows down or dies, and every server of a shard looks
