--- a/limit/health.go
+++ b/limit/health.go
@@ -71,7 +71,7 @@
 func (se Server) judged(ev Compared) Server {
 	se.typical = ev.MedianLatency
 	switch ev.Verdict {
-	case Aside:
+	case Eject:
 		if to, ok := servers.Next(se.state, suspect); ok {
 			se.state, se.since, se.reason = to, ev.Now, ev.Reason
 			se = se.probedLater(ev.Now, ev.Random)
--- a/limit/judge.go
+++ b/limit/judge.go
@@ -52,7 +52,7 @@
 			quota--
 		}
 		usable[ix] = false
-		ju.verdicts[ix] = Aside
+		ju.verdicts[ix] = Eject
 	}
 	ju.recall(sv, shards, usable)
 	return ju
--- a/limit/judge_test.go
+++ b/limit/judge_test.go
@@ -23,9 +23,9 @@
 	sv := []Server{withLatency(5 * ms), withLatency(50 * ms), withLatency(5 * ms), withLatency(60 * ms)}
 	ju := judge(t0, sv, [][]int{{0, 1}, {2, 3}})
 	// Shard 1's server 3 is the slowest; a third of four servers is one.
-	c.Assert(ju.verdicts, qt.DeepEquals, []Verdict{NoChange, NoChange, NoChange, Aside})
+	c.Assert(ju.verdicts, qt.DeepEquals, []Verdict{NoChange, NoChange, NoChange, Eject})
 	ju = judge(t0, sv, [][]int{{0, 1}, {2}, {3}})
-	c.Assert(ju.verdicts, qt.DeepEquals, []Verdict{NoChange, Aside, NoChange, NoChange})
+	c.Assert(ju.verdicts, qt.DeepEquals, []Verdict{NoChange, Eject, NoChange, NoChange})
 	ju = judge(t0, sv[:2], [][]int{{0, 1}})
 	c.Assert(ju.verdicts, qt.DeepEquals, []Verdict{NoChange, NoChange}, qt.Commentf("two latencies show nothing"))
 }
@@ -42,7 +42,7 @@
 			sv[ix].failures = rapid.SampledFrom([]int{0, failuresSuspected}).Draw(rt, "failures")
 			switch rapid.IntRange(0, 3).Draw(rt, "state") {
 			case 0:
-				sv[ix] = sv[ix].Step(Compared{Verdict: Aside, Reason: Slow})
+				sv[ix] = sv[ix].Step(Compared{Verdict: Eject, Reason: Slow})
 			case 1:
 				sv[ix] = sv[ix].Step(reply(t0, Draining, 0, false))
 			}
--- a/limit/server.go
+++ b/limit/server.go
@@ -136,7 +136,7 @@
 // The verdicts.
 const (
 	NoChange Verdict = iota // Keep leaves the server as it is.
-	Aside                   // Aside sets the server aside.
+	Eject                   // Aside sets the server aside.
 	Recalled                // Recalled takes it back, because a shard has no other.
 )
 
--- a/limit/server_test.go
+++ b/limit/server_test.go
@@ -73,7 +73,7 @@
 	step("compared", 0, Compared{Now: now, MedianLatency: 5 * ms})
 	step("shed", 0, Sent{Now: now, Oldest: now}, reply(now, Shed, 0, false))
 	step("20 ms later", 20*ms)
-	step("set aside", 0, Compared{Now: now, MedianLatency: 5 * ms, Verdict: Aside, Reason: Slow, Random: 0.5})
+	step("set aside", 0, Compared{Now: now, MedianLatency: 5 * ms, Verdict: Eject, Reason: Slow, Random: 0.5})
 	step("250 ms later", 250*ms)
 	step("slow probe", 0, Sent{Now: now, Oldest: now, Probe: true}, reply(now, OK, 50*ms, true))
 	step("250 ms later", 250*ms)
@@ -183,7 +183,7 @@
 	c := qt.New(t)
 	se := warmServer(4, 1)
 	se.connections = 1
-	se = se.Step(Sent{Now: t0, Oldest: t0}).Step(Compared{Now: t0, Verdict: Aside, Reason: Stuck})
+	se = se.Step(Sent{Now: t0, Oldest: t0}).Step(Compared{Now: t0, Verdict: Eject, Reason: Stuck})
 	c.Assert(se.offer(t0.Add(time.Minute)), qt.Equals, full)
 	c.Assert(se.Step(reply(t0, TimedOut, 0, false)).offer(t0.Add(time.Minute)), qt.Equals, overdue)
 }
--- a/limit/table_test.go
+++ b/limit/table_test.go
@@ -179,7 +179,7 @@
 	ta, res := tableOf(TableConfig{}, 2)
 	warmTable(ta, res, t0)
 	en := ta.sn.Load().entries["a"]
-	en.judge(Compared{Now: t0, MedianLatency: 5 * ms, Verdict: Aside, Reason: Slow})
+	en.judge(Compared{Now: t0, MedianLatency: 5 * ms, Verdict: Eject, Reason: Slow})
 	c.Assert(picks(ta, t0, res, 10), qt.DeepEquals, map[string]int{"b": 10})
 	chosen := map[string]int{}
 	for ok := true; ok; {
