--- a/limit/health.go
+++ b/limit/health.go
@@ -76,7 +76,7 @@
 			se.state, se.since, se.reason = to, ev.Now, ev.Reason
 			se = se.probedLater(ev.Now, ev.Random)
 		}
-	case Recalled:
+	case Readmit:
 		return se.moved(recall, ev.Now)
 	}
 	if se.state == StateCold && se.warmed(ev.Now) {
--- a/limit/judge.go
+++ b/limit/judge.go
@@ -106,7 +106,7 @@
 		}
 		if best >= 0 {
 			usable[best] = true
-			ju.verdicts[best] = Recalled
+			ju.verdicts[best] = Readmit
 		}
 	}
 }
--- a/limit/server.go
+++ b/limit/server.go
@@ -137,7 +137,7 @@
 const (
 	NoChange Verdict = iota // Keep leaves the server as it is.
 	Eject                   // Aside sets the server aside.
-	Recalled                // Recalled takes it back, because a shard has no other.
+	Readmit                 // Recalled takes it back, because a shard has no other.
 )
 
 // Missed says that the server is in no view any more.
