--- a/limit/server.go
+++ b/limit/server.go
@@ -141,7 +141,7 @@
 )
 
 // Missed says that the server is in no view any more.
-type Missed struct {
+type Removed struct {
 	Now time.Time
 }
 
@@ -150,7 +150,7 @@
 func (Ended) isEvent()        {}
 func (SlotReleased) isEvent() {}
 func (Compared) isEvent()     {}
-func (Missed) isEvent()       {}
+func (Removed) isEvent()      {}
 
 // Step returns the server after an event.
 func (se Server) Step(ev Event) Server {
@@ -166,7 +166,7 @@
 		se.oldest = ev.Oldest
 	case Compared:
 		return se.judged(ev)
-	case Missed:
+	case Removed:
 		return se.moved(leave, ev.Now)
 	}
 	return se
--- a/limit/server_test.go
+++ b/limit/server_test.go
@@ -89,7 +89,7 @@
 	step("late old record", 0, announced(1, 9, backend.Draining))
 	step("20 replies", 0, ok(20)...)
 	step("compared, still cold", 0, Compared{Now: now, MedianLatency: 5 * ms})
-	step("gone from the view", 0, Missed{Now: now})
+	step("gone from the view", 0, Removed{Now: now})
 	checkGolden(c, "life.golden", sb.String())
 }
 
--- a/limit/table.go
+++ b/limit/table.go
@@ -114,7 +114,7 @@
 	}
 	for name, en := range old.entries {
 		if sn.entries[name] == nil {
-			en.step(Missed{Now: now})
+			en.step(Removed{Now: now})
 		}
 	}
 	ta.sn.Store(sn)
