--- a/limit/server.go
+++ b/limit/server.go
@@ -93,10 +93,10 @@
 
 // Announced is a record of the server in a newer view.
 type Announced struct {
-	Now         time.Time
-	Record      backend.Record
-	Connections int // Connections is this instance's share of the connection limit.
-	Entries     int // Entries is how many instances share the slots.
+	Now            time.Time
+	Record         backend.Record
+	MaxConnections int // Connections is this instance's share of the connection limit.
+	Entries        int // Entries is how many instances share the slots.
 }
 
 // Sent is a request on its way to the server.
@@ -217,7 +217,7 @@
 	se.incarnation, se.sequence = re.Incarnation, re.Sequence
 	se.slots = max(1, re.Slots)
 	se.share = float64(se.slots) / float64(max(1, ev.Entries))
-	se.connections = ev.Connections
+	se.connections = ev.MaxConnections
 	se.cold = re.State == backend.Cold
 	switch {
 	case !known:
