--- a/limit/server.go
+++ b/limit/server.go
@@ -96,7 +96,7 @@
 	Now            time.Time
 	Record         backend.Record
 	MaxConnections int // Connections is this instance's share of the connection limit.
-	Entries        int // Entries is how many instances share the slots.
+	NumSharers     int // Entries is how many instances share the slots.
 }
 
 // Sent is a request on its way to the server.
@@ -216,7 +216,7 @@
 	resumed := newer || re.Sequence > se.sequence
 	se.incarnation, se.sequence = re.Incarnation, re.Sequence
 	se.slots = max(1, re.Slots)
-	se.share = float64(se.slots) / float64(max(1, ev.Entries))
+	se.share = float64(se.slots) / float64(max(1, ev.NumSharers))
 	se.connections = ev.MaxConnections
 	se.cold = re.State == backend.Cold
 	switch {
--- a/limit/server_test.go
+++ b/limit/server_test.go
@@ -33,7 +33,7 @@
 // warmServer returns a serving server whose replies take 5 ms.
 func warmServer(slots, entries int) Server {
 	se := Server{}.Step(Announced{
-		Now: t0, Record: backend.Record{Incarnation: 1, Sequence: 1, Slots: slots}, MaxConnections: 16, Entries: entries,
+		Now: t0, Record: backend.Record{Incarnation: 1, Sequence: 1, Slots: slots}, MaxConnections: 16, NumSharers: entries,
 	})
 	for range coldReplies {
 		se = se.Step(Sent{Now: t0, Oldest: t0}).Step(Ended{Now: t0, Outcome: Outcome{Kind: OK, Latency: 5 * ms}})
@@ -60,7 +60,7 @@
 		fmt.Fprintf(&sb, "%-28s %-9s limit %.2f %s\n", name, se.State(), se.Limit(), offers[se.offer(now)])
 	}
 	announced := func(inc, seq uint64, st backend.State) Event {
-		return Announced{Now: now, Record: backend.Record{Incarnation: inc, Sequence: seq, State: st, Slots: 2}, MaxConnections: 4, Entries: 2}
+		return Announced{Now: now, Record: backend.Record{Incarnation: inc, Sequence: seq, State: st, Slots: 2}, MaxConnections: 4, NumSharers: 2}
 	}
 	ok := func(n int) (evs []Event) {
 		for range n {
--- a/limit/table.go
+++ b/limit/table.go
@@ -147,7 +147,7 @@
 	}
 	en.join(groups)
 	en.step(Announced{
-		Now: now, Record: *re, MaxConnections: connections(re, sn.divisor), Entries: sharers,
+		Now: now, Record: *re, MaxConnections: connections(re, sn.divisor), NumSharers: sharers,
 	})
 }
 
