--- a/emulate/configuration.go
+++ b/emulate/configuration.go
@@ -134,7 +134,7 @@
 	case route.NotRepeatable.String(), "":
 		out.Kind = route.NotRepeatable
 	default:
-		return out, &route.Fault{Route: ro.Name, Field: "Kind", Detail: "want Repeatable or NotRepeatable, got " + ro.Kind}
+		return out, &route.ConfigError{Route: ro.Name, Field: "Kind", Detail: "want Repeatable or NotRepeatable, got " + ro.Kind}
 	}
 	if len(ro.Shards) > 0 {
 		out.Merge = route.Merge{TopK: ro.TopK, RecordBytes: RecordBytes, LeastShare: ro.LeastShare}
--- a/route/check.go
+++ b/route/check.go
@@ -11,14 +11,14 @@
 const mostWeight = 1 << 53
 
 // Fault is the first thing found wrong with a configuration.
-type Fault struct {
+type ConfigError struct {
 	Route  string // Route names the route; empty if the fault is in a service.
 	Field  string // Field is the field of Route or Service with the wrong value.
 	Detail string // Detail says what was expected and what was found.
 }
 
 // Error returns the route, field and detail in one line.
-func (fa *Fault) Error() string {
+func (fa *ConfigError) Error() string {
 	if fa.Route == "" {
 		return fmt.Sprintf("service: %s: %s", fa.Field, fa.Detail)
 	}
@@ -26,7 +26,7 @@
 }
 
 func (ro *Route) fault(field, format string, args ...any) error {
-	return &Fault{Route: ro.Name, Field: field, Detail: fmt.Sprintf(format, args...)}
+	return &ConfigError{Route: ro.Name, Field: field, Detail: fmt.Sprintf(format, args...)}
 }
 
 func (tb *Table) checkRoute(ro *Route) error {
--- a/route/table.go
+++ b/route/table.go
@@ -45,7 +45,7 @@
 	}
 	for _, se := range ss {
 		if _, ok := tb.services[se.Name]; ok {
-			return nil, &Fault{Field: "Name", Detail: fmt.Sprintf("want each service once, got %q twice", se.Name)}
+			return nil, &ConfigError{Field: "Name", Detail: fmt.Sprintf("want each service once, got %q twice", se.Name)}
 		}
 		tb.services[se.Name] = se
 	}
--- a/route/table_test.go
+++ b/route/table_test.go
@@ -188,7 +188,7 @@
 			c := qt.New(t)
 			tb, err := New(7, tc.rs, abc, Limits{})
 			c.Assert(tb, qt.IsNil)
-			var fa *Fault
+			var fa *ConfigError
 			c.Assert(errors.As(err, &fa), qt.IsTrue, qt.Commentf("%v", err))
 			c.Assert([]string{fa.Route, fa.Field}, qt.DeepEquals, []string{"r", tc.field})
 			c.Assert(err, qt.ErrorMatches, `route "r": `+tc.field+`: want .+`)
@@ -199,7 +199,7 @@
 func TestFaultService(t *testing.T) {
 	c := qt.New(t)
 	_, err := New(7, nil, []Service{{Name: "a"}, {Name: "b"}, {Name: "a"}}, Limits{})
-	var fa *Fault
+	var fa *ConfigError
 	c.Assert(errors.As(err, &fa), qt.IsTrue)
 	c.Assert([]string{fa.Route, fa.Field}, qt.DeepEquals, []string{"", "Name"})
 	c.Assert(err, qt.ErrorMatches, `service: Name: want each service once, got "a" twice`)
