--- a/emulate/configuration.go
+++ b/emulate/configuration.go
@@ -126,7 +126,7 @@
 
 func (ro Route) route() (route.Route, error) {
 	out := route.Route{
-		Name: ro.Name, Host: ro.Host, Prefix: ro.Prefix, Timeout: ro.Timeout, Aim: ro.Aim,
+		Name: ro.Name, Host: ro.Host, Prefix: ro.Prefix, Timeout: ro.Timeout, TargetLatency: ro.Aim,
 		MaxAttempts: ro.MaxAttempts, Shards: ro.Shards,
 	}
 	switch ro.Kind {
--- a/emulate/emulate_test.go
+++ b/emulate/emulate_test.go
@@ -359,7 +359,7 @@
 `))
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, tb.Routes(), qt.ContentEquals, []route.Route{
-		{Name: "all", Host: "a.example", Prefix: "/all/", Timeout: time.Second, Aim: 200 * time.Millisecond, MaxAttempts: 3, Shards: []string{"p", "q"}, Merge: route.Merge{TopK: 5, RecordBytes: RecordBytes, LeastShare: 0.5}},
+		{Name: "all", Host: "a.example", Prefix: "/all/", Timeout: time.Second, TargetLatency: 200 * time.Millisecond, MaxAttempts: 3, Shards: []string{"p", "q"}, Merge: route.Merge{TopK: 5, RecordBytes: RecordBytes, LeastShare: 0.5}},
 		{Name: "split", Host: "a.example", Prefix: "/split/", Kind: route.NotRepeatable, Timeout: time.Second, MaxAttempts: 1, Targets: []route.Target{{Service: "p", Weight: 3}, {Service: "q", Weight: 1}}},
 	})
 	qt.Assert(t, tb.Limits(), qt.Equals, route.Limits{HeaderBytes: 1000, BodyBytes: 2000, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second})
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -142,10 +142,10 @@
 		RetryDelay:  rejectionDelay,
 	}
 	pl.PartialDeadline, pl.NoServerDeadline = pl.Deadline, pl.Deadline
-	if ca.ro.Aim > 0 {
-		due := ca.start.Add(ca.ro.Aim - 2*ca.sv.cf.CallerDelay)
+	if ca.ro.TargetLatency > 0 {
+		due := ca.start.Add(ca.ro.TargetLatency - 2*ca.sv.cf.CallerDelay)
 		pl.PartialDeadline = due.Add(-ca.sv.cf.HoldMargin)
-		pl.NoServerDeadline = ca.start.Add(ca.ro.Aim / offerDivisor)
+		pl.NoServerDeadline = ca.start.Add(ca.ro.TargetLatency / offerDivisor)
 	}
 	if shards > 1 {
 		pl.NoServerDeadline = pl.PartialDeadline // The other shards are working by then, so rejecting earlier saves nothing.
--- a/gateway/fault_test.go
+++ b/gateway/fault_test.go
@@ -89,7 +89,7 @@
 			onBothNetworks(t, func(t *testing.T, nw network) {
 				rg := newRig(t, nw, setup{})
 				rg.startServers("s", 3, fa.bh)
-				rg.setTable(route.Route{Prefix: "/", Kind: route.NotRepeatable, Timeout: fa.timeout(), Aim: shortTimeout / 3, MaxAttempts: 3, Targets: singleTarget("s")})
+				rg.setTable(route.Route{Prefix: "/", Kind: route.NotRepeatable, Timeout: fa.timeout(), TargetLatency: shortTimeout / 3, MaxAttempts: 3, Targets: singleTarget("s")})
 				status, runs := fa.statusOnce, 1
 				if status == http.StatusOK {
 					status, runs = http.StatusServiceUnavailable, 0
@@ -238,7 +238,7 @@
 				synctest.Test(t, func(t *testing.T) {
 					rg := newRig(t, newMemNetwork(), setup{})
 					rg.startServers("s", 6, fa.bh)
-					rg.setTable(route.Route{Prefix: "/", Timeout: 2 * time.Second, Aim: 400 * time.Millisecond, MaxAttempts: maxAttempts, Targets: singleTarget("s")})
+					rg.setTable(route.Route{Prefix: "/", Timeout: 2 * time.Second, TargetLatency: 400 * time.Millisecond, MaxAttempts: maxAttempts, Targets: singleTarget("s")})
 					an := rg.send(request{uri: "/a"})
 					qt.Assert(t, an.err, qt.IsNil)
 					if fa.statusOnce == http.StatusOK {
@@ -310,7 +310,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				rg := newRig(t, newMemNetwork(), setup{budget: bc})
 				rg.startServers("s", 5, fa.bh)
-				rg.setTable(route.Route{Prefix: "/", Timeout: shortTimeout, Aim: 100 * time.Millisecond, MaxAttempts: 3, Targets: singleTarget("s")})
+				rg.setTable(route.Route{Prefix: "/", Timeout: shortTimeout, TargetLatency: 100 * time.Millisecond, MaxAttempts: 3, Targets: singleTarget("s")})
 				var ans []<-chan *answer
 				for nth := range 400 {
 					// Requests with the same content would soon be quarantined, since
@@ -368,7 +368,7 @@
 		bc := budget.Config{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}
 		rg := newRig(t, newMemNetwork(), setup{budget: bc})
 		rg.startServers("s", 1, rejectNotRun(http.StatusServiceUnavailable))
-		rg.setTable(route.Route{Prefix: "/", Timeout: shortTimeout, Aim: 250 * time.Millisecond, MaxAttempts: 2, Targets: singleTarget("s")})
+		rg.setTable(route.Route{Prefix: "/", Timeout: shortTimeout, TargetLatency: 250 * time.Millisecond, MaxAttempts: 2, Targets: singleTarget("s")})
 		for range 10 {
 			rg.get("/a", http.StatusServiceUnavailable)
 		}
@@ -475,7 +475,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				rg := newRig(t, newMemNetwork(), tt.se)
 				bes := rg.startServers("s", 2, delayed(50*time.Millisecond, respondOK))
-				rg.setLimitedTable(limits, connLimit, route.Route{Prefix: "/", Kind: route.NotRepeatable, Aim: 100 * time.Millisecond, Targets: singleTarget("s")})
+				rg.setLimitedTable(limits, connLimit, route.Route{Prefix: "/", Kind: route.NotRepeatable, TargetLatency: 100 * time.Millisecond, Targets: singleTarget("s")})
 				time.Sleep(tt.age)
 				good := sendAtOnce(rg, 40)
 				qt.Assert(t, good > 0, qt.IsTrue)
@@ -493,7 +493,7 @@
 	const connLimit = 12
 	rg := newRig(t, loopback{}, setup{entries: 2})
 	bes := rg.startServers("s", 2, delayed(10*time.Millisecond, respondOK))
-	rg.setLimitedTable(limits, connLimit, route.Route{Prefix: "/", Kind: route.NotRepeatable, Aim: 100 * time.Millisecond, Targets: singleTarget("s")})
+	rg.setLimitedTable(limits, connLimit, route.Route{Prefix: "/", Kind: route.NotRepeatable, TargetLatency: 100 * time.Millisecond, Targets: singleTarget("s")})
 	for range 5 {
 		qt.Assert(t, sendAtOnce(rg, 40) > 0, qt.IsTrue)
 	}
@@ -565,7 +565,7 @@
 		rg.startServers("s2", 2, rejectNotRun(http.StatusServiceUnavailable))
 		rg.startServers("s3", 2)
 		rg.startServers("s4", 1)
-		rg.setTable(route.Route{Prefix: "/", Aim: 20 * time.Millisecond, MaxAttempts: 2, Targets: []route.Target{
+		rg.setTable(route.Route{Prefix: "/", TargetLatency: 20 * time.Millisecond, MaxAttempts: 2, Targets: []route.Target{
 			{Service: "s1", Weight: 60}, {Service: "s2", Weight: 25}, {Service: "s3", Weight: 15}, {Service: "s4", Weight: 0},
 		}})
 		refused := 0
--- a/gateway/lines.go
+++ b/gateway/lines.go
@@ -125,7 +125,7 @@
 // isLate reports whether the answer reaches the caller later than the route's target
 // latency.
 func (ca *call) isLate(took time.Duration) bool {
-	return ca.ro != nil && ca.ro.Aim > 0 && took > ca.ro.Aim-2*ca.sv.cf.CallerDelay
+	return ca.ro != nil && ca.ro.TargetLatency > 0 && took > ca.ro.TargetLatency-2*ca.sv.cf.CallerDelay
 }
 
 // requestLine marshals the log line of a request.
@@ -211,7 +211,7 @@
 	if ca.ro == nil {
 		return 0
 	}
-	return ca.ro.Aim
+	return ca.ro.TargetLatency
 }
 
 // attemptList selects the attempts to log: those of shards without a part and, if the
@@ -246,7 +246,7 @@
 	if !rl.late || rl.ca.status >= http.StatusInternalServerError {
 		return false
 	}
-	due := rl.ca.ro.Aim - 2*rl.ca.sv.cf.CallerDelay
+	due := rl.ca.ro.TargetLatency - 2*rl.ca.sv.cf.CallerDelay
 	for _, ar := range rl.ca.ex.attempts {
 		if int(ar.shard) == sh && ar.ended && ar.outcome == upstream.Answered && ar.startedAt+ar.duration <= due {
 			return false
--- a/gateway/lines_test.go
+++ b/gateway/lines_test.go
@@ -273,7 +273,7 @@
 // distinguish this from a service that was never announced.
 func TestLogLineWithoutServer(t *testing.T) {
 	withLogRig(t, func(t *testing.T, lr *logRig) {
-		lr.setRoute(route.Route{Targets: deskTarget(), Aim: 50 * time.Millisecond})
+		lr.setRoute(route.Route{Targets: deskTarget(), TargetLatency: 50 * time.Millisecond})
 		lr.addServer("desk", "i-1", "127.0.0.1:1", registry.Draining)
 		qt.Assert(t, lr.send(t.Context()), qt.Equals, 503)
 		lr.checkLine("warn request-failed", map[string]string{"Status": "503", "Code": "100", "AimMillis": "50", "Sent": "0", "Active": "1"},
@@ -346,7 +346,7 @@
 // line says which part is missing and why.
 func TestLogLineOfPartialAnswer(t *testing.T) {
 	withLogRig(t, func(t *testing.T, lr *logRig) {
-		lr.setRoute(route.Route{Shards: []string{"s-1", "s-2"}, Aim: 100 * time.Millisecond, Merge: route.Merge{TopK: 5, RecordBytes: 16, LeastShare: 0.5}})
+		lr.setRoute(route.Route{Shards: []string{"s-1", "s-2"}, TargetLatency: 100 * time.Millisecond, Merge: route.Merge{TopK: 5, RecordBytes: 16, LeastShare: 0.5}})
 		lr.serve("s-1", "i-1", respondRecord)
 		qt.Assert(t, lr.send(t.Context()), qt.Equals, 200)
 		lr.checkLine("warn request-answered", map[string]string{"Status": "200", "Code": "10", "Missing": "1", "Detail": "no backend server is known"},
@@ -358,7 +358,7 @@
 // the shard that made it late, and no others.
 func TestLogLineOfLateAnswer(t *testing.T) {
 	withLogRig(t, func(t *testing.T, lr *logRig) {
-		lr.setRoute(route.Route{Shards: []string{"s-1", "s-2"}, Aim: 50 * time.Millisecond, Merge: route.Merge{TopK: 5, RecordBytes: 16, LeastShare: 1}})
+		lr.setRoute(route.Route{Shards: []string{"s-1", "s-2"}, TargetLatency: 50 * time.Millisecond, Merge: route.Merge{TopK: 5, RecordBytes: 16, LeastShare: 1}})
 		lr.serve("s-1", "i-1", respondRecord)
 		lr.serve("s-2", "i-2", func(wr http.ResponseWriter, rq *http.Request) {
 			time.Sleep(80 * time.Millisecond)
@@ -402,7 +402,7 @@
 // counted each as a sent request although nothing was sent.
 func TestLogLineWithoutConnection(t *testing.T) {
 	withLogRig(t, func(t *testing.T, lr *logRig) {
-		lr.setRoute(route.Route{Targets: deskTarget(), Aim: time.Second})
+		lr.setRoute(route.Route{Targets: deskTarget(), TargetLatency: time.Second})
 		defer time.Sleep(time.Second) // The connection attempt has timed out by then.
 		lr.blackholed = "address of i-1"
 		lr.addServer("desk", "i-1", lr.blackholed, registry.Ready)
@@ -449,7 +449,7 @@
 // The line must list both the missing part and the late part.
 func TestLogLineOfLatePartialAnswer(t *testing.T) {
 	withLogRig(t, func(t *testing.T, lr *logRig) {
-		lr.setRoute(route.Route{Shards: []string{"s-1", "s-2", "s-3"}, Aim: 50 * time.Millisecond, Merge: route.Merge{TopK: 5, RecordBytes: 16, LeastShare: 0.6}})
+		lr.setRoute(route.Route{Shards: []string{"s-1", "s-2", "s-3"}, TargetLatency: 50 * time.Millisecond, Merge: route.Merge{TopK: 5, RecordBytes: 16, LeastShare: 0.6}})
 		lr.serve("s-1", "i-1", respondRecord)
 		slow := func(span time.Duration) http.HandlerFunc {
 			return func(wr http.ResponseWriter, rq *http.Request) {
--- a/gateway/merge_test.go
+++ b/gateway/merge_test.go
@@ -90,7 +90,7 @@
 			rg.startServers(sh, 2)
 		}
 		rg.startServers("p7", 1, neverAnswer)
-		rg.setTable(route.Route{Prefix: "/", Timeout: time.Second, Aim: aim, MaxAttempts: 2, Shards: shs, Merge: route.Merge{TopK: 5, LeastShare: 0.89}})
+		rg.setTable(route.Route{Prefix: "/", Timeout: time.Second, TargetLatency: aim, MaxAttempts: 2, Shards: shs, Merge: route.Merge{TopK: 5, LeastShare: 0.89}})
 		an := rg.get("/a", http.StatusOK)
 		checkMissing(t, an, 1)
 		qt.Assert(t, an.took, qt.Equals, aim-2*callerDelay-holdMargin)
@@ -108,7 +108,7 @@
 		rg.startServers("p1", 1, delayed(150*time.Millisecond, respondOK))
 		rg.startServers("p2", 1, delayed(230*time.Millisecond, respondOK))
 		rg.startServers("p3", 1, delayed(400*time.Millisecond, respondOK))
-		rg.setTable(route.Route{Prefix: "/", Timeout: time.Second, Aim: 100 * time.Millisecond, Shards: shs, Merge: route.Merge{TopK: 5, LeastShare: 0.75}})
+		rg.setTable(route.Route{Prefix: "/", Timeout: time.Second, TargetLatency: 100 * time.Millisecond, Shards: shs, Merge: route.Merge{TopK: 5, LeastShare: 0.75}})
 		an := rg.get("/a", http.StatusOK)
 		checkMissing(t, an, 1)
 		qt.Assert(t, an.took, qt.Equals, 230*time.Millisecond)
@@ -125,7 +125,7 @@
 		rg.startServers("p1", 1)
 		rg.startServers("p2", 2, neverAnswer)
 		rg.startServers("p3", 2, neverAnswer)
-		rg.setTable(route.Route{Prefix: "/", Timeout: time.Second, Aim: 100 * time.Millisecond, Shards: shs, Merge: route.Merge{TopK: 5, LeastShare: 0.75}})
+		rg.setTable(route.Route{Prefix: "/", Timeout: time.Second, TargetLatency: 100 * time.Millisecond, Shards: shs, Merge: route.Merge{TopK: 5, LeastShare: 0.75}})
 		an := rg.send(request{uri: "/a", timeoutMillis: 600})
 		rg.checkUnknown(an)
 		qt.Assert(t, an.took, qt.Equals, 600*time.Millisecond)
@@ -175,7 +175,7 @@
 					}
 				}
 				rg.setTable(route.Route{
-					Prefix: "/", Timeout: time.Second, Aim: 200 * time.Millisecond, MaxAttempts: 2, Shards: shs,
+					Prefix: "/", Timeout: time.Second, TargetLatency: 200 * time.Millisecond, MaxAttempts: 2, Shards: shs,
 					Merge: route.Merge{TopK: 50, LeastShare: tt.share},
 				})
 				if tt.ok {
@@ -201,7 +201,7 @@
 				rg.startServers("p1", 2, respondFailure(status), respondOK)
 				rg.startServers("p2", 2, respondFailure(status))
 				rg.setTable(route.Route{
-					Prefix: "/", Timeout: longTimeout, Aim: longTimeout / 2, MaxAttempts: 2, Shards: shs,
+					Prefix: "/", Timeout: longTimeout, TargetLatency: longTimeout / 2, MaxAttempts: 2, Shards: shs,
 					Merge: route.Merge{TopK: 50, LeastShare: 0.5},
 				})
 				checkMissing(t, rg.get("/a", http.StatusOK), 1)
@@ -223,7 +223,7 @@
 				rg.startServers("p1", 3, fa.bh, respondOK)
 				rg.startServers("p2", 3)
 				rg.setTable(route.Route{
-					Prefix: "/", Timeout: longTimeout, Aim: time.Second, MaxAttempts: 2, Shards: shs,
+					Prefix: "/", Timeout: longTimeout, TargetLatency: time.Second, MaxAttempts: 2, Shards: shs,
 					Merge: route.Merge{TopK: 50, LeastShare: 0.6},
 				})
 				checkMissing(t, rg.get("/1", http.StatusOK), 0)
@@ -247,7 +247,7 @@
 		rg.startServers("p2", 2, unsigned)
 		rg.startServers("s", 2, unsigned)
 		rg.setTable(
-			route.Route{Prefix: "/", Timeout: longTimeout, Aim: longTimeout / 2, MaxAttempts: 2, Shards: shs, Merge: route.Merge{TopK: 50, LeastShare: 0.5}},
+			route.Route{Prefix: "/", Timeout: longTimeout, TargetLatency: longTimeout / 2, MaxAttempts: 2, Shards: shs, Merge: route.Merge{TopK: 50, LeastShare: 0.5}},
 			route.Route{Prefix: "/s/", Timeout: longTimeout, Kind: route.NotRepeatable, Targets: singleTarget("s")},
 		)
 		checkMissing(t, rg.get("/a", http.StatusOK), 1)
@@ -311,7 +311,7 @@
 			rg.startServers(service, 2, waitThen(func(wo *work) bool { return wo.waitFor(time.Millisecond) }, respondOK))
 		}
 		change := func(nth int) {
-			rg.setTable(route.Route{Prefix: "/", Aim: time.Second, MaxAttempts: 2, Shards: sets[nth%len(sets)], Merge: route.Merge{TopK: 5, LeastShare: 1}})
+			rg.setTable(route.Route{Prefix: "/", TargetLatency: time.Second, MaxAttempts: 2, Shards: sets[nth%len(sets)], Merge: route.Merge{TopK: 5, LeastShare: 1}})
 		}
 		change(0)
 		var ans []<-chan *answer
@@ -344,13 +344,13 @@
 		}
 		rg.startServers("s", 2)
 		rg.startServers("t", 1)
-		rg.setTable(route.Route{Prefix: "/", Kind: route.NotRepeatable, Aim: 100 * time.Millisecond, Targets: singleTarget("s")})
+		rg.setTable(route.Route{Prefix: "/", Kind: route.NotRepeatable, TargetLatency: 100 * time.Millisecond, Targets: singleTarget("s")})
 		var ans []<-chan *answer
 		for _, uri := range []string{"/1", "/2", "/3", "/4", "/refused"} {
 			ans = append(ans, rg.sendAsync(request{uri: uri}))
 		}
 		rg.hist.awaitArrivals(len(ans))
-		rg.setTable(route.Route{Prefix: "/", Kind: route.NotRepeatable, Aim: 100 * time.Millisecond, Targets: singleTarget("t")})
+		rg.setTable(route.Route{Prefix: "/", Kind: route.NotRepeatable, TargetLatency: 100 * time.Millisecond, Targets: singleTarget("t")})
 		close(rejectGate)
 		rg.checkStatus(<-ans[4], http.StatusOK)
 		close(gate)
@@ -396,8 +396,8 @@
 		rg.startServers("p0", 1)
 		rg.startServers("p1", 1)
 		rg.setTable(
-			route.Route{Prefix: "/some/", Timeout: time.Second, Aim: aim, Shards: shardNames(3), Merge: route.Merge{TopK: 5, LeastShare: 0.6}},
-			route.Route{Prefix: "/all/", Timeout: time.Second, Aim: aim, Shards: shardNames(3), Merge: route.Merge{TopK: 5, LeastShare: 1}},
+			route.Route{Prefix: "/some/", Timeout: time.Second, TargetLatency: aim, Shards: shardNames(3), Merge: route.Merge{TopK: 5, LeastShare: 0.6}},
+			route.Route{Prefix: "/all/", Timeout: time.Second, TargetLatency: aim, Shards: shardNames(3), Merge: route.Merge{TopK: 5, LeastShare: 1}},
 		)
 		an := rg.get("/some/", http.StatusOK)
 		checkMissing(t, an, 1)
@@ -425,7 +425,7 @@
 		if ran {
 			rg.startServers("p0", 0, respondOK)
 		}
-		rg.setTable(route.Route{Prefix: "/", Timeout: time.Second, Aim: 100 * time.Millisecond, MaxAttempts: 2, Shards: shs, Merge: route.Merge{TopK: 5, LeastShare: minShare}})
+		rg.setTable(route.Route{Prefix: "/", Timeout: time.Second, TargetLatency: 100 * time.Millisecond, MaxAttempts: 2, Shards: shs, Merge: route.Merge{TopK: 5, LeastShare: minShare}})
 		rg.get("/a", status)
 	}
 	onBothNetworks(t, func(t *testing.T, nw network) { test(t, nw, 0.3, false, http.StatusServiceUnavailable) })
--- a/gateway/metrics_test.go
+++ b/gateway/metrics_test.go
@@ -35,7 +35,7 @@
 func TestRequestMetrics(t *testing.T) {
 	withLogRig(t, func(t *testing.T, lr *logRig) {
 		lr.send(t.Context())
-		lr.setRoute(route.Route{Shards: []string{"s-1", "s-2"}, Aim: 60 * time.Millisecond, Merge: route.Merge{TopK: 5, RecordBytes: 16, LeastShare: 0.5}})
+		lr.setRoute(route.Route{Shards: []string{"s-1", "s-2"}, TargetLatency: 60 * time.Millisecond, Merge: route.Merge{TopK: 5, RecordBytes: 16, LeastShare: 0.5}})
 		lr.serve("s-1", "i-1", respondRecord)
 		lr.send(t.Context())
 		qt.Assert(t, series(lr.sv, "balsamwinch_requests_", "balsamwinch_attempts_total", "balsamwinch_parts", "balsamwinch_configuration", "balsamwinch_backend", "balsamwinch_entry"),
--- a/gateway/noserver_test.go
+++ b/gateway/noserver_test.go
@@ -52,20 +52,20 @@
 		{"discovery timeout has passed", func(*rig) { time.Sleep(discoveryTimeout) }, 0},
 		{"discovery timeout almost over", func(*rig) { time.Sleep(discoveryTimeout - aim) }, aim / 5},
 		{"named just now", func(rg *rig) {
-			rg.setTable(route.Route{Prefix: "/", Aim: aim, Targets: singleTarget("other")})
+			rg.setTable(route.Route{Prefix: "/", TargetLatency: aim, Targets: singleTarget("other")})
 			time.Sleep(discoveryTimeout)
-			rg.setTable(route.Route{Prefix: "/", Aim: aim, Targets: singleTarget("s")})
+			rg.setTable(route.Route{Prefix: "/", TargetLatency: aim, Targets: singleTarget("s")})
 		}, aim / 5},
 		{"named by the previous version, too", func(rg *rig) {
 			time.Sleep(discoveryTimeout)
-			rg.setTable(route.Route{Prefix: "/", Aim: aim, Targets: singleTarget("s")})
+			rg.setTable(route.Route{Prefix: "/", TargetLatency: aim, Targets: singleTarget("s")})
 		}, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				rg := newRig(t, newMemNetwork(), setup{})
-				rg.setTable(route.Route{Prefix: "/", Aim: aim, Targets: singleTarget("s")})
+				rg.setTable(route.Route{Prefix: "/", TargetLatency: aim, Targets: singleTarget("s")})
 				tt.before(rg)
 				an := rg.get("/a", http.StatusServiceUnavailable)
 				qt.Assert(t, an.took, qt.Equals, tt.took)
@@ -83,7 +83,7 @@
 func TestRequestResumesWhenServerAppears(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rg := newRig(t, newMemNetwork(), setup{})
-		rg.setTable(route.Route{Prefix: "/", Aim: 200 * time.Millisecond, Targets: singleTarget("s")})
+		rg.setTable(route.Route{Prefix: "/", TargetLatency: 200 * time.Millisecond, Targets: singleTarget("s")})
 		an := rg.sendAsync(request{uri: "/a"})
 		time.Sleep(33 * time.Millisecond)
 		rg.startServers("s", 1)
@@ -107,8 +107,8 @@
 			rg.setServiceState("p2", state)
 			const aim = 100 * time.Millisecond
 			rg.setTable(
-				route.Route{Prefix: "/some/", Aim: aim, Shards: shardNames(3), Merge: route.Merge{TopK: 5, LeastShare: 0.6}},
-				route.Route{Prefix: "/all/", Aim: aim, Shards: shardNames(3), Merge: route.Merge{TopK: 5, LeastShare: 1}},
+				route.Route{Prefix: "/some/", TargetLatency: aim, Shards: shardNames(3), Merge: route.Merge{TopK: 5, LeastShare: 0.6}},
+				route.Route{Prefix: "/all/", TargetLatency: aim, Shards: shardNames(3), Merge: route.Merge{TopK: 5, LeastShare: 1}},
 			)
 			time.Sleep(discoveryTimeout)
 			an := rg.get("/some/", http.StatusOK)
@@ -128,7 +128,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		rg := newRig(t, newMemNetwork(), setup{budget: budget.Config{Ratio: 0.5, Window: 10 * time.Second}})
 		rg.startServers("p0", 1)
-		rg.setTable(route.Route{Prefix: "/", Aim: 100 * time.Millisecond, Shards: shardNames(2), Merge: route.Merge{TopK: 5, LeastShare: 1}})
+		rg.setTable(route.Route{Prefix: "/", TargetLatency: 100 * time.Millisecond, Shards: shardNames(2), Merge: route.Merge{TopK: 5, LeastShare: 1}})
 		time.Sleep(discoveryTimeout)
 		for range 50 {
 			rg.get("/", http.StatusServiceUnavailable)
@@ -150,7 +150,7 @@
 			be.closeListener()
 		}
 		rg.servers[2].closeListener()
-		rg.setTable(route.Route{Prefix: "/", Aim: 100 * time.Millisecond, MaxAttempts: 2, Shards: shardNames(3), Merge: route.Merge{TopK: 5, LeastShare: 0.6}})
+		rg.setTable(route.Route{Prefix: "/", TargetLatency: 100 * time.Millisecond, MaxAttempts: 2, Shards: shardNames(3), Merge: route.Merge{TopK: 5, LeastShare: 0.6}})
 		an := rg.get("/", http.StatusOK)
 		checkMissing(t, an, 1)
 		qt.Assert(t, an.took < 20*time.Millisecond, qt.IsTrue, qt.Commentf("%v", an.took))
@@ -168,7 +168,7 @@
 			rg.startServers(sh, 1)
 		}
 		nw.blackhole(rg.servers[2].li.Addr().String())
-		rg.setTable(route.Route{Prefix: "/", Aim: 100 * time.Millisecond, MaxAttempts: 2, Shards: shardNames(3), Merge: route.Merge{TopK: 5, LeastShare: 0.6}})
+		rg.setTable(route.Route{Prefix: "/", TargetLatency: 100 * time.Millisecond, MaxAttempts: 2, Shards: shardNames(3), Merge: route.Merge{TopK: 5, LeastShare: 0.6}})
 		an := rg.get("/", http.StatusOK)
 		checkMissing(t, an, 1)
 		qt.Assert(t, an.took, qt.Equals, 100*time.Millisecond-2*callerDelay-holdMargin)
@@ -195,7 +195,7 @@
 		for _, sh := range shardNames(3) {
 			rg.startServers(sh, 1, delayed(work, respondOK))
 		}
-		rg.setTable(route.Route{Prefix: "/", Aim: aim, MaxAttempts: 1, Shards: shardNames(3), Merge: route.Merge{TopK: 5, LeastShare: 0.6}})
+		rg.setTable(route.Route{Prefix: "/", TargetLatency: aim, MaxAttempts: 1, Shards: shardNames(3), Merge: route.Merge{TopK: 5, LeastShare: 0.6}})
 		var ans []<-chan *answer
 		for range count {
 			ans = append(ans, rg.sendAsync(request{uri: "/a"}))
@@ -221,7 +221,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		rg := newRig(t, newMemNetwork(), setup{justStarted: true})
 		rg.startServers("s", 1, delayed(work, respondOK))
-		rg.setTable(route.Route{Prefix: "/", Kind: route.NotRepeatable, Aim: time.Second, Targets: singleTarget("s")})
+		rg.setTable(route.Route{Prefix: "/", Kind: route.NotRepeatable, TargetLatency: time.Second, Targets: singleTarget("s")})
 		var cas []*caller
 		var rqs []request
 		for range 6 {
--- a/gateway/overload.go
+++ b/gateway/overload.go
@@ -10,10 +10,10 @@
 // retryAfter returns when a caller that is rejected for lack of capacity should retry: soon
 // enough for the target latency, but not immediately together with all others.
 func (ca *call) retryAfter() time.Duration {
-	if ca.ro.Aim <= 0 {
+	if ca.ro.TargetLatency <= 0 {
 		return retryAfterBusy
 	}
-	return max(minRetryAfter, ca.ro.Aim/retryAfterDivisor)
+	return max(minRetryAfter, ca.ro.TargetLatency/retryAfterDivisor)
 }
 
 const (
--- a/gateway/pass_test.go
+++ b/gateway/pass_test.go
@@ -222,7 +222,7 @@
 				rg.startServers("s", 1)
 				rg.setTable(
 					route.Route{Prefix: "/a/", Targets: singleTarget("s")},
-					route.Route{Prefix: "/a/none/", Aim: 50 * time.Millisecond, Targets: singleTarget("none")},
+					route.Route{Prefix: "/a/none/", TargetLatency: 50 * time.Millisecond, Targets: singleTarget("none")},
 				)
 				an := rg.send(tt.rq)
 				rg.checkStatus(an, tt.status)
@@ -341,7 +341,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			rg := newRig(t, newMemNetwork(), setup{})
 			rg.startServers("s", 2, neverAnswer)
-			rg.setTable(route.Route{Prefix: "/", Kind: tt.kind, Timeout: 2 * time.Second, Aim: 100 * time.Millisecond, MaxAttempts: 2, Targets: singleTarget("s")})
+			rg.setTable(route.Route{Prefix: "/", Kind: tt.kind, Timeout: 2 * time.Second, TargetLatency: 100 * time.Millisecond, MaxAttempts: 2, Targets: singleTarget("s")})
 			an := rg.send(request{uri: "/a", timeoutMillis: tt.waits})
 			rg.checkUnknown(an)
 			qt.Assert(t, an.took, qt.Equals, tt.want)
--- a/gateway/property_test.go
+++ b/gateway/property_test.go
@@ -99,10 +99,10 @@
 	kinds := []route.Target{{Service: "order", Weight: 1 + cr.ch.intn(3)}, {Service: "w2", Weight: cr.ch.intn(2)}}
 	const aim, timeout = 100 * time.Millisecond, 400 * time.Millisecond
 	cr.setLimitedTable(limits, 30,
-		route.Route{Prefix: "/plain/", Timeout: timeout, Aim: aim, MaxAttempts: 1 + cr.ch.intn(3), Targets: plain[cr.ch.intn(len(plain))]},
-		route.Route{Prefix: "/order/", Kind: route.NotRepeatable, Timeout: timeout, Aim: aim, MaxAttempts: 3, Targets: kinds},
-		route.Route{Prefix: "/some/", Timeout: timeout, Aim: aim, MaxAttempts: 2, Shards: set(), Merge: route.Merge{TopK: 7, LeastShare: 0.5}},
-		route.Route{Prefix: "/all/", Timeout: timeout, Aim: aim, MaxAttempts: 2, Shards: set(), Merge: route.Merge{TopK: 3, LeastShare: 1}},
+		route.Route{Prefix: "/plain/", Timeout: timeout, TargetLatency: aim, MaxAttempts: 1 + cr.ch.intn(3), Targets: plain[cr.ch.intn(len(plain))]},
+		route.Route{Prefix: "/order/", Kind: route.NotRepeatable, Timeout: timeout, TargetLatency: aim, MaxAttempts: 3, Targets: kinds},
+		route.Route{Prefix: "/some/", Timeout: timeout, TargetLatency: aim, MaxAttempts: 2, Shards: set(), Merge: route.Merge{TopK: 7, LeastShare: 0.5}},
+		route.Route{Prefix: "/all/", Timeout: timeout, TargetLatency: aim, MaxAttempts: 2, Shards: set(), Merge: route.Merge{TopK: 3, LeastShare: 1}},
 	)
 }
 
--- a/gateway/warmup_test.go
+++ b/gateway/warmup_test.go
@@ -34,7 +34,7 @@
 func TestColdServersRejectAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rg := newRig(t, newMemNetwork(), setup{})
-		rg.setTable(route.Route{Prefix: "/", Aim: 100 * time.Millisecond, Targets: singleTarget("s")})
+		rg.setTable(route.Route{Prefix: "/", TargetLatency: 100 * time.Millisecond, Targets: singleTarget("s")})
 		rg.startServers("s", 2)
 		rg.makeCold("s")
 		an := rg.get("/a", http.StatusServiceUnavailable)
@@ -48,7 +48,7 @@
 func TestColdShardIsLeftOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rg := newRig(t, newMemNetwork(), setup{})
-		rg.setTable(route.Route{Prefix: "/", Aim: 100 * time.Millisecond, Shards: []string{"a", "b"}, Merge: route.Merge{TopK: 3, LeastShare: 0.5}})
+		rg.setTable(route.Route{Prefix: "/", TargetLatency: 100 * time.Millisecond, Shards: []string{"a", "b"}, Merge: route.Merge{TopK: 3, LeastShare: 0.5}})
 		rg.startServers("a", 2)
 		rg.startServers("b", 2)
 		rg.makeCold("b")
--- a/route/route.go
+++ b/route/route.go
@@ -48,16 +48,16 @@
 // Route says what happens to the requests of one host whose path begins with
 // one prefix. Either Targets or Shards is set.
 type Route struct {
-	Name        string
-	Host        string // Host is the name that callers ask for; its case and a port don't count.
-	Prefix      string // Prefix begins and ends with a slash.
-	Kind        Kind
-	Timeout     time.Duration // Timeout is the longest time that a caller is kept waiting.
-	Aim         time.Duration // Aim is the time within which an answer has its full worth; 0 if there is none.
-	MaxAttempts int           // MaxAttempts bounds the backend servers asked for one request, for each shard; below 1 it means 1.
-	Targets     []Target      // Targets has one element for a plain route and several for a split one.
-	Shards      []string      // Shards are the services that hold one shard each.
-	Merge       Merge         // Merge counts only with Shards.
+	Name          string
+	Host          string // Host is the name that callers ask for; its case and a port don't count.
+	Prefix        string // Prefix begins and ends with a slash.
+	Kind          Kind
+	Timeout       time.Duration // Timeout is the longest time that a caller is kept waiting.
+	TargetLatency time.Duration // Aim is the time within which an answer has its full worth; 0 if there is none.
+	MaxAttempts   int           // MaxAttempts bounds the backend servers asked for one request, for each shard; below 1 it means 1.
+	Targets       []Target      // Targets has one element for a plain route and several for a split one.
+	Shards        []string      // Shards are the services that hold one shard each.
+	Merge         Merge         // Merge counts only with Shards.
 }
 
 func (ro *Route) clone() Route {
--- a/route/table_test.go
+++ b/route/table_test.go
@@ -234,7 +234,7 @@
 		{"no record", []Route{with(sharded("r", "a"), func(ro *Route) { ro.Merge.TopK = 0 })}},
 		{"share 0", []Route{with(sharded("r", "a"), func(ro *Route) { ro.Merge.LeastShare = 0 })}},
 		{"share 1", []Route{with(sharded("r", "a"), func(ro *Route) { ro.Merge.LeastShare = 1 })}},
-		{"no aim", []Route{with(plain("r", "h", "/"), func(ro *Route) { ro.Aim = 0 })}},
+		{"no aim", []Route{with(plain("r", "h", "/"), func(ro *Route) { ro.TargetLatency = 0 })}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			_, err := New(0, tc.rs, abc, Limits{})
