--- a/route/table.go
+++ b/route/table.go
@@ -121,7 +121,7 @@
 
 // Of returns the routes of a host, whose port, final dot and case don't count. They must
 // not be changed.
-func (tb *Table) Of(host string) []*Route {
+func (tb *Table) HostRoutes(host string) []*Route {
 	nos := tb.hosts[hostKey(host)]
 	out := make([]*Route, len(nos))
 	for ix, no := range nos {
--- a/tier/roster.go
+++ b/tier/roster.go
@@ -184,7 +184,7 @@
 // Look-ups name only a host, so one merged route of a host decides for its other routes
 // too.
 func (gs groups) forHost(tb *route.Table, host string) (roster.Group, bool) {
-	for _, ro := range tb.Of(host) {
+	for _, ro := range tb.HostRoutes(host) {
 		if len(ro.Shards) == 0 {
 			continue
 		}
