--- a/route/table.go
+++ b/route/table.go
@@ -132,7 +132,7 @@
 
 // Merged returns the routes that have shards, in the order of the configuration. They
 // must not be changed.
-func (tb *Table) Merged() []*Route {
+func (tb *Table) ShardedRoutes() []*Route {
 	return tb.merged
 }
 
--- a/tier/roster.go
+++ b/tier/roster.go
@@ -162,7 +162,7 @@
 // the new servers.
 func groupsOf(tb *route.Table) groups {
 	gs := make(groups)
-	for _, ro := range tb.Merged() {
+	for _, ro := range tb.ShardedRoutes() {
 		first := ro.Shards[0]
 		se, ok := tb.Service(first)
 		if !ok {
