--- a/caller/addresses.go
+++ b/caller/addresses.go
@@ -15,7 +15,7 @@
 // the others. Equals are ordered by a hash with the salt, so that callers which
 // all use the first address still spread. An empty service means any; a named one
 // gives the few that share the slots of its backend servers.
-func Choose(vi *view.View, service, dataCentre string, salt uint64) []view.Instance {
+func RankInstances(vi *view.View, service, dataCentre string, salt uint64) []view.Instance {
 	ins := entries(vi)
 	if se, ok := vi.Configuration.Services[service]; ok {
 		ins = limit.Subset(service, limit.NumEntries(se, vi.Servers), ins)
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -50,7 +50,7 @@
 		{"surquillo", []string{"near", "here", "far"}},
 		{"giesing", []string{"far", "here", "near"}},
 	} {
-		got := names(caller.Choose(vi, "", tc.dataCentre, 3))
+		got := names(caller.RankInstances(vi, "", tc.dataCentre, 3))
 		if tc.dataCentre == "giesing" {
 			slices.Sort(got[1:])
 		}
@@ -67,7 +67,7 @@
 	}}
 	first := make(map[string]int)
 	for salt := range uint64(300) {
-		first[caller.Choose(vi, "", "a", salt)[0].Name]++
+		first[caller.RankInstances(vi, "", "a", salt)[0].Name]++
 	}
 	for _, name := range []string{"i1", "i2", "i3"} {
 		qt.Check(t, first[name] > 50, qt.IsTrue, qt.Commentf("%s was first %d times", name, first[name]))
@@ -78,7 +78,7 @@
 // It must still be told of that instance, or nobody could use the tier.
 func TestChooseNeverEmpty(t *testing.T) {
 	self := instance("self", "lima", "a")
-	qt.Check(t, names(caller.Choose(&view.View{Self: self}, "", "b", 0)), qt.DeepEquals, []string{"self"})
+	qt.Check(t, names(caller.RankInstances(&view.View{Self: self}, "", "b", 0)), qt.DeepEquals, []string{"self"})
 }
 
 // runner records the query that it is given.
--- a/caller/server.go
+++ b/caller/server.go
@@ -64,7 +64,7 @@
 	if dataCentre == "" {
 		dataCentre = vi.Self.DataCentre
 	}
-	ins := Choose(vi, rq.URL.Query().Get("Service"), dataCentre, randv2.Uint64())
+	ins := RankInstances(vi, rq.URL.Query().Get("Service"), dataCentre, randv2.Uint64())
 	ad := Addresses{TTLMillis: vi.Configuration.Limits.AddressTTLMillis}
 	for _, in := range ins {
 		ad.Addresses = append(ad.Addresses, in.CallerAddress)
--- a/capacity/addresses.go
+++ b/capacity/addresses.go
@@ -18,7 +18,7 @@
 		Take: func(_ context.Context, tr Trial) ([]float64, error) {
 			vi := &view.View{Instances: instancesOf(tr.Size)}
 			var ad caller.Addresses
-			for _, in := range caller.Choose(vi, "", "", 0) {
+			for _, in := range caller.RankInstances(vi, "", "", 0) {
 				ad.Addresses = append(ad.Addresses, in.CallerAddress)
 			}
 			data, err := json.Marshal(ad)
