--- a/fleet/ask.go
+++ b/fleet/ask.go
@@ -11,137 +11,138 @@
 	"balsamwinch.example/result"
 )
 
-// The operations that errors name.
+// The operations named in errors.
 const (
 	opPropose  = "propose document"
 	opRead     = "read document"
 	opEvacuate = "order evacuation"
 )
 
-// Times of a request to a leader.
+// Timing of a request to the leader.
 const (
-	// askPatience is how long one instance is asked before another one is. The
-	// disk of a leader may hang; the others have elected another one by then.
-	askPatience = 600 * time.Millisecond
-	// silentTries is for how many tries an instance is passed over that did not
-	// answer, also if others take it for the leader still.
-	silentTries = 5
-	// stall is how long the node's goroutine is busy until it counts as held up.
-	stall = 200 * time.Millisecond
-	// askPause is the longest pause before the next instance is asked.
-	askPause = 100 * time.Millisecond
+	// attemptTimeout bounds the wait for one instance. If the disk of a leader hangs, the
+	// others have elected a new leader within this time.
+	attemptTimeout = 600 * time.Millisecond
+	// maxSilentSkips is the number of attempts for which an instance that did not answer is
+	// skipped, even if others still report it as the leader.
+	maxSilentSkips = 5
+	// stallThreshold is the time after which the node's busy goroutine counts as stalled.
+	stallThreshold = 200 * time.Millisecond
+	// maxRetryDelay is the longest delay before the next instance is asked.
+	maxRetryDelay = 100 * time.Millisecond
 )
 
-// calls are the requests that wait for an answer.
-type calls struct {
+// pendingRequests holds the requests that wait for an answer.
+type pendingRequests struct {
 	mu      sync.Mutex
-	last    uint64
-	waiting map[uint64]chan Answer
+	lastID  uint64
+	replies map[uint64]chan Answer
 }
 
-func (ca *calls) open() (request uint64, answer <-chan Answer) {
-	ca.mu.Lock()
-	defer ca.mu.Unlock()
-	if ca.waiting == nil {
-		ca.waiting = make(map[uint64]chan Answer)
+func (pr *pendingRequests) register() (request uint64, answer <-chan Answer) {
+	pr.mu.Lock()
+	defer pr.mu.Unlock()
+	if pr.replies == nil {
+		pr.replies = make(map[uint64]chan Answer)
 	}
-	ca.last++
+	pr.lastID++
 	ch := make(chan Answer, 1)
-	ca.waiting[ca.last] = ch
-	return ca.last, ch
+	pr.replies[pr.lastID] = ch
+	return pr.lastID, ch
 }
 
-func (ca *calls) drop(request uint64) {
-	ca.mu.Lock()
-	defer ca.mu.Unlock()
-	delete(ca.waiting, request)
+func (pr *pendingRequests) cancel(request uint64) {
+	pr.mu.Lock()
+	defer pr.mu.Unlock()
+	delete(pr.replies, request)
 }
 
-func (ca *calls) resolve(an Answer) {
-	ca.mu.Lock()
-	defer ca.mu.Unlock()
-	if ch, ok := ca.waiting[an.Request]; ok {
-		delete(ca.waiting, an.Request)
+func (pr *pendingRequests) deliver(an Answer) {
+	pr.mu.Lock()
+	defer pr.mu.Unlock()
+	if ch, ok := pr.replies[an.Request]; ok {
+		delete(pr.replies, an.Request)
 		ch <- an
 	}
 }
 
-// ask puts a request to the leader and follows hints to it until an answer is OK
-// or the context ends.
-func (nd *Node) ask(ctx context.Context, op string, message func(request uint64) peer.Message) (Answer, error) {
+// askLeader sends a request to the leader, following hints to it, until an answer is OK or
+// the context ends.
+func (nd *Node) askLeader(ctx context.Context, op string, message func(request uint64) peer.Message) (Answer, error) {
 	target := nd.leader()
 	reason := "no leader is known"
-	silent, silentFor := "", 0 // silent is who did not answer, and so many tries ago.
-	for try := 0; ; try++ {
-		if silentFor++; silentFor > silentTries {
+	silent, attemptsSinceSilent := "", 0 // silent is the instance that did not answer last; attemptsSinceSilent counts the attempts since then.
+	for attempt := 0; ; attempt++ {
+		if attemptsSinceSilent++; attemptsSinceSilent > maxSilentSkips {
 			silent = ""
 		}
 		if target == "" || target == silent {
-			target = nd.rotate(try, silent)
+			target = nd.nextTarget(attempt, silent)
 		}
-		an, ok := nd.askOne(ctx, target, message)
+		an, ok := nd.askInstance(ctx, target, message)
 		if ok && an.OK {
 			return an, nil
 		}
 		asked := target
 		if ok {
-			reason = asked + " says: " + an.Reason
+			reason = asked + " rejected the request: " + an.Reason
 			target = an.Leader
 		} else {
 			reason = asked + " does not answer"
 			target = ""
-			silent, silentFor = asked, 0
+			silent, attemptsSinceSilent = asked, 0
 		}
 		if target == asked {
 			target = ""
 		}
-		if try == 0 && target != "" {
-			continue // The hint of the first one is most often right.
+		if attempt == 0 && target != "" {
+			continue // The hint of the first instance is usually right.
 		}
-		if err := nd.ts.Sleep(ctx, nd.jitter(askPause)); err != nil {
-			nd.lg.Warn("request-not-served", zap.String("Operation", op), zap.String("Reason", reason), zap.Int("Tries", try+1))
+		if err := nd.ts.Sleep(ctx, nd.jitter(maxRetryDelay)); err != nil {
+			nd.lg.Warn("request-not-served", zap.String("Operation", op), zap.String("Reason", reason), zap.Int("Tries", attempt+1))
 			return Answer{}, &result.Error{Code: result.ControlUnavailable, Op: op, Detail: reason, Err: err}
 		}
 	}
 }
 
-// leader returns the name of the instance that leads as far as is known, or "".
+// leader returns the name of the known leader, or "".
 func (nd *Node) leader() string {
 	if nd.stalled() {
-		return leading(nd.li.known())
+		return newestLeader(nd.links.latestReports())
 	}
 	return nd.status.Load().Leader
 }
 
-// leading returns the name of the newest leader among those that report, or "".
-func leading(pas []partner) string {
+// newestLeader returns the name of the leader with the highest term among the reports, or
+// "".
+func newestLeader(prs []peerReport) string {
 	name, term := "", uint64(0)
-	for _, pa := range pas {
-		if pa.report.Leading && pa.report.Term > term {
-			name, term = pa.report.Name, pa.report.Term
+	for _, pr := range prs {
+		if pr.report.Leading && pr.report.Term > term {
+			name, term = pr.report.Name, pr.report.Term
 		}
 	}
 	return name
 }
 
-// stalled reports whether the node's goroutine is held up, as by a disk that
-// hangs. It may believe that it leads all the while.
+// stalled reports whether the node's goroutine is blocked, for example by a disk that
+// hangs. The node's own status may say that it leads meanwhile.
 func (nd *Node) stalled() bool {
-	since := nd.busy.Load()
-	return since != 0 && nd.ts.Now().Sub(nd.born)-time.Duration(since) >= stall
+	since := nd.busySince.Load()
+	return since != 0 && nd.ts.Now().Sub(nd.createdAt)-time.Duration(since) >= stallThreshold
 }
 
-// rotate returns one instance after the other, and the known leader in between,
-// but not the one that did not answer.
-func (nd *Node) rotate(try int, silent string) string {
-	if name := nd.leader(); name != "" && name != silent && try%2 == 0 {
+// nextTarget returns the instances in turn, alternating with the known leader, and skips
+// the one that did not answer.
+func (nd *Node) nextTarget(attempt int, silent string) string {
+	if name := nd.leader(); name != "" && name != silent && attempt%2 == 0 {
 		return name
 	}
 	var names []string
 	if !nd.stalled() {
 		names = append(names, nd.cf.Name)
 	}
-	for _, li := range nd.li.each() {
+	for _, li := range nd.links.newestPerInstance() {
 		if li.name != silent {
 			names = append(names, li.name)
 		}
@@ -149,27 +150,28 @@
 	if len(names) == 0 {
 		return nd.cf.Name
 	}
-	return names[(try/2+1)%len(names)]
+	return names[(attempt/2+1)%len(names)]
 }
 
-// askOne asks one instance. It reports false if there was no answer in time.
-func (nd *Node) askOne(ctx context.Context, name string, message func(request uint64) peer.Message) (Answer, bool) {
-	ctx, cancel := context.WithTimeout(ctx, askPatience)
+// askInstance sends a request to one instance. It reports false if no answer arrived in
+// time.
+func (nd *Node) askInstance(ctx context.Context, name string, message func(request uint64) peer.Message) (Answer, bool) {
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	request, answer := nd.ca.open()
-	defer nd.ca.drop(request)
+	request, answer := nd.pending.register()
+	defer nd.pending.cancel(request)
 	ms := message(request)
 	var ended <-chan struct{}
 	if name == nd.cf.Name {
 		reply := func(an Answer) {
 			an.Request = request
-			nd.ca.resolve(an)
+			nd.pending.deliver(an)
 		}
-		if !nd.post(demanded{ms: ms, reply: reply}, 0) {
+		if !nd.enqueue(requestReceived{ms: ms, reply: reply}, 0) {
 			return Answer{}, false
 		}
 	} else {
-		li := nd.li.find(name)
+		li := nd.links.find(name)
 		if li == nil || li.co.Send(ms) != nil {
 			return Answer{}, false
 		}
--- a/fleet/dial.go
+++ b/fleet/dial.go
@@ -11,19 +11,19 @@
 	"balsamwinch.example/peer"
 )
 
-// Pauses between two dials of an address.
+// Backoff between two dials of an address.
 const (
-	firstPause = 100 * time.Millisecond
-	lastPause  = time.Second
+	minDialBackoff = 100 * time.Millisecond
+	maxDialBackoff = time.Second
 )
 
-// keep holds a link to an address until the context ends, unless the instance
-// there holds one to this instance.
-func (nd *Node) keep(ctx context.Context, address string) {
-	pause := firstPause
+// maintainLink keeps a link to an address until the context ends. It doesn't dial while the
+// instance there has a link to this one.
+func (nd *Node) maintainLink(ctx context.Context, address string) {
+	backoff := minDialBackoff
 	for ctx.Err() == nil {
-		if linked, changed := nd.li.linked(address); linked {
-			pause = firstPause
+		if linked, changed := nd.links.isLinked(address); linked {
+			backoff = minDialBackoff
 			select {
 			case <-changed:
 			case <-ctx.Done():
@@ -31,17 +31,17 @@
 			continue
 		}
 		if nd.dial(ctx, address) {
-			pause = firstPause
+			backoff = minDialBackoff
 		}
-		if nd.ts.Sleep(ctx, nd.jitter(pause)) != nil {
+		if nd.ts.Sleep(ctx, nd.jitter(backoff)) != nil {
 			return
 		}
-		pause = min(2*pause, lastPause)
+		backoff = min(2*backoff, maxDialBackoff)
 	}
 }
 
-// dial opens a link and serves it until it ends. It reports whether there was
-// one.
+// dial opens a link and serves it until it ends. It reports whether the link was
+// established.
 func (nd *Node) dial(ctx context.Context, address string) bool {
 	co, err := link.Dial(ctx, address, nd.cf.Link)
 	if err != nil {
@@ -53,17 +53,17 @@
 	if co.Send(Join{Report: *nd.report.Load()}) != nil {
 		return false
 	}
-	re, err := greeting(co)
+	re, err := receiveReport(co)
 	if err != nil || re.Name == nd.cf.Name || re.Name == "" {
 		return false
 	}
-	nd.serve(&line{co: co, name: re.Name, start: re.Start, outgoing: true}, re)
+	nd.serve(&peerLink{co: co, name: re.Name, start: re.Start, outgoing: true}, re)
 	return true
 }
 
-// greeting waits for the report of the other end. Messages of its log that
-// overtake it are dropped, which they may be.
-func greeting(co *link.Conn) (Report, error) {
+// receiveReport waits for the report of the other end. Messages of the replicated log that
+// arrive before it are dropped; the log tolerates their loss.
+func receiveReport(co *link.Conn) (Report, error) {
 	for {
 		ms, err := co.Receive()
 		if err != nil {
@@ -78,8 +78,8 @@
 	}
 }
 
-// Handle serves a link that another control instance opened, whose first message
-// is Join, until it or the context ends.
+// Handle serves a link that another control instance opened, and whose first message is
+// Join, until the link or the context ends.
 func (nd *Node) Handle(ctx context.Context, co *link.Conn, first peer.Message) {
 	stop := context.AfterFunc(ctx, co.Close)
 	defer stop()
@@ -88,39 +88,39 @@
 	switch {
 	case !ok || jo.Report.Name == "":
 	case jo.Report.Name == nd.cf.Name:
-		// The dialler has dialled itself, or two instances have one name. It learns
-		// that from the answer and closes the link.
+		// The instance has dialled itself, or two instances share a name. The dialling end
+		// learns that from the reply and closes the link.
 		_ = co.Send(JoinReply{Report: *nd.report.Load()})
 		_, _ = co.Receive()
 	default:
-		nd.serve(&line{co: co, name: jo.Report.Name, start: jo.Report.Start}, jo.Report)
+		nd.serve(&peerLink{co: co, name: jo.Report.Name, start: jo.Report.Start}, jo.Report)
 	}
 }
 
-// serve reads a line until it ends.
-func (nd *Node) serve(li *line, re Report) {
-	superfluous := nd.li.add(li, re, nd.ts.Now())
+// serve receives from a link until it ends.
+func (nd *Node) serve(li *peerLink, re Report) {
+	duplicate := nd.links.add(li, re, nd.ts.Now())
 	nd.lg.Info("line-opened", zap.String("Instance", li.name), zap.Bool("Outgoing", li.outgoing))
-	err := nd.receive(li, superfluous)
-	nd.li.remove(li)
-	nd.tellAgain(li.name)
+	err := nd.receive(li, duplicate)
+	nd.links.remove(li)
+	nd.resendReport(li.name)
 	nd.lg.Info("line-ended", zap.String("Instance", li.name), zap.Bool("Outgoing", li.outgoing), zap.Error(err))
-	nd.poke()
+	nd.wake()
 }
 
-// tellAgain repeats the report to an instance of which a line has ended, if there is
-// another line to it: the report may have gone to the one that ended.
-func (nd *Node) tellAgain(name string) {
-	if ot := nd.li.find(name); ot != nil {
-		_ = ot.co.Send(ReportUpdate{Report: *nd.report.Load()}) // The end of a line is seen where it is read.
+// resendReport sends the report again to an instance if one of its links has ended and
+// another is open: the report may have been lost with the ended link.
+func (nd *Node) resendReport(name string) {
+	if ot := nd.links.find(name); ot != nil {
+		_ = ot.co.Send(ReportUpdate{Report: *nd.report.Load()}) // If the link has ended, its receiver notices.
 	}
 }
 
-var errSuperfluous = errors.New("another line is open")
+var errDuplicateLink = errors.New("another link is open")
 
-func (nd *Node) receive(li, superfluous *line) error {
-	// The report is read after the line was noted: a change that comes between is
-	// either in it or sent to the line.
+func (nd *Node) receive(li, duplicate *peerLink) error {
+	// The report is read after the link was added, so that a concurrent change is either
+	// part of it or sent over the link.
 	if !li.outgoing {
 		if err := li.co.Send(JoinReply{Report: *nd.report.Load()}); err != nil {
 			return err
@@ -128,77 +128,77 @@
 	} else if err := li.co.Send(ReportUpdate{Report: *nd.report.Load()}); err != nil {
 		return err
 	}
-	if superfluous == li {
-		return errSuperfluous
+	if duplicate == li {
+		return errDuplicateLink
 	}
-	if superfluous != nil {
-		superfluous.co.Close()
+	if duplicate != nil {
+		duplicate.co.Close()
 	}
-	nd.poke()
+	nd.wake()
 	for {
 		ms, err := li.co.Receive()
 		if err != nil {
 			return err
 		}
-		nd.received(li, ms)
+		nd.dispatch(li, ms)
 	}
 }
 
-// received hands a message to the part that it belongs to. It never waits for
-// the node's goroutine, which may hang in a write to its disk.
-func (nd *Node) received(li *line, ms peer.Message) {
+// dispatch hands a message to the component that handles it. It never waits for the node's
+// goroutine, which may hang in a write to its disk.
+func (nd *Node) dispatch(li *peerLink, ms peer.Message) {
 	switch ms := ms.(type) {
 	case ReportUpdate:
-		nd.li.note(li, ms.Report, nd.ts.Now())
-		nd.poke()
+		nd.links.updateReport(li, ms.Report, nd.ts.Now())
+		nd.wake()
 	case Envelope:
-		nd.post(routed{from: li.name, ms: ms}, len(ms.Frame))
+		nd.enqueue(envelopeReceived{from: li.name, ms: ms}, len(ms.Frame))
 	case Document:
-		nd.post(learned{do: &document{Version: ms.Version, Data: ms.Data}}, len(ms.Data))
+		nd.enqueue(documentReceived{do: &document{Version: ms.Version, Data: ms.Data}}, len(ms.Data))
 	case Proposal:
-		nd.demand(li, ms.Request, ms, len(ms.Data))
+		nd.dispatchRequest(li, ms.Request, ms, len(ms.Data))
 	case ReadRequest:
-		nd.demand(li, ms.Request, ms, 0)
+		nd.dispatchRequest(li, ms.Request, ms, 0)
 	case EvacuationOrder:
-		nd.demand(li, ms.Request, ms, len(ms.Order.DataCentre))
+		nd.dispatchRequest(li, ms.Request, ms, len(ms.Order.DataCentre))
 	case Evacuations:
-		nd.post(toldEvacuations{set: ms.Set}, 0)
+		nd.enqueue(evacuationsReceived{set: ms.Set}, 0)
 	case Answer:
-		nd.ca.resolve(ms)
+		nd.pending.deliver(ms)
 	}
 }
 
-// demand passes a request to the node's goroutine and its answer back.
-func (nd *Node) demand(li *line, request uint64, ms peer.Message, size int) {
+// dispatchRequest passes a request to the node's goroutine and sends the answer back.
+func (nd *Node) dispatchRequest(li *peerLink, request uint64, ms peer.Message, size int) {
 	reply := func(an Answer) {
 		an.Request = request
-		_ = li.co.Send(an) // A link that has ended tells the asker by itself.
+		_ = li.co.Send(an) // If the link has ended, the requester notices that itself.
 	}
-	if !nd.post(demanded{ms: ms, reply: reply}, size) {
+	if !nd.enqueue(requestReceived{ms: ms, reply: reply}, size) {
 		reply(Answer{Reason: reasonBusy})
 	}
 }
 
-// poke makes the node's goroutine look at the lines and reports.
-func (nd *Node) poke() {
+// wake makes the node's goroutine process changed links and reports.
+func (nd *Node) wake() {
 	select {
-	case nd.nudge <- struct{}{}:
+	case nd.linksChanged <- struct{}{}:
 	default:
 	}
 }
 
-// post hands an event to the node's goroutine unless too much waits already. It
+// enqueue adds an event to the queue of the node's goroutine unless the queue is full. It
 // reports whether it did.
-func (nd *Node) post(ev event, size int) bool {
-	if size > 0 && nd.queued.Load()+int64(size) > eventBytes && nd.queued.Load() > 0 {
+func (nd *Node) enqueue(ev event, size int) bool {
+	if size > 0 && nd.queuedBytes.Load()+int64(size) > maxQueuedBytes && nd.queuedBytes.Load() > 0 {
 		return false
 	}
-	nd.queued.Add(int64(size))
+	nd.queuedBytes.Add(int64(size))
 	select {
-	case nd.events <- sized{event: ev, size: size}:
+	case nd.events <- sizedEvent{event: ev, size: size}:
 		return true
 	default:
-		nd.queued.Add(-int64(size))
+		nd.queuedBytes.Add(-int64(size))
 		return false
 	}
 }
--- a/fleet/disk.go
+++ b/fleet/disk.go
@@ -16,57 +16,57 @@
 	"balsamwinch.example/wal"
 )
 
-// The names in a data folder.
+// File and folder names in the data folder.
 const (
-	logName      = "log"         // logName is the folder of package wal.
-	doubtfulName = "log.unused"  // doubtfulName is a log that must not be used any more.
-	firstName    = "first-start" // firstName marks a disk that took part in the first start.
+	logName          = "log"         // the folder of package wal
+	discardedLogName = "log.unused"  // a log that must no longer be used
+	firstStartName   = "first-start" // marks a disk that took part in the first start
 )
 
-// Pauses before a disk that failed is opened again.
+// Backoff before a disk that failed is opened again.
 const (
-	firstReopen = 200 * time.Millisecond
-	lastReopen  = time.Second
+	minReopenBackoff = 200 * time.Millisecond
+	maxReopenBackoff = time.Second
 )
 
-// firstStart is the content of the mark of a disk that took part in the first
-// start of all.
+// firstStart is the content of the marker file of a disk that took part in the first start
+// of the whole system.
 type firstStart struct {
-	Seeds []string // Seeds are those that form the group, in order.
+	Seeds []string // Seeds form the group, in order.
 }
 
-// open opens the data folder and begins with what it holds.
-func (th *thread) open() {
+// openDisk opens the data folder and starts the log that it holds.
+func (th *thread) openDisk() {
 	if err := th.tryOpen(); err != nil {
 		th.nd.lg.Warn("disk-not-opened", zap.Error(err))
-		th.later()
-		var re *result.Error
-		if errors.As(err, &re) && re.Code == result.DamagedState {
-			th.discard(re.Error())
+		th.scheduleReopen()
+		var resultError *result.Error
+		if errors.As(err, &resultError) && resultError.Code == result.DamagedState {
+			th.discardLog(resultError.Error())
 		}
 		return
 	}
-	if th.drop() {
+	if th.closeUnusable() {
 		return
 	}
-	th.pause = firstReopen
+	th.reopenBackoff = minReopenBackoff
 }
 
-// later sets when the disk is opened again.
-func (th *thread) later() {
-	th.reopenAt = th.now().Add(th.nd.jitter(th.pause))
-	th.pause = min(2*th.pause, lastReopen)
+// scheduleReopen sets when the disk is opened again.
+func (th *thread) scheduleReopen() {
+	th.reopenAt = th.now().Add(th.nd.jitter(th.reopenBackoff))
+	th.reopenBackoff = min(2*th.reopenBackoff, maxReopenBackoff)
 }
 
 func (th *thread) tryOpen() error {
 	if err := th.nd.fsys.MakeDir(th.nd.cf.Dir); err != nil {
 		return err
 	}
-	if err := th.mark(); err != nil {
+	if err := th.markFirstStart(); err != nil {
 		return err
 	}
-	th.readNotes()
-	first, err := th.marked()
+	th.loadPersisted()
+	first, err := th.readFirstStart()
 	if err != nil {
 		return err
 	}
@@ -74,22 +74,22 @@
 	if err != nil {
 		return err
 	}
-	th.vo = &voter{jo: jo, id: diskID(th.nd.cf.Name, rc.DiskID), boot: rc.Boot, first: first}
+	th.vo = &voter{jo: jo, id: voterID(th.nd.cf.Name, rc.DiskID), boot: rc.Boot, firstSeeds: first}
 	if rc.Snapshot.Index == 0 && len(first) > 0 {
 		th.nd.lg.Info("awaits-formation", zap.String("ID", string(th.vo.id)), zap.Strings("Seeds", first))
 		return nil
 	}
-	th.start(rc.Hard, rc.Snapshot, rc.Entries)
+	th.startLog(rc.Hard, rc.Snapshot, rc.Entries)
 	return nil
 }
 
 func (th *thread) path(name string) string { return filepath.Join(th.nd.cf.Dir, name) }
 
-// mark marks an empty disk at the first start of all. The system says only once
-// that it is the first start: a process that is killed right after it is told
-// otherwise at its next one, and without the mark it would wait for a group that
-// nobody forms.
-func (th *thread) mark() error {
+// markFirstStart writes the marker file to an empty disk at the first start of the whole
+// system. The deployment declares a first start only once: a process that is killed right
+// after it is not started with FirstStart again, and without the marker it would wait for a
+// group that nobody forms.
+func (th *thread) markFirstStart() error {
 	if !th.nd.cf.FirstStart {
 		return nil
 	}
@@ -97,25 +97,25 @@
 	if err != nil {
 		return err
 	}
-	if slices.Contains(names, firstName) || slices.Contains(names, logName) {
+	if slices.Contains(names, firstStartName) || slices.Contains(names, logName) {
 		return nil
 	}
 	seeds := slices.Clone(th.nd.cf.Seeds())
 	slices.Sort(seeds)
 	seeds = slices.Compact(seeds)
 	if len(seeds) == 0 {
-		return &result.Error{Code: result.BadSettings, Op: "first start", Detail: "no seeds are named"}
+		return &result.Error{Code: result.BadSettings, Op: "first start", Detail: "no seeds are configured"}
 	}
 	data, err := json.Marshal(firstStart{Seeds: seeds})
 	if err != nil {
 		return err
 	}
-	return wal.WriteFileAtomic(th.nd.fsys, th.nd.cf.Dir, firstName, data)
+	return wal.WriteFileAtomic(th.nd.fsys, th.nd.cf.Dir, firstStartName, data)
 }
 
-// marked returns the seeds of the first start, or nil if the disk is not marked.
-func (th *thread) marked() ([]string, error) {
-	data, err := th.nd.fsys.ReadFile(th.path(firstName))
+// readFirstStart returns the seeds in the marker file, or nil if there is none.
+func (th *thread) readFirstStart() ([]string, error) {
+	data, err := th.nd.fsys.ReadFile(th.path(firstStartName))
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
@@ -124,15 +124,15 @@
 	}
 	var st firstStart
 	if err := json.Unmarshal(data, &st); err != nil {
-		// Without the mark the disk forms nothing and waits to be added, which is safe.
-		th.nd.lg.Error("mark-not-read", zap.String("File", th.path(firstName)), zap.Error(err))
+		// Without its marker the disk forms no group and waits to be added, which is safe.
+		th.nd.lg.Error("mark-not-read", zap.String("File", th.path(firstStartName)), zap.Error(err))
 	}
 	return st.Seeds, nil
 }
 
-// drop gives up a log whose disk failed, or that must not be used. It reports
+// closeUnusable closes a log whose disk failed or that must no longer be used. It reports
 // whether it did.
-func (th *thread) drop() bool {
+func (th *thread) closeUnusable() bool {
 	vo := th.vo
 	if vo == nil {
 		return false
@@ -151,19 +151,18 @@
 		th.nd.lg.Warn("folder-not-closed", zap.Error(err))
 	}
 	th.vo = nil
-	th.abandon("the disk failed")
-	th.later()
+	th.rejectPending("the disk failed")
+	th.scheduleReopen()
 	if refusal != "" {
-		th.discard(refusal)
+		th.discardLog(refusal)
 	}
 	return true
 }
 
-// discard puts a log aside that must not be used again, so that the next opening
-// begins an empty one under another identity, which asks to be added. The mark
-// of the first start goes first: without a log it would say that the disk had
-// never held one.
-func (th *thread) discard(reason string) {
+// discardLog moves a log aside that must no longer be used. The next opening then creates
+// an empty log with a new identity, which asks to be added. The marker of the first start
+// is removed first: without a log, it would state that the disk had never held one.
+func (th *thread) discardLog(reason string) {
 	th.nd.lg.Error("log-put-aside", zap.String("Reason", reason))
 	remove := func(name string) error {
 		err := th.nd.fsys.Remove(th.path(name))
@@ -172,15 +171,15 @@
 		}
 		return err
 	}
-	err := remove(firstName)
+	err := remove(firstStartName)
 	if err == nil {
 		err = th.nd.fsys.SyncDir(th.nd.cf.Dir)
 	}
 	if err == nil {
-		err = os.RemoveAll(th.path(doubtfulName))
+		err = os.RemoveAll(th.path(discardedLogName))
 	}
 	if err == nil {
-		err = th.nd.fsys.Rename(th.path(logName), th.path(doubtfulName))
+		err = th.nd.fsys.Rename(th.path(logName), th.path(discardedLogName))
 	}
 	if err == nil || errors.Is(err, fs.ErrNotExist) {
 		err = th.nd.fsys.SyncDir(th.nd.cf.Dir)
@@ -190,72 +189,72 @@
 	}
 }
 
-// form decides for a disk that took part in the first start.
-func (th *thread) form(now time.Time, pas []partner) {
+// formGroup decides how a disk that took part in the first start joins the group.
+func (th *thread) formGroup(now time.Time, prs []peerReport) {
 	vo := th.vo
 	if vo == nil || vo.formed || vo.failed != nil {
 		return
 	}
-	for _, pa := range pas {
-		if fo := pa.report.Formation; fo != nil {
-			th.adopt(*fo)
+	for _, pr := range prs {
+		if fo := pr.report.Formation; fo != nil {
+			th.adoptFormation(*fo)
 			return
 		}
 	}
-	fo, ok := th.formation(now, pas)
+	fo, ok := th.proposeFormation(now, prs)
 	if ok {
 		th.nd.lg.Info("group-formed", zap.Any("Voters", fo.Voters))
-		th.adopt(fo)
+		th.adoptFormation(fo)
 	}
 }
 
-// adopt begins with the first snapshot, or waits to be added if the group was
+// adoptFormation starts from the initial snapshot, or waits to be added if the group was
 // formed without this disk.
-func (th *thread) adopt(fo Formation) {
+func (th *thread) adoptFormation(fo Formation) {
 	vo := th.vo
 	if !slices.Contains(fo.Voters, vo.id) {
-		th.start(quorum.HardState{}, wal.Snapshot{}, nil)
+		th.startLog(quorum.HardState{}, wal.Snapshot{}, nil)
 		return
 	}
-	sn := fo.firstSnapshot()
+	sn := fo.initialSnapshot()
 	if vo.fail(vo.jo.SaveSnapshot(sn)) {
 		return
 	}
-	th.start(quorum.HardState{Term: sn.Term}, sn, nil)
+	th.startLog(quorum.HardState{Term: sn.Term}, sn, nil)
 }
 
-// formationPatience is how long the others of the first start are awaited. After
-// it a majority is enough, and the rest is added later.
-const formationPatience = 3 * time.Second
+// formationTimeout bounds the wait for the other seeds of the first start. After it a
+// majority is enough; the rest is added later.
+const formationTimeout = 3 * time.Second
 
-// formation returns the first voters, and false if this instance must not form
-// the group now.
+// proposeFormation returns the first voters, and false if this instance must not form the
+// group now.
 //
-// The seeds of the first start stand in the mark, so that all who have one agree
-// on them, and only the lowest of them ever forms a group, only while its own
-// disk is as it was at that start. A disk that was lost has no mark.
-func (th *thread) formation(now time.Time, pas []partner) (Formation, bool) {
+// The seeds of the first start are in the marker file, so that all instances with a marker
+// agree on them. Only the lowest seed ever forms a group, and only while its disk is
+// unchanged since the first start. A disk that was lost has no marker.
+func (th *thread) proposeFormation(now time.Time, prs []peerReport) (Formation, bool) {
 	vo, cf := th.vo, th.nd.cf
-	if vo.first[0] != cf.Address {
+	if vo.firstSeeds[0] != cf.Address {
 		return Formation{}, false
 	}
-	wanted := cf.wanted()
+	targetVoters := cf.targetVoters()
 	fo := Formation{Voters: []quorum.ID{vo.id}, Members: []Member{{Name: cf.Name, Address: cf.Address}}}
 	missing := 0
-	for _, address := range vo.first[1:] {
-		po := slices.IndexFunc(pas, func(pa partner) bool { return pa.report.Address == address && pa.report.ID != "" })
+	for _, address := range vo.firstSeeds[1:] {
+		po := slices.IndexFunc(prs, func(pr peerReport) bool { return pr.report.Address == address && pr.report.ID != "" })
 		if po < 0 {
 			missing++
 			continue
 		}
-		re := pas[po].report
-		if re.Fresh && slices.Equal(re.First, vo.first) && len(fo.Voters) < wanted {
+		re := prs[po].report
+		if re.Fresh && slices.Equal(re.First, vo.firstSeeds) && len(fo.Voters) < targetVoters {
 			fo.Voters = append(fo.Voters, re.ID)
 			fo.Members = append(fo.Members, Member{Name: re.Name, Address: re.Address})
 		}
 	}
 	slices.SortFunc(fo.Members, compareMembers)
-	enough := len(fo.Voters) > max(0, cf.MaxFailures) || missing == 0 && len(fo.Voters) == len(vo.first)
-	waited := now.Sub(th.started) >= formationPatience && 2*len(fo.Voters) > min(wanted, len(vo.first))
+	enough := len(fo.Voters) > max(0, cf.MaxFailures) || missing == 0 && len(fo.Voters) == len(vo.firstSeeds)
+	waited := now.Sub(th.startedAt) >= formationTimeout && 2*len(fo.Voters) > min(targetVoters, len(vo.firstSeeds))
 	return fo, enough && (missing == 0 || waited)
 }
--- a/fleet/disk_test.go
+++ b/fleet/disk_test.go
@@ -10,27 +10,27 @@
 	"balsamwinch.example/wal"
 )
 
-// faultyDisk is a disk that hangs or refuses writes on demand.
+// faultyDisk is a disk that hangs or rejects writes on demand.
 type faultyDisk struct {
 	wal.FileSystem
 
-	mu      sync.Mutex
-	refuses bool
-	hang    chan struct{} // hang holds up syncs until it is closed, if not nil.
+	mu   sync.Mutex
+	full bool
+	hang chan struct{} // hang blocks syncs until it is closed; nil for none.
 }
 
 var errFull = errors.New("no space left on the disk")
 
 func newFaultyDisk() *faultyDisk { return &faultyDisk{FileSystem: wal.System()} }
 
-func (fd *faultyDisk) setRefuses(refuses bool) {
+func (fd *faultyDisk) setFull(full bool) {
 	fd.mu.Lock()
 	defer fd.mu.Unlock()
-	fd.refuses = refuses
+	fd.full = full
 }
 
-// stall makes syncs hang until the returned function is called.
-func (fd *faultyDisk) stall() (resume func()) {
+// hangSyncs makes syncs hang until the returned function is called.
+func (fd *faultyDisk) hangSyncs() (resume func()) {
 	fd.mu.Lock()
 	defer fd.mu.Unlock()
 	hang := make(chan struct{})
@@ -38,14 +38,14 @@
 	return sync.OnceFunc(func() { close(hang) })
 }
 
-func (fd *faultyDisk) wait() error {
+func (fd *faultyDisk) checkSync() error {
 	fd.mu.Lock()
-	refuses, hang := fd.refuses, fd.hang
+	full, hang := fd.full, fd.hang
 	fd.mu.Unlock()
 	if hang != nil {
 		<-hang
 	}
-	if refuses {
+	if full {
 		return errFull
 	}
 	return nil
@@ -69,9 +69,9 @@
 // Write writes half of the data when the disk is full.
 func (ff faultyFile) Write(data []byte) (int, error) {
 	ff.fd.mu.Lock()
-	refuses := ff.fd.refuses
+	full := ff.fd.full
 	ff.fd.mu.Unlock()
-	if refuses {
+	if full {
 		count, err := ff.File.Write(data[:len(data)/2])
 		return count, errors.Join(errFull, err)
 	}
@@ -79,30 +79,29 @@
 }
 
 func (ff faultyFile) Sync() error {
-	if err := ff.fd.wait(); err != nil {
+	if err := ff.fd.checkSync(); err != nil {
 		return err
 	}
 	return ff.File.Sync()
 }
 
-// The disk of one instance fills up, of the leader or of a follower. Changes go on
-// being acknowledged, also those that this instance is asked for, and it is a
-// voter again once there is room.
-func TestDiskFull(t *testing.T) {
+// The disk of the leader or of a follower fills up. Proposals must still be acknowledged,
+// also those sent to this instance, and it must vote again once there is space.
+func TestFullDiskDoesNotBlockRequests(t *testing.T) {
 	for _, leader := range []bool{false, true} {
 		t.Run(map[bool]string{false: "Follower", true: "Leader"}[leader], func(t *testing.T) {
-			gr := form(t, 1, 3, 0)
+			gr := newFormedGroup(t, 1, 3, 0)
 			in := gr.follower()
 			if leader {
 				in = gr.leader()
 			}
 			old := in.nd.Status().ID
-			in.disk.setRefuses(true)
-			in.propose(1, "one")
-			in.reads(1, "one")
-			gr.await("the log is given up", func() bool { return in.nd.Status().Role == roleNoDisk })
-			in.propose(2, "two")
-			in.disk.setRefuses(false)
+			in.disk.setFull(true)
+			in.mustPropose(1, "one")
+			in.assertRead(1, "one")
+			gr.await("the failed log is closed", func() bool { return in.nd.Status().Role == roleNoDisk })
+			in.mustPropose(2, "two")
+			in.disk.setFull(false)
 			gr.awaitVoters(3)
 			gr.awaitDocument(2, "two")
 			gr.c.Assert(in.nd.Status().ID, qt.Equals, old)
@@ -110,24 +109,24 @@
 	}
 }
 
-// The disk of one instance hangs in a sync. The node's goroutine hangs with it, so
-// that it neither leads nor follows; requests to the instance are passed on.
-func TestDiskHangs(t *testing.T) {
+// The disk of the leader or of a follower hangs in a sync, and the node's goroutine with
+// it. The instance then neither leads nor follows, but must still forward requests.
+func TestHangingDiskDoesNotBlockRequests(t *testing.T) {
 	for _, leader := range []bool{false, true} {
 		t.Run(map[bool]string{false: "Follower", true: "Leader"}[leader], func(t *testing.T) {
-			gr := form(t, 1, 3, 0)
+			gr := newFormedGroup(t, 1, 3, 0)
 			in := gr.follower()
 			if leader {
 				in = gr.leader()
 			}
-			resume := in.disk.stall()
+			resume := in.disk.hangSyncs()
 			t.Cleanup(resume)
-			in.propose(1, "one")
-			in.reads(1, "one")
+			in.mustPropose(1, "one")
+			in.assertRead(1, "one")
 			for version := uint64(2); version < 200; version++ {
-				in.propose(version, "more")
+				in.mustPropose(version, "more")
 			}
-			in.reads(199, "more")
+			in.assertRead(199, "more")
 			resume()
 			gr.awaitVoters(3)
 			gr.awaitDocument(199, "more")
@@ -135,21 +134,21 @@
 	}
 }
 
-// The disk refuses writes from the first moment on, and takes them later. The
-// mark of the first start is made then.
-func TestDiskFullAtFirstStart(t *testing.T) {
+// Disks that reject writes from the start and accept them later must still get the marker
+// of the first start, so that the group forms.
+func TestFirstStartOnFullDisks(t *testing.T) {
 	gr := newGroup(t, 1)
 	for _, name := range []string{"a", "b", "c"} {
-		gr.add(name).disk.setRefuses(true)
+		gr.add(name).disk.setFull(true)
 	}
 	for _, in := range gr.all {
-		in.seed(gr.all...)
+		in.setSeeds(gr.all...)
 		in.run(true)
 	}
 	for _, in := range gr.all {
 		gr.await("the disk is found full", func() bool { return in.nd.Status().Role == roleNoDisk })
-		in.disk.setRefuses(false)
+		in.disk.setFull(false)
 	}
 	gr.awaitVoters(3)
-	gr.all[0].propose(1, "one")
+	gr.all[0].mustPropose(1, "one")
 }
--- a/fleet/evacuate.go
+++ b/fleet/evacuate.go
@@ -14,14 +14,14 @@
 	"balsamwinch.example/result"
 )
 
-// Evacuate returns the evacuations once a data centre is evacuated, or no longer is, and a
-// majority of the voters has that synced to disk.
+// Evacuate marks a data centre as evacuated, or ends its evacuation, and returns the
+// resulting evacuations once a majority of the voters has synced them to disk.
 //
-// An order that another one overtook is proposed again on the newer revision. So the context
-// must end before the operator gives up: an order that outlives its operator could undo a
-// later one.
+// A change that conflicts with a concurrent one is proposed again on the newer revision.
+// The context must end before the operator gives up: a change that outlives its operator
+// could undo a later one.
 //
-// The error is a *result.Error: Invalid if the order can't be followed, ControlUnavailable
+// The error is a *result.Error: Invalid if the change can't be applied, ControlUnavailable
 // if the outcome is unknown.
 func (nd *Node) Evacuate(ctx context.Context, dataCentre string, evacuate bool) (evacuation.Set, error) {
 	if err := evacuation.CheckName(dataCentre); err != nil {
@@ -29,7 +29,7 @@
 	}
 	or := evacuation.Change{DataCentre: dataCentre, Evacuate: evacuate, BaseRevision: nd.evacuations.Load().Revision}
 	for {
-		an, err := nd.ask(ctx, opEvacuate, func(request uint64) peer.Message {
+		an, err := nd.askLeader(ctx, opEvacuate, func(request uint64) peer.Message {
 			return EvacuationOrder{Request: request, Order: or}
 		})
 		switch {
@@ -40,47 +40,48 @@
 		case an.Outcome == evacuation.Full:
 			return an.Evacuations, &result.Error{Code: result.Invalid, Op: opEvacuate, Detail: "too many data centres are evacuated"}
 		case ctx.Err() != nil:
-			return evacuation.Set{}, &result.Error{Code: result.ControlUnavailable, Op: opEvacuate, Detail: "other orders came between", Err: ctx.Err()}
+			return evacuation.Set{}, &result.Error{Code: result.ControlUnavailable, Op: opEvacuate, Detail: "concurrent changes came first", Err: ctx.Err()}
 		}
 		or.BaseRevision = an.Evacuations.Revision
 	}
 }
 
-// Evacuations returns the newest evacuations known to be committed; others may know newer
-// ones.
+// Evacuations returns the newest evacuations that this node knows to be committed; other
+// nodes may know newer ones.
 func (nd *Node) Evacuations() evacuation.Set { return *nd.evacuations.Load() }
 
-// ordering is an order that waits until it is applied.
-type ordering struct {
+// pendingOrder is an evacuation order that waits until it is applied.
+type pendingOrder struct {
 	id    uint64
 	order evacuation.Change
 	since time.Time
 	reply func(Answer)
 }
 
-// order appends an order to the log.
-func (th *thread) order(ms EvacuationOrder, reply func(Answer)) {
+// handleOrder proposes an evacuation order.
+func (th *thread) handleOrder(ms EvacuationOrder, reply func(Answer)) {
 	switch {
-	case !th.leads():
-		th.refuse(reply, reasonNotLeader)
+	case !th.isLeader():
+		th.reject(reply, reasonNotLeader)
 		return
-	case len(th.proposals)+len(th.orders) >= inFlight:
-		th.refuse(reply, reasonBusy)
+	case len(th.pendingProposals)+len(th.pendingOrders) >= maxInFlight:
+		th.reject(reply, reasonBusy)
 		return
 	}
-	or := ordering{id: rand.Uint64(), order: ms.Order, since: th.now(), reply: reply}
-	th.orders = append(th.orders, or)
+	or := pendingOrder{id: rand.Uint64(), order: ms.Order, since: th.now(), reply: reply}
+	th.pendingOrders = append(th.pendingOrders, or)
 	th.step(quorum.Propose{Now: th.now(), Data: command{Evacuation: &orderCommand{ID: or.id, Order: or.order}}.encode()})
 }
 
-// ordered answers who waits for an order that was applied, if that is known here.
-func (th *thread) ordered(id uint64, outcome evacuation.Outcome) {
-	at := slices.IndexFunc(th.orders, func(or ordering) bool { return or.id == id })
+// completeOrder answers the request for an order that was applied, if it waits at this
+// instance.
+func (th *thread) completeOrder(id uint64, outcome evacuation.Outcome) {
+	at := slices.IndexFunc(th.pendingOrders, func(or pendingOrder) bool { return or.id == id })
 	if at < 0 {
 		return
 	}
-	or := th.orders[at]
-	th.orders = slices.Delete(th.orders, at, at+1)
+	or := th.pendingOrders[at]
+	th.pendingOrders = slices.Delete(th.pendingOrders, at, at+1)
 	st := th.vo.sm.Evacuations
 	th.nd.lg.Info("evacuation-committed", zap.String("DataCentre", or.order.DataCentre), zap.Bool("Evacuate", or.order.Evacuate),
 		zap.Stringer("Outcome", outcome), zap.Uint64("Base", or.order.BaseRevision), zap.Uint64("Revision", st.Revision),
@@ -88,24 +89,24 @@
 	or.reply(Answer{OK: true, Outcome: outcome, Evacuations: st})
 }
 
-// probeRevision has the others learn of committed evacuations now and not with the next
-// heartbeat.
-func (th *thread) probeRevision() {
-	if st := th.vo.sm.Evacuations; st.Revision > th.leading.revision {
-		th.leading.revision = st.Revision
+// broadcastRevision sends a heartbeat at once, so that the followers learn of newly
+// committed evacuations without waiting for the next one.
+func (th *thread) broadcastRevision() {
+	if st := th.vo.sm.Evacuations; st.Revision > th.leading.broadcastRevision {
+		th.leading.broadcastRevision = st.Revision
 		th.step(quorum.Probe{Now: th.now()})
 	}
 }
 
-// learnEvacuations takes over committed evacuations and reports whether they are newer
-// than those known.
+// learnEvacuations adopts committed evacuations and reports whether they are newer than the
+// known ones.
 func (th *thread) learnEvacuations(st evacuation.Set) bool {
 	if st.Revision <= th.nd.evacuations.Load().Revision {
 		return false
 	}
-	if st.Revision > th.revisionNoted {
-		th.revisionNoted = st.Revision
-		th.noteEvacuations(st)
+	if st.Revision > th.persistedRevision {
+		th.persistedRevision = st.Revision
+		th.persistEvacuations(st)
 	}
 	th.nd.evacuations.Store(&st)
 	th.nd.lg.Info("evacuations-learned", zap.Uint64("Revision", st.Revision), zap.Strings("Evacuated", st.DataCentres))
--- a/fleet/event.go
+++ b/fleet/event.go
@@ -5,47 +5,48 @@
 	"balsamwinch.example/peer"
 )
 
-// Bounds of what waits for the node's goroutine, which may hang in a write to
-// its disk. What finds no room is dropped: messages of the log may be lost, and
-// who asks is refused or asks again.
+// Bounds of the queue of the node's goroutine, which may hang in a write to its disk.
+// Events beyond them are dropped: the replicated log tolerates lost messages, and requests
+// are rejected or retried.
 const (
-	eventRoom  = 1024
-	eventBytes = 4 << 20
+	maxQueuedEvents = 1024
+	maxQueuedBytes  = 4 << 20
 )
 
-// event is something for the node's goroutine.
+// event is an input of the node's goroutine.
 type event interface{ isEvent() }
 
-// sized is an event whose bytes are counted.
-type sized struct {
+// sizedEvent is an event whose bytes count towards maxQueuedBytes.
+type sizedEvent struct {
 	event
 	size int
 }
 
-// routed is a message of the log from an instance.
-type routed struct {
+// envelopeReceived is a message of the replicated log from an instance.
+type envelopeReceived struct {
 	from string
 	ms   Envelope
 }
 
-// learned is a document that a leader says is committed.
-type learned struct{ do *document }
+// documentReceived is a document that a leader reports as committed.
+type documentReceived struct{ do *document }
 
-// toldEvacuations are evacuations that a leader says are committed.
-type toldEvacuations struct{ set evacuation.Set }
+// evacuationsReceived is a set of evacuations that a leader reports as committed.
+type evacuationsReceived struct{ set evacuation.Set }
 
-// demanded is a Proposal, a Reading or an EvacuationOrder. The reply is given once and doesn't block.
-type demanded struct {
+// requestReceived is a Proposal, a ReadRequest or an EvacuationOrder. reply is called once
+// and doesn't block.
+type requestReceived struct {
 	ms    peer.Message
 	reply func(Answer)
 }
 
-// resigning asks to hand the lead over; done is closed afterwards.
-type resigning struct{ done chan struct{} }
+// resignRequested asks to transfer leadership; done is closed afterwards.
+type resignRequested struct{ done chan struct{} }
 
-func (sized) isEvent()           {}
-func (routed) isEvent()          {}
-func (learned) isEvent()         {}
-func (demanded) isEvent()        {}
-func (toldEvacuations) isEvent() {}
-func (resigning) isEvent()       {}
+func (sizedEvent) isEvent()          {}
+func (envelopeReceived) isEvent()    {}
+func (documentReceived) isEvent()    {}
+func (requestReceived) isEvent()     {}
+func (evacuationsReceived) isEvent() {}
+func (resignRequested) isEvent()     {}
--- a/fleet/faults_test.go
+++ b/fleet/faults_test.go
@@ -16,77 +16,77 @@
 )
 
 var (
-	rounds = flag.Int("rounds", 10, "faults in TestFaults and TestOverlappingFaults")
-	seed   = flag.Uint64("seed", 1, "seed of the faults in TestFaults and TestOverlappingFaults")
+	rounds = flag.Int("rounds", 10, "number of faults in TestRequestsSucceedDuringFaults and TestRecoveryFromOverlappingFaults")
+	seed   = flag.Uint64("seed", 1, "seed of the faults in TestRequestsSucceedDuringFaults and TestRecoveryFromOverlappingFaults")
 )
 
-// traffic proposes and reads at all instances and checks what they answer.
-type traffic struct {
+// workload proposes and reads at all instances and checks their answers.
+type workload struct {
 	gr           *group
 	acknowledged atomic.Uint64
 	next         atomic.Uint64
 	reads        atomic.Int64
 	wg           sync.WaitGroup
 	mu           sync.Mutex
-	fault        string
+	failure      string
 }
 
-func (tr *traffic) fail(format string, args ...any) {
-	tr.mu.Lock()
-	defer tr.mu.Unlock()
-	if tr.fault == "" {
-		tr.fault = fmt.Sprintf(format, args...)
+func (wl *workload) fail(format string, args ...any) {
+	wl.mu.Lock()
+	defer wl.mu.Unlock()
+	if wl.failure == "" {
+		wl.failure = fmt.Sprintf(format, args...)
 	}
 }
 
-// propose proposes ever higher versions.
-func (tr *traffic) propose(ctx context.Context, in *instance) {
+// propose proposes increasing versions.
+func (wl *workload) propose(ctx context.Context, in *instance) {
 	for ctx.Err() == nil {
-		version := tr.next.Add(1)
-		// A node whose process was stopped never answers; the next one is asked.
-		one, cancel := context.WithTimeout(ctx, 10*testElection)
-		err := in.node().Propose(one, version, fmt.Append(nil, "document ", version))
+		version := wl.next.Add(1)
+		// A stopped process never answers; its successor is asked next.
+		attemptCtx, cancel := context.WithTimeout(ctx, 10*testElectionTimeout)
+		err := in.node().Propose(attemptCtx, version, fmt.Append(nil, "document ", version))
 		cancel()
 		if err != nil {
 			continue
 		}
-		for was := tr.acknowledged.Load(); was < version && !tr.acknowledged.CompareAndSwap(was, version); {
-			was = tr.acknowledged.Load()
+		for was := wl.acknowledged.Load(); was < version && !wl.acknowledged.CompareAndSwap(was, version); {
+			was = wl.acknowledged.Load()
 		}
 	}
 }
 
-// read demands that no read is older than what was acknowledged before it began.
-func (tr *traffic) read(ctx context.Context, in *instance) {
+// read checks that no read is older than a version acknowledged before it began.
+func (wl *workload) read(ctx context.Context, in *instance) {
 	for ctx.Err() == nil {
-		least := tr.acknowledged.Load()
-		one, cancel := context.WithTimeout(ctx, 2*testElection)
-		version, data, err := in.node().Read(one)
+		least := wl.acknowledged.Load()
+		attemptCtx, cancel := context.WithTimeout(ctx, 2*testElectionTimeout)
+		version, data, err := in.node().Read(attemptCtx)
 		cancel()
 		if err != nil {
 			continue
 		}
-		tr.reads.Add(1)
+		wl.reads.Add(1)
 		if version < least || version > 0 && string(data) != fmt.Sprint("document ", version) {
-			tr.fail("%s reads version %d (%q) after %d was acknowledged", in.name, version, data, least)
+			wl.fail("%s reads version %d (%q) after %d was acknowledged", in.name, version, data, least)
 		}
 	}
 }
 
-// startTraffic lets all instances propose and read until the returned function is
-// called, which checks what was answered.
-func (gr *group) startTraffic() (tr *traffic, stop func()) {
-	tr = &traffic{gr: gr}
+// startWorkload makes all instances propose and read until the returned function is called,
+// which then checks the answers.
+func (gr *group) startWorkload() (wl *workload, stop func()) {
+	wl = &workload{gr: gr}
 	ctx, cancel := context.WithCancel(gr.ctx)
 	for _, in := range gr.all {
-		tr.wg.Go(func() { tr.propose(ctx, in) })
-		tr.wg.Go(func() { tr.read(ctx, in) })
+		wl.wg.Go(func() { wl.propose(ctx, in) })
+		wl.wg.Go(func() { wl.read(ctx, in) })
 	}
-	return tr, func() {
+	return wl, func() {
 		cancel()
-		tr.wg.Wait()
-		gr.c.Assert(tr.fault, qt.Equals, "")
-		gr.c.Assert(tr.reads.Load() > 0, qt.IsTrue)
+		wl.wg.Wait()
+		gr.c.Assert(wl.failure, qt.Equals, "")
+		gr.c.Assert(wl.reads.Load() > 0, qt.IsTrue)
 		for _, in := range gr.all {
 			in.ob.mu.Lock()
 			gr.c.Check(slices.IsSorted(in.ob.versions), qt.IsTrue)
@@ -95,13 +95,13 @@
 	}
 }
 
-// goesOn waits until further documents are committed.
-func (tr *traffic) goesOn(what string) {
-	before := tr.acknowledged.Load()
-	tr.gr.await("documents are committed while "+what, func() bool { return tr.acknowledged.Load() > before+20 })
+// awaitProgress waits until further documents are committed.
+func (wl *workload) awaitProgress(what string) {
+	before := wl.acknowledged.Load()
+	wl.gr.await("documents are committed while "+what, func() bool { return wl.acknowledged.Load() > before+20 })
 }
 
-// awaitCaughtUp waits until all voters run and hold what the leader has committed.
+// awaitCaughtUp waits until all voters run and have committed what the leader has.
 func (gr *group) awaitCaughtUp() {
 	gr.awaitVoters(3)
 	var commit uint64
@@ -124,27 +124,27 @@
 // The kinds of faults.
 const (
 	faultStop = iota
-	faultCut
-	faultFull
-	faultHang
-	faultDisk
-	faultKinds
+	faultIsolate
+	faultDiskFull
+	faultDiskHang
+	faultDiskLost
+	numFaultKinds
 )
 
-// begin makes an instance fail and returns what ends the fault.
-func (in *instance) begin(kind int) (what string, end func()) {
+// injectFault makes an instance fail and returns a function that ends the fault.
+func (in *instance) injectFault(kind int) (what string, end func()) {
 	switch kind {
 	case faultStop:
 		in.stop()
 		return "is stopped", func() { in.run(false) }
-	case faultCut:
-		in.gr.wi.isolate(in, in.gr.all)
-		return "is cut off", in.gr.wi.heal
-	case faultFull:
-		in.disk.setRefuses(true)
-		return "has a full disk", func() { in.disk.setRefuses(false) }
-	case faultHang:
-		return "has a disk that hangs", in.disk.stall()
+	case faultIsolate:
+		in.gr.network.isolate(in, in.gr.all)
+		return "is cut off", in.gr.network.heal
+	case faultDiskFull:
+		in.disk.setFull(true)
+		return "has a full disk", func() { in.disk.setFull(false) }
+	case faultDiskHang:
+		return "has a disk that hangs", in.disk.hangSyncs()
 	default:
 		in.loseDisk()
 		in.run(false)
@@ -152,13 +152,13 @@
 	}
 }
 
-// Documents rise in quick succession while instances are stopped, cut off, lose
-// their disks or their disks hang or refuse writes, one at a time. A read that
-// begins after an acknowledgement must not be older than it, whoever gives it, and
-// changes go on being acknowledged during each fault.
-func TestFaults(t *testing.T) {
-	gr := form(t, 1, 3, 2)
-	tr, stop := gr.startTraffic()
+// Documents are proposed continuously while one instance at a time is stopped or isolated,
+// loses its disk, or has a disk that hangs or is full. No instance may answer a read with a
+// version older than one acknowledged before the read, and proposals must still be
+// acknowledged during each fault.
+func TestRequestsSucceedDuringFaults(t *testing.T) {
+	gr := newFormedGroup(t, 1, 3, 2)
+	wl, stop := gr.startWorkload()
 	rd := rand.New(rand.NewPCG(*seed, 0))
 	for range *rounds {
 		gr.awaitCaughtUp()
@@ -166,44 +166,44 @@
 		if in == nil || rd.IntN(3) == 0 {
 			in = gr.all[rd.IntN(len(gr.all))]
 		}
-		what, end := in.begin(rd.IntN(faultKinds))
+		what, end := in.injectFault(rd.IntN(numFaultKinds))
 		gr.lg.Info("fault", zap.String("What", in.name+" "+what))
-		tr.goesOn(in.name + " " + what)
+		wl.awaitProgress(in.name + " " + what)
 		end()
 	}
-	tr.goesOn("all is well")
+	wl.awaitProgress("no fault is active")
 	stop()
 }
 
-// More instances fail at a time than are to be borne, but no more than one disk is
-// lost. Nothing need be acknowledged then. Once all are back the group must go on,
-// and at no time may a read be older than what was acknowledged before it.
-func TestOverlappingFaults(t *testing.T) {
-	gr := form(t, 1, 3, 2)
-	tr, stop := gr.startTraffic()
+// More instances fail at a time than the group tolerates, but at most one disk is lost.
+// Nothing need be acknowledged meanwhile. Once all instances are back the group must
+// continue, and at no time may a read be older than a version acknowledged before it.
+func TestRecoveryFromOverlappingFaults(t *testing.T) {
+	gr := newFormedGroup(t, 1, 3, 2)
+	wl, stop := gr.startWorkload()
 	rd := rand.New(rand.NewPCG(*seed, 1))
 	for range *rounds {
 		gr.awaitCaughtUp()
 		var ends []func()
-		kinds := faultKinds
+		kinds := numFaultKinds
 		for _, po := range rd.Perm(len(gr.all))[:1+rd.IntN(len(gr.all))] {
 			in := gr.all[po]
 			kind := rd.IntN(kinds)
-			if kind == faultDisk {
-				kinds = faultDisk // No more than one.
+			if kind == faultDiskLost {
+				kinds = faultDiskLost // At most one disk is lost.
 			}
-			what, end := in.begin(kind)
+			what, end := in.injectFault(kind)
 			gr.lg.Info("fault", zap.String("What", in.name+" "+what))
 			ends = append(ends, end)
-			// The next one comes at any time, also in the midst of an election.
-			_ = gr.ts.Sleep(gr.ctx, time.Duration(rd.IntN(int(2*testElection))))
+			// The next fault starts at any time, also during an election.
+			_ = gr.ts.Sleep(gr.ctx, time.Duration(rd.IntN(int(2*testElectionTimeout))))
 		}
-		_ = gr.ts.Sleep(gr.ctx, time.Duration(rd.IntN(int(6*testElection))))
+		_ = gr.ts.Sleep(gr.ctx, time.Duration(rd.IntN(int(6*testElectionTimeout))))
 		for _, end := range ends {
 			end()
 		}
 		gr.lg.Info("all-back")
-		tr.goesOn("all are back")
+		wl.awaitProgress("all are back")
 	}
 	stop()
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,14 +1,15 @@
-// Package fleet is a control instance: it finds the others from seeds, forms
-// the group at the first start of all, keeps a replicated log (package quorum)
-// on its disk (package wal) and holds one document, the configuration with the
-// highest version that was ever committed. It knows nothing of what the document
-// means. Beside it stands which data centres are evacuated (package evacuation).
+// Package fleet implements a control instance. It discovers the other control instances
+// from seeds, forms the group at the first start of the whole system, keeps a replicated
+// log (package quorum) on disk (package wal) and holds one document: the configuration with
+// the highest version that was ever committed. The document's content is opaque to this
+// package. The replicated state also includes the evacuated data centres (package
+// evacuation).
 //
-// A document that was acknowledged is on the disks of a majority of the voters.
-// A read is confirmed by a majority after it began, so that no clock and no
-// belief from before a freeze decides it. Instances beyond the wanted number of
-// voters stand by: they pass requests on to the leader, learn what is committed
-// from it, and take the place of a voter that is lost.
+// An acknowledged document is on the disks of a majority of the voters. A read is confirmed
+// by a majority after it began, so that it depends neither on a clock nor on a view from
+// before a pause of the process. Instances beyond the wanted number of voters are on
+// standby: they forward requests to the leader, learn committed state from it, and replace
+// a voter that is lost.
 package fleet
 
 import (
@@ -29,53 +30,53 @@
 	"balsamwinch.example/wal"
 )
 
-// DocumentLimit is the size of the largest document in bytes.
+// MaxDocumentBytes is the size of the largest document.
 const MaxDocumentBytes = 1 << 20
 
-// The times used where the Config leaves them zero.
+// Defaults of Config.
 const (
-	defaultElection  = 600 * time.Millisecond
-	defaultHeartbeat = 120 * time.Millisecond
+	defaultElectionTimeout   = 600 * time.Millisecond
+	defaultHeartbeatInterval = 120 * time.Millisecond
 )
 
-// Config is what a control instance is started with.
+// Config configures a control instance.
 type Config struct {
-	Name    string          // Name is unique and stays over restarts; it holds no slash.
-	Address string          // Address is the own IP:port for links between control instances.
-	Seeds   func() []string // Seeds are addresses of the form of Address and may change; it must not block.
+	Name    string          // Name is unique and the same after a restart; it contains no slash.
+	Address string          // Address is this instance's IP:port for links between control instances.
+	Seeds   func() []string // Seeds returns addresses of the form of Address; they may change. It must not block.
 
-	// First says that the whole system starts for the first time, with empty
-	// disks. Only then may a group be formed.
+	// FirstStart is set when the whole system starts for the first time, with empty disks.
+	// Only then may a group be formed.
 	FirstStart bool
-	// Losses is how many control instances may be lost at once, their disks
-	// included; 2*Losses+1 voters are wanted.
+	// MaxFailures is the number of control instances that may be lost at once, disks
+	// included; 2*MaxFailures+1 voters are wanted.
 	MaxFailures int
 	Dir         string // Dir is the data folder.
 
-	ElectionTimeout   time.Duration // Election is the base of the election timeouts; 600 ms if zero.
-	HeartbeatInterval time.Duration // Heartbeat is the time between two heartbeats of a leader; 120 ms if zero.
-	Link              link.Config   // Link is for the links that this instance opens; its codec knows Messages.
+	ElectionTimeout   time.Duration // ElectionTimeout is the base of the randomized election timeouts; 600 ms if zero.
+	HeartbeatInterval time.Duration // HeartbeatInterval is the time between two heartbeats of a leader; 120 ms if zero.
+	Link              link.Config   // Link configures the links that this instance opens; its codec includes Messages.
 }
 
-// wanted returns how many voters there should be.
-func (cf Config) wanted() int { return 2*max(0, cf.MaxFailures) + 1 }
+// targetVoters returns the wanted number of voters.
+func (cf Config) targetVoters() int { return 2*max(0, cf.MaxFailures) + 1 }
 
-// Member is a control instance and the address of its links.
+// Member is a control instance and its address for links.
 type Member struct {
 	Name    string `cbor:"1,keyasint"`
 	Address string `cbor:"2,keyasint"`
 }
 
-// Observer is told what a node learns. It is called from the node's goroutine
+// Observer receives what a node learns. Its methods are called from the node's goroutine
 // and must not block.
 type Observer interface {
-	// DocumentCommitted gives a newly committed document; versions only rise. The
-	// data must not be changed.
+	// DocumentCommitted passes a newly committed document; versions only increase. The data
+	// must not be changed.
 	DocumentCommitted(version uint64, data []byte)
-	// EvacuationsCommitted gives newly committed evacuations; revisions only rise.
+	// EvacuationsCommitted passes newly committed evacuations; revisions only increase.
 	EvacuationsCommitted(st evacuation.Set)
-	// MembersChanged gives all control instances that are voters or were linked
-	// within the last minute, this one included, by name.
+	// MembersChanged passes all control instances that are voters or were linked within the
+	// last minute, including this one, by name.
 	MembersChanged(mes []Member)
 }
 
@@ -85,60 +86,60 @@
 	Data    []byte `cbor:"2,keyasint"`
 }
 
-// Node is one control instance. Its methods may be called from any goroutine,
-// and before and after Serve runs.
+// Node is one control instance. Its methods may be called from any goroutine, also before
+// and after Serve runs.
 type Node struct {
 	cf    Config
 	ts    *timer.Service
 	lg    *zap.Logger
 	ob    Observer
-	start uint64 // start tells this process from earlier ones of its name.
+	start uint64 // start distinguishes this process from earlier ones with the same name.
 	co    *peer.Codec
 	fsys  wal.FileSystem
 
-	li     *lines
-	ca     calls
-	events chan event
-	queued atomic.Int64  // queued is how many bytes the events hold.
-	nudge  chan struct{} // nudge says that a line or a report changed.
+	links        *linkSet
+	pending      pendingRequests
+	events       chan event
+	queuedBytes  atomic.Int64  // queuedBytes is the size of the queued events.
+	linksChanged chan struct{} // linksChanged signals that a link or a report changed.
 
-	newest atomic.Pointer[document] // newest is the highest document known to be committed.
+	newest atomic.Pointer[document] // newest is the document with the highest version known to be committed.
 	// evacuations are those with the highest revision known to be committed.
 	evacuations atomic.Pointer[evacuation.Set]
-	report      atomic.Pointer[Report] // report is what others are told of this instance.
-	// sequence numbers the reports.
-	sequence atomic.Uint64
-	// busy is since when the node's goroutine has been at work, in nanoseconds after
-	// born, or 0 if it waits.
-	busy   atomic.Int64
-	born   time.Time
-	status atomic.Pointer[Status]
-	random struct {
+	report      atomic.Pointer[Report] // report is what this instance reports of itself to the others.
+	// reportSequence numbers the reports.
+	reportSequence atomic.Uint64
+	// busySince is the time since which the node's goroutine has been busy, in nanoseconds
+	// after createdAt, or 0 while it waits.
+	busySince atomic.Int64
+	createdAt time.Time
+	status    atomic.Pointer[Status]
+	random    struct {
 		sync.Mutex
 		*rand.Rand
 	}
 }
 
-// New returns a node that does nothing before Serve.
+// New returns a node that is inactive until Serve is called.
 func New(cf Config, ts *timer.Service, lg *zap.Logger, ob Observer) *Node {
 	if cf.ElectionTimeout == 0 {
-		cf.ElectionTimeout = defaultElection
+		cf.ElectionTimeout = defaultElectionTimeout
 	}
 	if cf.HeartbeatInterval == 0 {
-		cf.HeartbeatInterval = defaultHeartbeat
+		cf.HeartbeatInterval = defaultHeartbeatInterval
 	}
 	nd := &Node{
-		cf:     cf,
-		ts:     ts,
-		lg:     lg,
-		ob:     ob,
-		start:  rand.Uint64(),
-		co:     peer.NewCodec(quorum.Messages()),
-		fsys:   wal.System(),
-		li:     newLines(cf.Name),
-		events: make(chan event, eventRoom),
-		nudge:  make(chan struct{}, 1),
-		born:   ts.Now(),
+		cf:           cf,
+		ts:           ts,
+		lg:           lg,
+		ob:           ob,
+		start:        rand.Uint64(),
+		co:           peer.NewCodec(quorum.Messages()),
+		fsys:         wal.System(),
+		links:        newLinkSet(cf.Name),
+		events:       make(chan event, maxQueuedEvents),
+		linksChanged: make(chan struct{}, 1),
+		createdAt:    ts.Now(),
 	}
 	nd.random.Rand = rand.New(rand.NewPCG(nd.start, uint64(ts.Now().UnixNano())))
 	nd.newest.Store(&document{})
@@ -148,21 +149,21 @@
 	return nd
 }
 
-// Serve runs the node until the context ends, whose error it returns. A disk that
-// fails doesn't end it: the log is dropped and opened again after a pause.
+// Serve runs the node until the context ends, and returns the context's error. A disk
+// failure doesn't end it: the log is closed and opened again after a backoff.
 func (nd *Node) Serve(ctx context.Context) error {
 	th := newThread(ctx, nd)
 	defer th.close()
 	return th.run()
 }
 
-// Resign hands the lead over before a planned stop. It returns once another
-// instance leads or the context ends, and at once at an instance that doesn't
-// lead. A node that resigned never leads again.
+// Resign transfers leadership before a planned stop. It returns once another instance leads
+// or the context ends, or at once if this instance doesn't lead. A node that resigned never
+// leads again.
 func (nd *Node) Resign(ctx context.Context) {
 	done := make(chan struct{})
 	select {
-	case nd.events <- resigning{done: done}:
+	case nd.events <- resignRequested{done: done}:
 	case <-ctx.Done():
 		return
 	}
@@ -172,33 +173,33 @@
 	}
 }
 
-// Propose returns nil once a version at least as high is committed by a majority
-// of the voters and synced to their disks. A version that is not higher than the
-// committed one is acknowledged and changes nothing. It asks one leader after the
-// other until the context ends; the error is then a *result.Error with the code
-// ControlUnavailable, and the outcome is unknown.
+// Propose returns nil once a version at least as high is committed and synced to disk by a
+// majority of the voters. A version that is not higher than the committed one is
+// acknowledged and changes nothing. Propose retries with the current leader until the
+// context ends; the error is then a *result.Error with the code ControlUnavailable, and the
+// outcome is unknown.
 func (nd *Node) Propose(ctx context.Context, version uint64, data []byte) error {
 	if len(data) > MaxDocumentBytes {
-		return &result.Error{Code: result.Invalid, Op: opPropose, Detail: "the document is larger than DocumentLimit"}
+		return &result.Error{Code: result.Invalid, Op: opPropose, Detail: "the document is larger than 1 MiB"}
 	}
 	if version <= nd.newest.Load().Version {
 		return nil
 	}
 	pr := Proposal{Version: version, Data: data}
-	_, err := nd.ask(ctx, opPropose, func(request uint64) peer.Message {
+	_, err := nd.askLeader(ctx, opPropose, func(request uint64) peer.Message {
 		pr.Request = request
 		return pr
 	})
 	return err
 }
 
-// Read returns the committed document, version 0 if there is none yet. It is
-// never older than any for which Propose returned nil before Read was called, at
-// any node. If no leader can vouch for that before the context ends, the error
-// is a *result.Error with the code ControlUnavailable.
+// Read returns the committed document; its version is 0 if there is none yet. The document
+// is never older than any for which Propose returned nil, at any node, before Read was
+// called. If no leader can confirm that before the context ends, the error is a
+// *result.Error with the code ControlUnavailable.
 func (nd *Node) Read(ctx context.Context) (version uint64, data []byte, err error) {
 	held := nd.newest.Load()
-	an, err := nd.ask(ctx, opRead, func(request uint64) peer.Message {
+	an, err := nd.askLeader(ctx, opRead, func(request uint64) peer.Message {
 		return ReadRequest{Request: request, Held: held.Version}
 	})
 	if err != nil {
@@ -216,12 +217,12 @@
 
 // The roles of a Status beyond those of package quorum.
 const (
-	roleStarting = "Starting" // roleStarting is before the data folder was opened.
-	roleUnformed = "Unformed" // roleUnformed waits for the group to be formed.
-	roleNoDisk   = "NoDisk"   // roleNoDisk is after a failure of the disk.
+	roleStarting = "Starting" // The data folder has not been opened yet.
+	roleUnformed = "Unformed" // The instance waits until the group is formed.
+	roleNoDisk   = "NoDisk"   // The disk has failed.
 )
 
-// Status says how a node stands. It is immutable.
+// Status is a snapshot of a node's state. It is immutable.
 type Status struct {
 	Name, ID string
 	Role     string // Role is a quorum.Role, Starting, Unformed or NoDisk.
@@ -232,17 +233,17 @@
 	Voters   []quorum.ID
 	Learners []quorum.ID
 	Members  []Member
-	Linked   int // Linked counts the other instances that a link is open to.
+	Linked   int // Linked is the number of other instances with an open link.
 }
 
-// Status returns how the node stands.
+// Status returns the node's status.
 func (nd *Node) Status() Status {
 	st := *nd.status.Load()
-	st.Linked = len(nd.li.each())
+	st.Linked = len(nd.links.newestPerInstance())
 	return st
 }
 
-// jitter returns a random time between half of the given one and the whole.
+// jitter returns a random duration between half of the given one and all of it.
 func (nd *Node) jitter(du time.Duration) time.Duration {
 	nd.random.Lock()
 	defer nd.random.Unlock()
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -13,14 +13,14 @@
 	"balsamwinch.example/result"
 )
 
-func TestFormation(t *testing.T) {
-	gr := form(t, 1, 3, 0)
-	gr.all[0].reads(0, "")
+func TestGroupForms(t *testing.T) {
+	gr := newFormedGroup(t, 1, 3, 0)
+	gr.all[0].assertRead(0, "")
 	for po, in := range gr.all {
 		data := fmt.Sprint("document of ", in.name)
-		in.propose(uint64(po+1), data)
+		in.mustPropose(uint64(po+1), data)
 		for _, ot := range gr.all {
-			ot.reads(uint64(po+1), data)
+			ot.assertRead(uint64(po+1), data)
 		}
 		gr.awaitDocument(uint64(po+1), data)
 	}
@@ -30,18 +30,18 @@
 }
 
 func TestSingleInstance(t *testing.T) {
-	gr := form(t, 0, 1, 0)
-	gr.all[0].propose(7, "seven")
-	gr.all[0].reads(7, "seven")
+	gr := newFormedGroup(t, 0, 1, 0)
+	gr.all[0].mustPropose(7, "seven")
+	gr.all[0].assertRead(7, "seven")
 }
 
-func TestStandbys(t *testing.T) {
-	gr := form(t, 1, 3, 2)
+func TestNonVotersForwardRequests(t *testing.T) {
+	gr := newFormedGroup(t, 1, 3, 2)
 	for po, in := range gr.all {
 		data := fmt.Sprint("document of ", in.name)
-		in.propose(uint64(po+1), data)
+		in.mustPropose(uint64(po+1), data)
 		gr.awaitDocument(uint64(po+1), data)
-		in.reads(uint64(po+1), data)
+		in.assertRead(uint64(po+1), data)
 	}
 	gr.c.Assert(gr.leader().nd.Status().Voters, qt.HasLen, 3)
 	for _, in := range gr.all {
@@ -49,28 +49,28 @@
 	}
 }
 
-// Of five that may lose two, only the three seeds begin as voters. Were the other
-// two not added, the loss of two disks could lose a document.
-func TestMoreVotersThanSeeds(t *testing.T) {
-	gr := form(t, 2, 3, 3)
-	gr.all[5].propose(1, "one")
+// With MaxFailures 2 and three seeds, only the seeds start as voters. If the other two
+// voters were never added, the loss of two disks could lose a document.
+func TestNonSeedsBecomeVoters(t *testing.T) {
+	gr := newFormedGroup(t, 2, 3, 3)
+	gr.all[5].mustPropose(1, "one")
 	gr.awaitDocument(1, "one")
 	gr.c.Assert(gr.leader().nd.Status().Voters, qt.HasLen, 5)
 }
 
-func TestLowerVersion(t *testing.T) {
-	gr := form(t, 1, 3, 1)
-	gr.all[0].propose(5, "five")
+func TestLowerVersionChangesNothing(t *testing.T) {
+	gr := newFormedGroup(t, 1, 3, 1)
+	gr.all[0].mustPropose(5, "five")
 	for _, in := range gr.all {
-		in.propose(4, "four")
-		in.propose(5, "another five")
-		in.propose(0, "")
-		in.reads(5, "five")
+		in.mustPropose(4, "four")
+		in.mustPropose(5, "another five")
+		in.mustPropose(0, "")
+		in.assertRead(5, "five")
 	}
 	gr.awaitDocument(5, "five")
 }
 
-func TestTooLarge(t *testing.T) {
+func TestOversizedDocumentIsRejected(t *testing.T) {
 	gr := newGroup(t, 1)
 	in := gr.add("a")
 	in.run(false)
@@ -80,43 +80,43 @@
 	gr.c.Assert(re.Code, qt.Equals, result.Invalid)
 }
 
-// The leader's process ends. The others go on, and a standby takes its place, so
-// that one more may end.
-func TestLeaderStops(t *testing.T) {
-	gr := form(t, 1, 3, 1)
-	gr.all[3].propose(1, "one")
+// The leader's process ends. A standby must replace it as a voter, so that another process
+// may end.
+func TestStoppedLeaderIsReplaced(t *testing.T) {
+	gr := newFormedGroup(t, 1, 3, 1)
+	gr.all[3].mustPropose(1, "one")
 	gr.leader().stop()
 	gr.awaitVoters(3)
-	gr.named("d").propose(2, "two")
+	gr.named("d").mustPropose(2, "two")
 	gr.leader().stop()
 	gr.awaitLeader()
 	for _, in := range gr.all {
 		if in.running {
-			in.reads(2, "two")
+			in.assertRead(2, "two")
 		}
 	}
 }
 
-// A voter that was replaced while it was down comes back, and stands by.
-func TestReplacedVoterReturns(t *testing.T) {
-	gr := form(t, 1, 3, 1)
+// A voter that was replaced while it was down returns as a standby.
+func TestReplacedVoterReturnsAsNonVoter(t *testing.T) {
+	gr := newFormedGroup(t, 1, 3, 1)
 	gone := gr.leader()
 	gone.stop()
 	gr.awaitVoters(3)
-	gr.named("d").propose(2, "two")
+	gr.named("d").mustPropose(2, "two")
 	gone.run(false)
 	gr.awaitDocument(2, "two")
-	gr.await("the returned one stands by", func() bool { return gone.nd.Status().Role == "Outsider" })
-	gone.propose(3, "three")
-	gone.reads(3, "three")
+	gr.await("the returned voter is on standby", func() bool { return gone.nd.Status().Role == "Outsider" })
+	gone.mustPropose(3, "three")
+	gone.assertRead(3, "three")
 }
 
-// A voter is down until all others have lost their disks and were replaced, one
-// after the other. Nobody that it knows is left; it must find that out, and stand
-// by or vote again under its own identity.
-func TestLongReplacedVoterReturns(t *testing.T) {
-	gr := form(t, 1, 3, 1)
-	gr.all[3].propose(1, "one")
+// A voter is down while all others lose their disks and are replaced, one after the other.
+// None of the disks in its voter set exists any more; it must find that out and become a
+// standby, or vote again under its own identity.
+func TestVoterReturnsAfterAllOthersReplaced(t *testing.T) {
+	gr := newFormedGroup(t, 1, 3, 1)
+	gr.all[3].mustPropose(1, "one")
 	gone := gr.follower()
 	gone.stop()
 	gr.awaitVoters(3)
@@ -128,19 +128,19 @@
 		}
 	}
 	gone.run(false)
-	gr.await("the returned one stands by", func() bool { return gone.nd.Status().Role == "Outsider" })
-	gone.propose(2, "two")
+	gr.await("the returned voter is on standby", func() bool { return gone.nd.Status().Role == "Outsider" })
+	gone.mustPropose(2, "two")
 	gr.awaitDocument(2, "two")
 }
 
-// A disk is lost and its instance comes back empty under another identity, which
-// takes the old one's place. Then another instance ends: the document must be on
-// the newcomer, and its vote must count.
-func TestDiskLost(t *testing.T) {
+// An instance loses its disk and returns with a new identity, which replaces the old one.
+// When another instance stops, the new voter must hold the document and its vote must
+// count.
+func TestLostDiskIsReplaced(t *testing.T) {
 	for _, leader := range []bool{false, true} {
 		t.Run(fmt.Sprint("leader=", leader), func(t *testing.T) {
-			gr := form(t, 1, 3, 0)
-			gr.all[0].propose(1, "one")
+			gr := newFormedGroup(t, 1, 3, 0)
+			gr.all[0].mustPropose(1, "one")
 			gr.awaitDocument(1, "one")
 			lost := gr.leader()
 			if !leader {
@@ -158,31 +158,30 @@
 				}
 			}
 			gr.awaitLeader()
-			lost.reads(1, "one")
-			lost.propose(2, "two")
+			lost.assertRead(1, "one")
+			lost.mustPropose(2, "two")
 		})
 	}
 }
 
-// All disks are lost one after the other, each once the one before is replaced.
+// All disks are lost in turn, each after the previous one is replaced.
 func TestAllDisksLostInTurn(t *testing.T) {
-	gr := form(t, 1, 3, 0)
-	gr.all[0].propose(1, "one")
+	gr := newFormedGroup(t, 1, 3, 0)
+	gr.all[0].mustPropose(1, "one")
 	for _, in := range gr.all {
 		in.loseDisk()
 		in.run(false)
 		gr.awaitVoters(3)
 	}
 	for _, in := range gr.all {
-		in.reads(1, "one")
+		in.assertRead(1, "one")
 	}
 }
 
-// All processes end at the same time and come back with their disks, told that it
-// is not the first start.
+// All processes end at the same time and restart on their disks, without FirstStart.
 func TestRestartOfAll(t *testing.T) {
-	gr := form(t, 1, 3, 2)
-	gr.all[4].propose(9, "nine")
+	gr := newFormedGroup(t, 1, 3, 2)
+	gr.all[4].mustPropose(9, "nine")
 	for _, in := range gr.all {
 		in.stop()
 	}
@@ -190,19 +189,19 @@
 		in.run(false)
 	}
 	for _, in := range gr.all {
-		in.reads(9, "nine")
-		in.propose(8, "eight")
-		in.reads(9, "nine")
+		in.assertRead(9, "nine")
+		in.mustPropose(8, "eight")
+		in.assertRead(9, "nine")
 	}
 	gr.awaitDocument(9, "nine")
 }
 
-// Right after an acknowledgement one disk is lost while all others lose power.
+// Right after an acknowledgement, one disk is lost while all other instances lose power.
 func TestDiskLostAtRestartOfAll(t *testing.T) {
-	gr := form(t, 1, 3, 0)
+	gr := newFormedGroup(t, 1, 3, 0)
 	for version := uint64(1); version <= 3; version++ {
 		data := fmt.Sprint("document ", version)
-		gr.all[0].propose(version, data)
+		gr.all[0].mustPropose(version, data)
 		lost := gr.leader()
 		for _, in := range gr.all {
 			in.stop()
@@ -212,47 +211,46 @@
 			in.run(false)
 		}
 		for _, in := range gr.all {
-			in.reads(version, data)
+			in.assertRead(version, data)
 		}
 		gr.awaitVoters(3)
 	}
 }
 
-// The seeds are exchanged for other machines after the formation. Those that run,
-// one that starts again and one that is new must find the group, and none may
-// form another one.
-func TestSeedsChange(t *testing.T) {
-	gr := form(t, 1, 3, 2)
-	gr.all[0].propose(1, "one")
+// All seeds are replaced by other machines after the group has formed. Running, restarted
+// and new instances must find the group, and none may form another one.
+func TestSeedsReplacedAfterFormation(t *testing.T) {
+	gr := newFormedGroup(t, 1, 3, 2)
+	gr.all[0].mustPropose(1, "one")
 	gr.awaitDocument(1, "one")
 	for _, in := range gr.all {
-		in.seed(gr.all[3], gr.all[4])
+		in.setSeeds(gr.all[3], gr.all[4])
 	}
 	again := gr.all[1]
 	again.stop()
 	again.run(false)
 	fresh := gr.add("f")
-	fresh.seed(gr.all[3], gr.all[4])
+	fresh.setSeeds(gr.all[3], gr.all[4])
 	fresh.run(false)
 	gr.awaitDocument(1, "one")
-	fresh.propose(2, "two")
+	fresh.mustPropose(2, "two")
 	gr.awaitDocument(2, "two")
 	for _, in := range gr.all {
 		gr.await("all members are known", func() bool { return in.ob.memberCount() == 6 })
-		in.reads(2, "two")
+		in.assertRead(2, "two")
 	}
 	gr.awaitVoters(3)
 }
 
-// The process that is to form the group is killed before the others have come.
-// When it comes back it is told that this is not the first start.
-func TestKilledBeforeFormation(t *testing.T) {
+// Each process is killed before the group can form, and restarts without FirstStart. The
+// marker on the disk must let the group form.
+func TestFormationAfterKill(t *testing.T) {
 	gr := newGroup(t, 1)
 	for _, name := range []string{"a", "b", "c"} {
 		gr.add(name)
 	}
 	for _, in := range gr.all {
-		in.seed(gr.all...)
+		in.setSeeds(gr.all...)
 		in.run(true)
 		gr.await(in.name+" waits for the formation", func() bool { return in.nd.Status().Role != roleStarting })
 		in.stop()
@@ -261,19 +259,19 @@
 		in.run(false)
 	}
 	gr.awaitVoters(3)
-	gr.all[0].propose(1, "one")
+	gr.all[0].mustPropose(1, "one")
 }
 
-// One seed doesn't come at the first start. The others form the group without it
-// and add it when it comes.
-func TestSeedMissing(t *testing.T) {
+// One seed is missing at the first start. The others form the group without it and add it
+// when it starts.
+func TestFormationWithoutOneSeed(t *testing.T) {
 	gr := newGroup(t, 1)
 	for _, name := range []string{"a", "b", "c"} {
 		gr.add(name)
 	}
 	late := gr.all[0]
 	for _, in := range gr.all {
-		in.seed(gr.all...)
+		in.setSeeds(gr.all...)
 		if in.address > late.address {
 			late = in
 		}
@@ -286,24 +284,24 @@
 	gr.awaitVoters(2)
 	late.run(true)
 	gr.awaitVoters(3)
-	late.propose(1, "one")
+	late.mustPropose(1, "one")
 }
 
-// A disk that was lost before the formation comes back without the mark of the
-// first start. It must not form a group, though it is the lowest of the seeds.
-func TestEmptyDiskNeverForms(t *testing.T) {
+// A disk that was lost before the group formed has no marker of the first start. It must
+// not form a group, even on the lowest seed.
+func TestUnmarkedDiskNeverFormsGroup(t *testing.T) {
 	gr := newGroup(t, 1)
 	for _, name := range []string{"a", "b", "c"} {
 		gr.add(name)
 	}
 	for _, in := range gr.all {
-		in.seed(gr.all...)
+		in.setSeeds(gr.all...)
 		in.run(false)
 	}
 	for _, in := range gr.all {
 		gr.await("all are linked", func() bool { return in.nd.Status().Linked == 2 })
 	}
-	ctx, cancel := context.WithTimeout(gr.ctx, 2*formationPatience)
+	ctx, cancel := context.WithTimeout(gr.ctx, 2*formationTimeout)
 	defer cancel()
 	err := gr.all[0].nd.Propose(ctx, 1, nil)
 	var re *result.Error
@@ -314,13 +312,13 @@
 	}
 }
 
-// Without a majority nothing may be acknowledged and no read answered.
-func TestNoMajority(t *testing.T) {
-	gr := form(t, 1, 3, 0)
-	gr.all[0].propose(1, "one")
+// Without a majority, no proposal may be acknowledged and no read answered.
+func TestNothingAcknowledgedWithoutMajority(t *testing.T) {
+	gr := newFormedGroup(t, 1, 3, 0)
+	gr.all[0].mustPropose(1, "one")
 	gr.all[1].stop()
 	gr.all[2].stop()
-	ctx, cancel := context.WithTimeout(gr.ctx, 4*testElection)
+	ctx, cancel := context.WithTimeout(gr.ctx, 4*testElectionTimeout)
 	defer cancel()
 	_, _, err := gr.all[0].nd.Read(ctx)
 	var re *result.Error
@@ -328,57 +326,58 @@
 	gr.c.Assert(re.Code, qt.Equals, result.ControlUnavailable)
 	gr.c.Assert(gr.all[0].nd.Propose(ctx, 2, nil), qt.ErrorMatches, `.*ControlUnavailable.*`)
 	gr.all[1].run(false)
-	gr.all[0].reads(1, "one")
+	gr.all[0].assertRead(1, "one")
 }
 
-// A planned stop of the leader: it hands over first, so that no election has to
-// time out.
-func TestResign(t *testing.T) {
-	gr := form(t, 1, 3, 0)
-	gr.all[0].propose(1, "one")
+// At a planned stop the leader transfers leadership first, so that no election timeout has
+// to pass.
+func TestResignTransfersLeadership(t *testing.T) {
+	gr := newFormedGroup(t, 1, 3, 0)
+	gr.all[0].mustPropose(1, "one")
 	le := gr.leader()
 	le.nd.Resign(gr.ctx)
 	gr.c.Assert(le.nd.Status().Role, qt.Not(qt.Equals), "Leader")
-	le.nd.Resign(gr.ctx) // One that doesn't lead returns at once.
-	le.propose(2, "two")
+	le.nd.Resign(gr.ctx) // It returns at once if the instance doesn't lead.
+	le.mustPropose(2, "two")
 	le.stop()
 	gr.awaitLeader()
-	gr.leader().reads(2, "two")
+	gr.leader().assertRead(2, "two")
 }
 
-// The leader is cut off and doesn't know it. The others commit a newer document;
-// the cut one must not show the older one, and follows once it is back.
-func TestLeaderCutOff(t *testing.T) {
-	gr := form(t, 1, 3, 2)
-	gr.all[0].propose(1, "one")
+// The leader is isolated without noticing, and the others commit a newer document. The
+// isolated leader must not answer with the older one, and must follow once the network
+// heals.
+func TestIsolatedLeaderServesNoStaleRead(t *testing.T) {
+	gr := newFormedGroup(t, 1, 3, 2)
+	gr.all[0].mustPropose(1, "one")
 	gr.awaitDocument(1, "one")
 	cut := gr.leader()
-	gr.wi.isolate(cut, gr.all)
+	gr.network.isolate(cut, gr.all)
 	for _, in := range gr.all {
 		if in != cut {
-			in.propose(2, "two")
+			in.mustPropose(2, "two")
 			break
 		}
 	}
-	ctx, cancel := context.WithTimeout(gr.ctx, 4*testElection)
+	ctx, cancel := context.WithTimeout(gr.ctx, 4*testElectionTimeout)
 	defer cancel()
 	_, _, err := cut.nd.Read(ctx)
 	gr.c.Assert(err, qt.ErrorMatches, `.*ControlUnavailable.*`)
 	gr.c.Assert(cut.nd.Propose(ctx, 3, nil), qt.ErrorMatches, `.*ControlUnavailable.*`)
-	gr.wi.heal()
-	cut.reads(2, "two")
+	gr.network.heal()
+	cut.assertRead(2, "two")
 	gr.awaitDocument(2, "two")
 	gr.awaitVoters(3)
 }
 
-// Hundreds of large documents must not fill the disk, and a newcomer gets a
-// snapshot in place of the entries that are gone.
-func TestLargeDocuments(t *testing.T) {
-	gr := form(t, 1, 3, 0)
+// Hundreds of large documents must not fill the disk, and a new voter must receive a
+// snapshot in place of the compacted entries.
+func TestLargeDocumentsAreCompacted(t *testing.T) {
+	gr := newFormedGroup(t, 1, 3, 0)
 	data := make([]byte, 256<<10)
 	for version := uint64(1); version <= 100; version++ {
 		data[version] = byte(version)
-		gr.all[version%3].propose(version, string(data))
+		gr.all[version%3].mustPropose(version, string(data))
 	}
 	for _, in := range gr.all {
 		var size int64
@@ -401,14 +400,14 @@
 	for _, in := range gr.all {
 		in.run(false)
 	}
-	gr.all[0].reads(100, string(data))
+	gr.all[0].assertRead(100, string(data))
 }
 
-// A log whose file was harmed is not used again: the instance comes back under
-// another identity and its old one is removed.
-func TestDamagedLog(t *testing.T) {
-	gr := form(t, 1, 3, 0)
-	gr.all[0].propose(1, "one")
+// A log with a damaged file must not be used again: the instance returns with a new
+// identity and its old one is removed.
+func TestDamagedLogIsReplaced(t *testing.T) {
+	gr := newFormedGroup(t, 1, 3, 0)
+	gr.all[0].mustPropose(1, "one")
 	in := gr.follower()
 	old := in.nd.Status().ID
 	in.stop()
@@ -417,7 +416,7 @@
 	in.run(false)
 	gr.awaitVoters(3)
 	gr.c.Assert(in.nd.Status().ID, qt.Not(qt.Equals), old)
-	in.reads(1, "one")
+	in.assertRead(1, "one")
 }
 
 // loseDisk stops an instance and empties its disk.
--- a/fleet/group_test.go
+++ b/fleet/group_test.go
@@ -22,25 +22,25 @@
 )
 
 const (
-	testElection  = 200 * time.Millisecond
-	testHeartbeat = 40 * time.Millisecond
-	// patience ends a test that would hang.
-	patience = 60 * time.Second
+	testElectionTimeout   = 200 * time.Millisecond
+	testHeartbeatInterval = 40 * time.Millisecond
+	// testTimeout ends a test that would hang.
+	testTimeout = 60 * time.Second
 )
 
 // group is a set of control instances in one process, with links over loopback.
 type group struct {
-	c      *qt.C
-	ctx    context.Context
-	losses int
-	ts     *timer.Service
-	codec  *peer.Codec
-	lg     *zap.Logger
-	wi     *wires
-	all    []*instance
+	c           *qt.C
+	ctx         context.Context
+	maxFailures int
+	ts          *timer.Service
+	codec       *peer.Codec
+	lg          *zap.Logger
+	network     *network
+	all         []*instance
 }
 
-// instance is one of them, running or stopped.
+// instance is a control instance of the group, running or stopped.
 type instance struct {
 	gr      *group
 	name    string
@@ -52,9 +52,9 @@
 	stop    func()
 	running bool
 
-	mu    sync.Mutex
-	seeds []string
-	at    string // at is where the process listens, "" if it doesn't run.
+	mu            sync.Mutex
+	seeds         []string
+	listenAddress string // listenAddress is where the process listens; "" if it doesn't run.
 }
 
 // node returns the node of the newest process.
@@ -64,8 +64,9 @@
 	return in.nd
 }
 
-// enter counts one who works for a process, unless it is being stopped.
-func (in *instance) enter(ctx context.Context, wg *sync.WaitGroup) bool {
+// addWorker adds a goroutine to the process's wait group, unless the process is being
+// stopped.
+func (in *instance) addWorker(ctx context.Context, wg *sync.WaitGroup) bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	if ctx.Err() != nil {
@@ -75,25 +76,26 @@
 	return true
 }
 
-func (in *instance) listens(at string) {
+func (in *instance) setListenAddress(address string) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.at = at
+	in.listenAddress = address
 }
 
-func (in *instance) listening() string {
+func (in *instance) currentListenAddress() string {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	return in.at
+	return in.listenAddress
 }
 
-// recorder notes what an Observer is told, and any version that doesn't rise.
+// recorder is an Observer that records its calls, so that a version that doesn't increase
+// is found.
 type recorder struct {
 	mu       sync.Mutex
 	versions []uint64
 	data     []byte
 	members  []Member
-	// evacuations are all that came, in order.
+	// evacuations are all that were passed, in order.
 	evacuations []evacuation.Set
 }
 
@@ -103,8 +105,8 @@
 	re.evacuations = append(re.evacuations, st)
 }
 
-// evacuated returns the evacuations that came last.
-func (re *recorder) evacuated() evacuation.Set {
+// lastEvacuations returns the evacuations that were passed last.
+func (re *recorder) lastEvacuations() evacuation.Set {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	if len(re.evacuations) == 0 {
@@ -126,7 +128,7 @@
 	re.members = mes
 }
 
-func (re *recorder) last() (version uint64, data string) {
+func (re *recorder) lastDocument() (version uint64, data string) {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	if len(re.versions) == 0 {
@@ -142,28 +144,28 @@
 }
 
 // newGroup returns a group without instances.
-func newGroup(t *testing.T, losses int) *group {
+func newGroup(t *testing.T, maxFailures int) *group {
 	c := qt.New(t)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	t.Cleanup(cancel)
 	codec := peer.NewCodec(link.Messages(), Messages())
-	wi := newWires(codec)
-	t.Cleanup(wi.close)
+	ne := newNetwork(codec)
+	t.Cleanup(ne.close)
 	return &group{
-		c:      c,
-		ctx:    ctx,
-		losses: losses,
-		ts:     timer.New(),
-		codec:  codec,
-		lg:     zaptest.NewLogger(t, zaptest.Level(zap.InfoLevel)),
-		wi:     wi,
+		c:           c,
+		ctx:         ctx,
+		maxFailures: maxFailures,
+		ts:          timer.New(),
+		codec:       codec,
+		lg:          zaptest.NewLogger(t, zaptest.Level(zap.InfoLevel)),
+		network:     ne,
 	}
 }
 
 // add adds an instance that does not run yet.
 func (gr *group) add(name string) *instance {
 	in := &instance{gr: gr, name: name, dir: filepath.Join(gr.c.TempDir(), name), disk: newFaultyDisk()}
-	in.address = gr.wi.open(in)
+	in.address = gr.network.listen(in)
 	gr.all = append(gr.all, in)
 	return in
 }
@@ -180,10 +182,10 @@
 		Address:           in.address,
 		Seeds:             in.seedList,
 		FirstStart:        first,
-		MaxFailures:       gr.losses,
+		MaxFailures:       gr.maxFailures,
 		Dir:               in.dir,
-		ElectionTimeout:   testElection,
-		HeartbeatInterval: testHeartbeat,
+		ElectionTimeout:   testElectionTimeout,
+		HeartbeatInterval: testHeartbeatInterval,
 		Link:              cf,
 	}, gr.ts, gr.lg.Named(in.name), in.ob)
 	nd.fsys = in.disk
@@ -192,13 +194,13 @@
 	in.mu.Unlock()
 	li, err := net.Listen("tcp4", "127.0.0.1:0")
 	gr.c.Assert(err, qt.IsNil)
-	in.listens(li.Addr().String())
+	in.setListenAddress(li.Addr().String())
 	ctx, cancel := context.WithCancel(gr.ctx)
 	var wg sync.WaitGroup
 	wg.Go(func() { _ = nd.Serve(ctx) })
 	wg.Go(func() {
 		_ = link.Serve(ctx, li, cf, func(ctx context.Context, co *link.Conn) {
-			if !in.enter(ctx, &wg) {
+			if !in.addWorker(ctx, &wg) {
 				return
 			}
 			defer wg.Done()
@@ -211,7 +213,7 @@
 	in.stop = func() {
 		if in.running {
 			in.running = false
-			in.listens("")
+			in.setListenAddress("")
 			in.mu.Lock()
 			cancel()
 			in.mu.Unlock()
@@ -228,7 +230,7 @@
 	return slices.Clone(in.seeds)
 }
 
-func (in *instance) seed(ins ...*instance) {
+func (in *instance) setSeeds(ins ...*instance) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.seeds = nil
@@ -237,37 +239,37 @@
 	}
 }
 
-// await waits until a condition holds.
-func (gr *group) await(what string, holds func() bool) {
+// await waits until a condition is true.
+func (gr *group) await(what string, condition func() bool) {
 	gr.c.Helper()
-	for !holds() {
+	for !condition() {
 		if gr.ctx.Err() != nil {
 			for _, in := range gr.all {
 				if in.nd != nil {
 					gr.c.Logf("%s, running %v: %+v", in.name, in.running, in.nd.Status())
 				}
 			}
-			gr.c.Fatalf("still not: %s", what)
+			gr.c.Fatalf("timed out waiting for: %s", what)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 }
 
-// form starts a group for the first time: seeds, and others beside them.
-func form(t *testing.T, losses, seeds, others int) *group {
-	gr := newGroup(t, losses)
+// newFormedGroup starts a group for the first time, from seeds and other instances.
+func newFormedGroup(t *testing.T, maxFailures, seeds, others int) *group {
+	gr := newGroup(t, maxFailures)
 	for po := range seeds + others {
 		gr.add(string(rune('a' + po)))
 	}
 	for _, in := range gr.all {
-		in.seed(gr.all[:seeds]...)
+		in.setSeeds(gr.all[:seeds]...)
 		in.run(true)
 	}
-	gr.awaitVoters(min(seeds+others, 2*losses+1))
+	gr.awaitVoters(min(seeds+others, 2*maxFailures+1))
 	return gr
 }
 
-// leader returns the running instance that all running voters follow, or nil.
+// leader returns the only running instance that leads, or nil.
 func (gr *group) leader() *instance {
 	var leader *instance
 	for _, in := range gr.all {
@@ -281,8 +283,8 @@
 	return leader
 }
 
-// awaitVoters waits until the running leader's committed voters are so many, all
-// of them of running instances and no learner beside them.
+// awaitVoters waits until the running leader has committed a set of that many voters, all
+// of running instances, and no learners.
 func (gr *group) awaitVoters(count int) {
 	gr.c.Helper()
 	gr.await(fmt.Sprintf("%d running voters", count), func() bool {
@@ -295,8 +297,8 @@
 	})
 }
 
-// votersRunning returns the running instances whose present disk votes according
-// to the leader.
+// votersRunning returns the running instances whose current disk is a voter according to
+// the leader.
 func (gr *group) votersRunning() []*instance {
 	le := gr.leader()
 	if le == nil {
@@ -317,14 +319,14 @@
 	return gr.all[po]
 }
 
-// propose demands that a document is committed.
-func (in *instance) propose(version uint64, data string) {
+// mustPropose fails the test unless a document is committed.
+func (in *instance) mustPropose(version uint64, data string) {
 	in.gr.c.Helper()
 	in.gr.c.Assert(in.nd.Propose(in.gr.ctx, version, []byte(data)), qt.IsNil)
 }
 
-// reads demands what a read gives.
-func (in *instance) reads(version uint64, data string) {
+// assertRead fails the test unless a read returns the given document.
+func (in *instance) assertRead(version uint64, data string) {
 	in.gr.c.Helper()
 	ve, da, err := in.nd.Read(in.gr.ctx)
 	in.gr.c.Assert(err, qt.IsNil)
@@ -332,13 +334,14 @@
 	in.gr.c.Assert(string(da), qt.Equals, data)
 }
 
-// awaitDocument waits until all running instances were told of a document.
+// awaitDocument waits until the observers of all running instances have received a
+// document.
 func (gr *group) awaitDocument(version uint64, data string) {
 	gr.c.Helper()
 	for _, in := range gr.all {
 		if in.running {
 			gr.await(fmt.Sprintf("%s knows version %d", in.name, version), func() bool {
-				ve, da := in.ob.last()
+				ve, da := in.ob.lastDocument()
 				return ve == version && da == data
 			})
 		}
--- a/fleet/lead.go
+++ b/fleet/lead.go
@@ -11,39 +11,40 @@
 )
 
 const (
-	// inFlight bounds the proposals, and the reads, that wait at a leader.
-	inFlight = 64
-	// inFlightBytes bounds what is appended and not committed.
-	inFlightBytes = 2 << 20
+	// maxInFlight bounds the proposals, and separately the reads, that are pending at a
+	// leader.
+	maxInFlight = 64
+	// maxInFlightBytes bounds the bytes that are appended and not committed.
+	maxInFlightBytes = 2 << 20
 )
 
-// The reasons why a request is not served.
+// The reasons for which a request is rejected.
 const (
-	reasonBusy      = "too many requests wait"
-	reasonNotLeader = "the instance does not lead"
+	reasonBusy      = "too many requests are pending"
+	reasonNotLeader = "the instance is not the leader"
 )
 
-// proposing is a proposal that waits for its commit.
-type proposing struct {
+// pendingProposal is a proposal that waits for its commit.
+type pendingProposal struct {
 	version uint64
 	bytes   int
 	since   time.Time
 	reply   func(Answer)
 }
 
-// reading is a read that waits to be confirmed.
-type reading struct {
-	since time.Time // since is when it came.
+// pendingRead is a read that waits for confirmation by a majority.
+type pendingRead struct {
+	since time.Time // since is when the request arrived.
 	held  uint64
 	reply func(Answer)
 }
 
-func (th *thread) leads() bool {
+func (th *thread) isLeader() bool {
 	return th.vo != nil && th.vo.formed && th.vo.failed == nil && th.vo.st.Role() == quorum.Leader
 }
 
-// refuse answers with whom to ask instead, unless that is this instance.
-func (th *thread) refuse(reply func(Answer), reason string) {
+// reject answers with a reason and the known leader, unless that is this instance.
+func (th *thread) reject(reply func(Answer), reason string) {
 	name := th.leaderName()
 	if name == th.nd.cf.Name {
 		name = ""
@@ -51,74 +52,74 @@
 	reply(Answer{Leader: name, Reason: reason})
 }
 
-func (th *thread) demanded(ev demanded) {
+func (th *thread) handleRequest(ev requestReceived) {
 	switch ms := ev.ms.(type) {
 	case Proposal:
-		th.proposal(ms, ev.reply)
+		th.handleProposal(ms, ev.reply)
 	case ReadRequest:
-		th.reading(ms, ev.reply)
+		th.handleRead(ms, ev.reply)
 	case EvacuationOrder:
-		th.order(ms, ev.reply)
+		th.handleOrder(ms, ev.reply)
 	}
 }
 
-// proposal appends a document. One whose version is appended already waits for
-// that; a version that is committed already is answered by any instance.
-func (th *thread) proposal(ms Proposal, reply func(Answer)) {
+// handleProposal appends a document. A proposal of a version that is already appended waits
+// for that entry; a version that is already committed is acknowledged by any instance.
+func (th *thread) handleProposal(ms Proposal, reply func(Answer)) {
 	switch {
 	case ms.Version <= th.nd.newest.Load().Version:
 		reply(Answer{OK: true})
 		return
-	case !th.leads():
-		th.refuse(reply, reasonNotLeader)
+	case !th.isLeader():
+		th.reject(reply, reasonNotLeader)
 		return
-	case len(th.proposals)+len(th.orders) >= inFlight || th.leading.flight > 0 && th.leading.flight+len(ms.Data) > inFlightBytes:
-		th.refuse(reply, reasonBusy)
+	case len(th.pendingProposals)+len(th.pendingOrders) >= maxInFlight || th.leading.inFlightBytes > 0 && th.leading.inFlightBytes+len(ms.Data) > maxInFlightBytes:
+		th.reject(reply, reasonBusy)
 		return
 	}
 	now := th.now()
-	th.proposals = append(th.proposals, proposing{version: ms.Version, bytes: len(ms.Data), since: now, reply: reply})
-	if ms.Version <= th.leading.proposed {
+	th.pendingProposals = append(th.pendingProposals, pendingProposal{version: ms.Version, bytes: len(ms.Data), since: now, reply: reply})
+	if ms.Version <= th.leading.proposedVersion {
 		return
 	}
-	th.leading.proposed = ms.Version
-	th.leading.flight += len(ms.Data)
+	th.leading.proposedVersion = ms.Version
+	th.leading.inFlightBytes += len(ms.Data)
 	do := document{Version: ms.Version, Data: ms.Data}
 	th.step(quorum.Propose{Now: now, Data: command{Document: &do}.encode()})
 }
 
-// reading notes a read and asks the voters whether this instance still leads.
-func (th *thread) reading(ms ReadRequest, reply func(Answer)) {
+// handleRead records a read and asks the voters whether this instance still leads.
+func (th *thread) handleRead(ms ReadRequest, reply func(Answer)) {
 	switch {
-	case !th.leads():
-		th.refuse(reply, reasonNotLeader)
-	case len(th.reads) >= inFlight:
-		th.refuse(reply, reasonBusy)
+	case !th.isLeader():
+		th.reject(reply, reasonNotLeader)
+	case len(th.pendingReads) >= maxInFlight:
+		th.reject(reply, reasonBusy)
 	default:
-		th.reads = append(th.reads, reading{since: th.now(), held: ms.Held, reply: reply})
+		th.pendingReads = append(th.pendingReads, pendingRead{since: th.now(), held: ms.Held, reply: reply})
 		th.step(quorum.Probe{Now: th.now()})
 	}
 }
 
-// settle answers those whose wait is over, and sees to a disk that failed.
-func (th *thread) settle() {
-	th.drop()
-	if !th.leads() {
-		th.settleResigns()
+// completeRequests answers the requests that are complete and closes a disk that failed.
+func (th *thread) completeRequests() {
+	th.closeUnusable()
+	if !th.isLeader() {
+		th.completeResigns()
 		return
 	}
 	vo := th.vo
 	if vo.st.Commit() == vo.st.Last() {
-		th.leading.flight = 0
+		th.leading.inFlightBytes = 0
 	}
-	if do := vo.sm.Document; do.Version > th.leading.told {
-		// The others learn of the commit now and not with the next heartbeat.
-		th.leading.told = do.Version
+	if do := vo.sm.Document; do.Version > th.leading.broadcastVersion {
+		// The followers learn of the commit now instead of with the next heartbeat.
+		th.leading.broadcastVersion = do.Version
 		th.step(quorum.Probe{Now: th.now()})
 	}
-	th.probeRevision()
+	th.broadcastRevision()
 	now := th.now()
-	th.proposals = slices.DeleteFunc(th.proposals, func(pr proposing) bool {
+	th.pendingProposals = slices.DeleteFunc(th.pendingProposals, func(pr pendingProposal) bool {
 		if pr.version > vo.sm.Document.Version {
 			return false
 		}
@@ -127,23 +128,23 @@
 		pr.reply(Answer{OK: true})
 		return true
 	})
-	th.settleReads()
+	th.completeReads()
 }
 
-// settleReads answers the reads that a majority has confirmed.
+// completeReads answers the reads that a majority has confirmed.
 //
-// A leader that was frozen may have been replaced and not know it: it would show
-// a document older than one that was acknowledged since. So a majority must have
-// acknowledged something that was sent after the read came; none of it followed
-// a later leader then. And an entry of the own term must be applied, and with it
-// all that earlier leaders have acknowledged.
-func (th *thread) settleReads() {
+// A leader whose process was paused may have been replaced without knowing it; it would
+// return a document older than one acknowledged since. Therefore a majority must have
+// acknowledged a message that was sent after the read arrived, which shows that they
+// followed no later leader by then. Also, an entry of the leader's own term must be
+// applied, and with it all entries that earlier leaders acknowledged.
+func (th *thread) completeReads() {
 	vo := th.vo
 	if !vo.st.CommittedInTerm() || vo.appliedIndex != vo.st.Commit() {
 		return
 	}
 	contact := vo.st.LastQuorumContact()
-	th.reads = slices.DeleteFunc(th.reads, func(rd reading) bool {
+	th.pendingReads = slices.DeleteFunc(th.pendingReads, func(rd pendingRead) bool {
 		if !contact.After(rd.since) {
 			return false
 		}
@@ -157,28 +158,28 @@
 	})
 }
 
-// abandon answers all who wait at an instance that no longer leads: what they
-// proposed may or may not be committed, and they ask the next leader.
-func (th *thread) abandon(reason string) {
-	prs, rds, ors := th.proposals, th.reads, th.orders
-	th.proposals, th.reads, th.orders = nil, nil, nil
+// rejectPending rejects all pending requests of an instance that no longer leads. Their
+// proposals may or may not be committed; the requesters ask the next leader.
+func (th *thread) rejectPending(reason string) {
+	prs, rds, ors := th.pendingProposals, th.pendingReads, th.pendingOrders
+	th.pendingProposals, th.pendingReads, th.pendingOrders = nil, nil, nil
 	for _, pr := range prs {
-		th.refuse(pr.reply, reason)
+		th.reject(pr.reply, reason)
 	}
 	for _, rd := range rds {
-		th.refuse(rd.reply, reason)
+		th.reject(rd.reply, reason)
 	}
 	for _, or := range ors {
-		th.refuse(or.reply, reason)
+		th.reject(or.reply, reason)
 	}
 }
 
 func (th *thread) resign(done chan struct{}) {
 	vo := th.vo
-	if !th.leads() {
+	if !th.isLeader() {
 		close(done)
 	} else {
-		th.resigns = append(th.resigns, done)
+		th.pendingResigns = append(th.pendingResigns, done)
 	}
 	if vo != nil && vo.formed {
 		th.nd.lg.Info("resigning", zap.String("Role", string(vo.st.Role())))
@@ -186,94 +187,94 @@
 	}
 }
 
-// settleResigns answers those who wait for another leader.
-func (th *thread) settleResigns() {
-	if len(th.resigns) == 0 {
+// completeResigns completes resignations once another instance leads.
+func (th *thread) completeResigns() {
+	if len(th.pendingResigns) == 0 {
 		return
 	}
 	if vo := th.vo; vo != nil && vo.formed && vo.st.Leader() == "" && vo.st.Voters().HasVoter(vo.id) && len(vo.st.Voters().Voters) > 1 {
 		return
 	}
-	for _, done := range th.resigns {
+	for _, done := range th.pendingResigns {
 		close(done)
 	}
-	th.resigns = nil
+	th.pendingResigns = nil
 }
 
-// tellOutsiders sends what is committed to all that don't learn it from the log.
-func (th *thread) tellOutsiders(ms peer.Message) {
-	for _, pa := range th.nd.li.known() {
-		if !th.inSet(pa.report.ID) {
-			th.tell(pa, ms)
+// pushToNonMembers sends committed state to all instances that don't receive the log.
+func (th *thread) pushToNonMembers(ms peer.Message) {
+	for _, pr := range th.nd.links.latestReports() {
+		if !th.isMember(pr.report.ID) {
+			th.pushTo(pr, ms)
 		}
 	}
 }
 
-// pushState sends what is committed to those that report something older, in case an
+// pushMissing sends committed state to instances that report an older version, in case an
 // earlier message was lost.
-func (th *thread) pushState(now time.Time, pas []partner) {
-	if !th.leads() {
+func (th *thread) pushMissing(now time.Time, prs []peerReport) {
+	if !th.isLeader() {
 		return
 	}
 	do, st := th.vo.sm.Document, th.vo.sm.Evacuations
-	for _, pa := range pas {
-		if th.inSet(pa.report.ID) {
+	for _, pr := range prs {
+		if th.isMember(pr.report.ID) {
 			continue
 		}
-		pu := th.pushed[pa.report.Name]
-		again := pu.start != pa.report.Start || now.Sub(pu.at) >= pushPeriod
-		if pa.report.Version < do.Version && (again || pu.version != do.Version) {
-			th.tell(pa, Document(do))
+		pu := th.pushes[pr.report.Name]
+		retry := pu.start != pr.report.Start || now.Sub(pu.at) >= pushRetryInterval
+		if pr.report.Version < do.Version && (retry || pu.version != do.Version) {
+			th.pushTo(pr, Document(do))
 		}
-		if pa.report.Revision < st.Revision && (again || pu.revision != st.Revision) {
-			th.tell(pa, Evacuations{Set: st})
+		if pr.report.Revision < st.Revision && (retry || pu.revision != st.Revision) {
+			th.pushTo(pr, Evacuations{Set: st})
 		}
 	}
 }
 
-func (th *thread) tell(pa partner, ms peer.Message) {
-	li := th.nd.li.find(pa.report.Name)
+func (th *thread) pushTo(pr peerReport, ms peer.Message) {
+	li := th.nd.links.find(pr.report.Name)
 	if li == nil {
 		return
 	}
-	pu := th.pushed[pa.report.Name]
-	pu.start, pu.at = pa.report.Start, th.now()
+	pu := th.pushes[pr.report.Name]
+	pu.start, pu.at = pr.report.Start, th.now()
 	switch ms := ms.(type) {
 	case Document:
 		pu.version = ms.Version
 	case Evacuations:
 		pu.revision = ms.Set.Revision
 	}
-	th.pushed[pa.report.Name] = pu
-	_ = li.co.Send(ms) // It is sent again if it is lost.
+	th.pushes[pr.report.Name] = pu
+	_ = li.co.Send(ms) // A lost message is sent again.
 }
 
-func (th *thread) inSet(id quorum.ID) bool {
+func (th *thread) isMember(id quorum.ID) bool {
 	vs := th.vo.st.Voters()
 	return vs.HasVoter(id) || vs.HasLearner(id)
 }
 
-// name puts the addresses of voters and learners into the log where it lacks
-// them, so that all know each other after a restart.
-func (th *thread) name(now time.Time) {
-	if !th.leads() || !th.vo.st.CommittedInTerm() {
+// proposeAddresses adds missing addresses of voters and learners to the log, so that the
+// members find each other after a restart.
+func (th *thread) proposeAddresses(now time.Time) {
+	if !th.isLeader() || !th.vo.st.CommittedInTerm() {
 		return
 	}
-	for _, me := range th.linked() {
-		th.nameOne(now, me)
+	for _, me := range th.linkedMembers() {
+		th.proposeAddress(now, me)
 	}
-	th.nameOne(now, Member{Name: th.nd.cf.Name, Address: th.nd.cf.Address})
+	th.proposeAddress(now, Member{Name: th.nd.cf.Name, Address: th.nd.cf.Address})
 }
 
-func (th *thread) nameOne(now time.Time, me Member) {
+func (th *thread) proposeAddress(now time.Time, me Member) {
 	vs := th.vo.st.Voters()
-	of := func(id quorum.ID) bool { return nameOf(id) == me.Name }
+	of := func(id quorum.ID) bool { return instanceOf(id) == me.Name }
 	if !slices.ContainsFunc(vs.Voters, of) && !slices.ContainsFunc(vs.Learners, of) {
 		return
 	}
-	if th.vo.sm.address(me.Name) == me.Address || now.Sub(th.leading.named[me.Name]) < th.nd.cf.ElectionTimeout {
+	if th.vo.sm.address(me.Name) == me.Address || now.Sub(th.leading.addressProposedAt[me.Name]) < th.nd.cf.ElectionTimeout {
 		return
 	}
-	th.leading.named[me.Name] = now
+	th.leading.addressProposedAt[me.Name] = now
 	th.step(quorum.Propose{Now: th.now(), Data: command{Member: &me}.encode()})
 }
--- a/fleet/message.go
+++ b/fleet/message.go
@@ -20,27 +20,27 @@
 	KindEvacuations
 )
 
-// Report is what an instance tells the others of itself.
+// Report describes an instance to the others.
 type Report struct {
-	Start    uint64 // Start is random and tells two processes of one name apart.
-	Sequence uint64 // Sequence rises with each report of a process.
+	Start    uint64 // Start is random and distinguishes processes with the same name.
+	Sequence uint64 // Sequence increases with each report of a process.
 
 	Name, Address string
 	ID            quorum.ID // ID is the voter's identity; "" while the disk isn't open.
-	Fresh         bool      // Fresh says that the disk is empty and waits for the group to be formed.
+	Fresh         bool      // Fresh is set while the disk is empty and waits for the group to be formed.
 	First         []string  // First are the seeds of a disk that took part in the first start, if Fresh.
-	Outsider      bool      // Outsider says that the instance wants to be added to the voters.
+	Outsider      bool      // Outsider is set if the instance is not a member and asks to be added to the voters.
 	Leading       bool
-	Term          uint64 // Term is the term in which it leads.
-	Version       uint64 // Version is that of the newest document it knows to be committed.
-	Revision      uint64 // Revision is that of the newest evacuations it knows to be committed.
+	Term          uint64 // Term is the term in which the instance leads.
+	Version       uint64 // Version is that of the newest document the instance knows to be committed.
+	Revision      uint64 // Revision is that of the newest evacuations the instance knows to be committed.
 
-	Members   []Member   // Members are those that it is linked with and the voters.
+	Members   []Member   // Members are the voters and the linked instances.
 	Formation *Formation // Formation is nil if it is not known.
 }
 
-// Formation is how the group began. All first voters begin with the same
-// snapshot, which is made of it.
+// Formation describes how the group was formed. All first voters start from the same
+// snapshot, which is derived from it.
 type Formation struct {
 	Voters  []quorum.ID `cbor:"1,keyasint"`
 	Members []Member    `cbor:"2,keyasint"`
@@ -49,58 +49,59 @@
 // Join is the first message on a link, from the instance that opened it.
 type Join struct{ Report Report }
 
-// Welcome answers Join.
+// JoinReply answers Join.
 type JoinReply struct{ Report Report }
 
-// Notice says that a report has changed. Instances that aren't voters repeat it.
+// ReportUpdate carries a changed report. Non-members send it periodically.
 type ReportUpdate struct{ Report Report }
 
-// Routed carries a message of the replicated log to one disk.
+// Envelope carries a message of the replicated log to one disk.
 type Envelope struct {
 	From, To quorum.ID
 	Frame    []byte
 }
 
-// Document is a committed document, from a leader to those that don't vote.
+// Document is a committed document, sent by a leader to non-members.
 type Document struct {
 	Version uint64
 	Data    []byte
 }
 
-// Proposal asks the leader to commit a document. Answer comes once a version at
-// least as high is committed.
+// Proposal asks the leader to commit a document. The Answer follows once a version at least
+// as high is committed.
 type Proposal struct {
 	Request uint64
 	Version uint64
 	Data    []byte
 }
 
-// Reading asks the leader for the committed document.
+// ReadRequest asks the leader for the committed document.
 type ReadRequest struct {
 	Request uint64
-	Held    uint64 // Held is the version that need not be sent again.
+	Held    uint64 // Held is the version that the requester has; it is not sent again.
 }
 
-// EvacuationOrder asks the leader to commit an order. Answer comes once it is applied.
+// EvacuationOrder asks the leader to commit a change of the evacuations. The Answer follows
+// once it is applied.
 type EvacuationOrder struct {
 	Request uint64
 	Order   evacuation.Change
 }
 
-// Evacuations are committed evacuations, from a leader to those that don't vote.
+// Evacuations are committed evacuations, sent by a leader to non-members.
 type Evacuations struct{ Set evacuation.Set }
 
-// Answer answers Proposal, Reading and EvacuationOrder.
+// Answer answers Proposal, ReadRequest and EvacuationOrder.
 type Answer struct {
 	Request uint64
 	OK      bool
 	Version uint64
 	Data    []byte
-	Same    bool   // Same says that Held is the committed version; Data is left out.
-	Leader  string // Leader is whom to ask if not OK; "" if unknown.
+	Same    bool   // Same is set if Held is the committed version; Data is then empty.
+	Leader  string // Leader is the instance to ask if not OK; "" if unknown.
 	Reason  string
 
-	// Outcome and Evacuations are what an EvacuationOrder led to.
+	// Outcome and Evacuations are the result of an EvacuationOrder.
 	Outcome     evacuation.Outcome
 	Evacuations evacuation.Set
 }
@@ -108,13 +109,13 @@
 // Kind returns KindJoin.
 func (Join) Kind() peer.Kind { return KindJoin }
 
-// Kind returns KindWelcome.
+// Kind returns KindJoinReply.
 func (JoinReply) Kind() peer.Kind { return KindJoinReply }
 
-// Kind returns KindNotice.
+// Kind returns KindReportUpdate.
 func (ReportUpdate) Kind() peer.Kind { return KindReportUpdate }
 
-// Kind returns KindRouted.
+// Kind returns KindEnvelope.
 func (Envelope) Kind() peer.Kind { return KindEnvelope }
 
 // Kind returns KindDocument.
@@ -123,7 +124,7 @@
 // Kind returns KindProposal.
 func (Proposal) Kind() peer.Kind { return KindProposal }
 
-// Kind returns KindReading.
+// Kind returns KindReadRequest.
 func (ReadRequest) Kind() peer.Kind { return KindReadRequest }
 
 // Kind returns KindAnswer.
--- a/fleet/neighbours.go
+++ b/fleet/neighbours.go
@@ -8,20 +8,20 @@
 	"balsamwinch.example/quorum"
 )
 
-// remember notes who is there, and who they say is there.
-func (th *thread) remember(now time.Time, pas []partner) {
-	for _, pa := range pas {
-		for _, me := range pa.report.Members {
-			if re, ok := th.book[me.Name]; !ok || re.address == me.Address {
-				th.book[me.Name] = remembered{address: me.Address, seen: now}
+// rememberMembers records the linked instances and those listed in their reports.
+func (th *thread) rememberMembers(now time.Time, prs []peerReport) {
+	for _, pr := range prs {
+		for _, me := range pr.report.Members {
+			if re, ok := th.knownInstances[me.Name]; !ok || re.address == me.Address {
+				th.knownInstances[me.Name] = knownInstance{address: me.Address, lastSeen: now}
 			}
 		}
 	}
-	for _, pa := range pas {
-		th.book[pa.report.Name] = remembered{address: pa.report.Address, seen: now}
+	for _, pr := range prs {
+		th.knownInstances[pr.report.Name] = knownInstance{address: pr.report.Address, lastSeen: now}
 	}
-	delete(th.book, th.nd.cf.Name)
-	mes := th.known()
+	delete(th.knownInstances, th.nd.cf.Name)
+	mes := th.knownMembers()
 	if slices.Equal(mes, th.members) {
 		return
 	}
@@ -29,23 +29,23 @@
 	th.nd.ob.MembersChanged(slices.Clone(mes))
 }
 
-// forget drops those that nobody has been linked with for long.
-func (th *thread) forget(now time.Time) {
-	for name, re := range th.book {
-		if now.Sub(re.seen) >= memberMemory {
-			delete(th.book, name)
+// expireMembers removes instances that nobody has been linked with for memberTTL.
+func (th *thread) expireMembers(now time.Time) {
+	for name, re := range th.knownInstances {
+		if now.Sub(re.lastSeen) >= memberTTL {
+			delete(th.knownInstances, name)
 		}
 	}
 }
 
-// known returns this instance, the voters and those remembered, by name.
-func (th *thread) known() []Member {
+// knownMembers returns this instance, the voters and the remembered instances, by name.
+func (th *thread) knownMembers() []Member {
 	mes := []Member{{Name: th.nd.cf.Name, Address: th.nd.cf.Address}}
-	for name, re := range th.book {
+	for name, re := range th.knownInstances {
 		mes = append(mes, Member{Name: name, Address: re.address})
 	}
-	for _, me := range th.stated() {
-		if _, ok := th.book[me.Name]; !ok && me.Name != th.nd.cf.Name {
+	for _, me := range th.loggedMembers() {
+		if _, ok := th.knownInstances[me.Name]; !ok && me.Name != th.nd.cf.Name {
 			mes = append(mes, me)
 		}
 	}
@@ -53,73 +53,74 @@
 	return mes
 }
 
-// stated returns the voters and learners that the log names with an address.
-func (th *thread) stated() []Member {
+// loggedMembers returns the voters and learners whose addresses are in the log.
+func (th *thread) loggedMembers() []Member {
 	if th.vo == nil || !th.vo.formed {
 		return nil
 	}
 	return th.vo.sm.Members
 }
 
-// call keeps a dialler for each seed and known member, and ends those of others.
-func (th *thread) call() {
-	wanted := make(map[string]bool)
+// updateDialers keeps a dialler for each seed and known member, and stops all others.
+func (th *thread) updateDialers() {
+	targets := make(map[string]bool)
 	for _, address := range th.seeds {
-		wanted[address] = true
+		targets[address] = true
 	}
 	for _, me := range th.members {
-		wanted[me.Address] = true
+		targets[me.Address] = true
 	}
-	delete(wanted, th.nd.cf.Address)
-	delete(wanted, "")
-	for address, stop := range th.dials {
-		if !wanted[address] {
+	delete(targets, th.nd.cf.Address)
+	delete(targets, "")
+	for address, stop := range th.dialers {
+		if !targets[address] {
 			stop()
-			delete(th.dials, address)
+			delete(th.dialers, address)
 		}
 	}
-	for address := range wanted {
-		if _, ok := th.dials[address]; ok {
+	for address := range targets {
+		if _, ok := th.dialers[address]; ok {
 			continue
 		}
 		ctx, stop := context.WithCancel(th.ctx)
-		th.dials[address] = stop
-		th.wg.Go(func() { th.nd.keep(ctx, address) })
+		th.dialers[address] = stop
+		th.wg.Go(func() { th.nd.maintainLink(ctx, address) })
 	}
 }
 
-// greet asks all partners that the voter set on the disk lacks whether this
-// instance may take part. While it was down, all that the set names may have been
-// replaced, and nobody would answer it for ever.
-func (th *thread) greet() {
-	for _, pa := range th.nd.li.known() {
-		if id := pa.report.ID; id != "" && !th.inSet(id) {
+// requestClearance asks all linked instances that are not in the voter set on the disk
+// whether this instance may vote. While it was down, all members of that set may have been
+// replaced, and it would wait for their answers for ever.
+func (th *thread) requestClearance() {
+	for _, pr := range th.nd.links.latestReports() {
+		if id := pr.report.ID; id != "" && !th.isMember(id) {
 			th.step(quorum.RequestClearance{Now: th.now(), To: id})
 		}
 	}
 }
 
-// petition repeats the report to those who may add this instance to the voters
-// and send it documents: the leader if it is known, else all.
-func (th *thread) petition() {
-	re := th.reporting()
-	re.Sequence = th.nd.sequence.Add(1)
+// requestMembership repeats the report to the instances that may add this one to the voters
+// and send it documents: to the leader if it is known, else to all.
+func (th *thread) requestMembership() {
+	re := th.currentReport()
+	re.Sequence = th.nd.reportSequence.Add(1)
 	th.nd.report.Store(&re)
-	if li := th.nd.li.find(th.leaderName()); li != nil {
+	if li := th.nd.links.find(th.leaderName()); li != nil {
 		_ = li.co.Send(ReportUpdate{Report: re})
 		return
 	}
-	for _, li := range th.nd.li.each() {
+	for _, li := range th.nd.links.newestPerInstance() {
 		_ = li.co.Send(ReportUpdate{Report: re})
 	}
 }
 
-// linked returns the partners and the voters. Those that are only remembered are
-// left out: two instances would remind each other of a third for ever.
-func (th *thread) linked() []Member {
-	mes := slices.Clone(th.stated())
-	for _, pa := range th.nd.li.known() {
-		me := Member{Name: pa.report.Name, Address: pa.report.Address}
+// linkedMembers returns the voters and the linked instances. Instances that are only
+// remembered are left out: two instances would keep reminding each other of a third for
+// ever.
+func (th *thread) linkedMembers() []Member {
+	mes := slices.Clone(th.loggedMembers())
+	for _, pr := range th.nd.links.latestReports() {
+		me := Member{Name: pr.report.Name, Address: pr.report.Address}
 		mes = slices.DeleteFunc(mes, func(ot Member) bool { return ot.Name == me.Name })
 		mes = append(mes, me)
 	}
@@ -127,10 +128,10 @@
 	return mes
 }
 
-// leaderName returns the name of the leader as far as is known, or "".
+// leaderName returns the name of the known leader, or "".
 func (th *thread) leaderName() string {
 	if vo := th.vo; vo != nil && vo.formed && vo.st.Leader() != "" {
-		return nameOf(vo.st.Leader())
+		return instanceOf(vo.st.Leader())
 	}
-	return leading(th.nd.li.known())
+	return newestLeader(th.nd.links.latestReports())
 }
--- a/fleet/state.go
+++ b/fleet/state.go
@@ -12,44 +12,44 @@
 	"balsamwinch.example/wal"
 )
 
-// state is what the replicated log says. It is immutable, and the same on every
-// voter at the same index.
+// state is the replicated state machine. It is immutable, and equal on all voters at the
+// same index.
 type state struct {
 	Document  document   `cbor:"1,keyasint"`
 	Members   []Member   `cbor:"2,keyasint"` // Members are the addresses of voters and learners, by name.
 	Formation *Formation `cbor:"3,keyasint"`
-	// Evacuations are the data centres whose backend servers get no requests.
+	// Evacuations are the data centres whose backend servers receive no requests.
 	Evacuations evacuation.Set `cbor:"4,keyasint"`
 }
 
-// command is one command in the log; exactly one field is set.
+// command is a command in the log; exactly one field is set.
 type command struct {
 	Document *document `cbor:"1,keyasint,omitempty"`
 	Member   *Member   `cbor:"2,keyasint,omitempty"`
-	// Evacuation is an order to evacuate a data centre or to withdraw that.
+	// Evacuation starts or ends the evacuation of a data centre.
 	Evacuation *orderCommand `cbor:"3,keyasint,omitempty"`
 }
 
-// orderCommand is an order in the log. The leader that appended it finds who waits for it
-// by ID.
+// orderCommand is an evacuation order in the log. By ID, the leader that appended it finds
+// the pending request.
 type orderCommand struct {
 	ID    uint64            `cbor:"1,keyasint"`
 	Order evacuation.Change `cbor:"2,keyasint"`
 }
 
-// fields counts the fields that are set.
-func (cm command) fields() int {
-	count := 0
+// numFields returns the number of fields that are set.
+func (cm command) numFields() int {
+	num := 0
 	for _, set := range []bool{cm.Document != nil, cm.Member != nil, cm.Evacuation != nil} {
 		if set {
-			count++
+			num++
 		}
 	}
-	return count
+	return num
 }
 
-// encoding gives the same bytes for the same value everywhere.
-var encoding = func() cbor.EncMode {
+// canonicalEncoding encodes equal values to equal bytes.
+var canonicalEncoding = func() cbor.EncMode {
 	em, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
 		panic(err)
@@ -62,7 +62,7 @@
 func (st state) encode() []byte { return mustEncode(st) }
 
 func mustEncode(va any) []byte {
-	data, err := encoding.Marshal(va)
+	data, err := canonicalEncoding.Marshal(va)
 	if err != nil {
 		panic(err) // Structs of strings, numbers and bytes always have an encoding.
 	}
@@ -74,8 +74,8 @@
 	if err := cbor.Unmarshal(data, &cm); err != nil {
 		return cm, &result.Error{Code: result.DamagedState, Op: "read command", Err: err}
 	}
-	if cm.fields() != 1 {
-		return cm, &result.Error{Code: result.DamagedState, Op: "read command", Detail: "want a document, a member or an evacuation"}
+	if cm.numFields() != 1 {
+		return cm, &result.Error{Code: result.DamagedState, Op: "read command", Detail: "exactly one of document, member and evacuation must be set"}
 	}
 	return cm, nil
 }
@@ -91,9 +91,9 @@
 	return st, nil
 }
 
-// with returns the state after a command. A document whose version is not higher
-// than the present one changes nothing.
-func (st state) with(cm command) state {
+// withCommand returns the state after a command. A document whose version is not higher
+// than the current one changes nothing.
+func (st state) withCommand(cm command) state {
 	switch {
 	case cm.Document != nil && cm.Document.Version > st.Document.Version:
 		st.Document = *cm.Document
@@ -107,11 +107,11 @@
 	return st
 }
 
-// withVoters returns the state after a change of the voter set. Addresses of
-// instances that are no longer in it are forgotten.
+// withVoters returns the state after a change of the voter set. Addresses of instances that
+// are no longer members are removed.
 func (st state) withVoters(vs quorum.VoterSet) state {
 	st.Members = slices.DeleteFunc(slices.Clone(st.Members), func(me Member) bool {
-		of := func(id quorum.ID) bool { return nameOf(id) == me.Name }
+		of := func(id quorum.ID) bool { return instanceOf(id) == me.Name }
 		return !slices.ContainsFunc(vs.Voters, of) && !slices.ContainsFunc(vs.Learners, of)
 	})
 	return st
@@ -127,21 +127,22 @@
 	return ""
 }
 
-// firstSnapshot is the same on every first voter, so that their logs start equal.
-func (fo Formation) firstSnapshot() wal.Snapshot {
+// initialSnapshot is equal on all first voters, so that their logs start from the same
+// state.
+func (fo Formation) initialSnapshot() wal.Snapshot {
 	st := state{Formation: &fo, Members: fo.Members}
 	return wal.Snapshot{Index: 1, Term: 1, Voters: quorum.VoterSet{Voters: fo.Voters}, Data: st.encode()}
 }
 
 func compareMembers(aa, bb Member) int { return strings.Compare(aa.Name, bb.Name) }
 
-// diskID returns the identity of a voter: the instance's name and its disk.
-func diskID(name, disk string) quorum.ID {
+// voterID returns the identity of a voter: the instance's name and its disk ID.
+func voterID(name, disk string) quorum.ID {
 	return quorum.ID(name + "/" + disk)
 }
 
-// nameOf returns the instance's name in a voter's identity.
-func nameOf(id quorum.ID) string {
+// instanceOf returns the instance's name in a voter's identity.
+func instanceOf(id quorum.ID) string {
 	name, _, _ := strings.Cut(string(id), "/")
 	return name
 }
--- a/fleet/thread.go
+++ b/fleet/thread.go
@@ -12,69 +12,69 @@
 	"balsamwinch.example/timer"
 )
 
-// Periods of a node's goroutine.
+// Intervals of a node's goroutine.
 const (
-	// housePeriod is the time between two looks at members and voters, and two
-	// requests of an instance to be added.
-	housePeriod = 300 * time.Millisecond
-	// seedPeriod is the time between two looks at the seeds.
-	seedPeriod = time.Second
-	// memberMemory is how long an instance that is neither linked nor a voter is
+	// maintenanceInterval is the time between two checks of members and voters, and between
+	// two requests of an instance to be added.
+	maintenanceInterval = 300 * time.Millisecond
+	// seedInterval is the time between two lookups of the seeds.
+	seedInterval = time.Second
+	// memberTTL is the time for which an instance that is neither linked nor a voter is
 	// remembered.
-	memberMemory = 60 * time.Second
-	// gap is after how long without a look at the voters the silence of all is
-	// counted anew.
-	gap = 3 * housePeriod
-	// pushPeriod is the time before a document is sent again to an instance that
-	// has not said that it holds it.
-	pushPeriod = time.Second
+	memberTTL = 60 * time.Second
+	// maxMaintenanceGap is the time without maintenance after which the silence of all
+	// members is measured anew.
+	maxMaintenanceGap = 3 * maintenanceInterval
+	// pushRetryInterval is the time before a document is sent again to an instance that has
+	// not reported that it has it.
+	pushRetryInterval = time.Second
 )
 
-// thread is what a node's goroutine works on. It alone touches the disk, the log
-// and the voters, and publishes what others need.
+// thread is the state of a node's goroutine. Only that goroutine accesses the disk, the log
+// and the voters; it publishes what others need.
 type thread struct {
 	nd  *Node
 	ctx context.Context
 	wg  sync.WaitGroup
 
-	last    time.Time // last is the latest time that was used.
-	started time.Time
-	wake    chan struct{}
-	alarm   *timer.Timeout
-	alarmAt time.Time
-	houseAt time.Time
+	lastNow         time.Time // lastNow is the latest time that now returned.
+	startedAt       time.Time
+	wake            chan struct{}
+	timer           *timer.Timeout
+	timerAt         time.Time
+	nextMaintenance time.Time
 
-	housedAt time.Time // housedAt is when the house was last done.
+	lastMaintenance time.Time // lastMaintenance is when maintain last ran.
 
-	vo       *voter // vo is nil while the disk is out of use.
-	reopenAt time.Time
-	pause    time.Duration
+	vo            *voter // vo is nil while the disk is unusable.
+	reopenAt      time.Time
+	reopenBackoff time.Duration
 
-	seeds   []string
-	seedsAt time.Time
-	dials   map[string]context.CancelFunc
-	book    map[string]remembered
-	members []Member // members are those that the observer was told.
-	pushed  map[string]push
-	noted   uint64 // noted is the version of the document in the note.
-	// revisionNoted is the revision of the evacuations in their note.
-	revisionNoted uint64
+	seeds            []string
+	seedsAt          time.Time
+	dialers          map[string]context.CancelFunc
+	knownInstances   map[string]knownInstance
+	members          []Member // members are those last passed to the observer.
+	pushes           map[string]pushRecord
+	persistedVersion uint64 // persistedVersion is the version of the persisted document.
+	// persistedRevision is the revision of the persisted evacuations.
+	persistedRevision uint64
 
-	leading   leadership
-	proposals []proposing
-	reads     []reading
-	orders    []ordering
-	resigns   []chan struct{}
+	leading          leadership
+	pendingProposals []pendingProposal
+	pendingReads     []pendingRead
+	pendingOrders    []pendingOrder
+	pendingResigns   []chan struct{}
 }
 
-// remembered is an instance that was linked or told of.
-type remembered struct {
-	address string
-	seen    time.Time
+// knownInstance is an instance that was linked or listed in a report.
+type knownInstance struct {
+	address  string
+	lastSeen time.Time
 }
 
-// push is what was sent last to an instance that doesn't vote.
-type push struct {
+// pushRecord is what was last sent to a non-member.
+type pushRecord struct {
 	start    uint64
 	version  uint64 // version is that of the document.
 	revision uint64 // revision is that of the evacuations.
@@ -83,87 +83,88 @@
 
 func newThread(ctx context.Context, nd *Node) *thread {
 	th := &thread{
-		nd:     nd,
-		ctx:    ctx,
-		wake:   make(chan struct{}, 1),
-		pause:  firstReopen,
-		dials:  make(map[string]context.CancelFunc),
-		book:   make(map[string]remembered),
-		pushed: make(map[string]push),
+		nd:             nd,
+		ctx:            ctx,
+		wake:           make(chan struct{}, 1),
+		reopenBackoff:  minReopenBackoff,
+		dialers:        make(map[string]context.CancelFunc),
+		knownInstances: make(map[string]knownInstance),
+		pushes:         make(map[string]pushRecord),
 	}
-	th.started = th.now()
-	th.houseAt = th.started
-	th.reopenAt = th.started
-	th.alarm = nd.ts.Timeout(0, th.ring)
-	th.alarmAt = th.started
+	th.startedAt = th.now()
+	th.nextMaintenance = th.startedAt
+	th.reopenAt = th.startedAt
+	th.timer = nd.ts.Timeout(0, th.timerFired)
+	th.timerAt = th.startedAt
 	return th
 }
 
-func (th *thread) ring() {
+func (th *thread) timerFired() {
 	select {
 	case th.wake <- struct{}{}:
 	default:
 	}
 }
 
-// now returns a time later than the one before. A machine's steady clock may
-// stand still while it is suspended; a message sent before would then look like
-// one sent after a read began.
+// now returns a time later than the one before. The monotonic clock may stand still while
+// the machine is suspended; a message sent before would then look like one sent after a
+// read began.
 func (th *thread) now() time.Time {
 	now := th.nd.ts.Now()
-	if !now.After(th.last) {
-		now = th.last.Add(1)
+	if !now.After(th.lastNow) {
+		now = th.lastNow.Add(1)
 	}
-	th.last = now
+	th.lastNow = now
 	return now
 }
 
 func (th *thread) run() error {
 	for {
 		if th.vo == nil && !th.now().Before(th.reopenAt) {
-			th.open()
+			th.openDisk()
 		}
-		th.attend()
-		th.settle()
-		th.publish()
-		th.arm()
-		if err := th.await(); err != nil {
+		th.processReports()
+		th.completeRequests()
+		th.publishReport()
+		th.armTimer()
+		if err := th.waitForEvent(); err != nil {
 			return err
 		}
 	}
 }
 
-// await handles the next thing that happens.
-func (th *thread) await() error {
-	th.nd.busy.Store(0)
+// waitForEvent waits for the next event and handles it.
+func (th *thread) waitForEvent() error {
+	th.nd.busySince.Store(0)
 	select {
 	case <-th.ctx.Done():
 		return th.ctx.Err()
 	case ev := <-th.nd.events:
-		th.work()
+		th.markBusy()
 		th.handle(ev)
-	case <-th.nd.nudge:
-		th.work()
+	case <-th.nd.linksChanged:
+		th.markBusy()
 	case <-th.wake:
-		th.work()
-		th.alarmAt = time.Time{}
+		th.markBusy()
+		th.timerAt = time.Time{}
 		th.tick()
 	}
-	th.drain()
+	th.drainQueue()
 	return nil
 }
 
-// work notes since when the goroutine has not waited for something to do.
-func (th *thread) work() {
-	th.nd.busy.Store(max(1, int64(th.nd.ts.Now().Sub(th.nd.born))))
+// markBusy records since when the goroutine has been busy.
+func (th *thread) markBusy() {
+	th.nd.busySince.Store(max(1, int64(th.nd.ts.Now().Sub(th.nd.createdAt))))
 }
 
-// drainEvents is how many waiting events are handled before the rest is seen to.
-const drainEvents = 64
+// maxDrainedEvents bounds the queued events that are handled before the results are
+// processed.
+const maxDrainedEvents = 64
 
-// drain handles events that wait already.
-func (th *thread) drain() {
-	for range drainEvents {
+// drainQueue handles events that are already queued.
+func (th *thread) drainQueue() {
+	for range maxDrainedEvents {
 		select {
 		case ev := <-th.nd.events:
 			th.handle(ev)
@@ -175,23 +176,23 @@
 
 func (th *thread) handle(ev event) {
 	switch ev := ev.(type) {
-	case sized:
-		th.nd.queued.Add(-int64(ev.size))
+	case sizedEvent:
+		th.nd.queuedBytes.Add(-int64(ev.size))
 		th.handle(ev.event)
-	case routed:
-		th.routed(ev)
-	case learned:
-		th.learn(ev.do)
-	case toldEvacuations:
+	case envelopeReceived:
+		th.handleEnvelope(ev)
+	case documentReceived:
+		th.learnDocument(ev.do)
+	case evacuationsReceived:
 		th.learnEvacuations(ev.set)
-	case demanded:
-		th.demanded(ev)
-	case resigning:
+	case requestReceived:
+		th.handleRequest(ev)
+	case resignRequested:
 		th.resign(ev.done)
 	}
 }
 
-// tick does what is due.
+// tick handles expired timers.
 func (th *thread) tick() {
 	now := th.now()
 	if vo := th.vo; vo != nil && vo.formed {
@@ -199,15 +200,15 @@
 			th.step(quorum.Tick{Now: now})
 		}
 	}
-	if !now.Before(th.houseAt) {
-		th.houseAt = now.Add(housePeriod)
-		th.house(now)
+	if !now.Before(th.nextMaintenance) {
+		th.nextMaintenance = now.Add(maintenanceInterval)
+		th.maintain(now)
 	}
 }
 
-// arm sets the alarm to when something is next due.
-func (th *thread) arm() {
-	at := th.houseAt
+// armTimer sets the timer to the next due time.
+func (th *thread) armTimer() {
+	at := th.nextMaintenance
 	if vo := th.vo; vo != nil && vo.formed {
 		if due, ok := vo.st.NextTick(); ok && due.Before(at) {
 			at = due
@@ -215,70 +216,70 @@
 	} else if vo == nil && th.reopenAt.Before(at) {
 		at = th.reopenAt
 	}
-	if !th.alarmAt.IsZero() && !at.Before(th.alarmAt) {
-		return // It rings earlier, and is set again then.
+	if !th.timerAt.IsZero() && !at.Before(th.timerAt) {
+		return // The timer fires earlier and is then set again.
 	}
-	th.alarmAt = at
-	th.alarm.Reset(max(0, at.Sub(th.nd.ts.Now())))
+	th.timerAt = at
+	th.timer.Reset(max(0, at.Sub(th.nd.ts.Now())))
 }
 
-// house does what is done now and then.
-func (th *thread) house(now time.Time) {
-	if now.Sub(th.seedsAt) >= seedPeriod || th.seedsAt.IsZero() {
+// maintain performs the periodic work.
+func (th *thread) maintain(now time.Time) {
+	if now.Sub(th.seedsAt) >= seedInterval || th.seedsAt.IsZero() {
 		th.seedsAt = now
 		th.seeds = th.nd.cf.Seeds()
 	}
-	th.forget(now)
-	if now.Sub(th.housedAt) >= gap {
-		// Nobody could be heard during a gap of this instance's own.
+	th.expireMembers(now)
+	if now.Sub(th.lastMaintenance) >= maxMaintenanceGap {
+		// This instance heard nobody during a gap of its own.
 		th.leading.since = now
 	}
-	th.housedAt = now
-	th.manage(now)
-	th.name(now)
+	th.lastMaintenance = now
+	th.manageVoters(now)
+	th.proposeAddresses(now)
 	if vo := th.vo; vo != nil && vo.formed {
 		switch vo.st.Role() {
 		case quorum.Outsider:
-			th.petition()
+			th.requestMembership()
 		case quorum.Uncleared:
-			th.greet()
+			th.requestClearance()
 		}
 	}
 }
 
-// attend looks at the lines and what the others report.
-func (th *thread) attend() {
+// processReports handles changed links and the reports of the others.
+func (th *thread) processReports() {
 	now := th.now()
-	pas := th.nd.li.known()
-	th.remember(now, pas)
-	th.form(now, pas)
-	th.call()
-	th.pushState(now, pas)
+	prs := th.nd.links.latestReports()
+	th.rememberMembers(now, prs)
+	th.formGroup(now, prs)
+	th.updateDialers()
+	th.pushMissing(now, prs)
 }
 
-// publish tells others of this instance if something changed.
-func (th *thread) publish() {
+// publishReport sends the report of this instance to the others if it changed.
+func (th *thread) publishReport() {
 	th.nd.status.Store(th.status())
-	re := th.reporting()
+	re := th.currentReport()
 	was := th.nd.report.Load()
-	if re.same(*was) {
+	if re.equivalent(*was) {
 		return
 	}
-	re.Sequence = th.nd.sequence.Add(1)
+	re.Sequence = th.nd.reportSequence.Add(1)
 	th.nd.report.Store(&re)
-	for _, li := range th.nd.li.each() {
+	for _, li := range th.nd.links.newestPerInstance() {
 		_ = li.co.Send(ReportUpdate{Report: re})
 	}
 }
 
-// reporting returns the report of this instance without its number.
-func (th *thread) reporting() Report {
+// currentReport returns the report of this instance without a sequence number.
+func (th *thread) currentReport() Report {
 	re := Report{
 		Start:    th.nd.start,
 		Name:     th.nd.cf.Name,
 		Address:  th.nd.cf.Address,
 		Version:  th.nd.newest.Load().Version,
-		Members:  th.linked(),
+		Members:  th.linkedMembers(),
 		Revision: th.nd.evacuations.Load().Revision,
 	}
 	vo := th.vo
@@ -288,7 +289,7 @@
 	re.ID = vo.id
 	re.Fresh = !vo.formed
 	if re.Fresh {
-		re.First = vo.first
+		re.First = vo.firstSeeds
 		return re
 	}
 	re.Outsider = vo.st.Role() == quorum.Outsider
@@ -300,9 +301,9 @@
 	return re
 }
 
-// same reports whether two reports say the same. Version and Revision alone don't count:
-// those that vote learn it from the log, and the others repeat their report.
-func (re Report) same(ot Report) bool {
+// equivalent reports whether two reports need no update between them. Version and Revision
+// are ignored: members learn them from the log, and non-members repeat their reports.
+func (re Report) equivalent(ot Report) bool {
 	return re.ID == ot.ID && re.Fresh == ot.Fresh && slices.Equal(re.First, ot.First) &&
 		re.Outsider == ot.Outsider && re.Leading == ot.Leading && re.Term == ot.Term &&
 		slices.Equal(re.Members, ot.Members) && (re.Formation == nil) == (ot.Formation == nil)
@@ -333,24 +334,24 @@
 	return st
 }
 
-// learn takes over a committed document if it is newer than the one known.
-func (th *thread) learn(do *document) {
+// learnDocument adopts a committed document if it is newer than the known one.
+func (th *thread) learnDocument(do *document) {
 	if do.Version <= th.nd.newest.Load().Version {
 		return
 	}
-	if do.Version > th.noted {
-		th.noted = do.Version
-		th.note(do)
+	if do.Version > th.persistedVersion {
+		th.persistedVersion = do.Version
+		th.persistDocument(do)
 	}
 	th.nd.newest.Store(do)
 	th.nd.lg.Info("document-learned", zap.Uint64("Version", do.Version), zap.Int("Bytes", len(do.Data)))
 	th.nd.ob.DocumentCommitted(do.Version, do.Data)
 }
 
-// close ends what belongs to the thread.
+// close releases the thread's resources.
 func (th *thread) close() {
-	th.alarm.Stop()
-	for _, stop := range th.dials {
+	th.timer.Stop()
+	for _, stop := range th.dialers {
 		stop()
 	}
 	th.wg.Wait()
@@ -360,11 +361,11 @@
 		}
 		th.vo = nil
 	}
-	th.abandon("the instance stops")
+	th.rejectPending("the instance is stopping")
 	for len(th.nd.events) > 0 {
 		th.handle(<-th.nd.events)
 	}
-	for _, done := range th.resigns {
+	for _, done := range th.pendingResigns {
 		close(done)
 	}
 }
--- a/fleet/voter.go
+++ b/fleet/voter.go
@@ -10,44 +10,44 @@
 )
 
 const (
-	// maxBatch bounds the entries of one message; documents may be large.
-	maxBatch = 16
-	// snapshotBytes is after how many bytes of commands, at least, a snapshot is
-	// written. One costs in proportion to its size, so the log may grow to twice
-	// that first.
-	snapshotBytes  = 1 << 20
-	snapshotFactor = 2
+	// maxBatchEntries bounds the entries of one message; documents may be large.
+	maxBatchEntries = 16
+	// A snapshot is written once the commands since the last one exceed minSnapshotBytes
+	// and snapshotGrowthFactor times the size of the last snapshot. Writing one costs in
+	// proportion to its size, so the log may grow to twice that size first.
+	minSnapshotBytes     = 1 << 20
+	snapshotGrowthFactor = 2
 )
 
-// voter is an open disk and the log on it.
+// voter is an open disk and the replicated log on it.
 type voter struct {
-	jo    *wal.Journal
-	id    quorum.ID
-	boot  uint64
-	first []string // first are the seeds of a disk that took part in the first start.
+	jo         *wal.Journal
+	id         quorum.ID
+	boot       uint64
+	firstSeeds []string // firstSeeds are the seeds of a disk that took part in the first start.
 
-	formed bool // formed says that the group exists and the log is in use.
+	formed bool // formed is set once the group exists and the log is in use.
 	st     quorum.State
 	sm     state
 
-	appliedIndex, appliedTerm uint64
-	bytesSince, snapshotSize  int
-	failed                    error
+	appliedIndex, appliedTerm        uint64
+	bytesSinceSnapshot, snapshotSize int
+	failed                           error
 }
 
-// leadership is what a leader keeps for its term.
+// leadership is a leader's state for its term.
 type leadership struct {
-	since    time.Time
-	heard    map[quorum.ID]time.Time // heard is when something came from a member.
-	proposed uint64                  // proposed is the highest version that was appended.
-	told     uint64                  // told is the version whose commit the voters were told at once.
-	revision uint64                  // revision is likewise that of the evacuations.
-	flight   int                     // flight is how many bytes are appended and not committed.
-	named    map[string]time.Time    // named is when an address was proposed.
+	since             time.Time
+	lastHeard         map[quorum.ID]time.Time // lastHeard is when a member's last message arrived.
+	proposedVersion   uint64                  // proposedVersion is the highest version that was appended.
+	broadcastVersion  uint64                  // broadcastVersion is the version whose commit was broadcast.
+	broadcastRevision uint64                  // broadcastRevision is the revision of the evacuations whose commit was broadcast.
+	inFlightBytes     int                     // inFlightBytes is the number of bytes that are appended and not committed.
+	addressProposedAt map[string]time.Time    // addressProposedAt is when an instance's address was last proposed, by name.
 }
 
-// start begins with what the disk holds.
-func (th *thread) start(hs quorum.HardState, sn wal.Snapshot, ens []quorum.Entry) {
+// startLog starts the replicated log from the recovered state.
+func (th *thread) startLog(hs quorum.HardState, sn wal.Snapshot, ens []quorum.Entry) {
 	vo := th.vo
 	sm, err := decodeState(sn.Data)
 	if vo.fail(err) {
@@ -63,7 +63,7 @@
 		ElectionTimeout:   th.nd.cf.ElectionTimeout,
 		HeartbeatInterval: th.nd.cf.HeartbeatInterval,
 		Seed:              th.nd.start ^ uint64(now.UnixNano()),
-		MaxBatch:          maxBatch,
+		MaxBatch:          maxBatchEntries,
 		Boot:              vo.boot,
 	}, quorum.StoredState{
 		Hard:           hs,
@@ -75,7 +75,7 @@
 	th.nd.lg.Info("log-opened", zap.String("ID", string(vo.id)), zap.Uint64("Boot", vo.boot),
 		zap.String("Role", string(vo.st.Role())), zap.Uint64("Term", vo.st.Term()), zap.Uint64("Last", vo.st.Last()),
 		zap.Uint64("Version", sm.Document.Version), zap.Stringer("Voters", vo.st.Voters()))
-	th.learnState()
+	th.learnCommitted()
 }
 
 func (vo *voter) fail(err error) bool {
@@ -85,7 +85,7 @@
 	return err != nil
 }
 
-// step gives an event to the log and performs its actions in order.
+// step passes an event to the log and performs the resulting actions in order.
 func (th *thread) step(ev quorum.Event) {
 	vo := th.vo
 	st, acs := quorum.Step(vo.st, ev)
@@ -119,7 +119,7 @@
 }
 
 func (th *thread) send(ac quorum.Send) {
-	li := th.nd.li.find(nameOf(ac.To))
+	li := th.nd.links.find(instanceOf(ac.To))
 	if li == nil {
 		return
 	}
@@ -131,11 +131,11 @@
 	_ = li.co.Send(Envelope{From: th.vo.id, To: ac.To, Frame: frame}) // It may be lost.
 }
 
-// routed passes a message of the log on, if it is meant for this disk and comes
-// from the instance that it names.
-func (th *thread) routed(ev routed) {
+// handleEnvelope passes a message to the log if it is meant for this disk and its sender is
+// the instance at the other end of the link.
+func (th *thread) handleEnvelope(ev envelopeReceived) {
 	vo := th.vo
-	if vo == nil || !vo.formed || vo.failed != nil || ev.ms.To != vo.id || nameOf(ev.ms.From) != ev.from {
+	if vo == nil || !vo.formed || vo.failed != nil || ev.ms.To != vo.id || instanceOf(ev.ms.From) != ev.from {
 		return
 	}
 	ms, err := th.nd.co.Decode(ev.ms.Frame)
@@ -145,65 +145,65 @@
 	}
 	now := th.now()
 	if vo.st.Role() == quorum.Leader {
-		th.leading.heard[ev.ms.From] = now
+		th.leading.lastHeard[ev.ms.From] = now
 	}
 	th.step(quorum.Received{Now: now, From: ev.ms.From, Message: ms})
 }
 
-// apply runs committed entries through the state.
+// apply applies committed entries to the state machine.
 func (th *thread) apply(ens []quorum.Entry) {
 	vo := th.vo
 	for _, en := range ens {
 		vo.appliedIndex, vo.appliedTerm = en.Index, en.Term
-		vo.bytesSince += len(en.Data)
+		vo.bytesSinceSnapshot += len(en.Data)
 		switch en.Type {
 		case quorum.EntryCommand:
-			th.command(en)
+			th.applyCommand(en)
 		case quorum.EntryVoters:
 			vs := vo.st.VotersAt(en.Index)
 			vo.sm = vo.sm.withVoters(vs)
 			th.nd.lg.Info("voters-changed", zap.Uint64("Index", en.Index), zap.Stringer("Voters", vs))
-			th.houseAt = th.last // The next change need not wait.
+			th.nextMaintenance = th.lastNow // The next change need not wait.
 		}
 	}
-	if vo.failed == nil && vo.bytesSince > max(snapshotBytes, snapshotFactor*vo.snapshotSize) {
-		th.snapshot()
+	if vo.failed == nil && vo.bytesSinceSnapshot > max(minSnapshotBytes, snapshotGrowthFactor*vo.snapshotSize) {
+		th.saveSnapshot()
 	}
 }
 
-func (th *thread) command(en quorum.Entry) {
+func (th *thread) applyCommand(en quorum.Entry) {
 	vo := th.vo
 	cm, err := decodeCommand(en.Data)
 	if vo.fail(err) {
-		// What a newer version wrote can't be passed over: this state would differ
-		// from the others'.
+		// A command written by a newer version must not be skipped: the state would diverge
+		// from that of the other voters.
 		return
 	}
 	before := vo.sm.Evacuations
-	vo.sm = vo.sm.with(cm)
-	th.learnState()
+	vo.sm = vo.sm.withCommand(cm)
+	th.learnCommitted()
 	if cm.Evacuation != nil {
 		_, outcome := before.Apply(cm.Evacuation.Order)
-		th.ordered(cm.Evacuation.ID, outcome)
+		th.completeOrder(cm.Evacuation.ID, outcome)
 	}
 }
 
-// learnState takes over the document and the evacuations that the log has committed.
-func (th *thread) learnState() {
+// learnCommitted adopts the document and the evacuations that the log has committed.
+func (th *thread) learnCommitted() {
 	if st := th.vo.sm.Evacuations; th.learnEvacuations(st) && th.vo.st.Role() == quorum.Leader {
-		th.tellOutsiders(Evacuations{Set: st})
+		th.pushToNonMembers(Evacuations{Set: st})
 	}
 	do := th.vo.sm.Document
 	if do.Version <= th.nd.newest.Load().Version {
 		return
 	}
-	th.learn(&do)
+	th.learnDocument(&do)
 	if th.vo.st.Role() == quorum.Leader {
-		th.tellOutsiders(Document(do))
+		th.pushToNonMembers(Document(do))
 	}
 }
 
-func (th *thread) snapshot() {
+func (th *thread) saveSnapshot() {
 	vo := th.vo
 	data := vo.sm.encode()
 	sn := wal.Snapshot{
@@ -215,7 +215,7 @@
 	if vo.fail(vo.jo.SaveSnapshot(sn)) {
 		return
 	}
-	vo.bytesSince, vo.snapshotSize = 0, len(data)
+	vo.bytesSinceSnapshot, vo.snapshotSize = 0, len(data)
 	th.step(quorum.Compacted{Index: sn.Index})
 }
 
@@ -243,17 +243,17 @@
 	}
 	vo.sm = sm
 	vo.appliedIndex, vo.appliedTerm = ac.Index, ac.Term
-	vo.bytesSince, vo.snapshotSize = 0, len(ac.Data)
+	vo.bytesSinceSnapshot, vo.snapshotSize = 0, len(ac.Data)
 	th.nd.lg.Info("snapshot-restored", zap.Uint64("Index", ac.Index), zap.Int("Bytes", len(ac.Data)))
-	th.learnState()
+	th.learnCommitted()
 }
 
 func (th *thread) roleChanged(ac quorum.RoleChanged) {
 	th.nd.lg.Info("role-changed", zap.String("Role", string(ac.Role)), zap.Uint64("Term", ac.Term),
-		zap.String("Leader", nameOf(ac.Leader)), zap.String("Reason", ac.Reason))
+		zap.String("Leader", instanceOf(ac.Leader)), zap.String("Reason", ac.Reason))
 	if ac.Role == quorum.Leader {
-		th.leading = leadership{since: th.now(), heard: make(map[quorum.ID]time.Time), named: make(map[string]time.Time)}
+		th.leading = leadership{since: th.now(), lastHeard: make(map[quorum.ID]time.Time), addressProposedAt: make(map[string]time.Time)}
 		return
 	}
-	th.abandon("the instance does not lead")
+	th.rejectPending("the instance is not the leader")
 }
