--- a/quorum/election.go
+++ b/quorum/election.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// resetElection draws a new time at which to campaign unless a leader is heard.
+// resetElection draws a new election timeout, after which the voter campaigns unless it
+// hears a leader.
 func (sp *step) resetElection() {
 	extra := time.Duration(sp.random.Uint64() % uint64(sp.cf.ElectionTimeout))
 	sp.electionAt = sp.now.Add(sp.cf.ElectionTimeout + extra)
 }
 
-// campaign asks whether a majority would vote for this voter. The term does not
-// rise for it: a voter that was cut off for long would otherwise come back with
-// a higher term and depose a leader that everyone else hears.
-func (sp *step) campaign() {
+// startPreVote asks whether a majority would vote for this voter, without raising the term.
+// Otherwise a voter that was isolated for long would return with a higher term and depose a
+// leader that all others hear.
+func (sp *step) startPreVote() {
 	if sp.resigning {
 		return
 	}
-	sp.fire(eventTimeout)
+	sp.transition(eventTimeout)
 	sp.leader = ""
 	sp.resetElection()
 	sp.votes = []ID{sp.cf.Self}
-	if sp.won() {
-		sp.proceed()
+	if sp.hasMajority() {
+		sp.onMajority()
 		return
 	}
 	sp.requestVotes(VoteRequest{Pre: true})
 }
 
-// stand begins an election in the next term.
-func (sp *step) stand(handedOver bool) {
+// startElection begins an election in the next term.
+func (sp *step) startElection(handedOver bool) {
 	sp.leader = ""
 	sp.hard = HardState{Term: sp.hard.Term + 1, Vote: sp.cf.Self}
 	sp.votes = []ID{sp.cf.Self}
 	sp.resetElection()
-	if sp.won() {
-		sp.lead()
+	if sp.hasMajority() {
+		sp.becomeLeader()
 		return
 	}
 	sp.requestVotes(VoteRequest{HandedOver: handedOver})
@@ -54,8 +55,8 @@
 	}
 }
 
-// won reports whether a strict majority of the voters voted for this one.
-func (sp *step) won() bool {
+// hasMajority reports whether a strict majority of the voters voted for this one.
+func (sp *step) hasMajority() bool {
 	vs := sp.Voters()
 	count := 0
 	for _, id := range sp.votes {
@@ -66,13 +67,13 @@
 	return strictMajority(count, len(vs.Voters))
 }
 
-// onVoteRequest answers a candidate. Learners vote too: one that was promoted
-// may not have been told so yet, and its vote may be needed to tell it.
+// onVoteRequest answers a candidate. Learners vote too: one that was promoted may not have
+// received that entry yet, and its vote may be needed to elect the leader that sends it.
 func (sp *step) onVoteRequest(from ID, vr VoteRequest) {
 	if sp.role == Outsider {
 		return
 	}
-	if sp.loyal() && !vr.HandedOver {
+	if sp.boundByLease() && !vr.HandedOver {
 		sp.replyVote(from, vr, false)
 		return
 	}
@@ -83,12 +84,12 @@
 	if vr.Term > sp.hard.Term {
 		sp.adoptTerm(vr.Term)
 	}
-	sp.replyVote(from, vr, sp.vote(from, vr))
+	sp.replyVote(from, vr, sp.grantVote(from, vr))
 }
 
-// vote gives this term's one vote if it is free and the candidate's log holds
-// all that may be committed.
-func (sp *step) vote(from ID, vr VoteRequest) bool {
+// grantVote grants the only vote of this term if it is free and the candidate's log holds
+// every entry that may be committed.
+func (sp *step) grantVote(from ID, vr VoteRequest) bool {
 	if vr.Term < sp.hard.Term || !sp.upToDate(vr) {
 		return false
 	}
@@ -102,12 +103,12 @@
 
 func (sp *step) replyVote(to ID, vr VoteRequest, granted bool) {
 	re := VoteReply{Header: sp.header(), Pre: vr.Pre, For: vr.Term, Granted: granted}
-	re.Removed = sp.expelled(to)
+	re.Removed = sp.isRemoved(to)
 	sp.send(to, re)
 }
 
-// upToDate reports whether a candidate's log is at least as new as this one, so
-// that it holds every committed entry if a majority says so.
+// upToDate reports whether a candidate's log is at least as new as this one. If that is
+// true at a majority, the candidate holds every committed entry.
 func (sp *step) upToDate(vr VoteRequest) bool {
 	te := sp.log.lastTerm()
 	if vr.LastTerm != te {
@@ -121,37 +122,37 @@
 		sp.adoptTerm(re.Term)
 		return
 	}
-	asked := re.For == sp.hard.Term && re.Pre == (sp.role == PreCandidate)
-	if !asked || (sp.role != PreCandidate && sp.role != Candidate) {
+	current := re.For == sp.hard.Term && re.Pre == (sp.role == PreCandidate)
+	if !current || (sp.role != PreCandidate && sp.role != Candidate) {
 		return
 	}
 	if re.Removed {
-		sp.expel(from)
+		sp.becomeRemoved(from)
 		return
 	}
 	if !re.Granted || slices.Contains(sp.votes, from) {
 		return
 	}
 	sp.votes = append(slices.Clip(sp.votes), from)
-	if sp.won() {
-		sp.proceed()
+	if sp.hasMajority() {
+		sp.onMajority()
 	}
 }
 
-// proceed follows a majority of votes.
-func (sp *step) proceed() {
+// onMajority continues after a majority of votes or pre-votes.
+func (sp *step) onMajority() {
 	if sp.role == Candidate {
-		sp.lead()
+		sp.becomeLeader()
 		return
 	}
-	sp.fire(eventPreVoteWon)
-	sp.stand(false)
+	sp.transition(eventPreVoteWon)
+	sp.startElection(false)
 }
 
-func (sp *step) onHandOver(from ID, ho TransferLeadership) {
-	if sp.role != Follower || ho.Term != sp.hard.Term || from != sp.leader || sp.resigning {
+func (sp *step) onTransferLeadership(from ID, tl TransferLeadership) {
+	if sp.role != Follower || tl.Term != sp.hard.Term || from != sp.leader || sp.resigning {
 		return
 	}
-	sp.fire(eventHandOver)
-	sp.stand(true)
+	sp.transition(eventHandOver)
+	sp.startElection(true)
 }
--- a/quorum/follower.go
+++ b/quorum/follower.go
@@ -1,43 +1,43 @@
 package quorum
 
-// follow takes the sender of an Append or Snapshot as the leader of its term. It
+// acceptLeader accepts the sender of an Append or Snapshot as the leader of its term. It
 // reports false if the term is over.
-func (sp *step) follow(from ID, he Header) bool {
+func (sp *step) acceptLeader(from ID, he Header) bool {
 	if he.Term < sp.hard.Term || sp.role == Leader && he.Term == sp.hard.Term {
 		return false
 	}
 	if he.Term > sp.hard.Term {
 		sp.adoptTerm(he.Term)
 	}
-	sp.fire(eventStepDown)
+	sp.transition(eventStepDown)
 	sp.leader = from
-	sp.heardAt = sp.now
+	sp.leaderHeardAt = sp.now
 	sp.resetElection()
 	return true
 }
 
 func (sp *step) onAppend(from ID, ap Append) {
-	if !sp.follow(from, ap.Header) {
+	if !sp.acceptLeader(from, ap.Header) {
 		sp.reject(from, ap.Sent, sp.commit)
 		return
 	}
-	sp.raiseSighting(from, ap.Term, ap.PrevIndex+uint64(len(ap.Entries)))
-	ap = sp.trimmed(ap)
+	sp.raiseObservation(from, ap.Term, ap.PrevIndex+uint64(len(ap.Entries)))
+	ap = sp.withoutCommitted(ap)
 	te, ok := sp.log.term(ap.PrevIndex)
 	if !ok || te != ap.PrevTerm {
-		sp.reject(from, ap.Sent, sp.lastBefore(ap.PrevIndex))
+		sp.reject(from, ap.Sent, sp.retryAfter(ap.PrevIndex))
 		return
 	}
 	matched := ap.PrevIndex + uint64(len(ap.Entries))
-	sp.appendFrom(ap)
+	sp.appendMissing(ap)
 	sp.commitTo(min(ap.Commit, matched))
-	sp.join()
+	sp.applyMembership()
 	sp.acknowledge(from, ap.Sent, matched)
 }
 
-// trimmed returns the message without what is committed here already, which is
-// the same in every log.
-func (sp *step) trimmed(ap Append) Append {
+// withoutCommitted returns the message without the entries that are committed here already,
+// which are equal in every log.
+func (sp *step) withoutCommitted(ap Append) Append {
 	if ap.PrevIndex >= sp.commit {
 		return ap
 	}
@@ -48,15 +48,15 @@
 	return ap
 }
 
-// lastBefore returns the index after which the leader should try again: the end
-// of this log, or the end of the term before the one that differs.
-func (sp *step) lastBefore(prev uint64) uint64 {
+// retryAfter returns the index after which the leader should retry: the end of this log, or
+// the end of the term before the conflicting one.
+func (sp *step) retryAfter(prev uint64) uint64 {
 	if prev > sp.log.last() {
 		return sp.log.last()
 	}
-	differs, _ := sp.log.term(prev)
+	conflictTerm, _ := sp.log.term(prev)
 	for prev > sp.commit {
-		if te, _ := sp.log.term(prev); te != differs {
+		if te, _ := sp.log.term(prev); te != conflictTerm {
 			break
 		}
 		prev--
@@ -64,10 +64,10 @@
 	return prev
 }
 
-// appendFrom appends the entries that this log lacks. Entries that differ from
-// the leader's are removed first; equal ones stay, because an Append that was
-// overtaken must not remove what later ones brought.
-func (sp *step) appendFrom(ap Append) {
+// appendMissing appends the entries that this log lacks. Entries that differ from the
+// leader's are removed first. Equal ones stay, because a delayed Append must not remove
+// entries of later ones.
+func (sp *step) appendMissing(ap Append) {
 	var sv Save
 	for po, en := range ap.Entries {
 		te, ok := sp.log.term(en.Index)
@@ -76,8 +76,8 @@
 		}
 		if ok {
 			sv.TruncateFrom = en.Index
-			sp.log = sp.log.withoutFrom(en.Index)
-			sp.forgetVotersFrom(en.Index)
+			sp.log = sp.log.truncatedFrom(en.Index)
+			sp.dropVotersFrom(en.Index)
 		}
 		sv.Entries = ap.Entries[po:]
 		break
@@ -86,16 +86,16 @@
 		return
 	}
 	sp.log = sp.log.with(sv.Entries)
-	sp.noteVoters(sv.Entries)
+	sp.recordVoters(sv.Entries)
 	sp.save(sv)
 }
 
 func (sp *step) onSnapshot(from ID, sn Snapshot) {
-	if !sp.follow(from, sn.Header) {
+	if !sp.acceptLeader(from, sn.Header) {
 		sp.reject(from, sn.Sent, sp.commit)
 		return
 	}
-	sp.raiseSighting(from, sn.Term, sn.Index)
+	sp.raiseObservation(from, sn.Term, sn.Index)
 	te, ok := sp.log.term(sn.Index)
 	switch {
 	case sn.Index <= sp.commit:
@@ -104,18 +104,18 @@
 	default:
 		sp.restore(sn)
 	}
-	sp.join()
+	sp.applyMembership()
 	sp.acknowledge(from, sn.Sent, min(sn.Index, sp.commit))
 }
 
-// restore replaces the log. Entries behind one that differs from the snapshot's
-// last can't be committed.
+// restore replaces the log. Entries after one that differs from the snapshot's last entry
+// can't be committed.
 func (sp *step) restore(sn Snapshot) {
 	sp.saveHard()
 	sp.log = newLog(sn.Index, sn.IndexTerm, nil)
-	sp.history = []votersFrom{{sn.Index, sn.Voters}}
+	sp.voterHistory = []votersFrom{{sn.Index, sn.Voters}}
 	sp.commit = sn.Index
-	sp.act(Restore{Index: sn.Index, Term: sn.IndexTerm, Voters: sn.Voters, Data: sn.Data})
+	sp.emit(Restore{Index: sn.Index, Term: sn.IndexTerm, Voters: sn.Voters, Data: sn.Data})
 }
 
 func (sp *step) acknowledge(to ID, sent int64, matched uint64) {
--- a/quorum/leader.go
+++ b/quorum/leader.go
@@ -3,36 +3,36 @@
 import "slices"
 
 const (
-	// window is how many full batches may be unacknowledged by one member.
-	window = 4
-	// never is the acked time of a member that has not acknowledged anything.
-	never int64 = -1
+	// maxInFlightBatches bounds the full batches that one member has not acknowledged.
+	maxInFlightBatches = 4
+	// neverAcked is the ackedSendTime of a member that has not acknowledged anything.
+	neverAcked int64 = -1
 )
 
-// progress is what the leader knows of one other member.
+// progress is a leader's view of another member.
 type progress struct {
-	id         ID
-	matched    uint64 // matched is up to where the member's log is known to be equal.
-	next       uint64 // next is the first index to send.
-	acked      int64  // acked is when the newest acknowledged message was sent.
-	snapshotAt int64  // snapshotAt is when a snapshot was last asked for.
+	id                  ID
+	matched             uint64 // matched is the index up to which the member's log is known to be equal.
+	next                uint64 // next is the first index to send.
+	ackedSendTime       int64  // ackedSendTime is when the newest acknowledged message was sent.
+	snapshotRequestedAt int64  // snapshotRequestedAt is when a snapshot was last requested.
 }
 
-// lead begins a leader's term. Its first entry opens the term: entries of
-// earlier terms are only committed behind it.
-func (sp *step) lead() {
-	sp.fire(eventVoteWon)
+// becomeLeader begins a leader's term. The term starts with an entry of its own, because
+// entries of earlier terms are committed only through a later entry of the current term.
+func (sp *step) becomeLeader() {
+	sp.transition(eventVoteWon)
 	sp.leader = sp.cf.Self
-	sp.ledSince = sp.now
-	sp.contact = time0
+	sp.becameLeaderAt = sp.now
+	sp.quorumContact = time0
 	sp.members = nil
 	sp.syncMembers()
 	sp.appendOwn(EntryNoop, nil)
-	sp.updateContact()
+	sp.updateQuorumContact()
 	sp.heartbeatAt = sp.now.Add(sp.cf.HeartbeatInterval)
 }
 
-// syncMembers makes the members fit the newest voter set.
+// syncMembers updates the members to the newest voter set.
 func (sp *step) syncMembers() {
 	vs := sp.Voters()
 	sp.members = slices.DeleteFunc(sp.members, func(pr progress) bool {
@@ -46,7 +46,7 @@
 }
 
 func (sp *step) newProgress(id ID) progress {
-	return progress{id: id, next: sp.log.last() + 1, acked: never, snapshotAt: never}
+	return progress{id: id, next: sp.log.last() + 1, ackedSendTime: neverAcked, snapshotRequestedAt: neverAcked}
 }
 
 func (sp *step) findProgress(id ID) *progress {
@@ -66,8 +66,8 @@
 	return sp.newProgress(id)
 }
 
-// restartProgress forgets what a member held that has started again.
-func (sp *step) restartProgress(id ID) {
+// resetProgress discards the progress of a member that has restarted.
+func (sp *step) resetProgress(id ID) {
 	if pr := sp.findProgress(id); pr != nil {
 		*pr = sp.newProgress(id)
 	}
@@ -76,12 +76,12 @@
 func (sp *step) propose(ev Propose) {
 	switch {
 	case sp.role != Leader:
-		sp.refuseProposal(ev.Tag, ReasonNotLeader)
+		sp.rejectProposal(ev.Tag, ReasonNotLeader)
 	case sp.resigning:
-		sp.refuseProposal(ev.Tag, ReasonResigning)
+		sp.rejectProposal(ev.Tag, ReasonResigning)
 	default:
 		sp.appendOwn(EntryCommand, ev.Data)
-		sp.act(ProposalAppended{Tag: ev.Tag, Index: sp.log.last(), Term: sp.hard.Term})
+		sp.emit(ProposalAppended{Tag: ev.Tag, Index: sp.log.last(), Term: sp.hard.Term})
 	}
 }
 
@@ -92,7 +92,7 @@
 	sp.log = sp.log.with(es)
 	sp.save(Save{Entries: es})
 	if et == EntryVoters {
-		sp.noteVoters(es)
+		sp.recordVoters(es)
 		sp.syncMembers()
 	}
 	for po := range sp.members {
@@ -108,21 +108,20 @@
 	}
 }
 
-// sendAppend sends the next entries as far as the window has room, or a
-// heartbeat. It takes for granted that what it sends arrives; a rejection of a
-// later message shows a loss.
+// sendAppend sends the next entries that the in-flight limit allows, or a heartbeat. It
+// assumes that they arrive; the rejection of a later message reveals a loss.
 func (sp *step) sendAppend(pr *progress) {
 	pr.next = max(pr.next, sp.log.snapshotIndex+1)
 	prev := pr.next - 1
 	prevTerm, _ := sp.log.term(prev)
 	upTo := prev
-	if prev-pr.matched < uint64(window*sp.cf.MaxBatch) {
+	if prev-pr.matched < uint64(maxInFlightBatches*sp.cf.MaxBatch) {
 		upTo = min(sp.log.last(), prev+uint64(sp.cf.MaxBatch))
 	}
 	pr.next = upTo + 1
 	sp.send(pr.id, Append{
 		Header:    sp.header(),
-		Sent:      sp.sent(),
+		Sent:      sp.sendTime(),
 		PrevIndex: prev,
 		PrevTerm:  prevTerm,
 		Commit:    sp.commit,
@@ -139,24 +138,24 @@
 	if sp.role != Leader || re.Term != sp.hard.Term || pr == nil {
 		return
 	}
-	pr.acked = max(pr.acked, re.Sent)
+	pr.ackedSendTime = max(pr.ackedSendTime, re.Sent)
 	if re.Rejected {
-		sp.retreat(pr, re.Matched)
+		sp.backtrack(pr, re.Matched)
 	} else {
-		sp.raiseSighting(from, re.Term, re.Matched)
+		sp.raiseObservation(from, re.Term, re.Matched)
 		sp.advance(pr, re.Matched)
 	}
-	sp.updateContact()
-	sp.promote()
-	sp.tryHandOver()
+	sp.updateQuorumContact()
+	sp.promoteLearner()
+	sp.tryTransfer()
 }
 
-// advance notes what a member holds and sends it what it still lacks.
+// advance records the index that a member holds and sends it the missing entries.
 func (sp *step) advance(pr *progress, matched uint64) {
 	pr.matched = max(pr.matched, matched)
 	pr.next = max(pr.next, pr.matched+1)
 	if pr.matched >= sp.log.snapshotIndex {
-		pr.snapshotAt = never
+		pr.snapshotRequestedAt = neverAcked
 	}
 	if pr.next <= sp.log.last() {
 		sp.sendAppend(pr)
@@ -164,15 +163,15 @@
 	sp.advanceCommit()
 }
 
-// retreat tries again after an earlier index, or by a snapshot if the log no
-// longer holds what the member lacks. A rejection below what the member has
-// acknowledged was overtaken, or its disk is broken; it is answered by the next
-// heartbeat, lest the two keep sending as fast as the network allows.
-func (sp *step) retreat(pr *progress, after uint64) {
+// backtrack retries from an earlier index, or with a snapshot if the log no longer holds
+// the entries that the member lacks. A rejection below an acknowledged index was delayed,
+// or the member's disk is broken; only the next heartbeat answers it, so that the two don't
+// exchange messages as fast as the network allows.
+func (sp *step) backtrack(pr *progress, after uint64) {
 	overtaken := after < pr.matched
 	after = max(after, pr.matched)
 	if after < sp.log.snapshotIndex {
-		sp.needSnapshot(pr)
+		sp.requestSnapshot(pr)
 		return
 	}
 	if after+1 >= pr.next {
@@ -184,15 +183,15 @@
 	}
 }
 
-// needSnapshot asks the executor for a snapshot, but not again while the last
-// one may still be on its way.
-func (sp *step) needSnapshot(pr *progress) {
+// requestSnapshot asks the executor for a snapshot, unless the last one may still be in
+// flight.
+func (sp *step) requestSnapshot(pr *progress) {
 	pr.next = sp.log.snapshotIndex + 1
-	if pr.snapshotAt != never && sp.sent()-pr.snapshotAt < int64(2*sp.cf.ElectionTimeout) {
+	if pr.snapshotRequestedAt != neverAcked && sp.sendTime()-pr.snapshotRequestedAt < int64(2*sp.cf.ElectionTimeout) {
 		return
 	}
-	pr.snapshotAt = sp.sent()
-	sp.act(NeedSnapshot{To: pr.id})
+	pr.snapshotRequestedAt = sp.sendTime()
+	sp.emit(NeedSnapshot{To: pr.id})
 }
 
 func (sp *step) sendSnapshot(ev SnapshotReady) {
@@ -201,7 +200,7 @@
 	}
 	sp.send(ev.To, Snapshot{
 		Header:    sp.header(),
-		Sent:      sp.sent(),
+		Sent:      sp.sendTime(),
 		Index:     ev.Index,
 		IndexTerm: ev.Term,
 		Voters:    ev.Voters,
@@ -209,11 +208,11 @@
 	})
 }
 
-// advanceCommit commits what a majority of the voters holds.
+// advanceCommit commits the entries that a majority of the voters holds.
 //
-// Only an entry of the leader's own term is committed by counting. An entry of
-// an earlier term may be on a majority and still be overwritten by a leader that
-// never held it but has a newer last term; a committed entry would change.
+// Only entries of the leader's own term are committed by counting replicas. An entry of an
+// earlier term may be on a majority and still be overwritten by a leader that never held it
+// but has a newer last term; a committed entry would change.
 func (sp *step) advanceCommit() {
 	var held []uint64
 	for _, id := range sp.Voters().Voters {
@@ -223,7 +222,7 @@
 		}
 		held = append(held, sp.progress(id).matched)
 	}
-	index := heldByMajority(held)
+	index := majorityValue(held)
 	te, _ := sp.log.term(index)
 	if index > sp.commit && te == sp.hard.Term {
 		sp.commitTo(index)
@@ -236,5 +235,5 @@
 	}
 	es := sp.log.slice(sp.commit, index)
 	sp.commit = index
-	sp.act(Apply{Entries: es})
+	sp.emit(Apply{Entries: es})
 }
--- a/quorum/log.go
+++ b/quorum/log.go
@@ -5,14 +5,14 @@
 // chunkSize is the number of entries in a full chunk of an entryLog.
 const chunkSize = 64
 
-// entryLog is an immutable log that starts behind a snapshot. Successors share
-// its full chunks; only the tail is copied when entries are appended, so two
-// successors of one log can't overwrite each other's entries.
+// entryLog is an immutable log that starts after a snapshot. Its successors share full
+// chunks; only the tail is copied when entries are appended, so two successors of one log
+// can't overwrite each other's entries.
 type entryLog struct {
 	snapshotIndex, snapshotTerm uint64
 
 	base   uint64    // base is the index before the first entry in chunks; at most snapshotIndex.
-	chunks [][]Entry // chunks are full.
+	chunks [][]Entry // chunks are all full.
 	tail   []Entry   // tail has fewer than chunkSize entries.
 }
 
@@ -51,7 +51,7 @@
 	return lo.tail[po%chunkSize]
 }
 
-// slice returns a copy of the entries after one index up to another, inclusive.
+// slice returns a copy of the entries in (after, upTo].
 func (lo entryLog) slice(after, upTo uint64) []Entry {
 	if upTo <= after {
 		return nil
@@ -78,8 +78,8 @@
 	return lo
 }
 
-// withoutFrom returns the log without the entries from an index on.
-func (lo entryLog) withoutFrom(index uint64) entryLog {
+// truncatedFrom returns the log without the entries from an index on.
+func (lo entryLog) truncatedFrom(index uint64) entryLog {
 	keep := int(index - lo.base - 1)
 	if keep >= len(lo.chunks)*chunkSize {
 		lo.tail = lo.tail[:keep%chunkSize]
@@ -91,9 +91,9 @@
 	return lo
 }
 
-// compacted returns the log behind a snapshot up to an index that it holds.
-// The entries behind it are copied, since a chunk that is shared would hold the
-// data of those before.
+// compacted returns the log after a snapshot up to an index that it holds. The remaining
+// entries are copied, because a shared chunk would keep the data of the compacted entries
+// in memory.
 func (lo entryLog) compacted(index uint64) entryLog {
 	te, _ := lo.term(index)
 	return newLog(index, te, lo.slice(index, lo.last()))
--- a/quorum/message.go
+++ b/quorum/message.go
@@ -14,38 +14,38 @@
 	KindTransferLeadership
 )
 
-// Header begins every message. All that it states is durable at the sender.
+// Header is the start of every message. All that it states is durable at the sender.
 type Header struct {
 	Boot  uint64 // Boot counts the starts from the sender's disk.
-	Start uint64 // Start tells two starts with the same boot number apart.
+	Start uint64 // Start distinguishes starts with the same boot number.
 	Term  uint64
 }
 
-// Hello asks whether the sender, which has just started, may vote and
+// ClearanceRequest asks whether the sender, which has just started, may vote and
 // acknowledge.
 type ClearanceRequest struct {
 	Header
 	LastIndex uint64
 }
 
-// HelloReply clears the asker unless Refusal or Removed is set.
+// ClearanceReply clears the requester unless Refusal or Removed is set.
 type ClearanceReply struct {
 	Header
-	Asker   uint64 // Asker is the Start of the Hello.
-	Refusal string // Refusal says what was seen of the asker that its disk lacks.
-	Removed bool   // Removed says that the committed voter set lacks the asker.
+	Asker   uint64 // Asker is the Start of the ClearanceRequest.
+	Refusal string // Refusal is what was observed of the requester and is missing on its disk.
+	Removed bool   // Removed is set if the committed voter set lacks the requester.
 	Leader  ID     // Leader is the leader that the sender hears, or the sender itself.
 
 	LastIndex, LastTerm uint64   // LastIndex is the end of the sender's log.
-	Voters              VoterSet // Voters is the newest set in it.
+	Voters              VoterSet // Voters is the newest voter set in the sender's log.
 }
 
-// VoteRequest asks for a vote in the sender's term, or with Pre whether a vote
-// would be granted in the term after it.
+// VoteRequest asks for a vote in the sender's term, or with Pre whether a vote would be
+// granted in the next term.
 type VoteRequest struct {
 	Header
 	Pre                 bool
-	HandedOver          bool // HandedOver says that the leader resigned in favour of the sender.
+	HandedOver          bool // HandedOver is set if the leader transferred leadership to the sender.
 	LastIndex, LastTerm uint64
 }
 
@@ -55,20 +55,20 @@
 	Pre     bool
 	For     uint64
 	Granted bool
-	Removed bool // Removed says that the committed voter set lacks the candidate.
+	Removed bool // Removed is set if the committed voter set lacks the candidate.
 }
 
-// Append carries entries after PrevIndex; it is a heartbeat if there are none.
+// Append carries the entries after PrevIndex; without entries it is a heartbeat.
 type Append struct {
 	Header
-	Sent                int64 // Sent is a time on the leader's clock that the reply returns.
+	Sent                int64 // Sent is the send time on the leader's clock; the reply returns it.
 	PrevIndex, PrevTerm uint64
 	Commit              uint64
 	Entries             []Entry
 }
 
-// AppendReply acknowledges that the log is equal to the leader's up to Matched,
-// or if Rejected, that the leader should try again after Matched.
+// AppendReply acknowledges that the log equals the leader's up to Matched. If Rejected, the
+// leader should retry after Matched.
 type AppendReply struct {
 	Header
 	Sent     int64
@@ -76,8 +76,8 @@
 	Rejected bool
 }
 
-// Snapshot carries the state machine up to Index to a member that lags behind
-// the leader's log. AppendReply answers it.
+// Snapshot carries the state machine up to Index to a member whose log lags behind the
+// start of the leader's. AppendReply answers it.
 type Snapshot struct {
 	Header
 	Sent             int64
@@ -86,13 +86,13 @@
 	Data             []byte
 }
 
-// HandOver tells a voter that the leader has stepped down in its favour.
+// TransferLeadership tells a voter that the leader has stepped down in its favour.
 type TransferLeadership struct{ Header }
 
-// Kind returns KindHello.
+// Kind returns KindClearanceRequest.
 func (ClearanceRequest) Kind() peer.Kind { return KindClearanceRequest }
 
-// Kind returns KindHelloReply.
+// Kind returns KindClearanceReply.
 func (ClearanceReply) Kind() peer.Kind { return KindClearanceReply }
 
 // Kind returns KindVoteRequest.
@@ -110,11 +110,11 @@
 // Kind returns KindSnapshot.
 func (Snapshot) Kind() peer.Kind { return KindSnapshot }
 
-// Kind returns KindHandOver.
+// Kind returns KindTransferLeadership.
 func (TransferLeadership) Kind() peer.Kind { return KindTransferLeadership }
 
-// Messages returns one zero value of each message, for the codec. Received
-// events carry the messages as values, not as pointers.
+// Messages returns one zero value of each message, for the codec. Received events carry
+// messages as values, not as pointers.
 func Messages() []peer.Message {
 	return []peer.Message{
 		ClearanceRequest{},
--- a/quorum/random_test.go
+++ b/quorum/random_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed of the random tests, so that each run gives the same
-// verdict. A longer search takes another one: -rapid.seed=7 -rapid.checks=10000.
+// TestMain fixes the seed of the random tests, so that each run gives the same result. A
+// longer search uses other flags, such as -rapid.seed=7 -rapid.checks=10000.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "20260101", "rapid.steps": "300", "rapid.checks": "500"} {
 		if err := flag.Set(name, value); err != nil {
@@ -23,227 +23,227 @@
 	os.Exit(m.Run())
 }
 
-// pickBits is enough for the number of actions, nodes and messages.
-const pickBits = 10
+// drawBits is enough for the number of actions, nodes and messages.
+const drawBits = 10
 
-// even draws from [0, 2^pickBits) with equal weights; the library's integers
-// prefer small ones, so that most actions would hardly ever be taken.
-var even = rapid.Custom(func(rt *rapid.T) int {
+// uniform draws from [0, 2^drawBits) with equal weights. The library's integers prefer
+// small ones, so that most actions would hardly ever be drawn.
+var uniform = rapid.Custom(func(rt *rapid.T) int {
 	nu := 0
-	for range pickBits {
+	for range drawBits {
 		nu = nu<<1 | rapid.IntRange(0, 1).Draw(rt, "bit")
 	}
 	return nu
 })
 
-// pick draws one of count numbers.
-func pick(rt *rapid.T, label string, count int) int {
-	return even.Draw(rt, label) * count >> pickBits
+// drawIndex draws an index below count.
+func drawIndex(rt *rapid.T, label string, count int) int {
+	return uniform.Draw(rt, label) * count >> drawBits
 }
 
-func (wo *world) node(rt *rapid.T) int { return pick(rt, "node", len(wo.nodes)) }
+func (cl *cluster) drawNode(rt *rapid.T) int { return drawIndex(rt, "node", len(cl.nodes)) }
 
-func (wo *world) id(rt *rapid.T) ID { return wo.nodes[wo.node(rt)].id }
+func (cl *cluster) drawID(rt *rapid.T) ID { return cl.nodes[cl.drawNode(rt)].id }
 
-// message draws a message and takes it out unless it is kept.
-func (wo *world) message(rt *rapid.T, keep bool) envelope {
-	if len(wo.net) == 0 {
-		return envelope{} // It goes to nobody.
+// drawMessage draws a message and removes it from the network unless keep is set.
+func (cl *cluster) drawMessage(rt *rapid.T, keep bool) inFlightMessage {
+	if len(cl.network) == 0 {
+		return inFlightMessage{} // It has no receiver.
 	}
-	me := pick(rt, "message", len(wo.net))
+	me := drawIndex(rt, "message", len(cl.network))
 	if keep {
-		return wo.net[me]
+		return cl.network[me]
 	}
-	return wo.take(me)
+	return cl.take(me)
 }
 
-func (wo *world) pass(rt *rapid.T, heartbeats int) {
-	wo.now = wo.now.Add(time.Duration(pick(rt, "heartbeats", heartbeats)) * testHeartbeat)
+func (cl *cluster) advanceTime(rt *rapid.T, heartbeats int) {
+	cl.now = cl.now.Add(time.Duration(drawIndex(rt, "heartbeats", heartbeats)) * testHeartbeatInterval)
 }
 
-func (wo *world) tickAll(rt *rapid.T) {
-	wo.pass(rt, 4)
-	for po := range wo.nodes {
-		wo.step(po, Tick{wo.now}, -1)
+func (cl *cluster) tickAll(rt *rapid.T) {
+	cl.advanceTime(rt, 4)
+	for po := range cl.nodes {
+		cl.step(po, Tick{cl.now}, -1)
 	}
 }
 
-// tickOne ticks a node that may crash after some of the actions.
-func (wo *world) tickOne(rt *rapid.T, limit int) {
-	wo.pass(rt, 20)
-	wo.step(wo.node(rt), Tick{wo.now}, limit)
+// tickOne ticks a node, which may crash after some of the actions.
+func (cl *cluster) tickOne(rt *rapid.T, limit int) {
+	cl.advanceTime(rt, 20)
+	cl.step(cl.drawNode(rt), Tick{cl.now}, limit)
 }
 
-func (wo *world) deliverInOrder(rt *rapid.T) {
-	for range min(len(wo.net), 1+pick(rt, "count", 12)) {
-		wo.deliver(wo.take(0), -1)
+func (cl *cluster) deliverInOrder(rt *rapid.T) {
+	for range min(len(cl.network), 1+drawIndex(rt, "count", 12)) {
+		cl.deliver(cl.take(0), -1)
 	}
 }
 
-// timeOut heals the net and makes those campaign that have heard no leader for
-// long enough.
-func (wo *world) timeOut(*rapid.T) {
-	clear(wo.cut)
-	for po := range wo.nodes {
-		if no := &wo.nodes[po]; no.up && wo.now.Sub(no.st.heardAt) >= testElection {
-			no.st.electionAt = wo.now
-			wo.step(po, Tick{wo.now}, -1)
+// campaignAll heals the network and starts a campaign at all nodes that have not heard a
+// leader for the election timeout.
+func (cl *cluster) campaignAll(*rapid.T) {
+	clear(cl.partitioned)
+	for po := range cl.nodes {
+		if no := &cl.nodes[po]; no.up && cl.now.Sub(no.st.leaderHeardAt) >= testElectionTimeout {
+			no.st.electionAt = cl.now
+			cl.step(po, Tick{cl.now}, -1)
 		}
 	}
 }
 
-func (wo *world) startOne(*rapid.T) {
-	if po := slices.IndexFunc(wo.nodes, func(no node) bool { return !no.up }); po >= 0 {
-		wo.start(po)
+func (cl *cluster) startFirstDown(*rapid.T) {
+	if po := slices.IndexFunc(cl.nodes, func(no node) bool { return !no.up }); po >= 0 {
+		cl.start(po)
 	}
 }
 
-func (wo *world) startAll(*rapid.T) {
-	for po := range wo.nodes {
-		wo.start(po)
+func (cl *cluster) startAll(*rapid.T) {
+	for po := range cl.nodes {
+		cl.start(po)
 	}
 }
 
-// resignLeader stops the leader as planned.
-func (wo *world) resignLeader(rt *rapid.T) {
-	if po := wo.find(wo.leader()); po >= 0 {
-		wo.step(po, Resign{wo.now}, -1)
-		wo.deliverInOrder(rt)
-		wo.crash(po)
+// resignLeader performs a planned stop of the leader.
+func (cl *cluster) resignLeader(rt *rapid.T) {
+	if po := cl.find(cl.leader()); po >= 0 {
+		cl.step(po, Resign{cl.now}, -1)
+		cl.deliverInOrder(rt)
+		cl.crash(po)
 	}
 }
 
-// oldDisk puts a copy of a disk back. What is promised then needs others that
-// remember and are in reach: no voter was ever the only one, the others have run
-// since the copy was taken, and the Hello of the node and their answers arrive.
-func (wo *world) oldDisk(rt *rapid.T) {
-	po := wo.node(rt)
-	co, ok := wo.copies[wo.nodes[po].id]
-	if !ok || wo.aged || wo.lost > 0 || wo.single || len(wo.cut) > 0 {
+// rollBackDisk restores a copy of a disk. An older disk is only guaranteed to be detected
+// if others observed it and are reachable: no voter was ever the only one, the others have
+// run since the copy was made, and the node's ClearanceRequest and the replies arrive.
+func (cl *cluster) rollBackDisk(rt *rapid.T) {
+	po := cl.drawNode(rt)
+	co, ok := cl.diskCopies[cl.nodes[po].id]
+	if !ok || cl.diskRolledBack || cl.lostDisks > 0 || cl.hadSingleVoter || len(cl.partitioned) > 0 {
 		return
 	}
-	for other, no := range wo.nodes {
-		if other != po && (!no.up || no.since >= co.taken) {
+	for other, no := range cl.nodes {
+		if other != po && (!no.up || no.startedAtStep >= co.copiedAtStep) {
 			return
 		}
 	}
-	wo.aged = true
-	wo.nodes[po].disk = co
-	wo.rejoin(po)
+	cl.diskRolledBack = true
+	cl.nodes[po].disk = co
+	cl.restartAndClear(po)
 }
 
-// loseDisk replaces a node by one with an empty disk and so another identity. It
-// is rare, because a second loss leaves most worlds without a majority.
-func (wo *world) loseDisk(rt *rapid.T) {
-	if wo.lost == 2 || pick(rt, "rare", 6) > 0 {
+// replaceDisk replaces a node by one with an empty disk and thus another identity. It is
+// rare, because a second loss leaves most clusters without a majority.
+func (cl *cluster) replaceDisk(rt *rapid.T) {
+	if cl.lostDisks == 2 || drawIndex(rt, "rare", 6) > 0 {
 		return
 	}
-	wo.lost++
-	po := wo.node(rt)
-	wo.nodes[po] = node{id: ID(fmt.Sprint("new", wo.lost))}
-	wo.start(po)
+	cl.lostDisks++
+	po := cl.drawNode(rt)
+	cl.nodes[po] = node{id: ID(fmt.Sprint("new", cl.lostDisks))}
+	cl.start(po)
 }
 
-func (wo *world) verify(rt *rapid.T) {
-	if wo.fault != "" {
-		rt.Fatal(wo.fault)
+func (cl *cluster) failOnViolation(rt *rapid.T) {
+	if cl.failure != "" {
+		rt.Fatal(cl.failure)
 	}
 }
 
-// majorityLeft reports whether a majority of the disks is left both of the newest
-// committed voter set and of the set in the newest log. Older sets, which those
-// hold that were down meanwhile, don't matter.
-func (wo *world) majorityLeft() bool {
-	newest := wo.nodes[0].st
-	for _, no := range wo.nodes {
+// majoritySurvives reports whether a majority of the disks exists both of the newest
+// committed voter set and of the set in the newest log. Older sets on nodes that were down
+// don't matter.
+func (cl *cluster) majoritySurvives() bool {
+	newest := cl.nodes[0].st
+	for _, no := range cl.nodes {
 		te, last := no.st.log.lastTerm(), no.st.log.last()
 		if te > newest.log.lastTerm() || te == newest.log.lastTerm() && last > newest.log.last() {
 			newest = no.st
 		}
 	}
-	return wo.left(newest.Voters()) && wo.left(newest.VotersAt(uint64(len(wo.committed))))
+	return cl.majorityOfSetSurvives(newest.Voters()) && cl.majorityOfSetSurvives(newest.VotersAt(uint64(len(cl.committed))))
 }
 
-// left reports whether a majority of a voter set still has its disks.
-func (wo *world) left(vs VoterSet) bool {
+// majorityOfSetSurvives reports whether a majority of a voter set still has its disks.
+func (cl *cluster) majorityOfSetSurvives(vs VoterSet) bool {
 	count := 0
 	for _, id := range vs.Voters {
-		if wo.find(id) >= 0 {
+		if cl.find(id) >= 0 {
 			count++
 		}
 	}
 	return strictMajority(count, len(vs.Voters))
 }
 
-// settle heals the net, starts what is down and demands that a proposal commits,
-// unless too many disks were lost or one was put back.
-func (wo *world) settle(rt *rapid.T) {
-	clear(wo.cut)
-	for range wo.nodes {
-		wo.startOne(rt)
+// verifyRecovery heals the network, starts all nodes and requires that a proposal commits
+// and a read is answered, unless too many disks were lost or one was rolled back.
+func (cl *cluster) verifyRecovery(rt *rapid.T) {
+	clear(cl.partitioned)
+	for range cl.nodes {
+		cl.startFirstDown(rt)
 	}
-	wo.run(30 * testElection)
-	before := len(wo.committed)
-	wo.propose(wo.leader(), 1)
-	wo.run(2 * testElection)
-	wo.verify(rt)
-	if len(wo.committed) <= before && !wo.aged && wo.majorityLeft() {
-		rt.Fatalf("no commit after all is healed:\n%s", wo.show())
+	cl.run(30 * testElectionTimeout)
+	before := len(cl.committed)
+	cl.propose(cl.leader(), 1)
+	cl.run(2 * testElectionTimeout)
+	cl.failOnViolation(rt)
+	if len(cl.committed) <= before && !cl.diskRolledBack && cl.majoritySurvives() {
+		rt.Fatalf("no commit after recovery:\n%s", cl.show())
 	}
-	answered := wo.answered
-	if po := wo.find(wo.leader()); po >= 0 {
-		wo.probe(po)
-		wo.deliverAll()
+	answered := cl.answeredReads
+	if po := cl.find(cl.leader()); po >= 0 {
+		cl.probe(po)
+		cl.deliverAll()
 	}
-	wo.verify(rt)
-	if wo.answered == answered && !wo.aged && wo.majorityLeft() {
-		rt.Fatalf("no read is answered after all is healed:\n%s", wo.show())
+	cl.failOnViolation(rt)
+	if cl.answeredReads == answered && !cl.diskRolledBack && cl.majoritySurvives() {
+		rt.Fatalf("no read is answered after recovery:\n%s", cl.show())
 	}
 }
 
-func TestRandom(t *testing.T) {
+func TestRandomFaultsKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		ids := []ID{"a", "b", "c", "d"}[:1+pick(rt, "voters", 4)]
-		wo := newWorld(ids...)
+		ids := []ID{"a", "b", "c", "d"}[:1+drawIndex(rt, "voters", 4)]
+		cl := newCluster(ids...)
 		var actions []func(*rapid.T)
 		for _, ac := range []struct {
 			weight int
 			do     func(*rapid.T)
 		}{
-			{24, func(rt *rapid.T) { wo.run(time.Duration(pick(rt, "heartbeats", 30)) * testHeartbeat) }},
-			{10, wo.deliverInOrder},
-			{6, func(rt *rapid.T) { wo.deliver(wo.message(rt, false), -1) }},
-			{3, func(rt *rapid.T) { wo.deliver(wo.message(rt, true), -1) }},
-			{3, func(rt *rapid.T) { wo.message(rt, false) }},
-			{7, wo.tickAll},
-			{1, func(rt *rapid.T) { wo.tickOne(rt, -1) }},
-			{4, wo.timeOut},
-			{12, func(*rapid.T) { wo.propose(wo.leader(), 1) }},
-			{1, func(rt *rapid.T) { wo.tickOne(rt, pick(rt, "limit", 5)) }},
-			{1, func(rt *rapid.T) { wo.deliver(wo.message(rt, false), pick(rt, "limit", 5)) }},
-			{1, func(rt *rapid.T) { wo.crash(wo.node(rt)) }},
-			{6, wo.startOne},
-			{1, func(rt *rapid.T) { wo.rejoin(wo.node(rt)) }},
-			{1, wo.startAll},
-			{2, func(rt *rapid.T) { wo.isolate(wo.id(rt), wo.id(rt)) }},
-			{1, func(*rapid.T) { wo.isolate(wo.leader()) }},
-			{1, func(rt *rapid.T) { wo.cut[[2]ID{wo.id(rt), wo.id(rt)}] = true }},
-			{8, func(*rapid.T) { clear(wo.cut) }},
-			{3, func(rt *rapid.T) { wo.compact(wo.node(rt)) }},
-			{4, func(rt *rapid.T) { wo.probe(wo.node(rt)) }},
-			{1, wo.resignLeader},
-			{3, func(rt *rapid.T) { wo.copyDisk(wo.node(rt)) }},
-			{3, wo.oldDisk},
-			{1, wo.loseDisk},
-			{5, func(rt *rapid.T) { wo.change(wo.id(rt), "") }},
-			{3, func(rt *rapid.T) { wo.change("", wo.id(rt)) }},
+			{24, func(rt *rapid.T) { cl.run(time.Duration(drawIndex(rt, "heartbeats", 30)) * testHeartbeatInterval) }},
+			{10, cl.deliverInOrder},
+			{6, func(rt *rapid.T) { cl.deliver(cl.drawMessage(rt, false), -1) }},
+			{3, func(rt *rapid.T) { cl.deliver(cl.drawMessage(rt, true), -1) }},
+			{3, func(rt *rapid.T) { cl.drawMessage(rt, false) }},
+			{7, cl.tickAll},
+			{1, func(rt *rapid.T) { cl.tickOne(rt, -1) }},
+			{4, cl.campaignAll},
+			{12, func(*rapid.T) { cl.propose(cl.leader(), 1) }},
+			{1, func(rt *rapid.T) { cl.tickOne(rt, drawIndex(rt, "limit", 5)) }},
+			{1, func(rt *rapid.T) { cl.deliver(cl.drawMessage(rt, false), drawIndex(rt, "limit", 5)) }},
+			{1, func(rt *rapid.T) { cl.crash(cl.drawNode(rt)) }},
+			{6, cl.startFirstDown},
+			{1, func(rt *rapid.T) { cl.restartAndClear(cl.drawNode(rt)) }},
+			{1, cl.startAll},
+			{2, func(rt *rapid.T) { cl.isolate(cl.drawID(rt), cl.drawID(rt)) }},
+			{1, func(*rapid.T) { cl.isolate(cl.leader()) }},
+			{1, func(rt *rapid.T) { cl.partitioned[[2]ID{cl.drawID(rt), cl.drawID(rt)}] = true }},
+			{8, func(*rapid.T) { clear(cl.partitioned) }},
+			{3, func(rt *rapid.T) { cl.compact(cl.drawNode(rt)) }},
+			{4, func(rt *rapid.T) { cl.probe(cl.drawNode(rt)) }},
+			{1, cl.resignLeader},
+			{3, func(rt *rapid.T) { cl.copyDisk(cl.drawNode(rt)) }},
+			{3, cl.rollBackDisk},
+			{1, cl.replaceDisk},
+			{5, func(rt *rapid.T) { cl.change(cl.drawID(rt), "") }},
+			{3, func(rt *rapid.T) { cl.change("", cl.drawID(rt)) }},
 		} {
 			actions = append(actions, slices.Repeat([]func(*rapid.T){ac.do}, ac.weight)...)
 		}
 		rt.Repeat(map[string]func(*rapid.T){
-			"":    wo.verify,
-			"act": func(rt *rapid.T) { actions[pick(rt, "action", len(actions))](rt) },
+			"":    cl.failOnViolation,
+			"act": func(rt *rapid.T) { actions[drawIndex(rt, "action", len(actions))](rt) },
 		})
-		wo.settle(rt)
+		cl.verifyRecovery(rt)
 	})
 }
--- a/quorum/role.go
+++ b/quorum/role.go
@@ -9,7 +9,7 @@
 //go:embed voter.yaml
 var voterYAML []byte
 
-// The events of the chart, explained in voter.yaml.
+// The events of the state chart, explained in voter.yaml.
 const (
 	eventClear      chart.Event = "Clear"
 	eventRefuse     chart.Event = "Refuse"
@@ -27,8 +27,8 @@
 	eventClear, eventRefuse, eventEnlist, eventPromote, eventRemove,
 	eventTimeout, eventPreVoteWon, eventHandOver, eventVoteWon, eventStepDown)
 
-// fire moves to the role that the chart gives for the event, if any.
-func (sp *step) fire(ev chart.Event) {
+// transition changes the role as the state chart defines for the event, if it does.
+func (sp *step) transition(ev chart.Event) {
 	to, _ := voterChart.Next(chart.State(sp.role), ev)
 	sp.role = Role(to)
 }
@@ -38,28 +38,28 @@
 	if sp.role == Leader {
 		sp.resetElection()
 	}
-	sp.fire(eventStepDown)
+	sp.transition(eventStepDown)
 	sp.leader = ""
 	sp.members = nil
-	sp.contact = time0
+	sp.quorumContact = time0
 }
 
-// adoptTerm moves to a higher term, in which no vote is given yet.
+// adoptTerm adopts a higher term, in which no vote has been granted yet.
 func (sp *step) adoptTerm(term uint64) {
 	sp.hard = HardState{Term: term}
 	sp.stepDown()
 }
 
-// join moves to the role that the newest voter set gives to this member. A
-// leader is always in its own voter set, because it refuses its own removal.
-func (sp *step) join() {
+// applyMembership changes the role to this member's role in the newest voter set. A leader
+// is always in its own voter set, because it rejects its own removal.
+func (sp *step) applyMembership() {
 	vs := sp.Voters()
 	switch {
 	case vs.HasVoter(sp.cf.Self):
-		sp.fire(eventPromote)
+		sp.transition(eventPromote)
 	case vs.HasLearner(sp.cf.Self):
-		sp.fire(eventEnlist)
+		sp.transition(eventEnlist)
 	default:
-		sp.fire(eventRemove)
+		sp.transition(eventRemove)
 	}
 }
--- a/quorum/search_test.go
+++ b/quorum/search_test.go
@@ -8,71 +8,71 @@
 	"time"
 )
 
-// budget bounds what may happen on one path of the search. A message that is
-// never delivered is a lost one; delivery in any order is a reorder.
+// budget bounds the faults and events on one path of the search. A message that is never
+// delivered is lost; messages are delivered in any order.
 type budget struct {
-	waits, doubles, crashes, proposals, resigns int
-	inFlight                                    int // inFlight bounds the messages; the oldest are lost.
+	waits, duplicates, crashes, proposals, resigns int
+	inFlight                                       int // inFlight bounds the messages; the oldest are lost.
 }
 
-// move is what happens next: a wait of the Election time if po is negative, a
-// start without event, else a step, maybe with a message taken from the net.
-type move struct {
-	po, message, limit int
-	ev                 Event
-	bu                 budget // bu is what is left then.
+// transition is a step of the search: a wait of one election timeout if node is negative, a
+// restart without event, else an event, which may consume a message from the network.
+type transition struct {
+	node, message, actionLimit int
+	event                      Event
+	budget                     budget // budget is what remains after the transition.
 }
 
-// place is a world that the search has reached.
-type place struct {
-	wo   *world
-	from *place
-	by   move
+// searchNode is a cluster state that the search has reached.
+type searchNode struct {
+	cluster    *cluster
+	parent     *searchNode
+	transition transition
 }
 
-// search visits every world within the budget and depth, breadth first, and
-// fails with the shortest path to a fault.
-func search(t *testing.T, wo *world, bu budget, depth int) {
+// search visits every cluster state within the budget and depth, breadth first, and fails
+// with the shortest path to a violation.
+func search(t *testing.T, cl *cluster, bu budget, depth int) {
 	t.Helper()
 	seen := map[uint64]bool{}
-	level := []*place{{wo: wo, by: move{bu: bu}}}
+	level := []*searchNode{{cluster: cl, transition: transition{budget: bu}}}
 	for range depth {
-		var next []*place
-		for _, pl := range level {
-			for _, mo := range pl.moves() {
-				su := pl.after(mo)
-				for at := su; su.wo.fault != "" && at.from != nil; at = at.from {
-					t.Errorf("%s: back from it, node %d after %d actions: %T%v", su.wo.fault, at.by.po, at.by.limit, at.by.ev, at.by.ev)
+		var next []*searchNode
+		for _, sn := range level {
+			for _, tr := range sn.transitions() {
+				su := sn.apply(tr)
+				for at := su; su.cluster.failure != "" && at.parent != nil; at = at.parent {
+					t.Errorf("%s: path in reverse order, node %d after %d actions: %T%v", su.cluster.failure, at.transition.node, at.transition.actionLimit, at.transition.event, at.transition.event)
 				}
-				if su.wo.fault != "" {
+				if su.cluster.failure != "" {
 					return
 				}
-				if pr := su.print(); !seen[pr] {
+				if pr := su.fingerprint(); !seen[pr] {
 					seen[pr] = true
 					next = append(next, su)
 				}
 			}
-			pl.wo = nil
+			sn.cluster = nil
 		}
 		level = next
 	}
-	t.Logf("%d worlds, %d at the greatest depth", len(seen), len(level))
+	t.Logf("%d cluster states, %d at the greatest depth", len(seen), len(level))
 }
 
-// moves returns all that may happen next. Each event may also be cut short by a
+// transitions returns all possible next steps. Each event may also be interrupted by a
 // crash after any of its actions.
-func (pl *place) moves() []move {
-	var ms []move
-	wo, bu := pl.wo, pl.by.bu
+func (sn *searchNode) transitions() []transition {
+	var ms []transition
+	cl, bu := sn.cluster, sn.transition.budget
 	add := func(po, message int, ev Event, bu budget) {
-		ms = append(ms, move{po, message, -1, ev, bu})
-		if bu.crashes == 0 || !wo.nodes[po].up {
+		ms = append(ms, transition{po, message, -1, ev, bu})
+		if bu.crashes == 0 || !cl.nodes[po].up {
 			return
 		}
 		bu.crashes--
-		_, acts := Step(wo.nodes[po].st, ev)
+		_, acts := Step(cl.nodes[po].st, ev)
 		for limit := range acts {
-			ms = append(ms, move{po, message, limit, ev, bu})
+			ms = append(ms, transition{po, message, limit, ev, bu})
 		}
 	}
 	less := func(field func(bu *budget) *int, po int, ev Event) {
@@ -82,113 +82,113 @@
 			add(po, -1, ev, left)
 		}
 	}
-	for me, en := range wo.net {
-		ev := Received{wo.now, en.from, en.ms}
-		add(wo.find(en.to), me, ev, bu)
-		less(func(bu *budget) *int { return &bu.doubles }, wo.find(en.to), ev)
+	for me, en := range cl.network {
+		ev := Received{cl.now, en.from, en.ms}
+		add(cl.find(en.to), me, ev, bu)
+		less(func(bu *budget) *int { return &bu.duplicates }, cl.find(en.to), ev)
 	}
-	for po, no := range wo.nodes {
+	for po, no := range cl.nodes {
 		if !no.up {
-			ms = append(ms, move{po, -1, -1, nil, bu})
+			ms = append(ms, transition{po, -1, -1, nil, bu})
 		}
-		if no.due(wo.now) {
-			add(po, -1, Tick{wo.now}, bu)
+		if no.isDue(cl.now) {
+			add(po, -1, Tick{cl.now}, bu)
 		}
 		if no.st.Role() == Leader {
-			less(func(bu *budget) *int { return &bu.proposals }, po, Propose{Now: wo.now})
-			less(func(bu *budget) *int { return &bu.resigns }, po, Resign{wo.now})
+			less(func(bu *budget) *int { return &bu.proposals }, po, Propose{Now: cl.now})
+			less(func(bu *budget) *int { return &bu.resigns }, po, Resign{cl.now})
 		}
 	}
 	if bu.waits > 0 {
 		bu.waits--
-		ms = append(ms, move{po: -1, bu: bu})
+		ms = append(ms, transition{node: -1, budget: bu})
 	}
 	return ms
 }
 
-// due reports whether a tick now would do something.
-func (no node) due(now time.Time) bool {
+// isDue reports whether a tick now would have an effect.
+func (no node) isDue(now time.Time) bool {
 	at, ok := no.st.NextTick()
 	return ok && !now.Before(at)
 }
 
-func (pl *place) after(mo move) *place {
-	wo := *pl.wo
-	wo.nodes, wo.net = slices.Clone(wo.nodes), slices.Clone(wo.net)
-	wo.leaders, wo.committed, wo.inTerms = slices.Clip(wo.leaders), slices.Clip(wo.committed), slices.Clip(wo.inTerms)
+func (sn *searchNode) apply(tr transition) *searchNode {
+	cl := *sn.cluster
+	cl.nodes, cl.network = slices.Clone(cl.nodes), slices.Clone(cl.network)
+	cl.leaders, cl.committed, cl.applierTerms = slices.Clip(cl.leaders), slices.Clip(cl.committed), slices.Clip(cl.applierTerms)
 	switch {
-	case mo.po < 0:
-		wo.now = wo.now.Add(testElection)
-		for po := range wo.nodes {
-			wo.nodes[po].print = 0
+	case tr.node < 0:
+		cl.now = cl.now.Add(testElectionTimeout)
+		for po := range cl.nodes {
+			cl.nodes[po].cachedFingerprint = 0
 		}
-	case mo.ev == nil:
-		wo.rejoin(mo.po)
+	case tr.event == nil:
+		cl.restartAndClear(tr.node)
 	default:
-		if mo.message >= 0 {
-			wo.take(mo.message)
+		if tr.message >= 0 {
+			cl.take(tr.message)
 		}
-		wo.step(mo.po, mo.ev, mo.limit)
+		cl.step(tr.node, tr.event, tr.actionLimit)
 	}
-	wo.net = wo.net[max(0, len(wo.net)-mo.bu.inFlight):]
-	return &place{&wo, pl, mo}
+	cl.network = cl.network[max(0, len(cl.network)-tr.budget.inFlight):]
+	return &searchNode{&cl, sn, tr}
 }
 
-var printSeed = maphash.MakeSeed()
+var fingerprintSeed = maphash.MakeSeed()
 
-func mix[T comparable](ha *maphash.Hash, vs ...T) {
+func writeHash[T comparable](ha *maphash.Hash, vs ...T) {
 	for _, va := range vs {
 		maphash.WriteComparable(ha, va)
 	}
 }
 
-// print is a hash of all that decides what may follow.
-func (pl *place) print() uint64 {
+// fingerprint is a hash of all state that determines further transitions.
+func (sn *searchNode) fingerprint() uint64 {
 	var ha maphash.Hash
-	ha.SetSeed(printSeed)
-	wo, sum := pl.wo, uint64(0)
-	for me := range wo.net {
-		en := &wo.net[me]
-		if en.print == 0 {
-			en.print = maphash.String(printSeed, fmt.Sprintf("%s %s %T %v", en.from, en.to, en.ms, en.ms))
+	ha.SetSeed(fingerprintSeed)
+	cl, sum := sn.cluster, uint64(0)
+	for me := range cl.network {
+		en := &cl.network[me]
+		if en.fingerprint == 0 {
+			en.fingerprint = maphash.String(fingerprintSeed, fmt.Sprintf("%s %s %T %v", en.from, en.to, en.ms, en.ms))
 		}
-		sum += en.print
+		sum += en.fingerprint
 	}
-	for po := range wo.nodes {
-		if no := &wo.nodes[po]; no.print == 0 {
-			no.print = no.fingerprint(wo.now)
+	for po := range cl.nodes {
+		if no := &cl.nodes[po]; no.cachedFingerprint == 0 {
+			no.cachedFingerprint = no.fingerprint(cl.now)
 		}
-		mix(&ha, wo.nodes[po].print)
+		writeHash(&ha, cl.nodes[po].cachedFingerprint)
 	}
-	for po, en := range wo.committed {
-		mix(&ha, en.Term, uint64(en.Type), wo.inTerms[po])
+	for po, en := range cl.committed {
+		writeHash(&ha, en.Term, uint64(en.Type), cl.applierTerms[po])
 	}
-	mix(&ha, wo.leaders...)
-	mix[any](&ha, pl.by.bu, sum, len(wo.committed))
+	writeHash(&ha, cl.leaders...)
+	writeHash[any](&ha, sn.transition.budget, sum, len(cl.committed))
 	return ha.Sum64()
 }
 
 func (no node) fingerprint(now time.Time) uint64 {
-	// age counts the waits since a time; more than three make no difference.
+	// age counts the election timeouts since a time; more than three make no difference.
 	age := func(at time.Time) int {
-		return min(3, int((now.Sub(at)+testElection-1)/testElection))
+		return min(3, int((now.Sub(at)+testElectionTimeout-1)/testElectionTimeout))
 	}
 	var ha maphash.Hash
-	ha.SetSeed(printSeed)
+	ha.SetSeed(fingerprintSeed)
 	st, sd := no.st, no.disk.stored
-	mix[any](&ha, no.up, no.disk.boot, no.applied, sd.Hard, st.role, st.leader, st.commit, st.cleared, st.resigning,
-		no.due(now), age(st.electionAt), age(st.heardAt), age(st.ledSince), age(st.contact), len(st.votes), len(st.answers))
+	writeHash[any](&ha, no.up, no.disk.boot, no.applied, sd.Hard, st.role, st.leader, st.commit, st.cleared, st.resigning,
+		no.isDue(now), age(st.electionAt), age(st.leaderHeardAt), age(st.becameLeaderAt), age(st.quorumContact), len(st.votes), len(st.clearances))
 	for _, en := range sd.Entries {
-		mix(&ha, en.Term, uint64(en.Type))
+		writeHash(&ha, en.Term, uint64(en.Type))
 	}
-	mix(&ha, st.ahead.index, st.ahead.term)
-	mix(&ha, st.votes...)
-	mix(&ha, st.seen...)
-	for _, an := range st.answers {
-		mix[any](&ha, an.id, an.leader, age(an.at))
+	writeHash(&ha, st.newerLog.index, st.newerLog.term)
+	writeHash(&ha, st.votes...)
+	writeHash(&ha, st.observations...)
+	for _, an := range st.clearances {
+		writeHash[any](&ha, an.id, an.leader, age(an.receivedAt))
 	}
 	for _, pr := range st.members {
-		mix[any](&ha, pr.id, pr.matched, pr.next, age(st.startedAt.Add(time.Duration(pr.acked))), pr.acked == never)
+		writeHash[any](&ha, pr.id, pr.matched, pr.next, age(st.startedAt.Add(time.Duration(pr.ackedSendTime))), pr.ackedSendTime == neverAcked)
 	}
 	return ha.Sum64()
 }
--- a/quorum/step.go
+++ b/quorum/step.go
@@ -11,21 +11,22 @@
 type step struct {
 	State
 	now     time.Time
-	durable HardState // durable is the hard state that is saved or in a Save.
-	reason  string    // reason goes into RoleChanged.
+	durable HardState // durable is the hard state that is saved or part of an emitted Save.
+	reason  string    // reason is that of the RoleChanged.
 	actions []Action
 }
 
-// newStep copies what a step may write in place; all else is replaced whole.
+// newStep copies the slices that a step modifies in place; all others are replaced as a
+// whole.
 func newStep(st State, now time.Time) *step {
-	st.seen = slices.Clone(st.seen)
+	st.observations = slices.Clone(st.observations)
 	st.members = slices.Clone(st.members)
 	return &step{State: st, now: now, durable: st.hard}
 }
 
-// Step returns the state after an event and the actions to perform. It is pure.
-// The executor publishes the new state before it performs the actions, because
-// a leader that hands over has no lease from then on.
+// Step returns the state after an event and the actions to perform. It is pure. The
+// executor must publish the new state before it performs the actions, because a leader that
+// transfers leadership has no lease from then on.
 func Step(st State, ev Event) (State, []Action) {
 	sp := newStep(st, time0)
 	switch ev := ev.(type) {
@@ -40,10 +41,10 @@
 		sp.propose(ev)
 	case Probe:
 		sp.now = ev.Now
-		sp.probe()
+		sp.confirmLeadership()
 	case RequestClearance:
 		sp.now = ev.Now
-		sp.greet(ev.To)
+		sp.requestClearance(ev.To)
 	case ChangeVoters:
 		sp.now = ev.Now
 		sp.changeVoters(ev)
@@ -66,7 +67,7 @@
 		sp.tickUncleared()
 	case Follower, PreCandidate, Candidate:
 		if !sp.now.Before(sp.electionAt) {
-			sp.campaign()
+			sp.startPreVote()
 		}
 	case Leader:
 		sp.tickLeader()
@@ -79,9 +80,9 @@
 	}
 	switch ms := ms.(type) {
 	case ClearanceRequest:
-		sp.onHello(from, ms)
+		sp.onClearanceRequest(from, ms)
 	case ClearanceReply:
-		sp.onHelloReply(from, ms)
+		sp.onClearanceReply(from, ms)
 	case VoteRequest:
 		if sp.admit(from, ms.Header) {
 			sp.onVoteRequest(from, ms)
@@ -104,28 +105,28 @@
 		}
 	case TransferLeadership:
 		if sp.admit(from, ms.Header) {
-			sp.onHandOver(from, ms)
+			sp.onTransferLeadership(from, ms)
 		}
 	}
 }
 
-func (sp *step) act(ac Action) {
+func (sp *step) emit(ac Action) {
 	sp.actions = append(sp.actions, ac)
 }
 
-// save emits a Save of entries together with the hard state if that changed.
+// save emits a Save of entries, together with the hard state if that changed.
 func (sp *step) save(sv Save) {
 	if sp.hard != sp.durable {
 		hs := sp.hard
 		sv.Hard = &hs
 		sp.durable = sp.hard
 	}
-	sp.act(sv)
+	sp.emit(sv)
 }
 
-// saveHard emits a Save if the hard state changed. It runs before each message:
-// a voter that sent its vote, crashed and came back without it could vote for
-// another candidate in the same term, and two would lead.
+// saveHard emits a Save if the hard state changed. It runs before each message: a voter
+// that sent its vote, crashed and restarted without it could vote for another candidate in
+// the same term, and two candidates would lead.
 func (sp *step) saveHard() {
 	if sp.hard != sp.durable {
 		sp.save(Save{})
@@ -134,7 +135,7 @@
 
 func (sp *step) send(to ID, ms peer.Message) {
 	sp.saveHard()
-	sp.act(Send{To: to, Message: ms})
+	sp.emit(Send{To: to, Message: ms})
 }
 
 func (sp *step) header() Header {
@@ -144,15 +145,15 @@
 func (sp *step) finish(before State) {
 	sp.saveHard()
 	if sp.leader != before.leader {
-		sp.ledFrom = sp.now
+		sp.leaderSince = sp.now
 	}
 	same := sp.role == before.role && sp.hard.Term == before.hard.Term && sp.leader == before.leader
 	if same && sp.reason == "" {
 		return
 	}
-	sp.act(RoleChanged{Role: sp.role, Term: sp.hard.Term, Leader: sp.leader, Reason: sp.reason})
+	sp.emit(RoleChanged{Role: sp.role, Term: sp.hard.Term, Leader: sp.leader, Reason: sp.reason})
 }
 
-func (sp *step) refuseProposal(tag uint64, re Reason) {
-	sp.act(ProposalRejected{Tag: tag, Leader: sp.leader, Reason: re})
+func (sp *step) rejectProposal(tag uint64, re Reason) {
+	sp.emit(ProposalRejected{Tag: tag, Leader: sp.leader, Reason: re})
 }
--- a/quorum/voters.go
+++ b/quorum/voters.go
@@ -7,8 +7,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// VoterSet names the voters, which count, and the learners, which don't yet. It
-// is immutable.
+// VoterSet holds the voters, which count towards majorities, and the learners, which don't
+// yet. It is immutable.
 type VoterSet struct {
 	Voters, Learners []ID
 }
@@ -23,7 +23,7 @@
 	return slices.Contains(vs.Learners, id)
 }
 
-// String returns the voters, and behind a plus sign the learners.
+// String returns the voters, followed by a plus sign and the learners if there are any.
 func (vs VoterSet) String() string {
 	if len(vs.Learners) == 0 {
 		return fmt.Sprint(vs.Voters)
@@ -31,12 +31,12 @@
 	return fmt.Sprint(vs.Voters, "+", vs.Learners)
 }
 
-// WithLearner returns the set with one learner more.
+// WithLearner returns the set with an additional learner.
 func (vs VoterSet) WithLearner(id ID) VoterSet {
 	return VoterSet{Voters: vs.Voters, Learners: append(slices.Clip(vs.Learners), id)}
 }
 
-// WithPromoted returns the set with a learner made a voter.
+// WithPromoted returns the set with a learner promoted to voter.
 func (vs VoterSet) WithPromoted(id ID) VoterSet {
 	vs = vs.Without(id)
 	return VoterSet{Voters: append(slices.Clip(vs.Voters), id), Learners: vs.Learners}
@@ -67,14 +67,14 @@
 	return vs, err
 }
 
-// strictMajority reports whether a count is more than half of the voters. Half
-// is not enough: with 2 or 4 voters both halves would win at the same time.
+// strictMajority reports whether a count is more than half of the voters. Half is not
+// enough: with 2 or 4 voters both halves could win at the same time.
 func strictMajority(count, voters int) bool {
 	return 2*count > voters
 }
 
-// heldByMajority returns the highest value that a strict majority has reached.
-func heldByMajority[T int64 | uint64](values []T) T {
+// majorityValue returns the highest value that a strict majority has reached.
+func majorityValue[T int64 | uint64](values []T) T {
 	slices.Sort(values)
 	return values[(len(values)-1)/2]
 }
@@ -85,9 +85,9 @@
 	voters VoterSet
 }
 
-// noteVoters keeps the voter sets among entries that were just appended. A set
-// is in force at once, not only when it is committed.
-func (sp *step) noteVoters(es []Entry) {
+// recordVoters records the voter sets among entries that were just appended. A set is in
+// force at once, not only when it is committed.
+func (sp *step) recordVoters(es []Entry) {
 	for _, en := range es {
 		if en.Type != EntryVoters {
 			continue
@@ -96,33 +96,33 @@
 		if err != nil {
 			continue // Only a leader writes these entries, with Encode.
 		}
-		sp.history = append(slices.Clip(sp.history), votersFrom{en.Index, vs})
+		sp.voterHistory = append(slices.Clip(sp.voterHistory), votersFrom{en.Index, vs})
 	}
 }
 
-// forgetVotersFrom drops the voter sets of entries that are truncated.
-func (sp *step) forgetVotersFrom(index uint64) {
-	for len(sp.history) > 1 && sp.history[len(sp.history)-1].index >= index {
-		sp.history = sp.history[:len(sp.history)-1]
+// dropVotersFrom removes the voter sets of truncated entries.
+func (sp *step) dropVotersFrom(index uint64) {
+	for len(sp.voterHistory) > 1 && sp.voterHistory[len(sp.voterHistory)-1].index >= index {
+		sp.voterHistory = sp.voterHistory[:len(sp.voterHistory)-1]
 	}
 }
 
 // changePending reports whether the newest voter set is not committed yet.
 func (sp *step) changePending() bool {
-	return sp.history[len(sp.history)-1].index > sp.commit
+	return sp.voterHistory[len(sp.voterHistory)-1].index > sp.commit
 }
 
-// termOpen reports whether an entry of the leader's own term is committed.
-// Before that, an uncommitted voter set of an earlier leader may still come
-// back, so that a change made now would not be one by one.
-func (st State) termOpen() bool {
+// committedInTerm reports whether an entry of the leader's own term is committed. Before
+// that, an uncommitted voter set of an earlier leader may still return, so that a change
+// now might not be the only one in progress.
+func (st State) committedInTerm() bool {
 	te, _ := st.log.term(st.commit)
 	return te == st.hard.Term
 }
 
 func (sp *step) changeVoters(ev ChangeVoters) {
-	if re := sp.refuseChange(ev); re != 0 {
-		sp.refuseProposal(ev.Tag, re)
+	if re := sp.rejectionReason(ev); re != 0 {
+		sp.rejectProposal(ev.Tag, re)
 		return
 	}
 	vs := sp.Voters().Without(ev.Remove)
@@ -130,11 +130,11 @@
 		vs = vs.WithLearner(ev.Add)
 	}
 	sp.appendVoters(vs)
-	sp.act(ProposalAppended{Tag: ev.Tag, Index: sp.log.last(), Term: sp.hard.Term})
+	sp.emit(ProposalAppended{Tag: ev.Tag, Index: sp.log.last(), Term: sp.hard.Term})
 }
 
-// refuseChange returns why a change is refused, or 0.
-func (sp *step) refuseChange(ev ChangeVoters) Reason {
+// rejectionReason returns why a change is rejected, or 0.
+func (sp *step) rejectionReason(ev ChangeVoters) Reason {
 	vs := sp.Voters()
 	switch {
 	case sp.role != Leader:
@@ -143,7 +143,7 @@
 		return ReasonResigning
 	case (ev.Add == "") == (ev.Remove == ""):
 		return ReasonInvalidChange
-	case !sp.termOpen():
+	case !sp.committedInTerm():
 		return ReasonNoCommitInTerm
 	case sp.changePending():
 		return ReasonChangePending
@@ -161,17 +161,17 @@
 	return 0
 }
 
-// promote makes a voter of a learner that has caught up. A newcomer that
-// counted earlier would raise the majority without holding anything: the next
-// loss of a voter would stop the log, or worse, a majority could be found that
-// lacks committed entries after the newcomer's disk is replaced.
-func (sp *step) promote() {
-	if sp.role != Leader || sp.resigning || sp.changePending() || !sp.termOpen() {
+// promoteLearner promotes a learner that has caught up. If a new member counted earlier, it
+// would raise the majority without holding any entries: the next loss of a voter would stop
+// the log, or a majority could form that lacks committed entries after the new member's
+// disk is replaced.
+func (sp *step) promoteLearner() {
+	if sp.role != Leader || sp.resigning || sp.changePending() || !sp.committedInTerm() {
 		return
 	}
 	for _, id := range sp.Voters().Learners {
 		pr := sp.progress(id)
-		if pr.matched >= sp.commit && sp.inContact(pr) {
+		if pr.matched >= sp.commit && sp.recentlyAcked(pr) {
 			sp.appendVoters(sp.Voters().WithPromoted(id))
 			return
 		}
