--- a/wal/bench_test.go
+++ b/wal/bench_test.go
@@ -9,8 +9,8 @@
 	"balsamwinch.example/quorum"
 )
 
-// BenchmarkSave is the time of one Save on the disk of the test folder, which
-// is what a voter waits before it acknowledges, and the bytes that it writes.
+// BenchmarkSave measures the time of one Save on the disk of the test folder, for which a
+// voter waits before it acknowledges, and the bytes written beyond the data.
 func BenchmarkSave(b *testing.B) {
 	for _, batch := range []int{1, 16, 64} {
 		b.Run(fmt.Sprintf("entries=%d", batch), func(b *testing.B) {
@@ -20,7 +20,7 @@
 			}
 			defer jo.Close()
 			data := make([]byte, 400)
-			next, first := uint64(1), jo.size
+			next, first := uint64(1), jo.syncedBytes
 			for b.Loop() {
 				var sv quorum.Save
 				for range batch {
@@ -32,7 +32,7 @@
 				}
 			}
 			if len(jo.segments) == 1 {
-				b.ReportMetric(float64(jo.size-first)/float64(next-1)-float64(len(data)), "overhead-bytes/entry")
+				b.ReportMetric(float64(jo.syncedBytes-first)/float64(next-1)-float64(len(data)), "overhead-bytes/entry")
 			}
 		})
 	}
--- a/wal/disk_test.go
+++ b/wal/disk_test.go
@@ -8,102 +8,102 @@
 	"slices"
 )
 
-// disk is a FileSystem in memory that can fail and lose what was not synced.
-type disk struct {
-	names  map[string]*diskFile // names are those that a running process sees.
-	synced map[string]*diskFile // synced are those that a crash leaves.
-	fail   func(op, name string) error
+// memoryDisk is a FileSystem in memory that can fail and lose unsynced writes.
+type memoryDisk struct {
+	visible       map[string]*memoryFile // visible are the files that a running process sees.
+	synced        map[string]*memoryFile // synced are the files that a crash leaves.
+	injectFailure func(op, name string) error
 }
 
-type diskFile struct {
-	di     *disk
+type memoryFile struct {
+	di     *memoryDisk
 	name   string
 	data   []byte
 	synced []byte
 }
 
-func newDisk() *disk {
-	return &disk{names: make(map[string]*diskFile), synced: make(map[string]*diskFile)}
+func newMemoryDisk() *memoryDisk {
+	return &memoryDisk{visible: make(map[string]*memoryFile), synced: make(map[string]*memoryFile)}
 }
 
-// crash returns the disk after a loss of power: of what was appended and not
-// synced, torn decides what is left.
-func (di *disk) crash(torn func(unsynced []byte) []byte) *disk {
-	ne := newDisk()
+// crash returns the disk after a power loss; torn returns the part that is left of the data
+// that was appended and not synced.
+func (di *memoryDisk) crash(torn func(unsynced []byte) []byte) *memoryDisk {
+	cr := newMemoryDisk()
 	for na, fi := range di.synced {
 		data := slices.Clone(fi.synced)
 		if len(fi.data) > len(data) && slices.Equal(fi.data[:len(data)], data) {
 			data = append(data, torn(fi.data[len(data):])...)
 		}
-		ne.names[na] = &diskFile{di: ne, name: na, data: data, synced: data}
+		cr.visible[na] = &memoryFile{di: cr, name: na, data: data, synced: data}
 	}
-	ne.synced = maps.Clone(ne.names)
-	return ne
+	cr.synced = maps.Clone(cr.visible)
+	return cr
 }
 
-func (di *disk) check(op, name string) error {
-	if di.fail == nil {
+func (di *memoryDisk) failure(op, name string) error {
+	if di.injectFailure == nil {
 		return nil
 	}
-	return di.fail(op, filepath.Base(name))
+	return di.injectFailure(op, filepath.Base(name))
 }
 
-func (di *disk) MakeDir(string) error { return nil }
+func (di *memoryDisk) MakeDir(string) error { return nil }
 
-func (di *disk) ReadDir(string) ([]string, error) {
+func (di *memoryDisk) ReadDir(string) ([]string, error) {
 	var names []string
-	for _, na := range slices.Sorted(maps.Keys(di.names)) {
+	for _, na := range slices.Sorted(maps.Keys(di.visible)) {
 		names = append(names, filepath.Base(na))
 	}
 	return names, nil
 }
 
-func (di *disk) ReadFile(name string) ([]byte, error) {
-	fi, ok := di.names[name]
+func (di *memoryDisk) ReadFile(name string) ([]byte, error) {
+	fi, ok := di.visible[name]
 	if !ok {
 		return nil, fs.ErrNotExist
 	}
 	return fi.data, nil
 }
 
-func (di *disk) Create(name string) (File, error) {
-	di.names[name] = &diskFile{di: di, name: name}
-	return di.names[name], di.check("create", name)
+func (di *memoryDisk) Create(name string) (File, error) {
+	di.visible[name] = &memoryFile{di: di, name: name}
+	return di.visible[name], di.failure("create", name)
 }
 
-func (di *disk) Append(name string, size int64) (File, error) {
-	fi := di.names[name]
+func (di *memoryDisk) Append(name string, size int64) (File, error) {
+	fi := di.visible[name]
 	fi.data = fi.data[:size:size]
 	fi.synced = fi.data
 	return fi, nil
 }
 
-func (di *disk) Rename(from, to string) error {
-	if err := di.check("rename", to); err != nil {
+func (di *memoryDisk) Rename(from, to string) error {
+	if err := di.failure("rename", to); err != nil {
 		return err
 	}
-	di.names[to] = di.names[from]
-	delete(di.names, from)
+	di.visible[to] = di.visible[from]
+	delete(di.visible, from)
 	return nil
 }
 
-func (di *disk) Remove(name string) error {
-	delete(di.names, name)
+func (di *memoryDisk) Remove(name string) error {
+	delete(di.visible, name)
 	return nil
 }
 
-func (di *disk) SyncDir(dir string) error {
-	if err := di.check("syncdir", dir); err != nil {
+func (di *memoryDisk) SyncDir(dir string) error {
+	if err := di.failure("syncdir", dir); err != nil {
 		return err
 	}
-	di.synced = maps.Clone(di.names)
+	di.synced = maps.Clone(di.visible)
 	return nil
 }
 
-func (di *disk) Lock(string) (io.Closer, error) { return io.NopCloser(nil), nil }
+func (di *memoryDisk) Lock(string) (io.Closer, error) { return io.NopCloser(nil), nil }
 
-func (fi *diskFile) Write(data []byte) (int, error) {
-	if err := fi.di.check("write", fi.name); err != nil {
+func (fi *memoryFile) Write(data []byte) (int, error) {
+	if err := fi.di.failure("write", fi.name); err != nil {
 		fi.data = append(fi.data, data[:len(data)/2]...)
 		return len(data) / 2, err
 	}
@@ -111,12 +111,12 @@
 	return len(data), nil
 }
 
-func (fi *diskFile) Sync() error {
-	if err := fi.di.check("sync", fi.name); err != nil {
+func (fi *memoryFile) Sync() error {
+	if err := fi.di.failure("sync", fi.name); err != nil {
 		return err
 	}
 	fi.synced = slices.Clone(fi.data)
 	return nil
 }
 
-func (fi *diskFile) Close() error { return nil }
+func (fi *memoryFile) Close() error { return nil }
--- a/wal/fuzz_test.go
+++ b/wal/fuzz_test.go
@@ -12,27 +12,27 @@
 	"balsamwinch.example/result"
 )
 
-// FuzzOpen gives the reader a segment of arbitrary bytes, and one of frames with
-// right checksums and arbitrary bodies. It must refuse it as damaged, or recover
-// a log that can be written to and recovered again.
+// FuzzOpen opens a folder whose last segment holds arbitrary bytes, or frames with valid
+// checksums and arbitrary bodies. Open must report damage, or recover a log that can be
+// appended to and recovered again.
 func FuzzOpen(f *testing.F) {
-	di := filled(f)
+	di := newFilledDisk(f)
 	last := segments(di)[len(segments(di))-1]
-	f.Add(di.names[last].data, false)
-	frs, _ := (&opening{jo: &Journal{fsys: di, dir: folder, lg: zap.NewNop()}}).readSegment(segment{name: filepath.Base(last)}, true)
+	f.Add(di.visible[last].data, false)
+	frs, _ := (&recovery{jo: &Journal{fsys: di, dir: testFolder, lg: zap.NewNop()}}).readSegment(segment{name: filepath.Base(last)}, true)
 	for _, fr := range frs.frames {
 		f.Add(fr.body, true)
 	}
 	f.Fuzz(func(t *testing.T, data []byte, framed bool) {
-		di := filled(t)
-		fi := di.names[last]
+		di := newFilledDisk(t)
+		fi := di.visible[last]
 		if framed {
 			fr, _ := newFrame(data, 10+uint64(len(segments(di))))
 			fi.data = append(fi.data, fr...)
 		} else {
 			fi.data = data
 		}
-		jo, re, err := open(di, folder, zap.NewNop(), limit)
+		jo, re, err := open(di, testFolder, zap.NewNop(), testSegmentLimit)
 		if err != nil {
 			var rs *result.Error
 			if !errors.As(err, &rs) || rs.Code != result.DamagedState {
@@ -47,7 +47,7 @@
 		if err := jo.Save(quorum.Save{Entries: []quorum.Entry{en}}); err != nil {
 			t.Fatal(err)
 		}
-		_, again, err := open(di, folder, zap.NewNop(), limit)
+		_, again, err := open(di, testFolder, zap.NewNop(), testSegmentLimit)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/wal/record.go
+++ b/wal/record.go
@@ -11,12 +11,12 @@
 	"balsamwinch.example/quorum"
 )
 
-// A frame is a head and a body: the length of the body (4 bytes), the sequence
-// number of the record (8), the xxHash64 of the body (8) and the low half of
-// that of the head before it (4), all little-endian.
+// A frame is a header and a body. The header holds the length of the body (4 bytes), the
+// sequence number of the record (8), the xxHash64 of the body (8) and the low half of the
+// xxHash64 of the preceding header bytes (4), all little-endian.
 const (
-	headBytes   = 24
-	checkedHead = headBytes - 4
+	frameHeaderBytes       = 24
+	checksummedHeaderBytes = frameHeaderBytes - 4
 )
 
 // record is the body of a frame; exactly one field is set.
@@ -31,13 +31,13 @@
 type headerRecord struct {
 	_     struct{} `cbor:",toarray"`
 	Disk  string
-	Start uint64 // Start is the index that the next entry would have.
-	Term  uint64 // Term is that of the entry before; 0 if there is none.
-	Reset bool   // Reset says that the entries of earlier segments count no more.
+	Start uint64 // Start is the index of the next entry.
+	Term  uint64 // Term is that of the entry before Start; 0 if there is none.
+	Reset bool   // Reset invalidates the entries of earlier segments.
 	Hard  hardRecord
 }
 
-// saveRecord is one Save.
+// saveRecord is the record of one Save.
 type saveRecord struct {
 	_            struct{} `cbor:",toarray"`
 	Hard         *hardRecord
@@ -58,7 +58,7 @@
 	Data        []byte
 }
 
-// snapshotRecord is the only record of the file snapshot.
+// snapshotRecord is the only record of the snapshot file.
 type snapshotRecord struct {
 	_           struct{} `cbor:",toarray"`
 	Index, Term uint64
@@ -67,7 +67,7 @@
 	Data        []byte
 }
 
-// identityRecord is the only record of the file identity.
+// identityRecord is the only record of the identity file.
 type identityRecord struct {
 	_    struct{} `cbor:",toarray"`
 	Disk string
@@ -121,8 +121,8 @@
 	}
 }
 
-// decoding allows as many entries as a Save can hold.
-var decoding = func() cbor.DecMode {
+// decodeMode allows as many entries as a Save can hold.
+var decodeMode = func() cbor.DecMode {
 	dm, err := cbor.DecOptions{MaxArrayElements: math.MaxInt32}.DecMode()
 	if err != nil {
 		panic(err)
@@ -139,45 +139,45 @@
 	return newFrame(body, sequence)
 }
 
-// newFrame returns a body behind its head.
+// newFrame returns the frame of a body.
 func newFrame(body []byte, sequence uint64) ([]byte, error) {
 	if uint64(len(body)) > math.MaxUint32 {
 		return nil, fmt.Errorf("a record of %d bytes is too large", len(body))
 	}
-	data := make([]byte, headBytes, headBytes+len(body))
+	data := make([]byte, frameHeaderBytes, frameHeaderBytes+len(body))
 	binary.LittleEndian.PutUint32(data, uint32(len(body)))
 	binary.LittleEndian.PutUint64(data[4:], sequence)
 	binary.LittleEndian.PutUint64(data[12:], xxhash.Sum64(body))
-	binary.LittleEndian.PutUint32(data[checkedHead:], headCheck(data))
+	binary.LittleEndian.PutUint32(data[checksummedHeaderBytes:], headerChecksum(data))
 	return append(data, body...), nil
 }
 
-func headCheck(head []byte) uint32 {
-	return uint32(xxhash.Sum64(head[:checkedHead]))
+func headerChecksum(header []byte) uint32 {
+	return uint32(xxhash.Sum64(header[:checksummedHeaderBytes]))
 }
 
-// frame is a frame that was read.
+// frame is a decoded frame.
 type frame struct {
 	sequence uint64
 	body     []byte
-	end      int // end is the offset after it.
+	end      int // end is the offset after the frame.
 }
 
-// condition is what a reader finds at an offset.
-type condition int
+// frameCondition is the condition of the data at an offset.
+type frameCondition int
 
 const (
-	whole   condition = iota
-	torn              // torn is what an unfinished write of a last record leaves.
-	damaged           // damaged is what no crash leaves.
+	intact  frameCondition = iota
+	torn                   // torn can be left by an interrupted write of the last record.
+	damaged                // damaged can't be caused by a crash.
 )
 
-// readFrame reads the frame at an offset below the length of the data.
-func readFrame(data []byte, at int) (frame, condition) {
-	if len(data)-at < headBytes {
+// readFrame reads the frame at an offset, which must be below the length of the data.
+func readFrame(data []byte, at int) (frame, frameCondition) {
+	if len(data)-at < frameHeaderBytes {
 		return frame{}, torn
 	}
-	if !headHolds(data[at:]) {
+	if !validHeader(data[at:]) {
 		return frame{}, tornOrDamaged(data, at)
 	}
 	fr, co := readBody(data, at)
@@ -187,50 +187,49 @@
 	return fr, co
 }
 
-// headHolds reports whether the data begins with a head that is right.
-func headHolds(data []byte) bool {
-	return binary.LittleEndian.Uint32(data[checkedHead:]) == headCheck(data)
+// validHeader reports whether the data begins with a header whose checksum is right.
+func validHeader(data []byte) bool {
+	return binary.LittleEndian.Uint32(data[checksummedHeaderBytes:]) == headerChecksum(data)
 }
 
-// readBody reads the frame whose head at the offset is right.
-func readBody(data []byte, at int) (frame, condition) {
-	head := data[at : at+headBytes]
-	from := at + headBytes
-	length := int(binary.LittleEndian.Uint32(head))
+// readBody reads the frame at an offset with a valid header.
+func readBody(data []byte, at int) (frame, frameCondition) {
+	header := data[at : at+frameHeaderBytes]
+	from := at + frameHeaderBytes
+	length := int(binary.LittleEndian.Uint32(header))
 	if length > len(data)-from {
 		return frame{}, torn
 	}
-	fr := frame{sequence: binary.LittleEndian.Uint64(head[4:]), body: data[from : from+length], end: from + length}
-	if xxhash.Sum64(fr.body) != binary.LittleEndian.Uint64(head[12:]) {
+	fr := frame{sequence: binary.LittleEndian.Uint64(header[4:]), body: data[from : from+length], end: from + length}
+	if xxhash.Sum64(fr.body) != binary.LittleEndian.Uint64(header[12:]) {
 		return frame{}, damaged
 	}
-	return fr, whole
+	return fr, intact
 }
 
-// sectorBytes is what disks write at once.
+// sectorBytes is the unit in which disks write.
 const sectorBytes = 512
 
-// tornOrDamaged decides about a frame whose checksum is wrong. Each record is
-// synced before the next is written, so a write that a crash cut short is the
-// last, and the sectors that didn't reach the disk read as zeros. Anything else
-// was whole once: to cut it off would take back a vote or an entry that was
-// acknowledged.
-func tornOrDamaged(data []byte, at int) condition {
+// tornOrDamaged classifies a frame whose checksum is wrong. Each record is synced before
+// the next is written. So a write that a crash interrupted is the last, and the sectors of
+// it that didn't reach the disk read as zeros. Any other record was complete once:
+// truncating it would undo a vote or an entry that was acknowledged.
+func tornOrDamaged(data []byte, at int) frameCondition {
 	if !zeroSector(data, at) {
 		return damaged
 	}
-	for from := at + 1; from+headBytes <= len(data); from++ {
-		if !headHolds(data[from:]) {
+	for from := at + 1; from+frameHeaderBytes <= len(data); from++ {
+		if !validHeader(data[from:]) {
 			continue
 		}
-		if _, co := readBody(data, from); co == whole {
+		if _, co := readBody(data, from); co == intact {
 			return damaged
 		}
 	}
 	return torn
 }
 
-// zeroSector reports whether a sector from the offset on holds nothing but zeros.
+// zeroSector reports whether a sector from the offset on contains only zeros.
 func zeroSector(data []byte, at int) bool {
 	for at < len(data) {
 		end := min(len(data), (at/sectorBytes+1)*sectorBytes)
--- a/wal/replace.go
+++ b/wal/replace.go
@@ -5,12 +5,12 @@
 	"path/filepath"
 )
 
-// temporarySuffix ends the name of a file that is not whole yet.
+// temporarySuffix is the suffix of a file that is not complete yet.
 const temporarySuffix = ".new"
 
-// Replace gives a file in a folder new content, by way of a temporary file that is synced
-// before it takes the name. After a power loss at any point the file holds the old content
-// or the new; once Replace has returned without an error, the new.
+// WriteFileAtomic replaces the content of a file in a folder. It writes a temporary file,
+// syncs it and renames it. After a power loss at any point the file holds either the old or
+// the new content; once WriteFileAtomic has returned without an error, the new content.
 func WriteFileAtomic(fsys FileSystem, dir, name string, data []byte) error {
 	path := filepath.Join(dir, name)
 	fi, err := fsys.Create(path + temporarySuffix)
@@ -18,7 +18,7 @@
 		return err
 	}
 	_, err = fi.Write(data)
-	// Unsynced, the file could be empty after a crash though its new name is there.
+	// Without the sync, the file could be empty after a crash although it has been renamed.
 	if err := errors.Join(err, fi.Sync(), fi.Close()); err != nil {
 		return err
 	}
--- a/wal/replace_test.go
+++ b/wal/replace_test.go
@@ -7,17 +7,18 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The disk fails at one step of replacing a note, and the power is lost. Written in place,
-// or renamed before it is synced, the note would be empty or torn at the next start; without
-// a sync of the folder, what was said to be written would be the old one again.
-func TestReplaceSurvivesPowerLoss(t *testing.T) {
+// The disk fails at one step of an atomic write, and power is lost. If the file were
+// written in place or renamed before it is synced, it could be empty or torn at the next
+// start; without a sync of the folder, the old content could return after a successful
+// write.
+func TestWriteFileAtomicSurvivesPowerLoss(t *testing.T) {
 	c := qt.New(t)
 	errDisk := errors.New("the disk fails")
 	for good := range 10 {
-		di := newDisk()
+		di := newMemoryDisk()
 		c.Assert(WriteFileAtomic(di, "data", "note", []byte("old")), qt.IsNil)
 		steps := 0
-		di.fail = func(string, string) error {
+		di.injectFailure = func(string, string) error {
 			if steps++; steps > good {
 				return errDisk
 			}
@@ -35,5 +36,5 @@
 		c.Assert(err, qt.ErrorIs, errDisk)
 		c.Assert(string(got) == "old" || string(got) == "new", qt.IsTrue, qt.Commentf("%q after %d steps", got, good))
 	}
-	t.Fatal("it never succeeds")
+	t.Fatal("the write never succeeds")
 }
--- a/wal/replay.go
+++ b/wal/replay.go
@@ -7,83 +7,82 @@
 	"go.uber.org/zap"
 )
 
-// readSegments reads the segments that the snapshot does not make unnecessary.
-func (op *opening) readSegments() error {
-	ses := op.jo.segments
+// readSegments reads the segments that the snapshot doesn't make unnecessary.
+func (rc *recovery) readSegments() error {
+	ses := rc.jo.segments
 	if len(ses) == 0 {
 		return &damage{File: segmentPrefix + "*", Reason: "the segments are missing"}
 	}
-	newest, err := op.readSegment(ses[len(ses)-1], true)
+	newest, err := rc.readSegment(ses[len(ses)-1], true)
 	if err != nil {
 		return err
 	}
 	if len(newest.frames) == 0 && len(ses) > 1 {
-		// A crash cut its making short, so nothing in it was acknowledged.
-		op.unmade = ses[len(ses)-1].name
+		// A crash interrupted its creation, so nothing in it was acknowledged.
+		rc.unfinishedSegment = ses[len(ses)-1].name
 		ses = ses[:len(ses)-1]
-		op.jo.segments = ses
-		if newest, err = op.readSegment(ses[len(ses)-1], false); err != nil {
+		rc.jo.segments = ses
+		if newest, err = rc.readSegment(ses[len(ses)-1], false); err != nil {
 			return err
 		}
 	}
-	// A crash while segments were removed leaves any of them.
-	ses = ses[firstNeeded(ses, op.found.Snapshot.Index):]
+	// A crash during the removal of segments may leave any of them.
+	ses = ses[firstNeededSegment(ses, rc.recovered.Snapshot.Index):]
 	for i, se := range ses[:len(ses)-1] {
-		ct, err := op.readSegment(se, false)
+		ct, err := rc.readSegment(se, false)
 		if err != nil {
 			return err
 		}
-		if err := op.replay(se, ct.frames, i == 0); err != nil {
+		if err := rc.replay(se, ct.frames, i == 0); err != nil {
 			return err
 		}
 	}
-	op.cut = newest.end
-	return op.replay(ses[len(ses)-1], newest.frames, len(ses) == 1)
+	rc.validBytes = newest.validBytes
+	return rc.replay(ses[len(ses)-1], newest.frames, len(ses) == 1)
 }
 
-// content is what a segment holds.
-type content struct {
-	frames []frame
-	end    int // end is where the last whole frame ends.
+// segmentContent holds the frames of a segment.
+type segmentContent struct {
+	frames     []frame
+	validBytes int // validBytes is the offset after the last intact frame.
 }
 
-// readSegment returns the frames of a segment. A torn tail is allowed in the last
-// segment alone.
-func (op *opening) readSegment(se segment, last bool) (content, error) {
-	data, err := op.jo.fsys.ReadFile(filepath.Join(op.jo.dir, se.name))
+// readSegment returns the frames of a segment. Only the last segment may have a torn tail.
+func (rc *recovery) readSegment(se segment, last bool) (segmentContent, error) {
+	data, err := rc.jo.fsys.ReadFile(filepath.Join(rc.jo.dir, se.name))
 	if err != nil {
-		return content{}, err
+		return segmentContent{}, err
 	}
-	var ct content
-	for ct.end < len(data) {
-		fr, co := readFrame(data, ct.end)
+	var ct segmentContent
+	for ct.validBytes < len(data) {
+		fr, co := readFrame(data, ct.validBytes)
 		if co == damaged || co == torn && !last {
-			return ct, &damage{File: se.name, Offset: ct.end, Reason: "the checksum is wrong"}
+			return ct, &damage{File: se.name, Offset: ct.validBytes, Reason: "the checksum is wrong"}
 		}
 		if co == torn {
-			op.found.TornBytes = int64(len(data) - ct.end)
-			op.jo.lg.Warn("journal.torn_tail", zap.String("file", se.name), zap.Int("offset", ct.end), zap.Int64("bytes", op.found.TornBytes))
+			rc.recovered.TornBytes = int64(len(data) - ct.validBytes)
+			rc.jo.lg.Warn("journal.torn_tail", zap.String("file", se.name), zap.Int("offset", ct.validBytes), zap.Int64("bytes", rc.recovered.TornBytes))
 			break
 		}
 		ct.frames = append(ct.frames, fr)
-		ct.end = fr.end
+		ct.validBytes = fr.end
 	}
 	return ct, nil
 }
 
-// replay takes the records of a segment over.
-func (op *opening) replay(se segment, frs []frame, first bool) error {
+// replay applies the records of a segment.
+func (rc *recovery) replay(se segment, frs []frame, firstSegment bool) error {
 	at := 0
 	for i, fr := range frs {
-		re, err := fr.record()
+		re, err := fr.decodeRecord()
 		if err != nil {
-			return &damage{File: se.name, Offset: at, Reason: "not a record: " + err.Error()}
+			return &damage{File: se.name, Offset: at, Reason: "the record can't be decoded: " + err.Error()}
 		}
-		if !(first && i == 0) && fr.sequence != op.jo.sequence+1 {
-			return &damage{File: se.name, Offset: at, Reason: fmt.Sprintf("want record %d, got %d", op.jo.sequence+1, fr.sequence)}
+		if !(firstSegment && i == 0) && fr.sequence != rc.jo.sequence+1 {
+			return &damage{File: se.name, Offset: at, Reason: fmt.Sprintf("want record %d, got %d", rc.jo.sequence+1, fr.sequence)}
 		}
-		op.jo.sequence = fr.sequence
-		if reason := op.take(se, re, i == 0, first); reason != "" {
+		rc.jo.sequence = fr.sequence
+		if reason := rc.applyRecord(se, re, i == 0, firstSegment); reason != "" {
 			return &damage{File: se.name, Offset: at, Reason: reason}
 		}
 		at = fr.end
@@ -94,99 +93,101 @@
 	return nil
 }
 
-// take takes one record over and returns what is wrong with it, or "".
-func (op *opening) take(se segment, re record, leading, first bool) string {
+// applyRecord applies one record. It returns what is wrong with the record, or "".
+func (rc *recovery) applyRecord(se segment, re record, firstRecord, firstSegment bool) string {
 	switch {
-	case leading && re.Header != nil:
-		return op.takeHeader(se, re.Header, first)
-	case !leading && re.Save != nil:
-		return op.takeSave(re.Save)
+	case firstRecord && re.Header != nil:
+		return rc.applyHeader(se, re.Header, firstSegment)
+	case !firstRecord && re.Save != nil:
+		return rc.applySave(re.Save)
 	default:
-		return "a record that does not belong here"
+		return "unexpected record type"
 	}
 }
 
-func (op *opening) takeHeader(se segment, hr *headerRecord, first bool) string {
-	op.found.Hard = hr.Hard.state()
-	if first || hr.Reset {
-		op.entries = nil
-		op.base, op.baseTerm = hr.Start-1, hr.Term
+func (rc *recovery) applyHeader(se segment, hr *headerRecord, firstSegment bool) string {
+	rc.recovered.Hard = hr.Hard.state()
+	if firstSegment || hr.Reset {
+		rc.entries = nil
+		rc.baseIndex, rc.baseTerm = hr.Start-1, hr.Term
 	}
 	switch {
-	case hr.Disk != op.identity.Disk:
-		return fmt.Sprintf("the segment is of disk %s, the folder of disk %s", hr.Disk, op.identity.Disk)
-	case hr.Start == 0 || hr.Start != se.start || hr.Start != op.last()+1:
-		return fmt.Sprintf("the segment starts at entry %d, want %d", hr.Start, op.last()+1)
+	case hr.Disk != rc.identity.Disk:
+		return fmt.Sprintf("the segment is of disk %s, the folder of disk %s", hr.Disk, rc.identity.Disk)
+	case hr.Start == 0 || hr.Start != se.start || hr.Start != rc.last()+1:
+		return fmt.Sprintf("the segment starts at entry %d, want %d", hr.Start, rc.last()+1)
 	default:
 		return ""
 	}
 }
 
-func (op *opening) takeSave(sr *saveRecord) string {
+func (rc *recovery) applySave(sr *saveRecord) string {
 	if sr.Hard != nil {
-		op.found.Hard = sr.Hard.state()
+		rc.recovered.Hard = sr.Hard.state()
 	}
 	switch tf := sr.TruncateFrom; {
-	case tf > op.last() || tf == 0:
-	case tf > op.base:
-		op.entries = op.entries[:tf-op.base-1]
+	case tf > rc.last() || tf == 0:
+	case tf > rc.baseIndex:
+		rc.entries = rc.entries[:tf-rc.baseIndex-1]
 	default:
-		// The snapshot covers the segment that held them.
-		op.entries = nil
-		op.base, op.baseTerm = tf-1, 0
+		// The snapshot covers the segment that held these entries.
+		rc.entries = nil
+		rc.baseIndex, rc.baseTerm = tf-1, 0
 	}
 	for _, en := range sr.entries() {
-		if en.Index != op.last()+1 {
-			return fmt.Sprintf("want entry %d, got %d", op.last()+1, en.Index)
+		if en.Index != rc.last()+1 {
+			return fmt.Sprintf("want entry %d, got %d", rc.last()+1, en.Index)
 		}
-		op.entries = append(op.entries, en)
+		rc.entries = append(rc.entries, en)
 	}
 	return ""
 }
 
-func (op *opening) last() uint64 {
-	return op.base + uint64(len(op.entries))
+func (rc *recovery) last() uint64 {
+	return rc.baseIndex + uint64(len(rc.entries))
 }
 
-// resume joins the snapshot and the log and opens the last segment.
-func (op *opening) resume() error {
-	sn := op.found.Snapshot
-	if sn.Index < op.base {
-		return &damage{File: snapshotName, Reason: fmt.Sprintf("entries %d to %d are missing", sn.Index+1, op.base)}
-	}
-	jo := op.jo
-	jo.disk = op.identity.Disk
-	jo.hard = op.found.Hard
-	jo.log = terms{base: op.base, baseTerm: op.baseTerm}
-	for _, en := range op.entries {
-		jo.log.after = append(jo.log.after, en.Term)
-	}
-	if op.unmade != "" {
-		if err := jo.fsys.Remove(filepath.Join(jo.dir, op.unmade)); err != nil {
+// openLastSegment combines the snapshot with the log and opens the last segment for
+// writing.
+func (rc *recovery) openLastSegment() error {
+	sn := rc.recovered.Snapshot
+	if sn.Index < rc.baseIndex {
+		return &damage{File: snapshotName, Reason: fmt.Sprintf("entries %d to %d are missing", sn.Index+1, rc.baseIndex)}
+	}
+	jo := rc.jo
+	jo.diskID = rc.identity.Disk
+	jo.hard = rc.recovered.Hard
+	jo.terms = logTerms{baseIndex: rc.baseIndex, baseTerm: rc.baseTerm}
+	for _, en := range rc.entries {
+		jo.terms.terms = append(jo.terms.terms, en.Term)
+	}
+	if rc.unfinishedSegment != "" {
+		if err := jo.fsys.Remove(filepath.Join(jo.dir, rc.unfinishedSegment)); err != nil {
 			return err
 		}
 	}
 	last := jo.segments[len(jo.segments)-1].name
-	fi, err := jo.fsys.Append(filepath.Join(jo.dir, last), int64(op.cut))
+	fi, err := jo.fsys.Append(filepath.Join(jo.dir, last), int64(rc.validBytes))
 	if err != nil {
 		return err
 	}
-	jo.active, jo.name, jo.size = fi, last, int64(op.cut)
-	return op.join(sn)
+	jo.active, jo.activeName, jo.syncedBytes = fi, last, int64(rc.validBytes)
+	return rc.joinSnapshot(sn)
 }
 
-// join drops what the snapshot makes unnecessary. A crash may have come after a
-// snapshot of another log was renamed and before its new segment was begun.
-func (op *opening) join(sn Snapshot) error {
-	jo := op.jo
-	var same bool
-	jo.log, same = jo.log.since(sn.Index, sn.Term)
-	if !same {
-		if err := jo.roll(true); err != nil {
+// joinSnapshot drops the entries and segments that the snapshot covers. A crash may have
+// occurred after a snapshot of a divergent log was renamed and before its new segment was
+// created.
+func (rc *recovery) joinSnapshot(sn Snapshot) error {
+	jo := rc.jo
+	var continues bool
+	jo.terms, continues = jo.terms.after(sn.Index, sn.Term)
+	if !continues {
+		if err := jo.startSegment(true); err != nil {
 			return err
 		}
 	} else {
-		op.found.Entries = op.entries[sn.Index-op.base:]
+		rc.recovered.Entries = rc.entries[sn.Index-rc.baseIndex:]
 	}
 	return jo.removeSegments(sn.Index)
 }
--- a/wal/system.go
+++ b/wal/system.go
@@ -8,20 +8,20 @@
 	"syscall"
 )
 
-// FileSystem is what a journal needs of a disk. What was written to a file
-// counts after File.Sync, and a file's name after SyncDir of its folder.
+// FileSystem is the interface of a journal to the disk. Data written to a file is durable
+// after File.Sync, and a file's name after SyncDir of its folder.
 type FileSystem interface {
-	// MakeDir makes a folder, which may exist, and syncs its name.
+	// MakeDir creates a folder, which may exist, and syncs its name.
 	MakeDir(dir string) error
 	// ReadDir lists the names in a folder in ascending order.
 	ReadDir(dir string) ([]string, error)
 	// ReadFile reads a file; its error is fs.ErrNotExist if there is none.
 	ReadFile(name string) ([]byte, error)
-	// Create opens an empty file for writing and drops what it held.
+	// Create opens a file for writing and truncates it to zero bytes.
 	Create(name string) (File, error)
-	// Append opens a file for writing at its end, and cuts it there first.
+	// Append truncates a file to a size and opens it for writing at its end.
 	Append(name string, size int64) (File, error)
-	// Rename replaces the file of the second name.
+	// Rename replaces a file of the second name.
 	Rename(from, to string) error
 	Remove(name string) error
 	SyncDir(dir string) error
@@ -105,7 +105,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// The kernel frees the lock when the process ends, however it ends.
+	// The kernel releases the lock when the process ends, however it ends.
 	if err := syscall.Flock(int(fi.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		return nil, errors.Join(errors.New("another process has the folder open"), err, fi.Close())
 	}
