--- a/fanout/engine.go
+++ b/fanout/engine.go
@@ -26,7 +26,7 @@
 
 // Hearer is a Sender that knows when it last heard a backend server;
 // *backend.Client is one. With any other, no server is ever doubted.
-type Hearer interface {
+type ReplyTracker interface {
 	// Heard returns when a whole reply last came from a backend server over a
 	// connection that was open when the one that carries the request last worked;
 	// zero if none did.
@@ -66,7 +66,7 @@
 	boot string // boot tells this engine's attempts from those of an earlier process.
 	ce   *view.Cell
 	cl   Sender
-	he   Hearer // he is nil if the Sender is none.
+	he   ReplyTracker // he is nil if the Sender is none.
 	ta   Servers
 	ad   Admitter
 	nb   NewBudget
@@ -92,7 +92,7 @@
 		self: self, boot: strconv.FormatInt(ts.Now().UnixNano(), 36),
 		ce: ce, cl: cl, ta: ta, ad: ad, nb: nb, on: on, ts: ts, lg: lg, me: me,
 	}
-	en.he, _ = cl.(Hearer)
+	en.he, _ = cl.(ReplyTracker)
 	en.slow.init()
 	return en
 }
