--- a/backend/client.go
+++ b/backend/client.go
@@ -209,7 +209,7 @@
 // connection that was open when the one that carries the request last worked;
 // zero if none did. Those opened since don't count: they may work while all
 // that were open have gone silent.
-func (cl *Client) Heard(server, requestID string) time.Time {
+func (cl *Client) LastReply(server, requestID string) time.Time {
 	cl.mu.RLock()
 	po := cl.pools[server]
 	cl.mu.RUnlock()
--- a/backend/client_test.go
+++ b/backend/client_test.go
@@ -135,7 +135,7 @@
 		time.Sleep(10 * time.Millisecond)
 		_, err := cl.Do(context.Background(), ta, request("hedge"))
 		c.Assert(err, qt.IsNil)
-		c.Check(cl.Heard("sv", "lost"), qt.Equals, replied)
+		c.Check(cl.LastReply("sv", "lost"), qt.Equals, replied)
 		_, err = cl.Do(context.Background(), ta, request("again")) // over the proved one
 		c.Assert(err, qt.IsNil)
 		c.Check(cl.Stats("sv").Opened, qt.Equals, uint64(3))
--- a/fanout/engine.go
+++ b/fanout/engine.go
@@ -30,7 +30,7 @@
 	// Heard returns when a whole reply last came from a backend server over a
 	// connection that was open when the one that carries the request last worked;
 	// zero if none did.
-	Heard(server, requestID string) time.Time
+	LastReply(server, requestID string) time.Time
 }
 
 // Servers chooses among replicas and keeps their slots; *limit.Table is one.
--- a/fanout/run.go
+++ b/fanout/run.go
@@ -253,7 +253,7 @@
 		if at.shard != ix || at.sent.IsZero() {
 			continue
 		}
-		if rn.en.he == nil || at.sent.After(from) || rn.en.he.Heard(at.server, at.requestID).After(from) {
+		if rn.en.he == nil || at.sent.After(from) || rn.en.he.LastReply(at.server, at.requestID).After(from) {
 			return false
 		}
 		late = true
