--- a/fanout/engine.go
+++ b/fanout/engine.go
@@ -57,7 +57,7 @@
 
 // NewBudget makes the budget of one service from the percentage in its
 // configuration and the number of extra leaf requests that it may save up.
-type NewBudget func(percent float64, burst int) Budget
+type BudgetFactory func(percent float64, burst int) Budget
 
 // Engine answers queries. It is safe for many goroutines, and queries share no
 // lock on their way.
@@ -69,7 +69,7 @@
 	he   ReplyTracker // he is nil if the Sender is none.
 	ta   Servers
 	ad   Admitter
-	nb   NewBudget
+	nb   BudgetFactory
 	on   once.Recorder
 	ts   *timer.Service
 	lg   *zap.Logger
@@ -87,7 +87,7 @@
 // New returns an engine of the instance with the given name. The lease, the
 // configuration and the backend servers are those of the newest view in the
 // cell.
-func New(self string, ce *view.Cell, cl Sender, ta Servers, ad Admitter, nb NewBudget, on once.Recorder, ts *timer.Service, lg *zap.Logger, me *Metrics) *Engine {
+func New(self string, ce *view.Cell, cl Sender, ta Servers, ad Admitter, nb BudgetFactory, on once.Recorder, ts *timer.Service, lg *zap.Logger, me *Metrics) *Engine {
 	en := &Engine{
 		self: self, boot: strconv.FormatInt(ts.Now().UnixNano(), 36),
 		ce: ce, cl: cl, ta: ta, ad: ad, nb: nb, on: on, ts: ts, lg: lg, me: me,
