--- a/fanout/explain.go
+++ b/fanout/explain.go
@@ -13,7 +13,7 @@
 )
 
 // Explained says why an answer was less than complete.
-type Explained struct {
+type IncompleteAnswer struct {
 	When             time.Time
 	RequestID        string
 	Service          string
@@ -32,23 +32,23 @@
 // recent is a ring of the last answers that were less than complete.
 type recent struct {
 	next atomic.Uint64
-	ring [recentAnswers]atomic.Pointer[Explained]
+	ring [recentAnswers]atomic.Pointer[IncompleteAnswer]
 }
 
-func (re *recent) add(ex *Explained) {
+func (re *recent) add(ex *IncompleteAnswer) {
 	re.ring[(re.next.Add(1)-1)%recentAnswers].Store(ex)
 }
 
 // Recent returns the last answers that were refused or less than complete, the
 // newest first.
-func (en *Engine) Recent() []Explained {
-	var exs []Explained
+func (en *Engine) Recent() []IncompleteAnswer {
+	var exs []IncompleteAnswer
 	for ix := range en.recent.ring {
 		if ex := en.recent.ring[ix].Load(); ex != nil {
 			exs = append(exs, *ex)
 		}
 	}
-	slices.SortStableFunc(exs, func(aa, bb Explained) int { return bb.When.Compare(aa.When) })
+	slices.SortStableFunc(exs, func(aa, bb IncompleteAnswer) int { return bb.When.Compare(aa.When) })
 	return exs
 }
 
@@ -91,7 +91,7 @@
 	elapsed := time.Duration(an.Cost.Micros) * time.Microsecond
 	now := start.Add(elapsed)
 	if an.Code != result.Complete {
-		en.recent.add(&Explained{
+		en.recent.add(&IncompleteAnswer{
 			When: now, RequestID: an.RequestID, Service: rn.qu.Service, Code: an.Code, Detail: an.Detail,
 			Snapshot: an.Snapshot, Covered: an.Covered, Missing: an.Missing,
 			RetryAfterMillis: an.RetryAfterMillis, Cost: an.Cost,
