--- a/fanout/engine_test.go
+++ b/fanout/engine_test.go
@@ -258,7 +258,7 @@
 				c.Check(got, qt.Equals, tc.want)
 				c.Check(an.Code.NotRun() && len(ti.sent()) > 0, qt.IsFalse)
 				c.Check(an.Revision, qt.Equals, uint64(7))
-				c.Check(len(ti.en.Recent()), qt.Equals, min(1, int(an.Code)))
+				c.Check(len(ti.en.RecentIncomplete()), qt.Equals, min(1, int(an.Code)))
 			})
 		})
 	}
@@ -470,7 +470,7 @@
 		qu.Policy = operator.Best
 		an := ti.en.Run(c.Context(), qu)
 		c.Assert(brief(an), qt.Equals, "Partial [a] [{b Busy}] 1 of 2 shards missing: b (Busy)")
-		c.Assert(ti.en.Recent()[0].Missing, qt.DeepEquals, []Missing{{"b", Busy}})
+		c.Assert(ti.en.RecentIncomplete()[0].Missing, qt.DeepEquals, []Missing{{"b", Busy}})
 		qu.Service = "made up"
 		ti.en.Run(c.Context(), qu)
 		var out bytes.Buffer
--- a/fanout/explain.go
+++ b/fanout/explain.go
@@ -41,7 +41,7 @@
 
 // Recent returns the last answers that were refused or less than complete, the
 // newest first.
-func (en *Engine) Recent() []IncompleteAnswer {
+func (en *Engine) RecentIncomplete() []IncompleteAnswer {
 	var exs []IncompleteAnswer
 	for ix := range en.recent.ring {
 		if ex := en.recent.ring[ix].Load(); ex != nil {
--- a/instance/operators.go
+++ b/instance/operators.go
@@ -327,7 +327,7 @@
 
 func (in *Instance) explainAnswer(subject string) []string {
 	var out []string
-	for _, an := range in.en.Recent() {
+	for _, an := range in.en.RecentIncomplete() {
 		if an.RequestID != subject {
 			continue
 		}
