--- a/fanout/engine.go
+++ b/fanout/engine.go
@@ -147,13 +147,13 @@
 
 // Active returns how many queries run or have left something running: attempts
 // that end, outcomes that are being recorded.
-func (en *Engine) Active() int {
+func (en *Engine) InFlight() int {
 	return int(en.active.Load())
 }
 
 // Wait returns when nothing is active, or the context's error.
 func (en *Engine) Wait(ctx context.Context) error {
-	for en.Active() > 0 {
+	for en.InFlight() > 0 {
 		if err := en.ts.Sleep(ctx, 10*time.Millisecond); err != nil {
 			return err
 		}
--- a/instance/drain.go
+++ b/instance/drain.go
@@ -64,7 +64,7 @@
 // hands leadership over and tells the others.
 func (in *Instance) farewell(ctx context.Context) {
 	if err := in.en.Wait(ctx); err != nil {
-		in.lg.Warn("requests-cut-off", zap.Int64("Active", int64(in.en.Active())), zap.Error(err))
+		in.lg.Warn("requests-cut-off", zap.Int64("Active", int64(in.en.InFlight())), zap.Error(err))
 	}
 	in.cl.Close()
 	ctx, cancel := context.WithTimeout(ctx, farewellTime)
