--- a/fanout/attempt.go
+++ b/fanout/attempt.go
@@ -154,7 +154,7 @@
 // Settled takes in what became of a request that was given up after it left; it
 // is for backend.ClientConfig.Settled. A server that proves to have stopped
 // gets its slot back at once.
-func (en *Engine) Settled(sm backend.Settlement) {
+func (en *Engine) RequestAbandoned(sm backend.Settlement) {
 	en.held.settle(en, sm)
 }
 
