--- a/fanout/route.go
+++ b/fanout/route.go
@@ -22,7 +22,7 @@
 }
 
 // Holdings returns what snapshot.Choose needs to know of a service.
-func Holdings(se operator.Service, servers []backend.Record) ([]snapshot.Holder, []snapshot.Partition) {
+func PlanInputs(se operator.Service, servers []backend.Record) ([]snapshot.Holder, []snapshot.Partition) {
 	var hos []snapshot.Holder
 	for ix := range servers {
 		re := &servers[ix]
--- a/instance/operators.go
+++ b/instance/operators.go
@@ -161,7 +161,7 @@
 func services(vi *view.View) []operator.ServiceStatus {
 	var out []operator.ServiceStatus
 	for name, se := range vi.Configuration.Services {
-		hos, pas := fanout.Holdings(se, vi.Servers)
+		hos, pas := fanout.PlanInputs(se, vi.Servers)
 		cv, _ := snapshot.Choose(pas, hos, nil)
 		ss := operator.ServiceStatus{Name: name, Policy: se.Policy, Snapshot: cv.Snapshot, Shards: len(cv.Shards)}
 		for _, sh := range cv.Shards {
