--- a/cmd/balsamload/main_test.go
+++ b/cmd/balsamload/main_test.go
@@ -45,7 +45,7 @@
 		an := fanout.Answer{RequestID: "q", Instance: "entry-01", Code: code, Covered: []string{"s01"}}
 		an.Rows = []fanout.ShardRows{{Shard: "s01", Server: "archivo-1", Rows: []json.RawMessage{json.RawMessage(`{"Sheet":7}`)}}}
 		if code != result.Complete {
-			an.Missing = []fanout.Missing{{Shard: "s02", Reason: "Deadline"}}
+			an.Missing = []fanout.MissingShard{{Shard: "s02", Reason: "Deadline"}}
 			an.Detail, an.RetryAfterMillis = "1 of 2 shards missing", 40
 		}
 		rw.WriteHeader(code.Status())
--- a/fanout/answer.go
+++ b/fanout/answer.go
@@ -89,7 +89,7 @@
 		}
 		why := sh.why(re)
 		ou.add(why, sh.begun || sh.runs() > 0)
-		an.Missing = append(an.Missing, Missing{Shard: name, Reason: why})
+		an.Missing = append(an.Missing, MissingShard{Shard: name, Reason: why})
 	}
 	an.Code = st.code(&ou)
 	an.Cost = st.cost
@@ -193,7 +193,7 @@
 	}
 }
 
-func detail(shards int, missing []Missing) string {
+func detail(shards int, missing []MissingShard) string {
 	st := fmt.Sprintf("%d of %d shards missing: %s (%s)", len(missing), shards, missing[0].Shard, missing[0].Reason)
 	if len(missing) > 1 {
 		st += " and others"
--- a/fanout/engine_test.go
+++ b/fanout/engine_test.go
@@ -470,7 +470,7 @@
 		qu.Policy = operator.Best
 		an := ti.en.Run(c.Context(), qu)
 		c.Assert(brief(an), qt.Equals, "Partial [a] [{b Busy}] 1 of 2 shards missing: b (Busy)")
-		c.Assert(ti.en.RecentIncomplete()[0].Missing, qt.DeepEquals, []Missing{{"b", Busy}})
+		c.Assert(ti.en.RecentIncomplete()[0].Missing, qt.DeepEquals, []MissingShard{{"b", Busy}})
 		qu.Service = "made up"
 		ti.en.Run(c.Context(), qu)
 		var out bytes.Buffer
--- a/fanout/explain.go
+++ b/fanout/explain.go
@@ -20,8 +20,8 @@
 	Code             result.Code
 	Detail           string
 	Snapshot         snapshot.ID
-	Covered          []string  // Covered are the shards with rows.
-	Missing          []Missing // Missing are the shards without rows and their reasons.
+	Covered          []string       // Covered are the shards with rows.
+	Missing          []MissingShard // Missing are the shards without rows and their reasons.
 	RetryAfterMillis int64
 	Cost             Cost
 }
--- a/fanout/fanout.go
+++ b/fanout/fanout.go
@@ -35,14 +35,14 @@
 	RequestID        string
 	Instance         string // Instance is the name of the instance that answered.
 	Code             result.Code
-	Detail           string      `json:",omitempty"`
-	Snapshot         snapshot.ID // Snapshot is what every row comes from.
-	Revision         uint64      // Revision is that of the configuration in use.
-	Stale            bool        `json:",omitempty"` // Stale says that the instance had lost control and its configuration may be old.
-	Covered          []string    // Covered names the shards whose rows are all in Rows.
-	Missing          []Missing   `json:",omitempty"`
-	Rows             []ShardRows `json:",omitempty"`
-	RetryAfterMillis int64       `json:",omitempty"` // RetryAfterMillis is when to come back after a refusal.
+	Detail           string         `json:",omitempty"`
+	Snapshot         snapshot.ID    // Snapshot is what every row comes from.
+	Revision         uint64         // Revision is that of the configuration in use.
+	Stale            bool           `json:",omitempty"` // Stale says that the instance had lost control and its configuration may be old.
+	Covered          []string       // Covered names the shards whose rows are all in Rows.
+	Missing          []MissingShard `json:",omitempty"`
+	Rows             []ShardRows    `json:",omitempty"`
+	RetryAfterMillis int64          `json:",omitempty"` // RetryAfterMillis is when to come back after a refusal.
 	Cost             Cost
 }
 
@@ -54,7 +54,7 @@
 }
 
 // Missing is a shard that the answer does not cover.
-type Missing struct {
+type MissingShard struct {
 	Shard  string
 	Reason Reason
 }
--- a/fanout/keyed.go
+++ b/fanout/keyed.go
@@ -102,7 +102,7 @@
 	an.Code = result.Incomplete
 	an.Detail = "the request ran once with " + co.String() + "; its rows are no longer kept"
 	for _, sh := range rn.plan.Shards {
-		an.Missing = append(an.Missing, Missing{Shard: sh, Reason: NotKept})
+		an.Missing = append(an.Missing, MissingShard{Shard: sh, Reason: NotKept})
 	}
 	return an
 }
--- a/fanout/world_test.go
+++ b/fanout/world_test.go
@@ -309,7 +309,7 @@
 		if count > 1 {
 			fail("shard %s ran %d times", sh, count)
 		}
-		why := slices.IndexFunc(an.Missing, func(mi Missing) bool { return mi.Shard == sh })
+		why := slices.IndexFunc(an.Missing, func(mi MissingShard) bool { return mi.Shard == sh })
 		unknown = unknown || why >= 0 && an.Missing[why].Reason != Failed
 	}
 	if unknown && an.Code != result.OutcomeUnknown {
--- a/load/check_test.go
+++ b/load/check_test.go
@@ -51,12 +51,12 @@
 		{"covered without rows", result.Complete, func(an *fanout.Answer) { an.Rows = an.Rows[:1] }, []BreachKind{FalseCoverage}},
 		{"rows not claimed", result.Partial, func(an *fanout.Answer) {
 			an.Covered = an.Covered[:1]
-			an.Missing = []fanout.Missing{{Shard: "s02", Reason: "Deadline"}}
+			an.Missing = []fanout.MissingShard{{Shard: "s02", Reason: "Deadline"}}
 		}, []BreachKind{FalseCoverage}},
 		{"shard not mentioned", result.Partial, func(an *fanout.Answer) { an.Covered, an.Rows = an.Covered[:1], an.Rows[:1] }, []BreachKind{FalseCoverage}},
 		{"complete and missing", result.Complete, func(an *fanout.Answer) {
 			an.Covered, an.Rows = an.Covered[:1], an.Rows[:1]
-			an.Missing = []fanout.Missing{{Shard: "s02", Reason: "Deadline"}}
+			an.Missing = []fanout.MissingShard{{Shard: "s02", Reason: "Deadline"}}
 		}, []BreachKind{FalseCoverage}},
 		{"unknown outcome", result.OutcomeUnknown, func(an *fanout.Answer) { an.Covered, an.Rows = nil, nil }, nil},
 		{"refused", result.NotRunOverloaded, func(an *fanout.Answer) { *an = fanout.Answer{RequestID: "q1", Code: an.Code} }, nil},
--- a/load/run_test.go
+++ b/load/run_test.go
@@ -187,7 +187,7 @@
 			case 2:
 				an := &sa.outcome.Word.Answer
 				an.Code, an.Covered = result.Incomplete, an.Covered[:2]
-				an.Missing = []fanout.Missing{{Shard: "s03", Reason: "Deadline"}}
+				an.Missing = []fanout.MissingShard{{Shard: "s03", Reason: "Deadline"}}
 				an.Cost = fanout.Cost{LeafRequests: 4, Retries: 1, Extra: 1}
 			}
 			sa.outcome.Attempts = []Attempt{sa.outcome.Word}
