--- a/fanout/engine.go
+++ b/fanout/engine.go
@@ -253,7 +253,7 @@
 	if !qu.Repeatable {
 		reserve = min(span/recordShare, maxRecord)
 	}
-	rn.ru = Rules{
+	rn.ru = Params{
 		Prefix:     qu.RequestID + "." + rn.en.self + "." + rn.en.boot + "." + strconv.FormatUint(rn.en.seq.Add(1), 36),
 		Start:      start,
 		Finish:     rn.recordBy.Add(-reserve),
--- a/fanout/event.go
+++ b/fanout/event.go
@@ -10,7 +10,7 @@
 
 // Rules are what the decisions of one query go by. They stay the same while it
 // runs.
-type Rules struct {
+type Params struct {
 	Prefix     string        // Prefix begins the request id of each attempt; it is unique to the query.
 	Start      time.Time     // Start is when the query arrived.
 	Finish     time.Time     // Finish is when the answer is given at the latest.
--- a/fanout/run.go
+++ b/fanout/run.go
@@ -21,7 +21,7 @@
 	qu       *Query
 	se       operator.Service
 	sv       *service
-	ru       Rules
+	ru       Params
 	ro       *route
 	plan     snapshot.Coverage
 	stale    bool
--- a/fanout/state.go
+++ b/fanout/state.go
@@ -15,7 +15,7 @@
 // State is where one query stands. It is immutable: Step returns a new one that
 // shares what did not change.
 type State struct {
-	ru         Rules
+	ru         Params
 	plan       snapshot.Coverage
 	shards     shardList
 	open       int // open counts the shards neither covered nor missing.
@@ -31,7 +31,7 @@
 }
 
 // NewState returns the state of a query that has no plan yet.
-func NewState(ru Rules) State {
+func NewState(ru Params) State {
 	return State{ru: ru, wake: never, armed: never}
 }
 
--- a/fanout/world_test.go
+++ b/fanout/world_test.go
@@ -335,7 +335,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		wo := &world{rt: rt, now: epoch, ran: make(map[string]int), maybe: make(map[string]bool), unran: make(map[int]string)}
 		wo.fates = rapid.SampledFrom(weathers).Draw(rt, "weather")
-		wo.st = NewState(Rules{
+		wo.st = NewState(Params{
 			Prefix:     "q",
 			Start:      epoch,
 			Finish:     at(rapid.SampledFrom([]int{5, 100, 400}).Draw(rt, "finish")),
