--- a/fanout/engine.go
+++ b/fanout/engine.go
@@ -254,13 +254,13 @@
 		reserve = min(span/recordShare, maxRecord)
 	}
 	rn.ru = Params{
-		Prefix:     qu.RequestID + "." + rn.en.self + "." + rn.en.boot + "." + strconv.FormatUint(rn.en.seq.Add(1), 36),
-		Start:      start,
-		Finish:     rn.recordBy.Add(-reserve),
-		HedgeDelay: rn.en.ta.HedgeDelay(qu.Service),
-		Policy:     policy(rn.se, qu),
-		Tactics:    rn.se.Tactics,
-		Repeatable: qu.Repeatable,
+		RequestIDPrefix: qu.RequestID + "." + rn.en.self + "." + rn.en.boot + "." + strconv.FormatUint(rn.en.seq.Add(1), 36),
+		Start:           start,
+		Finish:          rn.recordBy.Add(-reserve),
+		HedgeDelay:      rn.en.ta.HedgeDelay(qu.Service),
+		Policy:          policy(rn.se, qu),
+		Tactics:         rn.se.Tactics,
+		Repeatable:      qu.Repeatable,
 	}
 	rn.leafBy = rn.ru.Finish.Add(-margin / 2)
 	if rn.ru.HedgeDelay <= 0 {
--- a/fanout/event.go
+++ b/fanout/event.go
@@ -11,13 +11,13 @@
 // Rules are what the decisions of one query go by. They stay the same while it
 // runs.
 type Params struct {
-	Prefix     string        // Prefix begins the request id of each attempt; it is unique to the query.
-	Start      time.Time     // Start is when the query arrived.
-	Finish     time.Time     // Finish is when the answer is given at the latest.
-	HedgeDelay time.Duration // HedgeDelay is after how long a leaf request is late; above zero.
-	Policy     operator.Policy
-	Tactics    operator.Tactics
-	Repeatable bool
+	RequestIDPrefix string        // Prefix begins the request id of each attempt; it is unique to the query.
+	Start           time.Time     // Start is when the query arrived.
+	Finish          time.Time     // Finish is when the answer is given at the latest.
+	HedgeDelay      time.Duration // HedgeDelay is after how long a leaf request is late; above zero.
+	Policy          operator.Policy
+	Tactics         operator.Tactics
+	Repeatable      bool
 }
 
 // Attempt names one request to a backend server within a query.
--- a/fanout/state.go
+++ b/fanout/state.go
@@ -37,7 +37,7 @@
 
 // RequestID returns the request id of an attempt.
 func (st State) RequestID(at Attempt) string {
-	return st.ru.Prefix + "." + strconv.Itoa(at.Number)
+	return st.ru.RequestIDPrefix + "." + strconv.Itoa(at.Number)
 }
 
 // finish returns when the answer is given at the latest.
--- a/fanout/step_test.go
+++ b/fanout/step_test.go
@@ -56,7 +56,7 @@
 // newScript takes the words Best, Complete, Baseline, once, and the end in ms.
 // The hedge delay is 10 ms.
 func newScript(words []string) *script {
-	ru := Params{Prefix: "q", Start: epoch, HedgeDelay: 10 * time.Millisecond, Policy: operator.Complete, Repeatable: true}
+	ru := Params{RequestIDPrefix: "q", Start: epoch, HedgeDelay: 10 * time.Millisecond, Policy: operator.Complete, Repeatable: true}
 	for _, wo := range words {
 		switch wo {
 		case "Best", "Complete":
--- a/fanout/world_test.go
+++ b/fanout/world_test.go
@@ -336,13 +336,13 @@
 		wo := &world{rt: rt, now: epoch, ran: make(map[string]int), maybe: make(map[string]bool), unran: make(map[int]string)}
 		wo.fates = rapid.SampledFrom(weathers).Draw(rt, "weather")
 		wo.st = NewState(Params{
-			Prefix:     "q",
-			Start:      epoch,
-			Finish:     at(rapid.SampledFrom([]int{5, 100, 400}).Draw(rt, "finish")),
-			HedgeDelay: 10 * time.Millisecond,
-			Policy:     rapid.SampledFrom([]operator.Policy{operator.Complete, operator.Best}).Draw(rt, "policy"),
-			Tactics:    rapid.SampledFrom([]operator.Tactics{operator.Adaptive, operator.Adaptive, operator.Baseline}).Draw(rt, "tactics"),
-			Repeatable: rapid.Bool().Draw(rt, "repeatable"),
+			RequestIDPrefix: "q",
+			Start:           epoch,
+			Finish:          at(rapid.SampledFrom([]int{5, 100, 400}).Draw(rt, "finish")),
+			HedgeDelay:      10 * time.Millisecond,
+			Policy:          rapid.SampledFrom([]operator.Policy{operator.Complete, operator.Best}).Draw(rt, "policy"),
+			Tactics:         rapid.SampledFrom([]operator.Tactics{operator.Adaptive, operator.Adaptive, operator.Baseline}).Draw(rt, "tactics"),
+			Repeatable:      rapid.Bool().Draw(rt, "repeatable"),
 		})
 		wo.plan = wo.draw(1)
 		wo.run()
