--- a/fanout/attempt.go
+++ b/fanout/attempt.go
@@ -73,7 +73,7 @@
 // like a slow server. It is given up while there is time for another one; a
 // request that must not be repeated has no use for another and waits to the end.
 func (rn *run) target(se *sending) backend.Target {
-	silent := rn.ru.Finish.Sub(se.sent)
+	silent := rn.ru.AnswerDeadline.Sub(se.sent)
 	if rn.ru.Repeatable {
 		silent = silent * silentNum / silentDen
 	}
--- a/fanout/engine.go
+++ b/fanout/engine.go
@@ -167,7 +167,7 @@
 	if an, ok := rn.prepare(start, vi); !ok {
 		return an, false
 	}
-	release, er := rn.en.ad.Admit(rn.ctx, rn.qu.Service, rn.se.Weight, len(rn.plan.Shards), rn.ru.Finish)
+	release, er := rn.en.ad.Admit(rn.ctx, rn.qu.Service, rn.se.Weight, len(rn.plan.Shards), rn.ru.AnswerDeadline)
 	if er != nil {
 		return refusal(er.Code, er.Detail, er.RetryAfter), false
 	}
@@ -208,7 +208,7 @@
 	rn.revision = vi.Configuration.Revision
 	rn.sv = rn.en.serviceOf(qu.Service, se)
 	rn.setRules(start)
-	if !start.Before(rn.ru.Finish) {
+	if !start.Before(rn.ru.AnswerDeadline) {
 		return refusal(result.NotRunDeadline, "the deadline leaves no time", 0), false
 	}
 	rn.ro = rn.en.routesOf(vi).of(qu.Service, se)
@@ -256,13 +256,13 @@
 	rn.ru = Params{
 		RequestIDPrefix: qu.RequestID + "." + rn.en.self + "." + rn.en.boot + "." + strconv.FormatUint(rn.en.seq.Add(1), 36),
 		Start:           start,
-		Finish:          rn.recordBy.Add(-reserve),
+		AnswerDeadline:  rn.recordBy.Add(-reserve),
 		HedgeDelay:      rn.en.ta.HedgeDelay(qu.Service),
 		Policy:          policy(rn.se, qu),
 		Tactics:         rn.se.Tactics,
 		Repeatable:      qu.Repeatable,
 	}
-	rn.leafBy = rn.ru.Finish.Add(-margin / 2)
+	rn.leafBy = rn.ru.AnswerDeadline.Add(-margin / 2)
 	if rn.ru.HedgeDelay <= 0 {
 		rn.ru.HedgeDelay = limit.DefaultHedgeDelay
 	}
--- a/fanout/event.go
+++ b/fanout/event.go
@@ -13,7 +13,7 @@
 type Params struct {
 	RequestIDPrefix string        // Prefix begins the request id of each attempt; it is unique to the query.
 	Start           time.Time     // Start is when the query arrived.
-	Finish          time.Time     // Finish is when the answer is given at the latest.
+	AnswerDeadline  time.Time     // Finish is when the answer is given at the latest.
 	HedgeDelay      time.Duration // HedgeDelay is after how long a leaf request is late; above zero.
 	Policy          operator.Policy
 	Tactics         operator.Tactics
--- a/fanout/explain.go
+++ b/fanout/explain.go
@@ -109,7 +109,7 @@
 		return ""
 	case an.Code != result.Complete:
 		return "query.incomplete"
-	case elapsed*slowDen > rn.ru.Finish.Sub(rn.ru.Start)*slowNum:
+	case elapsed*slowDen > rn.ru.AnswerDeadline.Sub(rn.ru.Start)*slowNum:
 		return "query.slow"
 	default:
 		return ""
--- a/fanout/keyed.go
+++ b/fanout/keyed.go
@@ -35,7 +35,7 @@
 		Service: rn.qu.Service,
 		Attempt: rn.en.self + "." + rn.en.boot + "." + strconv.FormatUint(rn.en.seq.Add(1), 36),
 	}
-	ctx, cancel := context.WithDeadline(rn.ctx, rn.ru.Finish)
+	ctx, cancel := context.WithDeadline(rn.ctx, rn.ru.AnswerDeadline)
 	defer cancel()
 	de, err := rn.en.on.Begin(ctx, in)
 	if err != nil {
@@ -72,7 +72,7 @@
 	switch {
 	case !rn.stale && !rn.en.ce.Load().Leased(now) && !rn.se.ServeWithoutControl:
 		return refusal(result.NotRunStale, "the lease from control has run out", retryMissing)
-	case !now.Before(rn.ru.Finish):
+	case !now.Before(rn.ru.AnswerDeadline):
 		return refusal(result.NotRunDeadline, "recording the intent took all the time", retryBusy)
 	case rn.ctx.Err() != nil:
 		return refusal(result.NotRunDeadline, "the caller went away", 0)
--- a/fanout/run.go
+++ b/fanout/run.go
@@ -68,7 +68,7 @@
 	en := rn.en
 	rn.pin()
 	count := len(rn.plan.Shards)
-	rn.base, rn.cancel = context.WithDeadline(context.WithoutCancel(rn.ctx), rn.ru.Finish)
+	rn.base, rn.cancel = context.WithDeadline(context.WithoutCancel(rn.ctx), rn.ru.AnswerDeadline)
 	rn.events = make(chan Event, count+spareEvents)
 	rn.done = make(chan struct{})
 	rn.wake = make(chan struct{}, 1)
@@ -106,7 +106,7 @@
 	if rn.tm != nil {
 		rn.tm.Stop()
 	}
-	if rn.en.ts.Now().Before(rn.ru.Finish) {
+	if rn.en.ts.Now().Before(rn.ru.AnswerDeadline) {
 		rn.cancel()
 	}
 }
--- a/fanout/state.go
+++ b/fanout/state.go
@@ -42,7 +42,7 @@
 
 // finish returns when the answer is given at the latest.
 func (st State) finish() time.Duration {
-	return st.ru.Finish.Sub(st.ru.Start)
+	return st.ru.AnswerDeadline.Sub(st.ru.Start)
 }
 
 func (st State) covered() int {
--- a/fanout/step_test.go
+++ b/fanout/step_test.go
@@ -67,7 +67,7 @@
 			ru.Repeatable = false
 		default:
 			ms, _ := strconv.Atoi(wo)
-			ru.Finish = at(ms)
+			ru.AnswerDeadline = at(ms)
 		}
 	}
 	return &script{st: NewState(ru), asks: make(map[int]Ask)}
--- a/fanout/world_test.go
+++ b/fanout/world_test.go
@@ -268,8 +268,8 @@
 	fail := func(format string, args ...any) {
 		wo.rt.Fatalf("%s: %+v ran %v", fmt.Sprintf(format, args...), *an, wo.ran)
 	}
-	if wo.end.After(wo.st.ru.Finish) {
-		fail("answered %s after the end", wo.end.Sub(wo.st.ru.Finish))
+	if wo.end.After(wo.st.ru.AnswerDeadline) {
+		fail("answered %s after the end", wo.end.Sub(wo.st.ru.AnswerDeadline))
 	}
 	if an.Snapshot != wo.plan.Snapshot {
 		fail("want snapshot %s", wo.plan.Snapshot)
@@ -338,7 +338,7 @@
 		wo.st = NewState(Params{
 			RequestIDPrefix: "q",
 			Start:           epoch,
-			Finish:          at(rapid.SampledFrom([]int{5, 100, 400}).Draw(rt, "finish")),
+			AnswerDeadline:  at(rapid.SampledFrom([]int{5, 100, 400}).Draw(rt, "finish")),
 			HedgeDelay:      10 * time.Millisecond,
 			Policy:          rapid.SampledFrom([]operator.Policy{operator.Complete, operator.Best}).Draw(rt, "policy"),
 			Tactics:         rapid.SampledFrom([]operator.Tactics{operator.Adaptive, operator.Adaptive, operator.Baseline}).Draw(rt, "tactics"),
