--- a/fanout/event.go
+++ b/fanout/event.go
@@ -33,7 +33,7 @@
 
 // Started gives the plan that the query pins. Given again, as the reply to
 // Replan, it restarts the query if that gains coverage.
-type Started struct {
+type PlanReady struct {
 	Now  time.Time
 	Plan snapshot.Coverage
 }
@@ -91,7 +91,7 @@
 	Now time.Time
 }
 
-func (ev Started) when() time.Time       { return ev.Now }
+func (ev PlanReady) when() time.Time     { return ev.Now }
 func (ev Replied) when() time.Time       { return ev.Now }
 func (ev AttemptFailed) when() time.Time { return ev.Now }
 func (ev NotSent) when() time.Time       { return ev.Now }
--- a/fanout/run.go
+++ b/fanout/run.go
@@ -75,7 +75,7 @@
 	rn.attempts = make([]attempt, 0, count+spareEvents)
 	rn.st = NewState(rn.ru)
 	rn.sv.bu.Load().Earn(count)
-	rn.step(Started{Now: en.ts.Now(), Plan: rn.plan})
+	rn.step(PlanReady{Now: en.ts.Now(), Plan: rn.plan})
 	gone := rn.ctx.Done()
 	for rn.answer == nil {
 		if len(rn.todo) > 0 {
@@ -191,7 +191,7 @@
 func (rn *run) replan(newer snapshot.ID) {
 	rn.refresh()
 	if plan, ok := rn.ro.planNewer(newer, rn.qu.Shards); ok {
-		rn.todo = append(rn.todo, Started{Now: rn.en.ts.Now(), Plan: plan})
+		rn.todo = append(rn.todo, PlanReady{Now: rn.en.ts.Now(), Plan: plan})
 	}
 }
 
--- a/fanout/step.go
+++ b/fanout/step.go
@@ -46,7 +46,7 @@
 	}
 	tu := turn{st: st, now: ev.when().Sub(st.ru.Start)}
 	switch ev := ev.(type) {
-	case Started:
+	case PlanReady:
 		tu.started(ev.Plan)
 	case Replied:
 		tu.replied(ev)
--- a/fanout/step_test.go
+++ b/fanout/step_test.go
@@ -122,7 +122,7 @@
 				co.Missing = append(co.Missing, name)
 			}
 		}
-		return Started{Now: now, Plan: co}
+		return PlanReady{Now: now, Plan: co}
 	case "due":
 		return Due{Now: now}
 	case "caller-gone":
--- a/fanout/world_test.go
+++ b/fanout/world_test.go
@@ -182,7 +182,7 @@
 	if before := wo.st.plan.Snapshot; before != newer {
 		wo.rt.Fatalf("replan from %s, pinned %s", newer, before)
 	}
-	wo.queue = append(wo.queue, Started{Now: wo.now, Plan: plan})
+	wo.queue = append(wo.queue, PlanReady{Now: wo.now, Plan: plan})
 }
 
 // draw draws a plan of one of two partition maps, with shards that nobody holds.
@@ -200,7 +200,7 @@
 
 // run plays the query to its answer.
 func (wo *world) run() {
-	wo.queue = append(wo.queue, Started{Now: epoch, Plan: wo.plan})
+	wo.queue = append(wo.queue, PlanReady{Now: epoch, Plan: wo.plan})
 	if wo.chance("caller goes", 10) {
 		wo.queue = append(wo.queue, CallerGone{Now: wo.later("goes")})
 	}
@@ -219,7 +219,7 @@
 		case AttemptFailed:
 			delete(wo.maybe, wo.unran[ev.Attempt.Number])
 		}
-		if st, ok := ev.(Started); ok {
+		if st, ok := ev.(PlanReady); ok {
 			wo.started(st)
 			continue
 		}
@@ -228,7 +228,7 @@
 }
 
 // started steps a plan and notes whether it was taken.
-func (wo *world) started(ev Started) {
+func (wo *world) started(ev PlanReady) {
 	was := wo.plan
 	wo.plan = ev.Plan
 	restarts := wo.st.cost.Restarts
