--- a/fanout/event.go
+++ b/fanout/event.go
@@ -56,7 +56,7 @@
 
 // NotSent says that an attempt was not sent because no backend server may be
 // sent one now.
-type NotSent struct {
+type NoServerAvailable struct {
 	Now     time.Time
 	Attempt Attempt
 	Able    bool // Able says that a backend server that holds the shard may take it later.
@@ -91,14 +91,14 @@
 	Now time.Time
 }
 
-func (ev PlanReady) when() time.Time     { return ev.Now }
-func (ev Replied) when() time.Time       { return ev.Now }
-func (ev AttemptFailed) when() time.Time { return ev.Now }
-func (ev NotSent) when() time.Time       { return ev.Now }
-func (ev Room) when() time.Time          { return ev.Now }
-func (ev NoBudget) when() time.Time      { return ev.Now }
-func (ev Due) when() time.Time           { return ev.Now }
-func (ev CallerGone) when() time.Time    { return ev.Now }
+func (ev PlanReady) when() time.Time         { return ev.Now }
+func (ev Replied) when() time.Time           { return ev.Now }
+func (ev AttemptFailed) when() time.Time     { return ev.Now }
+func (ev NoServerAvailable) when() time.Time { return ev.Now }
+func (ev Room) when() time.Time              { return ev.Now }
+func (ev NoBudget) when() time.Time          { return ev.Now }
+func (ev Due) when() time.Time               { return ev.Now }
+func (ev CallerGone) when() time.Time        { return ev.Now }
 
 // Action is something to be done for a query.
 type Action interface {
--- a/fanout/late.go
+++ b/fanout/late.go
@@ -95,7 +95,7 @@
 	tu.put(ix, sh)
 }
 
-func (tu *turn) notSent(ev NotSent) {
+func (tu *turn) notSent(ev NoServerAvailable) {
 	sh, ru, ok := tu.ended(ev.Attempt, false)
 	if !ok {
 		return
--- a/fanout/run.go
+++ b/fanout/run.go
@@ -285,7 +285,7 @@
 // notSent says that no server can be sent an attempt, and waits for room if the
 // shard has nothing else to wait for.
 func (rn *run) notSent(now time.Time, ac Ask, candidates []backend.Record, exclude []string) {
-	ev := NotSent{Now: now, Attempt: ac.Attempt}
+	ev := NoServerAvailable{Now: now, Attempt: ac.Attempt}
 	if ac.Kind == Hedge {
 		ev.Pause, ev.Able = rn.en.ta.RetryDelay(now, candidates, exclude)
 		ev.Doubted = rn.doubted(now, ac.Attempt.Shard)
--- a/fanout/step.go
+++ b/fanout/step.go
@@ -52,7 +52,7 @@
 		tu.replied(ev)
 	case AttemptFailed:
 		tu.attemptFailed(ev)
-	case NotSent:
+	case NoServerAvailable:
 		tu.notSent(ev)
 	case Room:
 		tu.room(ev.Shard)
--- a/fanout/step_test.go
+++ b/fanout/step_test.go
@@ -135,13 +135,13 @@
 	case "room":
 		return Room{Now: now, Shard: number}
 	case "full":
-		return NotSent{Now: now, Attempt: ask.Attempt, Able: true, Pause: 5 * time.Millisecond}
+		return NoServerAvailable{Now: now, Attempt: ask.Attempt, Able: true, Pause: 5 * time.Millisecond}
 	case "mute":
-		return NotSent{Now: now, Attempt: ask.Attempt, Able: true, Doubted: true}
+		return NoServerAvailable{Now: now, Attempt: ask.Attempt, Able: true, Doubted: true}
 	case "lone":
-		return NotSent{Now: now, Attempt: ask.Attempt, Doubted: true}
+		return NoServerAvailable{Now: now, Attempt: ask.Attempt, Doubted: true}
 	case "nobody":
-		return NotSent{Now: now, Attempt: ask.Attempt}
+		return NoServerAvailable{Now: now, Attempt: ask.Attempt}
 	case "broke":
 		return NoBudget{Now: now, Attempt: ask.Attempt}
 	}
