--- a/fanout/event.go
+++ b/fanout/event.go
@@ -57,9 +57,9 @@
 // NotSent says that an attempt was not sent because no backend server may be
 // sent one now.
 type NoServerAvailable struct {
-	Now     time.Time
-	Attempt Attempt
-	Able    bool // Able says that a backend server that holds the shard may take it later.
+	Now            time.Time
+	Attempt        Attempt
+	AvailableLater bool // Able says that a backend server that holds the shard may take it later.
 	// Pause is how long it will take by what is known; Room may say so earlier.
 	Pause time.Duration
 	// Doubted says that nothing comes from the backend server of the attempt that
--- a/fanout/late.go
+++ b/fanout/late.go
@@ -103,9 +103,9 @@
 	ix := ev.Attempt.Shard
 	sh.gate = ru.gate
 	switch {
-	case sh.runs() > 0 && ev.Able && ev.Doubted && sh.moved == 0:
+	case sh.runs() > 0 && ev.AvailableLater && ev.Doubted && sh.moved == 0:
 		tu.move(ix, sh, ru)
-	case sh.runs() > 0 && ev.Able:
+	case sh.runs() > 0 && ev.AvailableLater:
 		tu.hedgeLater(ix, sh, ru, tu.now+max(maxWait, ev.Pause))
 	case sh.runs() > 0:
 		sh.alone = true
@@ -114,7 +114,7 @@
 			return
 		}
 		tu.hedgeLater(ix, sh, ru, max(tu.now+maxWait, sh.asked+sameServerDelays*tu.st.ru.HedgeDelay))
-	case ev.Able && sh.reason != VersionGone:
+	case ev.AvailableLater && sh.reason != VersionGone:
 		sh.because(Busy)
 		tu.wait(ix, sh, ev.Pause)
 	default:
