--- a/fanout/event.go
+++ b/fanout/event.go
@@ -61,7 +61,7 @@
 	Attempt        Attempt
 	AvailableLater bool // Able says that a backend server that holds the shard may take it later.
 	// Pause is how long it will take by what is known; Room may say so earlier.
-	Pause time.Duration
+	RetryDelay time.Duration
 	// Doubted says that nothing comes from the backend server of the attempt that
 	// runs for the shard.
 	Doubted bool
--- a/fanout/late.go
+++ b/fanout/late.go
@@ -106,7 +106,7 @@
 	case sh.runs() > 0 && ev.AvailableLater && ev.Doubted && sh.moved == 0:
 		tu.move(ix, sh, ru)
 	case sh.runs() > 0 && ev.AvailableLater:
-		tu.hedgeLater(ix, sh, ru, tu.now+max(maxWait, ev.Pause))
+		tu.hedgeLater(ix, sh, ru, tu.now+max(maxWait, ev.RetryDelay))
 	case sh.runs() > 0:
 		sh.alone = true
 		if ev.Doubted {
@@ -116,7 +116,7 @@
 		tu.hedgeLater(ix, sh, ru, max(tu.now+maxWait, sh.asked+sameServerDelays*tu.st.ru.HedgeDelay))
 	case ev.AvailableLater && sh.reason != VersionGone:
 		sh.because(Busy)
-		tu.wait(ix, sh, ev.Pause)
+		tu.wait(ix, sh, ev.RetryDelay)
 	default:
 		sh.because(NoServer)
 		tu.replan(ix, sh)
--- a/fanout/run.go
+++ b/fanout/run.go
@@ -287,10 +287,10 @@
 func (rn *run) notSent(now time.Time, ac Ask, candidates []backend.Record, exclude []string) {
 	ev := NoServerAvailable{Now: now, Attempt: ac.Attempt}
 	if ac.Kind == Hedge {
-		ev.Pause, ev.AvailableLater = rn.en.ta.RetryDelay(now, candidates, exclude)
+		ev.RetryDelay, ev.AvailableLater = rn.en.ta.RetryDelay(now, candidates, exclude)
 		ev.Doubted = rn.doubted(now, ac.Attempt.Shard)
 	} else if len(candidates) > 0 {
-		ev.Pause, ev.AvailableLater = rn.en.ta.RetryDelay(now, candidates, nil)
+		ev.RetryDelay, ev.AvailableLater = rn.en.ta.RetryDelay(now, candidates, nil)
 		rn.awaitRoom(now, ac.Attempt.Shard, candidates)
 	}
 	rn.todo = append(rn.todo, ev)
--- a/fanout/step_test.go
+++ b/fanout/step_test.go
@@ -135,7 +135,7 @@
 	case "room":
 		return Room{Now: now, Shard: number}
 	case "full":
-		return NoServerAvailable{Now: now, Attempt: ask.Attempt, AvailableLater: true, Pause: 5 * time.Millisecond}
+		return NoServerAvailable{Now: now, Attempt: ask.Attempt, AvailableLater: true, RetryDelay: 5 * time.Millisecond}
 	case "mute":
 		return NoServerAvailable{Now: now, Attempt: ask.Attempt, AvailableLater: true, Doubted: true}
 	case "lone":
