--- a/fanout/event.go
+++ b/fanout/event.go
@@ -64,7 +64,7 @@
 	RetryDelay time.Duration
 	// Doubted says that nothing comes from the backend server of the attempt that
 	// runs for the shard.
-	Doubted bool
+	Unresponsive bool
 }
 
 // Room says that a backend server of a shard that had none may take an attempt
--- a/fanout/late.go
+++ b/fanout/late.go
@@ -103,13 +103,13 @@
 	ix := ev.Attempt.Shard
 	sh.gate = ru.gate
 	switch {
-	case sh.runs() > 0 && ev.AvailableLater && ev.Doubted && sh.moved == 0:
+	case sh.runs() > 0 && ev.AvailableLater && ev.Unresponsive && sh.moved == 0:
 		tu.move(ix, sh, ru)
 	case sh.runs() > 0 && ev.AvailableLater:
 		tu.hedgeLater(ix, sh, ru, tu.now+max(maxWait, ev.RetryDelay))
 	case sh.runs() > 0:
 		sh.alone = true
-		if ev.Doubted {
+		if ev.Unresponsive {
 			tu.hedgeLater(ix, sh, ru, tu.now+maxWait)
 			return
 		}
--- a/fanout/run.go
+++ b/fanout/run.go
@@ -288,7 +288,7 @@
 	ev := NoServerAvailable{Now: now, Attempt: ac.Attempt}
 	if ac.Kind == Hedge {
 		ev.RetryDelay, ev.AvailableLater = rn.en.ta.RetryDelay(now, candidates, exclude)
-		ev.Doubted = rn.doubted(now, ac.Attempt.Shard)
+		ev.Unresponsive = rn.doubted(now, ac.Attempt.Shard)
 	} else if len(candidates) > 0 {
 		ev.RetryDelay, ev.AvailableLater = rn.en.ta.RetryDelay(now, candidates, nil)
 		rn.awaitRoom(now, ac.Attempt.Shard, candidates)
--- a/fanout/step_test.go
+++ b/fanout/step_test.go
@@ -137,9 +137,9 @@
 	case "full":
 		return NoServerAvailable{Now: now, Attempt: ask.Attempt, AvailableLater: true, RetryDelay: 5 * time.Millisecond}
 	case "mute":
-		return NoServerAvailable{Now: now, Attempt: ask.Attempt, AvailableLater: true, Doubted: true}
+		return NoServerAvailable{Now: now, Attempt: ask.Attempt, AvailableLater: true, Unresponsive: true}
 	case "lone":
-		return NoServerAvailable{Now: now, Attempt: ask.Attempt, Doubted: true}
+		return NoServerAvailable{Now: now, Attempt: ask.Attempt, Unresponsive: true}
 	case "nobody":
 		return NoServerAvailable{Now: now, Attempt: ask.Attempt}
 	case "broke":
--- a/fanout/world_test.go
+++ b/fanout/world_test.go
@@ -97,7 +97,7 @@
 	}
 	switch {
 	case wo.chance("not sent", 8):
-		wo.queue = append(wo.queue, NoServerAvailable{Now: wo.now, Attempt: ac.Attempt, AvailableLater: wo.chance("able", 70), Doubted: wo.chance("doubted", 50), RetryDelay: 2 * time.Millisecond})
+		wo.queue = append(wo.queue, NoServerAvailable{Now: wo.now, Attempt: ac.Attempt, AvailableLater: wo.chance("able", 70), Unresponsive: wo.chance("doubted", 50), RetryDelay: 2 * time.Millisecond})
 		return
 	case ac.Gate == Gated && wo.chance("no budget", 40):
 		wo.queue = append(wo.queue, NoBudget{Now: wo.now, Attempt: ac.Attempt})
