--- a/fanout/event.go
+++ b/fanout/event.go
@@ -69,7 +69,7 @@
 
 // Room says that a backend server of a shard that had none may take an attempt
 // now.
-type Room struct {
+type CapacityAvailable struct {
 	Now   time.Time
 	Shard int
 }
@@ -95,7 +95,7 @@
 func (ev Replied) when() time.Time           { return ev.Now }
 func (ev AttemptFailed) when() time.Time     { return ev.Now }
 func (ev NoServerAvailable) when() time.Time { return ev.Now }
-func (ev Room) when() time.Time              { return ev.Now }
+func (ev CapacityAvailable) when() time.Time { return ev.Now }
 func (ev NoBudget) when() time.Time          { return ev.Now }
 func (ev Due) when() time.Time               { return ev.Now }
 func (ev CallerGone) when() time.Time        { return ev.Now }
--- a/fanout/run.go
+++ b/fanout/run.go
@@ -134,7 +134,7 @@
 
 // step feeds one event to Step and performs what comes of it.
 func (rn *run) step(ev Event) {
-	if ro, ok := ev.(Room); ok {
+	if ro, ok := ev.(CapacityAvailable); ok {
 		rn.stopWaiting(ro.Shard)
 	}
 	if re, ok := ev.(Replied); ok {
@@ -317,7 +317,7 @@
 		defer wa.Close()
 		select {
 		case <-wa.Available():
-			rn.post(Room{Now: rn.en.ts.Now(), Shard: ix})
+			rn.post(CapacityAvailable{Now: rn.en.ts.Now(), Shard: ix})
 		case <-ctx.Done():
 		}
 	}()
--- a/fanout/step.go
+++ b/fanout/step.go
@@ -54,7 +54,7 @@
 		tu.attemptFailed(ev)
 	case NoServerAvailable:
 		tu.notSent(ev)
-	case Room:
+	case CapacityAvailable:
 		tu.room(ev.Shard)
 	case NoBudget:
 		tu.noBudget(ev)
--- a/fanout/step_test.go
+++ b/fanout/step_test.go
@@ -133,7 +133,7 @@
 	ask := sc.asks[number]
 	switch word {
 	case "room":
-		return Room{Now: now, Shard: number}
+		return CapacityAvailable{Now: now, Shard: number}
 	case "full":
 		return NoServerAvailable{Now: now, Attempt: ask.Attempt, AvailableLater: true, RetryDelay: 5 * time.Millisecond}
 	case "mute":
