--- a/fanout/event.go
+++ b/fanout/event.go
@@ -76,7 +76,7 @@
 
 // NoBudget says that an attempt was not sent because the budget for extra leaf
 // requests is spent.
-type NoBudget struct {
+type BudgetExhausted struct {
 	Now     time.Time
 	Attempt Attempt
 }
@@ -96,7 +96,7 @@
 func (ev AttemptFailed) when() time.Time     { return ev.Now }
 func (ev NoServerAvailable) when() time.Time { return ev.Now }
 func (ev CapacityAvailable) when() time.Time { return ev.Now }
-func (ev NoBudget) when() time.Time          { return ev.Now }
+func (ev BudgetExhausted) when() time.Time   { return ev.Now }
 func (ev Due) when() time.Time               { return ev.Now }
 func (ev CallerGone) when() time.Time        { return ev.Now }
 
--- a/fanout/late.go
+++ b/fanout/late.go
@@ -152,7 +152,7 @@
 	}
 }
 
-func (tu *turn) noBudget(ev NoBudget) {
+func (tu *turn) noBudget(ev BudgetExhausted) {
 	sh, ru, ok := tu.ended(ev.Attempt, false)
 	if !ok {
 		return
--- a/fanout/run.go
+++ b/fanout/run.go
@@ -225,7 +225,7 @@
 	owed := ac.Gate == Owed || ac.Gate == Doubted && rn.doubted(now, ac.Attempt.Shard)
 	if ac.Gate != Free && !rn.sv.bu.Load().Spend() && !owed {
 		en.ta.Done(now, ch, limit.Outcome{Kind: limit.NotSent})
-		rn.todo = append(rn.todo, NoBudget{Now: now, Attempt: ac.Attempt})
+		rn.todo = append(rn.todo, BudgetExhausted{Now: now, Attempt: ac.Attempt})
 		return
 	}
 	rn.stopWaiting(ac.Attempt.Shard)
--- a/fanout/step.go
+++ b/fanout/step.go
@@ -56,7 +56,7 @@
 		tu.notSent(ev)
 	case CapacityAvailable:
 		tu.room(ev.Shard)
-	case NoBudget:
+	case BudgetExhausted:
 		tu.noBudget(ev)
 	case Due:
 		tu.due()
--- a/fanout/step_test.go
+++ b/fanout/step_test.go
@@ -143,7 +143,7 @@
 	case "nobody":
 		return NoServerAvailable{Now: now, Attempt: ask.Attempt}
 	case "broke":
-		return NoBudget{Now: now, Attempt: ask.Attempt}
+		return BudgetExhausted{Now: now, Attempt: ask.Attempt}
 	}
 	if kind, ok := failures[word]; ok {
 		return AttemptFailed{Now: now, Attempt: ask.Attempt, Kind: kind, Sent: kind == backend.Cut || kind == backend.Silent}
--- a/fanout/world_test.go
+++ b/fanout/world_test.go
@@ -100,7 +100,7 @@
 		wo.queue = append(wo.queue, NoServerAvailable{Now: wo.now, Attempt: ac.Attempt, AvailableLater: wo.chance("able", 70), Unresponsive: wo.chance("doubted", 50), RetryDelay: 2 * time.Millisecond})
 		return
 	case ac.Gate == Gated && wo.chance("no budget", 40):
-		wo.queue = append(wo.queue, NoBudget{Now: wo.now, Attempt: ac.Attempt})
+		wo.queue = append(wo.queue, BudgetExhausted{Now: wo.now, Attempt: ac.Attempt})
 		return
 	}
 	if !wo.st.ru.Repeatable && wo.maybe[ac.Shard] {
