--- a/fanout/event.go
+++ b/fanout/event.go
@@ -82,7 +82,7 @@
 }
 
 // Due says that the moment of the latest Arm has come.
-type Due struct {
+type TimerFired struct {
 	Now time.Time
 }
 
@@ -97,7 +97,7 @@
 func (ev NoServerAvailable) when() time.Time { return ev.Now }
 func (ev CapacityAvailable) when() time.Time { return ev.Now }
 func (ev BudgetExhausted) when() time.Time   { return ev.Now }
-func (ev Due) when() time.Time               { return ev.Now }
+func (ev TimerFired) when() time.Time        { return ev.Now }
 func (ev CallerGone) when() time.Time        { return ev.Now }
 
 // Action is something to be done for a query.
--- a/fanout/run.go
+++ b/fanout/run.go
@@ -89,7 +89,7 @@
 			rn.step(ev)
 		case <-rn.wake:
 			rn.drain()
-			rn.todo = append(rn.todo, Due{Now: en.ts.Now()})
+			rn.todo = append(rn.todo, TimerFired{Now: en.ts.Now()})
 		case <-gone:
 			gone = nil
 			rn.step(CallerGone{Now: en.ts.Now()})
--- a/fanout/step.go
+++ b/fanout/step.go
@@ -58,7 +58,7 @@
 		tu.room(ev.Shard)
 	case BudgetExhausted:
 		tu.noBudget(ev)
-	case Due:
+	case TimerFired:
 		tu.due()
 	case CallerGone:
 		tu.callerGone()
--- a/fanout/step_test.go
+++ b/fanout/step_test.go
@@ -124,7 +124,7 @@
 		}
 		return PlanReady{Now: now, Plan: co}
 	case "due":
-		return Due{Now: now}
+		return TimerFired{Now: now}
 	case "caller-gone":
 		return CallerGone{Now: now}
 	}
--- a/fanout/world_test.go
+++ b/fanout/world_test.go
@@ -252,7 +252,7 @@
 		if wo.armed.IsZero() {
 			return nil
 		}
-		return Due{Now: wo.armed}
+		return TimerFired{Now: wo.armed}
 	}
 	ev := wo.queue[best]
 	wo.queue = slices.Delete(wo.queue, best, best+1)
