--- a/fanout/event.go
+++ b/fanout/event.go
@@ -106,13 +106,13 @@
 }
 
 // Kind says why an attempt is made.
-type Kind uint8
+type AttemptKind uint8
 
 // The kinds of attempts.
 const (
-	First Kind = iota // First is the first of its shard.
-	Retry             // Retry follows a failure.
-	Hedge             // Hedge runs beside an attempt that is late.
+	First AttemptKind = iota // First is the first of its shard.
+	Retry                    // Retry follows a failure.
+	Hedge                    // Hedge runs beside an attempt that is late.
 )
 
 // Gate says how an attempt stands to the budget for extra leaf requests.
@@ -134,7 +134,7 @@
 	RequestID string
 	Snapshot  snapshot.ID
 	Shard     string
-	Kind      Kind
+	Kind      AttemptKind
 	Gate      Gate
 	// Elsewhere excludes the backend servers that the query has asked for this
 	// shard before.
--- a/fanout/state.go
+++ b/fanout/state.go
@@ -109,7 +109,7 @@
 // running is an attempt without an end yet; number 0 is none.
 type running struct {
 	number int32
-	kind   Kind
+	kind   AttemptKind
 	gate   Gate
 }
 
--- a/fanout/step.go
+++ b/fanout/step.go
@@ -162,7 +162,7 @@
 }
 
 // ask sends an attempt for a shard.
-func (tu *turn) ask(ix int, sh shard, kind Kind, gate Gate, elsewhere bool) {
+func (tu *turn) ask(ix int, sh shard, kind AttemptKind, gate Gate, elsewhere bool) {
 	if tu.now >= tu.st.finish() {
 		tu.put(ix, sh)
 		return
@@ -196,7 +196,7 @@
 }
 
 // count adds attempts to the cost, or takes back those that never left.
-func (tu *turn) count(kind Kind, number int) {
+func (tu *turn) count(kind AttemptKind, number int) {
 	tu.st.cost.LeafRequests += number
 	switch kind {
 	case Hedge:
