--- a/fanout/event.go
+++ b/fanout/event.go
@@ -116,14 +116,14 @@
 )
 
 // Gate says how an attempt stands to the budget for extra leaf requests.
-type Gate uint8
+type BudgetUse uint8
 
 // The gates of attempts.
 const (
-	Free    Gate = iota // Free is not extra: it is the first that reaches a backend server.
-	Gated               // Gated is sent only if the budget has it.
-	Doubted             // Doubted is Owed if nothing comes from the backend server of the attempt that is late, else Gated.
-	Owed                // Owed takes from the budget what it has and is sent in any case.
+	Free    BudgetUse = iota // Free is not extra: it is the first that reaches a backend server.
+	Gated                    // Gated is sent only if the budget has it.
+	Doubted                  // Doubted is Owed if nothing comes from the backend server of the attempt that is late, else Gated.
+	Owed                     // Owed takes from the budget what it has and is sent in any case.
 )
 
 // Ask sends an attempt to a backend server that holds the shard. The executor
@@ -135,7 +135,7 @@
 	Snapshot  snapshot.ID
 	Shard     string
 	Kind      AttemptKind
-	Gate      Gate
+	Gate      BudgetUse
 	// Elsewhere excludes the backend servers that the query has asked for this
 	// shard before.
 	Elsewhere bool
--- a/fanout/reply.go
+++ b/fanout/reply.go
@@ -171,7 +171,7 @@
 // may be so from load, so a retry must not add to it beyond the budget. The
 // other failures lie with one connection or server, and the request is owed
 // one more attempt.
-func (tu *turn) gate(sh *shard, fa failure) Gate {
+func (tu *turn) gate(sh *shard, fa failure) BudgetUse {
 	if !fa.left || tu.st.ru.Tactics == operator.Baseline {
 		return Free
 	}
--- a/fanout/state.go
+++ b/fanout/state.go
@@ -95,9 +95,9 @@
 	sheds   uint8 // sheds counts those of them that found no slot free.
 	fails   uint8
 	waits   uint8
-	blind   uint8  // blind counts the waits for a server that is not known yet.
-	gate    Gate   // gate is that of the next attempt when the shard waits.
-	reason  Reason // reason is that of the latest failure.
+	blind   uint8     // blind counts the waits for a server that is not known yet.
+	gate    BudgetUse // gate is that of the next attempt when the shard waits.
+	reason  Reason    // reason is that of the latest failure.
 	running [2]running
 	asked   time.Duration // asked is when the oldest running attempt was sent.
 	latest  time.Duration // latest is when the latest attempt was sent.
@@ -110,7 +110,7 @@
 type running struct {
 	number int32
 	kind   AttemptKind
-	gate   Gate
+	gate   BudgetUse
 }
 
 // runs returns how many attempts run.
--- a/fanout/step.go
+++ b/fanout/step.go
@@ -162,7 +162,7 @@
 }
 
 // ask sends an attempt for a shard.
-func (tu *turn) ask(ix int, sh shard, kind AttemptKind, gate Gate, elsewhere bool) {
+func (tu *turn) ask(ix int, sh shard, kind AttemptKind, gate BudgetUse, elsewhere bool) {
 	if tu.now >= tu.st.finish() {
 		tu.put(ix, sh)
 		return
