--- a/fanout/reply.go
+++ b/fanout/reply.go
@@ -142,7 +142,7 @@
 	case !tu.mayRetry(&sh):
 		tu.lose(ix, sh, fa.reason)
 	case fa.reason == Busy:
-		sh.gate = Free
+		sh.gate = BudgetExempt
 		tu.wait(ix, sh, 0)
 	default:
 		gate := tu.gate(&sh, fa)
@@ -173,7 +173,7 @@
 // one more attempt.
 func (tu *turn) gate(sh *shard, fa failure) BudgetUse {
 	if !fa.left || tu.st.ru.Tactics == operator.Baseline {
-		return Free
+		return BudgetExempt
 	}
 	switch fa.reason {
 	case Shed, Failed, Deadline:
--- a/fanout/run.go
+++ b/fanout/run.go
@@ -223,7 +223,7 @@
 		return
 	}
 	owed := ac.Gate == Owed || ac.Gate == Doubted && rn.doubted(now, ac.Attempt.Shard)
-	if ac.Gate != Free && !rn.sv.bu.Load().Spend() && !owed {
+	if ac.Gate != BudgetExempt && !rn.sv.bu.Load().Spend() && !owed {
 		en.ta.Done(now, ch, limit.Outcome{Kind: limit.NotSent})
 		rn.todo = append(rn.todo, BudgetExhausted{Now: now, Attempt: ac.Attempt})
 		return
--- a/fanout/step.go
+++ b/fanout/step.go
@@ -115,7 +115,7 @@
 			tu.lose(ix, shard{}, NoServer)
 			continue
 		}
-		tu.ask(ix, shard{}, First, Free, false)
+		tu.ask(ix, shard{}, First, BudgetExempt, false)
 	}
 }
 
