--- a/fanout/late.go
+++ b/fanout/late.go
@@ -36,7 +36,7 @@
 	// The budget grows with new requests. When all callers wait for one, it does
 	// not grow, and each would wait until its deadline. So a shard that nobody is
 	// asked for is owed one attempt beyond the budget after a third of the time.
-	if sh.gate == Gated && !sh.forced && tu.now >= tu.st.finish()/owedShare {
+	if sh.gate == BudgetRequired && !sh.forced && tu.now >= tu.st.finish()/owedShare {
 		sh.gate = Owed
 		sh.forced = true
 	}
@@ -69,11 +69,11 @@
 	// merely slow.
 	switch {
 	case sh.forced:
-		gate = Gated
+		gate = BudgetRequired
 	case tu.now >= tu.owedAt(&sh):
 		gate = Owed
 	}
-	sh.forced = sh.forced || gate != Gated
+	sh.forced = sh.forced || gate != BudgetRequired
 	tu.ask(ix, sh, Hedge, gate, !sh.alone)
 }
 
--- a/fanout/reply.go
+++ b/fanout/reply.go
@@ -177,11 +177,11 @@
 	}
 	switch fa.reason {
 	case Shed, Failed, Deadline:
-		return Gated
+		return BudgetRequired
 	default:
 	}
 	if sh.forced {
-		return Gated
+		return BudgetRequired
 	}
 	return Owed
 }
