--- a/fanout/event.go
+++ b/fanout/event.go
@@ -120,10 +120,10 @@
 
 // The gates of attempts.
 const (
-	BudgetExempt   BudgetUse = iota // Free is not extra: it is the first that reaches a backend server.
-	BudgetRequired                  // Gated is sent only if the budget has it.
-	Doubted                         // Doubted is Owed if nothing comes from the backend server of the attempt that is late, else Gated.
-	Owed                            // Owed takes from the budget what it has and is sent in any case.
+	BudgetExempt               BudgetUse = iota // Free is not extra: it is the first that reaches a backend server.
+	BudgetRequired                              // Gated is sent only if the budget has it.
+	BudgetRequiredIfResponsive                  // Doubted is Owed if nothing comes from the backend server of the attempt that is late, else Gated.
+	Owed                                        // Owed takes from the budget what it has and is sent in any case.
 )
 
 // Ask sends an attempt to a backend server that holds the shard. The executor
--- a/fanout/late.go
+++ b/fanout/late.go
@@ -60,7 +60,7 @@
 		tu.put(ix, sh)
 		return
 	}
-	gate := Doubted
+	gate := BudgetRequiredIfResponsive
 	// A connection that has gone silent shows nothing but a reply that does not
 	// come. If many do so at once, the budget is soon spent and the hedges that
 	// would save the requests are refused, although they have time. So each
@@ -85,7 +85,7 @@
 
 // hedgeLater puts a hedge off that could not be sent.
 func (tu *turn) hedgeLater(ix int, sh shard, ru running, at time.Duration) {
-	if ru.gate >= Doubted {
+	if ru.gate >= BudgetRequiredIfResponsive {
 		sh.forced = false
 	}
 	sh.wake = max(at, tu.now+minWait)
@@ -132,7 +132,7 @@
 // an attempt frees the slot once the backend server says that it runs nothing.
 // It is done once: a shard that takes long everywhere must not be stopped again.
 func (tu *turn) move(ix int, sh shard, ru running) {
-	if ru.gate >= Doubted {
+	if ru.gate >= BudgetRequiredIfResponsive {
 		sh.forced = false
 	}
 	sh.wake = never
--- a/fanout/reply.go
+++ b/fanout/reply.go
@@ -120,7 +120,7 @@
 	}
 	ix := at.Shard
 	sh.reason = fa.reason
-	if !fa.left && ru.gate >= Doubted || !fa.begun && ru.gate == Doubted {
+	if !fa.left && ru.gate >= BudgetRequiredIfResponsive || !fa.begun && ru.gate == BudgetRequiredIfResponsive {
 		sh.forced = false
 	}
 	if fa.reason == Shed && tu.st.ru.Policy == operator.Complete && tu.st.ru.Tactics != operator.Baseline && sh.sheds < maxSheds {
