--- a/fanout/event.go
+++ b/fanout/event.go
@@ -123,7 +123,7 @@
 	BudgetExempt               BudgetUse = iota // Free is not extra: it is the first that reaches a backend server.
 	BudgetRequired                              // Gated is sent only if the budget has it.
 	BudgetRequiredIfResponsive                  // Doubted is Owed if nothing comes from the backend server of the attempt that is late, else Gated.
-	Owed                                        // Owed takes from the budget what it has and is sent in any case.
+	BudgetOptional                              // Owed takes from the budget what it has and is sent in any case.
 )
 
 // Ask sends an attempt to a backend server that holds the shard. The executor
--- a/fanout/late.go
+++ b/fanout/late.go
@@ -37,7 +37,7 @@
 	// not grow, and each would wait until its deadline. So a shard that nobody is
 	// asked for is owed one attempt beyond the budget after a third of the time.
 	if sh.gate == BudgetRequired && !sh.forced && tu.now >= tu.st.finish()/owedShare {
-		sh.gate = Owed
+		sh.gate = BudgetOptional
 		sh.forced = true
 	}
 	// The server that has dropped the snapshot does not get it back.
@@ -71,7 +71,7 @@
 	case sh.forced:
 		gate = BudgetRequired
 	case tu.now >= tu.owedAt(&sh):
-		gate = Owed
+		gate = BudgetOptional
 	}
 	sh.forced = sh.forced || gate != BudgetRequired
 	tu.ask(ix, sh, Hedge, gate, !sh.alone)
--- a/fanout/reply.go
+++ b/fanout/reply.go
@@ -127,7 +127,7 @@
 		// A server that sheds has begun nothing and may have a slot free soon, and
 		// the policy is to wait: that is no failure that gives the shard up.
 		sh.sheds++
-		sh.forced = sh.forced && ru.gate != Owed
+		sh.forced = sh.forced && ru.gate != BudgetOptional
 	} else if fa.reason != Busy {
 		sh.fails++
 	}
@@ -146,7 +146,7 @@
 		tu.wait(ix, sh, 0)
 	default:
 		gate := tu.gate(&sh, fa)
-		sh.forced = sh.forced || gate == Owed
+		sh.forced = sh.forced || gate == BudgetOptional
 		tu.ask(ix, sh, Retry, gate, true)
 	}
 }
@@ -183,5 +183,5 @@
 	if sh.forced {
 		return BudgetRequired
 	}
-	return Owed
+	return BudgetOptional
 }
--- a/fanout/run.go
+++ b/fanout/run.go
@@ -222,7 +222,7 @@
 		rn.notSent(now, ac, candidates, exclude)
 		return
 	}
-	owed := ac.Gate == Owed || ac.Gate == BudgetRequiredIfResponsive && rn.doubted(now, ac.Attempt.Shard)
+	owed := ac.Gate == BudgetOptional || ac.Gate == BudgetRequiredIfResponsive && rn.doubted(now, ac.Attempt.Shard)
 	if ac.Gate != BudgetExempt && !rn.sv.bu.Load().Spend() && !owed {
 		en.ta.Done(now, ch, limit.Outcome{Kind: limit.NotSent})
 		rn.todo = append(rn.todo, BudgetExhausted{Now: now, Attempt: ac.Attempt})
