--- a/fanout/attempt.go
+++ b/fanout/attempt.go
@@ -14,7 +14,7 @@
 // sending is one attempt under way. It is passed by pointer so that the stack of
 // its goroutine, of which there is one for each leaf request, stays small.
 type sending struct {
-	ask  Ask
+	ask  SendAttempt
 	sent time.Time
 	// since is since when an idle connection must have proved to work; zero if any
 	// will do.
--- a/fanout/event.go
+++ b/fanout/event.go
@@ -129,7 +129,7 @@
 // Ask sends an attempt to a backend server that holds the shard. The executor
 // answers with NotSent or NoBudget if it can't, else later with Replied or
 // AttemptFailed.
-type Ask struct {
+type SendAttempt struct {
 	Attempt   Attempt
 	RequestID string
 	Snapshot  snapshot.ID
@@ -164,7 +164,7 @@
 	Answer Answer
 }
 
-func (Ask) isAction()           {}
+func (SendAttempt) isAction()   {}
 func (CancelAttempt) isAction() {}
 func (Replan) isAction()        {}
 func (Arm) isAction()           {}
--- a/fanout/run.go
+++ b/fanout/run.go
@@ -144,7 +144,7 @@
 	rn.st, acts = Step(rn.st, ev)
 	for _, ac := range acts {
 		switch ac := ac.(type) {
-		case Ask:
+		case SendAttempt:
 			rn.ask(ac)
 		case CancelAttempt:
 			if cancel := rn.attempts[ac.Attempt.Number-1].cancel; cancel != nil {
@@ -205,7 +205,7 @@
 }
 
 // ask sends an attempt, or says at once why it can't.
-func (rn *run) ask(ac Ask) {
+func (rn *run) ask(ac SendAttempt) {
 	en := rn.en
 	now := en.ts.Now()
 	rn.attempts = append(rn.attempts, attempt{shard: ac.Attempt.Shard})
@@ -264,7 +264,7 @@
 // provedSince returns since when a connection must have proved to work to carry
 // an attempt in place of a late one; zero if any will do. Half a delay leaves out
 // most of those that worked after the late one was sent and went silent then.
-func (rn *run) provedSince(now time.Time, ac Ask) time.Time {
+func (rn *run) provedSince(now time.Time, ac SendAttempt) time.Time {
 	if ac.Kind == Hedge || rn.doubted(now, ac.Attempt.Shard) {
 		return now.Add(-rn.ru.HedgeDelay / 2)
 	}
@@ -284,7 +284,7 @@
 
 // notSent says that no server can be sent an attempt, and waits for room if the
 // shard has nothing else to wait for.
-func (rn *run) notSent(now time.Time, ac Ask, candidates []backend.Record, exclude []string) {
+func (rn *run) notSent(now time.Time, ac SendAttempt, candidates []backend.Record, exclude []string) {
 	ev := NoServerAvailable{Now: now, Attempt: ac.Attempt}
 	if ac.Kind == Hedge {
 		ev.RetryDelay, ev.AvailableLater = rn.en.ta.RetryDelay(now, candidates, exclude)
--- a/fanout/step.go
+++ b/fanout/step.go
@@ -169,7 +169,7 @@
 	}
 	tu.st.last++
 	at := Attempt{Number: tu.st.last, Shard: ix}
-	tu.do(Ask{
+	tu.do(SendAttempt{
 		Attempt:   at,
 		RequestID: tu.st.RequestID(at),
 		Snapshot:  tu.st.plan.Snapshot,
--- a/fanout/step_test.go
+++ b/fanout/step_test.go
@@ -50,7 +50,7 @@
 // script is one query that is replayed.
 type script struct {
 	st   State
-	asks map[int]Ask
+	asks map[int]SendAttempt
 }
 
 // newScript takes the words Best, Complete, Baseline, once, and the end in ms.
@@ -70,7 +70,7 @@
 			ru.AnswerDeadline = at(ms)
 		}
 	}
-	return &script{st: NewState(ru), asks: make(map[int]Ask)}
+	return &script{st: NewState(ru), asks: make(map[int]SendAttempt)}
 }
 
 func (sc *script) play(t *testing.T, out *strings.Builder, words []string) {
@@ -80,7 +80,7 @@
 	sc.st, acts = Step(sc.st, sc.event(t, at(ms), words[1], words[2:]))
 	for _, ac := range acts {
 		switch ac := ac.(type) {
-		case Ask:
+		case SendAttempt:
 			sc.asks[ac.Attempt.Number] = ac
 			words := []string{"First", "Retry", "Hedge"}[ac.Kind] + []string{"", " gated", " doubted", " owed"}[ac.Gate]
 			if ac.Elsewhere {
--- a/fanout/world_test.go
+++ b/fanout/world_test.go
@@ -72,7 +72,7 @@
 			wo.rt.Fatalf("%T after Finish", ac)
 		}
 		switch ac := ac.(type) {
-		case Ask:
+		case SendAttempt:
 			wo.ask(ac)
 		case CancelAttempt:
 			wo.cancel(ac.Attempt)
@@ -88,7 +88,7 @@
 }
 
 // ask draws what becomes of an attempt.
-func (wo *world) ask(ac Ask) {
+func (wo *world) ask(ac SendAttempt) {
 	if wo.st.ru.Tactics == operator.Baseline && ac.Kind == Hedge || !wo.st.ru.Repeatable && ac.Kind == Hedge {
 		wo.rt.Fatalf("hedge of %s", ac.Shard)
 	}
@@ -109,7 +109,7 @@
 	wo.fate(ac)
 }
 
-func (wo *world) fate(ac Ask) {
+func (wo *world) fate(ac SendAttempt) {
 	sh := ac.Shard
 	rp := backend.Reply{RequestID: ac.RequestID, Server: "s", Shard: sh, Snapshot: ac.Snapshot, Code: backend.ReplyOK, Rows: rowOf(ac.Snapshot, sh)}
 	failed := AttemptFailed{Now: wo.later("when"), Attempt: ac.Attempt, Sent: true}
@@ -162,7 +162,7 @@
 	}
 }
 
-func (wo *world) reply(ac Ask, rp backend.Reply) {
+func (wo *world) reply(ac SendAttempt, rp backend.Reply) {
 	wo.queue = append(wo.queue, Replied{Now: wo.later("when"), Attempt: ac.Attempt, Server: "s", Reply: rp})
 }
 
