--- a/fanout/event.go
+++ b/fanout/event.go
@@ -135,7 +135,7 @@
 	Snapshot  snapshot.ID
 	Shard     string
 	Kind      AttemptKind
-	Gate      BudgetUse
+	BudgetUse BudgetUse
 	// Elsewhere excludes the backend servers that the query has asked for this
 	// shard before.
 	Elsewhere bool
--- a/fanout/run.go
+++ b/fanout/run.go
@@ -222,8 +222,8 @@
 		rn.notSent(now, ac, candidates, exclude)
 		return
 	}
-	owed := ac.Gate == BudgetOptional || ac.Gate == BudgetRequiredIfResponsive && rn.doubted(now, ac.Attempt.Shard)
-	if ac.Gate != BudgetExempt && !rn.sv.bu.Load().Spend() && !owed {
+	owed := ac.BudgetUse == BudgetOptional || ac.BudgetUse == BudgetRequiredIfResponsive && rn.doubted(now, ac.Attempt.Shard)
+	if ac.BudgetUse != BudgetExempt && !rn.sv.bu.Load().Spend() && !owed {
 		en.ta.Done(now, ch, limit.Outcome{Kind: limit.NotSent})
 		rn.todo = append(rn.todo, BudgetExhausted{Now: now, Attempt: ac.Attempt})
 		return
--- a/fanout/step.go
+++ b/fanout/step.go
@@ -175,7 +175,7 @@
 		Snapshot:  tu.st.plan.Snapshot,
 		Shard:     tu.st.plan.Shards[ix],
 		Kind:      kind,
-		Gate:      gate,
+		BudgetUse: gate,
 		Elsewhere: elsewhere,
 	})
 	tu.count(kind, 1)
--- a/fanout/step_test.go
+++ b/fanout/step_test.go
@@ -82,7 +82,7 @@
 		switch ac := ac.(type) {
 		case SendAttempt:
 			sc.asks[ac.Attempt.Number] = ac
-			words := []string{"First", "Retry", "Hedge"}[ac.Kind] + []string{"", " gated", " doubted", " owed"}[ac.Gate]
+			words := []string{"First", "Retry", "Hedge"}[ac.Kind] + []string{"", " gated", " doubted", " owed"}[ac.BudgetUse]
 			if ac.Elsewhere {
 				words += " elsewhere"
 			}
--- a/fanout/world_test.go
+++ b/fanout/world_test.go
@@ -99,7 +99,7 @@
 	case wo.chance("not sent", 8):
 		wo.queue = append(wo.queue, NoServerAvailable{Now: wo.now, Attempt: ac.Attempt, AvailableLater: wo.chance("able", 70), Unresponsive: wo.chance("doubted", 50), RetryDelay: 2 * time.Millisecond})
 		return
-	case ac.Gate == BudgetRequired && wo.chance("no budget", 40):
+	case ac.BudgetUse == BudgetRequired && wo.chance("no budget", 40):
 		wo.queue = append(wo.queue, BudgetExhausted{Now: wo.now, Attempt: ac.Attempt})
 		return
 	}
