--- a/fanout/event.go
+++ b/fanout/event.go
@@ -138,7 +138,7 @@
 	BudgetUse BudgetUse
 	// Elsewhere excludes the backend servers that the query has asked for this
 	// shard before.
-	Elsewhere bool
+	ExcludeTried bool
 }
 
 // CancelAttempt stops an attempt whose reply is no longer wanted.
--- a/fanout/run.go
+++ b/fanout/run.go
@@ -213,7 +213,7 @@
 	if ac.Kind != First {
 		rn.refresh()
 	}
-	if ac.Elsewhere {
+	if ac.ExcludeTried {
 		exclude = rn.tried(ac.Attempt.Shard)
 	}
 	candidates := rn.ro.holding(ac.Snapshot, ac.Shard)
--- a/fanout/step.go
+++ b/fanout/step.go
@@ -170,13 +170,13 @@
 	tu.st.last++
 	at := Attempt{Number: tu.st.last, Shard: ix}
 	tu.do(SendAttempt{
-		Attempt:   at,
-		RequestID: tu.st.RequestID(at),
-		Snapshot:  tu.st.plan.Snapshot,
-		Shard:     tu.st.plan.Shards[ix],
-		Kind:      kind,
-		BudgetUse: gate,
-		Elsewhere: elsewhere,
+		Attempt:      at,
+		RequestID:    tu.st.RequestID(at),
+		Snapshot:     tu.st.plan.Snapshot,
+		Shard:        tu.st.plan.Shards[ix],
+		Kind:         kind,
+		BudgetUse:    gate,
+		ExcludeTried: elsewhere,
 	})
 	tu.count(kind, 1)
 	sh.sent++
--- a/fanout/step_test.go
+++ b/fanout/step_test.go
@@ -83,7 +83,7 @@
 		case SendAttempt:
 			sc.asks[ac.Attempt.Number] = ac
 			words := []string{"First", "Retry", "Hedge"}[ac.Kind] + []string{"", " gated", " doubted", " owed"}[ac.BudgetUse]
-			if ac.Elsewhere {
+			if ac.ExcludeTried {
 				words += " elsewhere"
 			}
 			fmt.Fprintf(out, "ask %d %s %s %s\n", ac.Attempt.Number, ac.Shard, ac.Snapshot, words)
