--- a/fanout/answer.go
+++ b/fanout/answer.go
@@ -24,7 +24,7 @@
 	next := min(tu.st.finish(), tu.st.wake, tu.cut())
 	if next != tu.st.armed {
 		tu.st.armed = next
-		tu.do(Arm{At: tu.st.ru.Start.Add(next)})
+		tu.do(SetTimer{At: tu.st.ru.Start.Add(next)})
 	}
 }
 
--- a/fanout/event.go
+++ b/fanout/event.go
@@ -153,7 +153,7 @@
 }
 
 // Arm asks for Due at the given time, in place of an earlier Arm.
-type Arm struct {
+type SetTimer struct {
 	At time.Time
 }
 
@@ -167,5 +167,5 @@
 func (SendAttempt) isAction()   {}
 func (CancelAttempt) isAction() {}
 func (Replan) isAction()        {}
-func (Arm) isAction()           {}
+func (SetTimer) isAction()      {}
 func (Finish) isAction()        {}
--- a/fanout/run.go
+++ b/fanout/run.go
@@ -152,7 +152,7 @@
 			}
 		case Replan:
 			rn.replan(ac.Newer)
-		case Arm:
+		case SetTimer:
 			rn.arm(ac.At)
 		case Finish:
 			rn.answer = &ac.Answer
--- a/fanout/step_test.go
+++ b/fanout/step_test.go
@@ -91,7 +91,7 @@
 			fmt.Fprintf(out, "cancel %d\n", ac.Attempt.Number)
 		case Replan:
 			fmt.Fprintf(out, "replan %s\n", ac.Newer)
-		case Arm:
+		case SetTimer:
 			fmt.Fprintf(out, "arm %d\n", ac.At.Sub(epoch).Milliseconds())
 		case Finish:
 			an := ac.Answer
--- a/fanout/world_test.go
+++ b/fanout/world_test.go
@@ -78,7 +78,7 @@
 			wo.cancel(ac.Attempt)
 		case Replan:
 			wo.replan(ac.Newer)
-		case Arm:
+		case SetTimer:
 			wo.armed = ac.At
 		case Finish:
 			wo.answer = &ac.Answer
