--- a/backend/client.go
+++ b/backend/client.go
@@ -53,12 +53,12 @@
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 	// Settled, if not nil, is told once for each request whose Do returned an
 	// Error with Sent, on a goroutine of its own.
-	Settled func(Settlement)
+	Settled func(AbandonedRequest)
 }
 
 // Settlement says what is known of a request that was given up after bytes of
 // it may have left.
-type Settlement struct {
+type AbandonedRequest struct {
 	Server    string
 	RequestID string
 	// Stopped reports whether the backend server said that it no longer runs the
--- a/backend/client_test.go
+++ b/backend/client_test.go
@@ -152,8 +152,8 @@
 		c := qt.New(t)
 		settled := make(chan time.Duration, 1)
 		began := time.Now()
-		var got backend.Settlement
-		cl, fk := newSilent(c, t, backend.ClientConfig{Settled: func(se backend.Settlement) {
+		var got backend.AbandonedRequest
+		cl, fk := newSilent(c, t, backend.ClientConfig{Settled: func(se backend.AbandonedRequest) {
 			got = se
 			settled <- time.Since(began)
 		}})
@@ -164,7 +164,7 @@
 		_, err := cl.Do(ctx, ta, request("r1"))
 		check(c, err, backend.Cancelled, true)
 		c.Check(<-settled, qt.Equals, 60*time.Millisecond)
-		c.Check(got, qt.Equals, backend.Settlement{Server: "sv", RequestID: "r1", Stopped: true})
+		c.Check(got, qt.Equals, backend.AbandonedRequest{Server: "sv", RequestID: "r1", Stopped: true})
 		_, cancels, _ := fk.seen()
 		c.Check(cancels, qt.DeepEquals, []string{"r1"})
 		time.Sleep(time.Second / 2)
@@ -326,8 +326,8 @@
 			time.Sleep(300 * time.Millisecond)
 			return write(nc, reply(rq))
 		}}
-		settled := make(chan backend.Settlement, 1)
-		cl := newClient(t, backend.ClientConfig{Dial: fk.dial, Settled: func(se backend.Settlement) { settled <- se }})
+		settled := make(chan backend.AbandonedRequest, 1)
+		cl := newClient(t, backend.ClientConfig{Dial: fk.dial, Settled: func(se backend.AbandonedRequest) { settled <- se }})
 		ctx, cancel := within(250 * time.Millisecond)
 		defer cancel()
 		_, err := cl.Do(ctx, target(1), request("r1"))
@@ -335,7 +335,7 @@
 		synctest.Wait()
 		c.Check(fk.timeouts, qt.DeepEquals, []int64{250})
 		c.Check(cl.Stats("sv").Lingering, qt.Equals, 1)
-		c.Check(<-settled, qt.Equals, backend.Settlement{Server: "sv", RequestID: "r1", Stopped: true})
+		c.Check(<-settled, qt.Equals, backend.AbandonedRequest{Server: "sv", RequestID: "r1", Stopped: true})
 		_, err = cl.Do(context.Background(), target(1), request("r2"))
 		c.Assert(err, qt.IsNil)
 		synctest.Wait()
--- a/backend/exchange.go
+++ b/backend/exchange.go
@@ -167,7 +167,7 @@
 // the request has ended and keeps the connection for others, which spares the
 // cost of a new one.
 func (po *pool) settle(cn *conn, ta Target, requestID string, kind ErrorKind, sent time.Time) {
-	sm := Settlement{Server: ta.Server, RequestID: requestID}
+	sm := AbandonedRequest{Server: ta.Server, RequestID: requestID}
 	late := make(chan bool, 1)
 	if cn != nil {
 		go func() { late <- po.awaitLate(cn, requestID) }()
@@ -195,7 +195,7 @@
 	ti.Stop()
 }
 
-func (po *pool) settled(sm Settlement) {
+func (po *pool) settled(sm AbandonedRequest) {
 	if po.cl.cf.Settled != nil {
 		po.cl.cf.Settled(sm)
 	}
--- a/fanout/attempt.go
+++ b/fanout/attempt.go
@@ -154,7 +154,7 @@
 // Settled takes in what became of a request that was given up after it left; it
 // is for backend.ClientConfig.Settled. A server that proves to have stopped
 // gets its slot back at once.
-func (en *Engine) RequestAbandoned(sm backend.Settlement) {
+func (en *Engine) RequestAbandoned(sm backend.AbandonedRequest) {
 	en.held.settle(en, sm)
 }
 
@@ -176,7 +176,7 @@
 type hold struct {
 	when       time.Time
 	choice     limit.Choice
-	settlement *backend.Settlement // settlement is nil until it has come.
+	settlement *backend.AbandonedRequest // settlement is nil until it has come.
 }
 
 func (hs *holds) keep(en *Engine, now time.Time, requestID string, ch limit.Choice) {
@@ -186,7 +186,7 @@
 	}
 }
 
-func (hs *holds) settle(en *Engine, sm backend.Settlement) {
+func (hs *holds) settle(en *Engine, sm backend.AbandonedRequest) {
 	now := en.ts.Now()
 	ot := hs.meet(sm.RequestID, &hold{when: now, settlement: &sm})
 	if ot != nil && ot.settlement == nil && sm.Stopped {
--- a/fanout/engine_test.go
+++ b/fanout/engine_test.go
@@ -366,7 +366,7 @@
 				}
 				rp, err := hang(ctx, server)
 				settle := func() {
-					ti.en.RequestAbandoned(backend.Settlement{Server: server, RequestID: rq.RequestID, Stopped: true})
+					ti.en.RequestAbandoned(backend.AbandonedRequest{Server: server, RequestID: rq.RequestID, Stopped: true})
 				}
 				if early {
 					settle()
