--- a/backend/client.go
+++ b/backend/client.go
@@ -53,7 +53,7 @@
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 	// Settled, if not nil, is told once for each request whose Do returned an
 	// Error with Sent, on a goroutine of its own.
-	Settled func(AbandonedRequest)
+	OnAbandoned func(AbandonedRequest)
 }
 
 // Settlement says what is known of a request that was given up after bytes of
--- a/backend/client_test.go
+++ b/backend/client_test.go
@@ -153,7 +153,7 @@
 		settled := make(chan time.Duration, 1)
 		began := time.Now()
 		var got backend.AbandonedRequest
-		cl, fk := newSilent(c, t, backend.ClientConfig{Settled: func(se backend.AbandonedRequest) {
+		cl, fk := newSilent(c, t, backend.ClientConfig{OnAbandoned: func(se backend.AbandonedRequest) {
 			got = se
 			settled <- time.Since(began)
 		}})
@@ -327,7 +327,7 @@
 			return write(nc, reply(rq))
 		}}
 		settled := make(chan backend.AbandonedRequest, 1)
-		cl := newClient(t, backend.ClientConfig{Dial: fk.dial, Settled: func(se backend.AbandonedRequest) { settled <- se }})
+		cl := newClient(t, backend.ClientConfig{Dial: fk.dial, OnAbandoned: func(se backend.AbandonedRequest) { settled <- se }})
 		ctx, cancel := within(250 * time.Millisecond)
 		defer cancel()
 		_, err := cl.Do(ctx, target(1), request("r1"))
--- a/backend/exchange.go
+++ b/backend/exchange.go
@@ -196,8 +196,8 @@
 }
 
 func (po *pool) settled(sm AbandonedRequest) {
-	if po.cl.cf.Settled != nil {
-		po.cl.cf.Settled(sm)
+	if po.cl.cf.OnAbandoned != nil {
+		po.cl.cf.OnAbandoned(sm)
 	}
 }
 
--- a/backend/leaf_test.go
+++ b/backend/leaf_test.go
@@ -38,7 +38,7 @@
 	const limit = 3
 	le, ta := startLeaf(c, leaf.Config{Slots: 64, ConnectionLimit: limit, Latency: leaf.Latency{Median: time.Millisecond, Sigma: 1}, Seed: 1})
 	var wg sync.WaitGroup // counts the requests and, of those that were sent and failed, the settlements
-	cl := newClient(c, backend.ClientConfig{CloseWait: time.Minute, Settled: func(backend.AbandonedRequest) { wg.Done() }})
+	cl := newClient(c, backend.ClientConfig{CloseWait: time.Minute, OnAbandoned: func(backend.AbandonedRequest) { wg.Done() }})
 	rn := rand.New(rand.NewPCG(1, 1))
 	patience := make([]time.Duration, 12)
 	for i := range patience {
@@ -72,7 +72,7 @@
 	c := qt.New(t)
 	le, ta := startLeaf(c, leaf.Config{Slots: 1, ConnectionLimit: 2, Latency: leaf.Latency{Median: time.Hour}})
 	settled := make(chan backend.AbandonedRequest, 1)
-	cl := newClient(c, backend.ClientConfig{Linger: time.Minute, Settled: func(se backend.AbandonedRequest) { settled <- se }})
+	cl := newClient(c, backend.ClientConfig{Linger: time.Minute, OnAbandoned: func(se backend.AbandonedRequest) { settled <- se }})
 	for range 3 {
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() {
