--- a/backend/client.go
+++ b/backend/client.go
@@ -34,8 +34,8 @@
 
 // ClientConfig holds the settings of a Client. A zero field takes its default.
 type ClientConfig struct {
-	SilentAfter time.Duration // SilentAfter is the default of Target.SilentAfter; 0 waits until the deadline.
-	DialTimeout time.Duration // DialTimeout bounds the opening of a connection; default 1 s.
+	SilenceTimeout time.Duration // SilentAfter is the default of Target.SilentAfter; 0 waits until the deadline.
+	DialTimeout    time.Duration // DialTimeout bounds the opening of a connection; default 1 s.
 	// IdleAfter is when an idle connection is closed; default 60 s. It should be
 	// below the idle timeout of the backend servers.
 	IdleAfter time.Duration
--- a/backend/client_bench_test.go
+++ b/backend/client_bench_test.go
@@ -38,7 +38,7 @@
 	}{{"canned", serveCanned}, {"leaf", serveLeaf}} {
 		b.Run(bc.name, func(b *testing.B) {
 			ad := bc.serve(qt.New(b))
-			cl := backend.NewClient(timer.New(), zap.NewNop(), backend.ClientConfig{SilentAfter: 5 * time.Second})
+			cl := backend.NewClient(timer.New(), zap.NewNop(), backend.ClientConfig{SilenceTimeout: 5 * time.Second})
 			ta := backend.Target{Server: "bench", Address: ad, Connections: benchConnections}
 			ctx, cancel := context.WithTimeout(context.Background(), time.Hour)
 			defer cancel()
--- a/backend/client_test.go
+++ b/backend/client_test.go
@@ -75,7 +75,7 @@
 			}
 			return write(nc, reply(rq))
 		}
-		cl := newClient(t, backend.ClientConfig{Dial: fk.dial, SilentAfter: 100 * time.Millisecond})
+		cl := newClient(t, backend.ClientConfig{Dial: fk.dial, SilenceTimeout: 100 * time.Millisecond})
 		together(3, func(int) error {
 			_, err := cl.Do(context.Background(), target(4), request("warm"))
 			return err
@@ -125,7 +125,7 @@
 func TestProvedSince(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		cl, _ := newSilent(c, t, backend.ClientConfig{SilentAfter: time.Second})
+		cl, _ := newSilent(c, t, backend.ClientConfig{SilenceTimeout: time.Second})
 		replied := time.Now()
 		time.Sleep(10 * time.Millisecond)
 		ta := target(2)
@@ -184,7 +184,7 @@
 			}
 			return true
 		}}
-		cl := newClient(t, backend.ClientConfig{Dial: fk.dial, SilentAfter: 100 * time.Millisecond})
+		cl := newClient(t, backend.ClientConfig{Dial: fk.dial, SilenceTimeout: 100 * time.Millisecond})
 		_, err := cl.Do(context.Background(), target(1), request("r1"))
 		c.Assert(err, qt.IsNil)
 	})
--- a/backend/exchange.go
+++ b/backend/exchange.go
@@ -57,7 +57,7 @@
 	if ta.SilentAfter > 0 {
 		return ta.SilentAfter
 	}
-	return po.cl.cf.SilentAfter
+	return po.cl.cf.SilenceTimeout
 }
 
 func (cn *conn) decode(bs []byte, out any) *Error {
--- a/capacity/fanout.go
+++ b/capacity/fanout.go
@@ -110,7 +110,7 @@
 	ce.Store(vi)
 	ta := limit.NewTable(ts, limit.TableConfig{})
 	ta.Update(vi)
-	ti.cl = backend.NewClient(ts, zap.NewNop(), backend.ClientConfig{SilentAfter: time.Minute})
+	ti.cl = backend.NewClient(ts, zap.NewNop(), backend.ClientConfig{SilenceTimeout: time.Minute})
 	var sd fanout.Sender = ti.cl
 	if !connected {
 		sd = instant{}
--- a/instance/listeners.go
+++ b/instance/listeners.go
@@ -59,8 +59,8 @@
 // serveHTTP makes the handlers and the servers of all listeners.
 func (in *Instance) serveHTTP() {
 	in.cl = backend.NewClient(in.ts, in.lg, backend.ClientConfig{
-		SilentAfter: in.cf.Timing.SilentAfter,
-		OnAbandoned: func(sm backend.AbandonedRequest) { in.en.RequestAbandoned(sm) },
+		SilenceTimeout: in.cf.Timing.SilentAfter,
+		OnAbandoned:    func(sm backend.AbandonedRequest) { in.en.RequestAbandoned(sm) },
 	})
 	in.ta = limit.NewTable(in.ts, limit.TableConfig{Seed: uint64(in.ts.Now().UnixNano())})
 	ad := limit.NewAdmission(in.ts, limit.AdmissionConfig{MaxLeafRequests: in.cf.Limits.LeafRequests, ServiceCapacity: in.ta.ServiceCapacity})
--- a/leaf/leaf_test.go
+++ b/leaf/leaf_test.go
@@ -86,7 +86,7 @@
 		_ = le.Serve(context.Background())
 		close(ended)
 	}()
-	cl := backend.NewClient(timer.New(), zap.NewNop(), backend.ClientConfig{Dial: pi.dial, SilentAfter: time.Second})
+	cl := backend.NewClient(timer.New(), zap.NewNop(), backend.ClientConfig{Dial: pi.dial, SilenceTimeout: time.Second})
 	t.Cleanup(func() {
 		le.SetFaults(Faults{})
 		cl.Close()
