--- a/backend/client.go
+++ b/backend/client.go
@@ -38,7 +38,7 @@
 	DialTimeout    time.Duration // DialTimeout bounds the opening of a connection; default 1 s.
 	// IdleAfter is when an idle connection is closed; default 60 s. It should be
 	// below the idle timeout of the backend servers.
-	IdleAfter time.Duration
+	IdleTimeout time.Duration
 	// Linger is how long the connection of a request that was given up waits for
 	// the late reply, to be used again after it; default 1 s.
 	Linger time.Duration
@@ -70,8 +70,8 @@
 	if cf.DialTimeout == 0 {
 		cf.DialTimeout = time.Second
 	}
-	if cf.IdleAfter == 0 {
-		cf.IdleAfter = time.Minute
+	if cf.IdleTimeout == 0 {
+		cf.IdleTimeout = time.Minute
 	}
 	if cf.Linger == 0 {
 		cf.Linger = time.Second
--- a/backend/pool.go
+++ b/backend/pool.go
@@ -144,7 +144,7 @@
 	for len(po.idle) > 0 {
 		cn := po.idle[len(po.idle)-1]
 		po.idle = po.idle[:len(po.idle)-1]
-		if po.cl.ts.Now().Sub(cn.proof) < po.cl.cf.IdleAfter && cn.quiet() {
+		if po.cl.ts.Now().Sub(cn.proof) < po.cl.cf.IdleTimeout && cn.quiet() {
 			po.busy++
 			return cn
 		}
@@ -320,7 +320,7 @@
 		return
 	}
 	po.idle = append(po.idle, cn)
-	if po.cl.ts.Now().Sub(po.idle[0].proof) >= po.cl.cf.IdleAfter {
+	if po.cl.ts.Now().Sub(po.idle[0].proof) >= po.cl.cf.IdleTimeout {
 		po.closeOldest()
 	}
 	po.notify()
@@ -436,7 +436,7 @@
 	// no use here.
 	_ = po.retarget(ta)
 	po.retired = false
-	oldest := po.cl.ts.Now().Add(-po.cl.cf.IdleAfter)
+	oldest := po.cl.ts.Now().Add(-po.cl.cf.IdleTimeout)
 	po.closeIdle(func(cn *conn) bool { return cn.proof.Before(oldest) || !cn.quiet() })
 }
 
