--- a/backend/client.go
+++ b/backend/client.go
@@ -41,7 +41,7 @@
 	IdleTimeout time.Duration
 	// Linger is how long the connection of a request that was given up waits for
 	// the late reply, to be used again after it; default 1 s.
-	Linger time.Duration
+	LingerTimeout time.Duration
 	// CloseWait is how long a closed connection counts as open at most, until the
 	// backend server confirms the end; default 50 ms.
 	CloseWait time.Duration
@@ -73,8 +73,8 @@
 	if cf.IdleTimeout == 0 {
 		cf.IdleTimeout = time.Minute
 	}
-	if cf.Linger == 0 {
-		cf.Linger = time.Second
+	if cf.LingerTimeout == 0 {
+		cf.LingerTimeout = time.Second
 	}
 	if cf.CloseWait == 0 {
 		cf.CloseWait = 50 * time.Millisecond
--- a/backend/exchange.go
+++ b/backend/exchange.go
@@ -205,7 +205,7 @@
 // whether the backend server was reached. A Cancel takes the server no time, so
 // one without a reply has met a silent connection and is sent on a new one.
 func (po *pool) askToStop(ta Target, requestID string) (stopped, asked bool) {
-	ctx, cancel := context.WithTimeout(context.Background(), po.cl.cf.Linger)
+	ctx, cancel := context.WithTimeout(context.Background(), po.cl.cf.LingerTimeout)
 	defer cancel()
 	ta.SilentAfter = po.cl.cf.CancelWait
 	for {
@@ -228,7 +228,7 @@
 func (po *pool) awaitLate(cn *conn, requestID string) bool {
 	replied := false
 	defer func() { po.unlinger(cn, replied) }()
-	bs, er := cn.resume(po.cl.cf.Linger)
+	bs, er := cn.resume(po.cl.cf.LingerTimeout)
 	if er != nil {
 		return false
 	}
--- a/backend/leaf_test.go
+++ b/backend/leaf_test.go
@@ -72,7 +72,7 @@
 	c := qt.New(t)
 	le, ta := startLeaf(c, leaf.Config{Slots: 1, ConnectionLimit: 2, Latency: leaf.Latency{Median: time.Hour}})
 	settled := make(chan backend.AbandonedRequest, 1)
-	cl := newClient(c, backend.ClientConfig{Linger: time.Minute, OnAbandoned: func(se backend.AbandonedRequest) { settled <- se }})
+	cl := newClient(c, backend.ClientConfig{LingerTimeout: time.Minute, OnAbandoned: func(se backend.AbandonedRequest) { settled <- se }})
 	for range 3 {
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() {
