--- a/backend/client.go
+++ b/backend/client.go
@@ -44,7 +44,7 @@
 	LingerTimeout time.Duration
 	// CloseWait is how long a closed connection counts as open at most, until the
 	// backend server confirms the end; default 50 ms.
-	CloseWait time.Duration
+	CloseTimeout time.Duration
 	// CancelWait is how long the reply to a Cancel may take before it is sent
 	// again on a new connection; default 100 ms.
 	CancelWait    time.Duration
@@ -76,8 +76,8 @@
 	if cf.LingerTimeout == 0 {
 		cf.LingerTimeout = time.Second
 	}
-	if cf.CloseWait == 0 {
-		cf.CloseWait = 50 * time.Millisecond
+	if cf.CloseTimeout == 0 {
+		cf.CloseTimeout = 50 * time.Millisecond
 	}
 	if cf.CancelWait == 0 {
 		cf.CancelWait = 100 * time.Millisecond
--- a/backend/leaf_test.go
+++ b/backend/leaf_test.go
@@ -38,7 +38,7 @@
 	const limit = 3
 	le, ta := startLeaf(c, leaf.Config{Slots: 64, ConnectionLimit: limit, Latency: leaf.Latency{Median: time.Millisecond, Sigma: 1}, Seed: 1})
 	var wg sync.WaitGroup // counts the requests and, of those that were sent and failed, the settlements
-	cl := newClient(c, backend.ClientConfig{CloseWait: time.Minute, OnAbandoned: func(backend.AbandonedRequest) { wg.Done() }})
+	cl := newClient(c, backend.ClientConfig{CloseTimeout: time.Minute, OnAbandoned: func(backend.AbandonedRequest) { wg.Done() }})
 	rn := rand.New(rand.NewPCG(1, 1))
 	patience := make([]time.Duration, 12)
 	for i := range patience {
@@ -146,7 +146,7 @@
 func TestRetain(t *testing.T) {
 	c := qt.New(t)
 	le, ta := startLeaf(c, leaf.Config{ConnectionLimit: 4})
-	cl := newClient(c, backend.ClientConfig{CloseWait: time.Minute})
+	cl := newClient(c, backend.ClientConfig{CloseTimeout: time.Minute})
 	do := func(ta backend.Target) {
 		_, err := cl.Do(context.Background(), ta, request("r1"))
 		c.Assert(err, qt.IsNil)
--- a/backend/pool.go
+++ b/backend/pool.go
@@ -394,7 +394,7 @@
 	po.closing++
 	delete(po.conns, cn)
 	go func() {
-		confirmed := cn.close(po.cl.cf.CloseWait)
+		confirmed := cn.close(po.cl.cf.CloseTimeout)
 		po.mu.Lock()
 		defer po.mu.Unlock()
 		po.closing--
