--- a/backend/client.go
+++ b/backend/client.go
@@ -47,7 +47,7 @@
 	CloseTimeout time.Duration
 	// CancelWait is how long the reply to a Cancel may take before it is sent
 	// again on a new connection; default 100 ms.
-	CancelWait    time.Duration
+	CancelTimeout time.Duration
 	MaxReplyBytes int64 // MaxReplyBytes bounds the body of a reply; default 16 MiB.
 	// Dial opens a connection to an IP number and port; default TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
@@ -79,8 +79,8 @@
 	if cf.CloseTimeout == 0 {
 		cf.CloseTimeout = 50 * time.Millisecond
 	}
-	if cf.CancelWait == 0 {
-		cf.CancelWait = 100 * time.Millisecond
+	if cf.CancelTimeout == 0 {
+		cf.CancelTimeout = 100 * time.Millisecond
 	}
 	if cf.MaxReplyBytes == 0 {
 		cf.MaxReplyBytes = 16 << 20
--- a/backend/exchange.go
+++ b/backend/exchange.go
@@ -207,7 +207,7 @@
 func (po *pool) askToStop(ta Target, requestID string) (stopped, asked bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), po.cl.cf.LingerTimeout)
 	defer cancel()
-	ta.SilentAfter = po.cl.cf.CancelWait
+	ta.SilentAfter = po.cl.cf.CancelTimeout
 	for {
 		cr, err := po.cl.Cancel(ctx, ta, requestID)
 		if err == nil {
