--- a/backend/client.go
+++ b/backend/client.go
@@ -23,7 +23,7 @@
 	// SilentAfter is how long a connection may make no progress while a request
 	// waits before it is abandoned; 0 takes the client's setting. It should be well
 	// above the slowest healthy reply: a false alarm costs the idle connections.
-	SilentAfter time.Duration
+	SilenceTimeout time.Duration
 	// ProvedSince refuses idle connections on which nothing has come since then.
 	ProvedSince time.Time
 	// LateAfter is after how long a reply is late; 0 says nothing. The Cancel of a
--- a/backend/exchange.go
+++ b/backend/exchange.go
@@ -54,8 +54,8 @@
 }
 
 func (po *pool) silentAfter(ta Target) time.Duration {
-	if ta.SilentAfter > 0 {
-		return ta.SilentAfter
+	if ta.SilenceTimeout > 0 {
+		return ta.SilenceTimeout
 	}
 	return po.cl.cf.SilenceTimeout
 }
@@ -207,7 +207,7 @@
 func (po *pool) askToStop(ta Target, requestID string) (stopped, asked bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), po.cl.cf.LingerTimeout)
 	defer cancel()
-	ta.SilentAfter = po.cl.cf.CancelTimeout
+	ta.SilenceTimeout = po.cl.cf.CancelTimeout
 	for {
 		cr, err := po.cl.Cancel(ctx, ta, requestID)
 		if err == nil {
--- a/backend/leaf_test.go
+++ b/backend/leaf_test.go
@@ -103,7 +103,7 @@
 	c.Assert(err, qt.IsNil)
 	le.SetFaults(leaf.Faults{Silent: true, SilentHeld: true})
 	impatient := ta
-	impatient.SilentAfter = 20 * time.Millisecond
+	impatient.SilenceTimeout = 20 * time.Millisecond
 	_, err = cl.Do(context.Background(), impatient, request("r2"))
 	check(c, err, backend.Silent, true)
 	_, err = cl.Do(context.Background(), ta, request("r3"))
--- a/fanout/attempt.go
+++ b/fanout/attempt.go
@@ -78,13 +78,13 @@
 		silent = silent * silentNum / silentDen
 	}
 	return backend.Target{
-		Server:      se.ch.Server,
-		Address:     se.ch.Record.Address,
-		Incarnation: se.ch.Record.Incarnation,
-		Connections: se.ch.MaxConnections,
-		SilentAfter: max(silent, time.Millisecond),
-		ProvedSince: se.since,
-		LateAfter:   rn.ru.HedgeDelay,
+		Server:         se.ch.Server,
+		Address:        se.ch.Record.Address,
+		Incarnation:    se.ch.Record.Incarnation,
+		Connections:    se.ch.MaxConnections,
+		SilenceTimeout: max(silent, time.Millisecond),
+		ProvedSince:    se.since,
+		LateAfter:      rn.ru.HedgeDelay,
 	}
 }
 
--- a/fanout/engine_test.go
+++ b/fanout/engine_test.go
@@ -280,7 +280,7 @@
 		}
 		an := ti.en.Run(c.Context(), ti.query())
 		c.Assert(brief(an), qt.Equals, "Complete [a b] []")
-		c.Assert(ti.targets[0].SilentAfter, qt.Equals, 190*time.Millisecond*2/3)
+		c.Assert(ti.targets[0].SilenceTimeout, qt.Equals, 190*time.Millisecond*2/3)
 	})
 }
 
