--- a/backend/client.go
+++ b/backend/client.go
@@ -16,10 +16,10 @@
 // Target says which backend server a request goes to and how many connections
 // to it this instance may hold.
 type Target struct {
-	Server      string
-	Address     string // Address is an IP number and port.
-	Incarnation uint64
-	Connections int // Connections is this instance's share of the connection limit.
+	Server         string
+	Address        string // Address is an IP number and port.
+	Incarnation    uint64
+	MaxConnections int // Connections is this instance's share of the connection limit.
 	// SilentAfter is how long a connection may make no progress while a request
 	// waits before it is abandoned; 0 takes the client's setting. It should be well
 	// above the slowest healthy reply: a false alarm costs the idle connections.
--- a/backend/client_bench_test.go
+++ b/backend/client_bench_test.go
@@ -39,7 +39,7 @@
 		b.Run(bc.name, func(b *testing.B) {
 			ad := bc.serve(qt.New(b))
 			cl := backend.NewClient(timer.New(), zap.NewNop(), backend.ClientConfig{SilenceTimeout: 5 * time.Second})
-			ta := backend.Target{Server: "bench", Address: ad, Connections: benchConnections}
+			ta := backend.Target{Server: "bench", Address: ad, MaxConnections: benchConnections}
 			ctx, cancel := context.WithTimeout(context.Background(), time.Hour)
 			defer cancel()
 			b.ReportAllocs()
--- a/backend/client_test.go
+++ b/backend/client_test.go
@@ -299,7 +299,7 @@
 		{short, target(1), request("r1"), backend.Deadline},
 		{context.Background(), target(0), request("r1"), backend.NoConnection},
 		{context.Background(), target(1), bad, backend.Malformed},
-		{context.Background(), backend.Target{Server: "by-name", Address: "localhost:1", Connections: 1}, request("r1"), backend.DialFailed},
+		{context.Background(), backend.Target{Server: "by-name", Address: "localhost:1", MaxConnections: 1}, request("r1"), backend.DialFailed},
 		{context.Background(), old, request("r1"), backend.DialFailed},
 	} {
 		c := qt.New(t)
--- a/backend/fake_test.go
+++ b/backend/fake_test.go
@@ -132,7 +132,7 @@
 }
 
 func target(share int) backend.Target {
-	return backend.Target{Server: "sv", Address: "127.0.0.1:1", Incarnation: 1, Connections: share}
+	return backend.Target{Server: "sv", Address: "127.0.0.1:1", Incarnation: 1, MaxConnections: share}
 }
 
 func check(c *qt.C, err error, kind backend.ErrorKind, sent bool) {
--- a/backend/leaf_test.go
+++ b/backend/leaf_test.go
@@ -27,7 +27,7 @@
 		le.Close()
 		<-ended
 	})
-	return le, backend.Target{Server: "sv", Address: le.Address(), Connections: cf.ConnectionLimit}
+	return le, backend.Target{Server: "sv", Address: le.Address(), MaxConnections: cf.ConnectionLimit}
 }
 
 // Callers see refused connections on a backend server that is well. Entries
@@ -97,7 +97,7 @@
 func TestSilentLastConnection(t *testing.T) {
 	c := qt.New(t)
 	le, ta := startLeaf(c, leaf.Config{ConnectionLimit: 2})
-	ta.Connections = 1
+	ta.MaxConnections = 1
 	cl := newClient(c, backend.ClientConfig{})
 	_, err := cl.Do(context.Background(), ta, request("r1"))
 	c.Assert(err, qt.IsNil)
--- a/backend/pool.go
+++ b/backend/pool.go
@@ -102,7 +102,7 @@
 			po.brief += us.brief()
 			return cn, nil
 		}
-		if po.open() < po.ta.Connections {
+		if po.open() < po.ta.MaxConnections {
 			po.brief += us.brief()
 			cn, er := po.dial(ctx)
 			if er != nil {
@@ -133,7 +133,7 @@
 	if moved {
 		po.closeIdle(func(*conn) bool { return true })
 	}
-	for len(po.idle) > 0 && po.open()-po.closing > ta.Connections {
+	for len(po.idle) > 0 && po.open()-po.closing > ta.MaxConnections {
 		po.closeOldest()
 	}
 	return nil
@@ -315,7 +315,7 @@
 // settleIn makes a connection idle, or closes it if it may not be used again.
 func (po *pool) settleIn(cn *conn) {
 	current := cn.ta.Address == po.ta.Address && cn.ta.Incarnation == po.ta.Incarnation
-	if po.retired || !current || !cn.reusable || po.open()-po.closing >= po.ta.Connections {
+	if po.retired || !current || !cn.reusable || po.open()-po.closing >= po.ta.MaxConnections {
 		po.startClose(cn)
 		return
 	}
--- a/capacity/state.go
+++ b/capacity/state.go
@@ -141,7 +141,7 @@
 	for _, re := range vi.Servers {
 		tas[re.Server] = backend.Target{
 			Server: re.Server, Address: re.Address, Incarnation: re.Incarnation,
-			Connections: limit.ConnectionsPerInstance(re.ConnectionLimit, vi.Divisor()),
+			MaxConnections: limit.ConnectionsPerInstance(re.ConnectionLimit, vi.Divisor()),
 		}
 	}
 	return tas
--- a/fanout/attempt.go
+++ b/fanout/attempt.go
@@ -81,7 +81,7 @@
 		Server:         se.ch.Server,
 		Address:        se.ch.Record.Address,
 		Incarnation:    se.ch.Record.Incarnation,
-		Connections:    se.ch.MaxConnections,
+		MaxConnections: se.ch.MaxConnections,
 		SilenceTimeout: max(silent, time.Millisecond),
 		ProvedSince:    se.since,
 		LateAfter:      rn.ru.HedgeDelay,
--- a/instance/connections.go
+++ b/instance/connections.go
@@ -47,10 +47,10 @@
 	tas := make(map[string]backend.Target, len(vi.Servers))
 	for _, re := range vi.Servers {
 		tas[re.Server] = backend.Target{
-			Server:      re.Server,
-			Address:     re.Address,
-			Incarnation: re.Incarnation,
-			Connections: limit.ConnectionsPerInstance(re.ConnectionLimit, vi.Divisor()),
+			Server:         re.Server,
+			Address:        re.Address,
+			Incarnation:    re.Incarnation,
+			MaxConnections: limit.ConnectionsPerInstance(re.ConnectionLimit, vi.Divisor()),
 		}
 	}
 	return tas
--- a/instance/local_bench_test.go
+++ b/instance/local_bench_test.go
@@ -101,7 +101,7 @@
 		wg.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
-			ta := backend.Target{Server: re.Server, Address: re.Address, Incarnation: re.Incarnation, Connections: 4}
+			ta := backend.Target{Server: re.Server, Address: re.Address, Incarnation: re.Incarnation, MaxConnections: 4}
 			_, err := cl.Do(ctx, ta, backend.Request{
 				RequestID: fmt.Sprint(re.Server, time.Now().UnixNano()), Service: "archivo", Shard: re.Holdings[0].Shard,
 				Snapshot: snapshot.ID{Partition: 1, Version: 1}, Repeatable: true, Query: []byte("{}"),
--- a/leaf/leaf_test.go
+++ b/leaf/leaf_test.go
@@ -93,7 +93,7 @@
 		le.Close()
 		<-ended
 	})
-	return &rig{Leaf: le, cl: cl, ta: backend.Target{Server: "sv", Address: "127.0.0.1:1", Connections: 20}}
+	return &rig{Leaf: le, cl: cl, ta: backend.Target{Server: "sv", Address: "127.0.0.1:1", MaxConnections: 20}}
 }
 
 // do sends a request and returns the reply's code, or the error's kind.
@@ -230,7 +230,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		ri := newRig(t, Config{ConnectionLimit: 1, AcceptDelay: 6 * time.Millisecond})
-		ri.ta.Connections = 1
+		ri.ta.MaxConnections = 1
 		began := time.Now()
 		c.Check(ri.do(time.Second, request("")), qt.Equals, "OK")
 		c.Check(time.Since(began), qt.Equals, 6*time.Millisecond)
@@ -332,7 +332,7 @@
 	le.Publish(0)
 	c.Check(<-an.ch, qt.Equals, "second Serving 2")
 	cl := backend.NewClient(timer.New(), zap.NewNop(), backend.ClientConfig{})
-	ta := backend.Target{Server: "sv", Address: le.Address(), Connections: 2}
+	ta := backend.Target{Server: "sv", Address: le.Address(), MaxConnections: 2}
 	code := make(chan backend.ReplyCode, 1)
 	go func() {
 		re, _ := cl.Do(context.Background(), ta, request("r1"))
