--- a/backend/client.go
+++ b/backend/client.go
@@ -25,7 +25,7 @@
 	// above the slowest healthy reply: a false alarm costs the idle connections.
 	SilenceTimeout time.Duration
 	// ProvedSince refuses idle connections on which nothing has come since then.
-	ProvedSince time.Time
+	ReplySince time.Time
 	// LateAfter is after how long a reply is late; 0 says nothing. The Cancel of a
 	// late request goes over a connection proved to work, unless the backend server
 	// was heard over another of the same age in that time.
--- a/backend/client_test.go
+++ b/backend/client_test.go
@@ -131,7 +131,7 @@
 		ta := target(2)
 		go cl.Do(c.Context(), ta, request("lost"))
 		synctest.Wait()
-		ta.ProvedSince = time.Now()
+		ta.ReplySince = time.Now()
 		time.Sleep(10 * time.Millisecond)
 		_, err := cl.Do(context.Background(), ta, request("hedge"))
 		c.Assert(err, qt.IsNil)
--- a/backend/exchange.go
+++ b/backend/exchange.go
@@ -108,7 +108,7 @@
 func (po *pool) fail(cn *conn, ta Target, rq Request, er *Error) {
 	lingers := false
 	sent := cn.sentAt
-	ta.ProvedSince = po.doubtedSince(cn, ta, rq.RequestID)
+	ta.ReplySince = po.doubtedSince(cn, ta, rq.RequestID)
 	switch er.Kind {
 	case Silent:
 		po.abandon(cn)
@@ -219,7 +219,7 @@
 		if er.Kind != Silent {
 			return false, asked
 		}
-		ta.ProvedSince = po.cl.ts.Now()
+		ta.ReplySince = po.cl.ts.Now()
 	}
 }
 
--- a/backend/pool.go
+++ b/backend/pool.go
@@ -94,8 +94,8 @@
 	if us == forQuery {
 		po.retired = false
 	}
-	if !ta.ProvedSince.IsZero() {
-		po.closeIdle(func(cn *conn) bool { return !cn.proved.After(ta.ProvedSince) })
+	if !ta.ReplySince.IsZero() {
+		po.closeIdle(func(cn *conn) bool { return !cn.proved.After(ta.ReplySince) })
 	}
 	for {
 		if cn := po.takeIdle(); cn != nil {
--- a/fanout/attempt.go
+++ b/fanout/attempt.go
@@ -83,7 +83,7 @@
 		Incarnation:    se.ch.Record.Incarnation,
 		MaxConnections: se.ch.MaxConnections,
 		SilenceTimeout: max(silent, time.Millisecond),
-		ProvedSince:    se.since,
+		ReplySince:     se.since,
 		LateAfter:      rn.ru.HedgeDelay,
 	}
 }
--- a/fanout/engine_test.go
+++ b/fanout/engine_test.go
@@ -313,7 +313,7 @@
 			c.Assert(an.Cost.Micros, qt.Equals, tc.micros)
 			// None goes over a connection that was silent for half a delay.
 			sent := start.Add(time.Duration(tc.micros) * time.Microsecond)
-			c.Assert(sent.Sub(ti.targets[2].ProvedSince).Round(time.Millisecond), qt.Equals, 5*time.Millisecond)
+			c.Assert(sent.Sub(ti.targets[2].ReplySince).Round(time.Millisecond), qt.Equals, 5*time.Millisecond)
 		})
 	}
 }
