--- a/backend/client.go
+++ b/backend/client.go
@@ -29,7 +29,7 @@
 	// LateAfter is after how long a reply is late; 0 says nothing. The Cancel of a
 	// late request goes over a connection proved to work, unless the backend server
 	// was heard over another of the same age in that time.
-	LateAfter time.Duration
+	LateThreshold time.Duration
 }
 
 // ClientConfig holds the settings of a Client. A zero field takes its default.
--- a/backend/client_test.go
+++ b/backend/client_test.go
@@ -160,7 +160,7 @@
 		ctx, cancel := within(time.Hour)
 		time.AfterFunc(50*time.Millisecond, cancel)
 		ta := target(2)
-		ta.LateAfter = 50 * time.Millisecond
+		ta.LateThreshold = 50 * time.Millisecond
 		_, err := cl.Do(ctx, ta, request("r1"))
 		check(c, err, backend.Cancelled, true)
 		c.Check(<-settled, qt.Equals, 60*time.Millisecond)
--- a/backend/exchange.go
+++ b/backend/exchange.go
@@ -142,8 +142,8 @@
 // doubtedSince returns since when a connection must have proved to work to carry
 // the Cancel of a request that failed; zero if any will do.
 func (po *pool) doubtedSince(cn *conn, ta Target, requestID string) time.Time {
-	from := po.cl.ts.Now().Add(-ta.LateAfter)
-	if ta.LateAfter == 0 || cn.sentAt.After(from) || po.heard(requestID).After(from) {
+	from := po.cl.ts.Now().Add(-ta.LateThreshold)
+	if ta.LateThreshold == 0 || cn.sentAt.After(from) || po.heard(requestID).After(from) {
 		return time.Time{}
 	}
 	return from
--- a/fanout/attempt.go
+++ b/fanout/attempt.go
@@ -84,7 +84,7 @@
 		MaxConnections: se.ch.MaxConnections,
 		SilenceTimeout: max(silent, time.Millisecond),
 		ReplySince:     se.since,
-		LateAfter:      rn.ru.HedgeDelay,
+		LateThreshold:  rn.ru.HedgeDelay,
 	}
 }
 
