--- a/backend/exchange.go
+++ b/backend/exchange.go
@@ -151,7 +151,7 @@
 
 func (po *pool) discardCrossed(cn *conn, rq Request, er *Error) {
 	po.mu.Lock()
-	po.st.Crossed++
+	po.st.Mismatched++
 	po.mu.Unlock()
 	po.discard(cn)
 	po.cl.lg.Warn("backend.reply.crossed", zap.String("Server", cn.ta.Server),
