--- a/backend/client.go
+++ b/backend/client.go
@@ -98,7 +98,7 @@
 	Lingering   int    // Lingering counts those that wait for a reply nobody else waits for.
 	Closing     int    // Closing counts those whose end is not confirmed yet.
 	Opened      uint64 // Opened counts those ever opened.
-	Abandoned   uint64 // Abandoned counts those closed because they went silent.
+	Silent      uint64 // Abandoned counts those closed because they went silent.
 	Mismatched  uint64 // Crossed counts those closed after a reply to another request.
 	Unconfirmed uint64 // Unconfirmed counts those that the backend server may still count as open.
 	Lost        uint64 // Lost counts those closed because a request was lost on them.
--- a/backend/client_test.go
+++ b/backend/client_test.go
@@ -94,7 +94,7 @@
 		synctest.Wait()
 		_, cancels, _ := fk.seen()
 		c.Check(cancels, qt.DeepEquals, []string{"r1"})
-		c.Check(cl.Stats("sv").Abandoned, qt.Equals, uint64(1))
+		c.Check(cl.Stats("sv").Silent, qt.Equals, uint64(1))
 	})
 }
 
--- a/backend/pool.go
+++ b/backend/pool.go
@@ -346,7 +346,7 @@
 	po.mu.Lock()
 	defer po.mu.Unlock()
 	po.busy--
-	po.st.Abandoned++
+	po.st.Silent++
 	po.startClose(cn)
 	po.closeIdle(func(ot *conn) bool { return !ot.opened.After(cn.sentAt) })
 	po.cl.lg.Warn("backend.connection.silent", zap.String("Server", po.ta.Server),
--- a/instance/operators.go
+++ b/instance/operators.go
@@ -275,7 +275,7 @@
 			}
 		}
 		st := in.cl.Stats(subject)
-		out = append(out, fmt.Sprintf("%d connections open, %d abandoned as silent, %d closed after a crossed reply", st.Open, st.Abandoned, st.Mismatched))
+		out = append(out, fmt.Sprintf("%d connections open, %d abandoned as silent, %d closed after a crossed reply", st.Open, st.Silent, st.Mismatched))
 		if sv, ok := in.ta.Server(in.ts.Now(), subject); ok {
 			running, held := sv.InFlight()
 			out = append(out, fmt.Sprintf("used as %s %s: %d requests in flight, %d given up but not proved stopped, at most %.1f, latency %s",
