--- a/backend/client.go
+++ b/backend/client.go
@@ -168,7 +168,7 @@
 // Retain closes the connections to servers that are not among the given ones,
 // idle ones at once and others after their request, and takes over addresses
 // and shares of the rest.
-func (cl *Client) Retain(servers map[string]Target) {
+func (cl *Client) SetTargets(servers map[string]Target) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	for na, po := range cl.pools {
@@ -191,7 +191,7 @@
 	cl.mu.Lock()
 	cl.closed = true
 	cl.mu.Unlock()
-	cl.Retain(nil)
+	cl.SetTargets(nil)
 }
 
 // Stats counts the connections to a backend server.
--- a/backend/client_test.go
+++ b/backend/client_test.go
@@ -389,7 +389,7 @@
 			first <- err
 		}()
 		synctest.Wait()
-		cl.Retain(nil)
+		cl.SetTargets(nil)
 		_, err := cl.Do(context.Background(), target(1), request("r2"))
 		check(c, err, backend.NoConnection, false)
 		close(answer)
--- a/backend/leaf_test.go
+++ b/backend/leaf_test.go
@@ -152,13 +152,13 @@
 		c.Assert(err, qt.IsNil)
 	}
 	do(ta)
-	cl.Retain(map[string]backend.Target{"sv": ta})
+	cl.SetTargets(map[string]backend.Target{"sv": ta})
 	c.Check(cl.Stats("sv").Idle, qt.Equals, 1)
 	ta.Incarnation++
 	do(ta)
 	c.Check(le.Counts().Accepted, qt.Equals, 2)
 	for len(cl.Servers()) > 0 {
-		cl.Retain(nil)
+		cl.SetTargets(nil)
 	}
 	for le.Counts().Connections > 0 {
 		time.Sleep(time.Millisecond)
--- a/capacity/state.go
+++ b/capacity/state.go
@@ -124,7 +124,7 @@
 			})
 			derived := spent(repetitions, func(int) {
 				ta.Update(vi)
-				cl.Retain(targets(vi))
+				cl.SetTargets(targets(vi))
 			})
 			repeated := spent(len(res), func(ix int) {
 				me, _ = member.Step(me, member.Announced{Now: began, Record: res[ix]})
--- a/instance/connections.go
+++ b/instance/connections.go
@@ -28,10 +28,10 @@
 	in.last, in.connected, in.sweepAt = vi, connected, now.Add(sweepPeriod)
 	in.ta.Update(vi)
 	if !connected {
-		in.cl.Retain(nil)
+		in.cl.SetTargets(nil)
 		return
 	}
-	in.cl.Retain(in.targets(vi))
+	in.cl.SetTargets(in.targets(vi))
 }
 
 func servesWithoutControl(cfg operator.Configuration) bool {
