--- a/fanout/bench_test.go
+++ b/fanout/bench_test.go
@@ -73,7 +73,7 @@
 	cl := instant{limit.NewTable(ts, limit.TableConfig{})}
 	cl.Update(vi)
 	nb := func(percent float64, burst int) Budget { return limit.NewBudget(percent, burst) }
-	var ta Servers = cl
+	var ta Balancer = cl
 	if decidesNothing {
 		ta = bare{cl}
 	}
--- a/fanout/engine.go
+++ b/fanout/engine.go
@@ -34,7 +34,7 @@
 }
 
 // Servers chooses among replicas and keeps their slots; *limit.Table is one.
-type Servers interface {
+type Balancer interface {
 	Pick(now time.Time, tactics operator.Tactics, candidates []backend.Record, exclude []string) (limit.Choice, bool)
 	Done(now time.Time, ch limit.Choice, oc limit.Outcome)
 	ReleaseSlot(now time.Time, ch limit.Choice)
@@ -67,7 +67,7 @@
 	ce   *view.Cell
 	cl   Sender
 	he   ReplyTracker // he is nil if the Sender is none.
-	ta   Servers
+	ta   Balancer
 	ad   Admitter
 	nb   BudgetFactory
 	on   once.Recorder
@@ -87,7 +87,7 @@
 // New returns an engine of the instance with the given name. The lease, the
 // configuration and the backend servers are those of the newest view in the
 // cell.
-func New(self string, ce *view.Cell, cl Sender, ta Servers, ad Admitter, nb BudgetFactory, on once.Recorder, ts *timer.Service, lg *zap.Logger, me *Metrics) *Engine {
+func New(self string, ce *view.Cell, cl Sender, ta Balancer, ad Admitter, nb BudgetFactory, on once.Recorder, ts *timer.Service, lg *zap.Logger, me *Metrics) *Engine {
 	en := &Engine{
 		self: self, boot: strconv.FormatInt(ts.Now().UnixNano(), 36),
 		ce: ce, cl: cl, ta: ta, ad: ad, nb: nb, on: on, ts: ts, lg: lg, me: me,
