--- a/capacity/exchange.go
+++ b/capacity/exchange.go
@@ -84,7 +84,7 @@
 	leader *peer.Peer
 
 	mu sync.Mutex
-	bo control.Book
+	bo control.LeaseTable
 }
 
 func newParty(holders int) (*party, error) {
--- a/capacity/grants.go
+++ b/capacity/grants.go
@@ -17,7 +17,7 @@
 var began = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
 // bookOf returns a leader's book in which the first instances hold leases.
-func bookOf(count int) control.Book {
+func bookOf(count int) control.LeaseTable {
 	bo := control.NewBook(began.Add(-2*leaseLength), leaseLength).WithRevision(began, 1)
 	for _, in := range instancesOf(count) {
 		bo, _, _ = bo.WithRenewal(began, control.Renewal{Instance: in, InForce: 1}, count)
@@ -27,7 +27,7 @@
 
 // grantOf does what the leader does with a renewal that names the newest list of
 // lease holders, without the files.
-func grantOf(bo control.Book, now time.Time, rn control.Renewal, maxEntries int) (control.Book, control.Grant) {
+func grantOf(bo control.LeaseTable, now time.Time, rn control.Renewal, maxEntries int) (control.LeaseTable, control.Grant) {
 	bo, ok, reason := bo.WithRenewal(now, rn, maxEntries)
 	return bo, control.Grant{
 		Granted: ok, Reason: reason, LeaseMillis: bo.LeaseMillis(), Term: 1, Revision: 1, Leader: "entry-000",
--- a/control/book.go
+++ b/control/book.go
@@ -40,7 +40,7 @@
 // granted, and the sum of the parts that the holders may take up stays within
 // one. A lease counts until it has run out or was released, and an instance that
 // comes back with another incarnation is another holder meanwhile.
-type Book struct {
+type LeaseTable struct {
 	lease      time.Duration
 	quietUntil time.Time
 	holders    tree[string, Holder]
@@ -65,13 +65,13 @@
 
 // NewBook returns the book of a new leader: every instance that it has not
 // heard of may hold a lease until now+lease.
-func NewBook(now time.Time, lease time.Duration) Book {
-	return Book{lease: lease, quietUntil: now.Add(lease)}
+func NewBook(now time.Time, lease time.Duration) LeaseTable {
+	return LeaseTable{lease: lease, quietUntil: now.Add(lease)}
 }
 
 // WithRevision returns the book after a revision was committed. A new leader
 // tells it the present revision first.
-func (bo Book) WithRevision(now time.Time, revision uint64) Book {
+func (bo LeaseTable) WithRevision(now time.Time, revision uint64) LeaseTable {
 	if le := len(bo.revisions); le > 0 && revision <= bo.revisions[le-1].revision {
 		return bo
 	}
@@ -86,7 +86,7 @@
 // WithRenewal returns the book after a renewal, whether the lease is granted,
 // and if not the reason. Files that the instance lacks must be sent to it also
 // when it is not granted.
-func (bo Book) WithRenewal(now time.Time, rn Renewal, maxEntries int) (Book, bool, string) {
+func (bo LeaseTable) WithRenewal(now time.Time, rn Renewal, maxEntries int) (LeaseTable, bool, string) {
 	key := holderKey(rn.Instance)
 	ho, known := bo.holders.get(key)
 	known = known && now.Before(ho.Until) && ho.Instance.Entry == rn.Instance.Entry
@@ -116,7 +116,7 @@
 }
 
 // refusal gives the reason to refuse whatever room there is, or "".
-func (bo Book) refusal(now time.Time, rn Renewal, known bool) string {
+func (bo LeaseTable) refusal(now time.Time, rn Renewal, known bool) string {
 	switch {
 	case bo.superseded(rn.Instance):
 		return reasonSuperseded
@@ -133,7 +133,7 @@
 
 // superseded reports whether the name has come with a higher incarnation: the
 // older process must not live on beside its successor.
-func (bo Book) superseded(in view.Instance) bool {
+func (bo LeaseTable) superseded(in view.Instance) bool {
 	for _, ho := range bo.holders.from(holderKey(in)) {
 		if ho.Instance.Name != in.Name || ho.Instance.Incarnation > in.Incarnation {
 			return ho.Instance.Name == in.Name
@@ -146,7 +146,7 @@
 // the newest revision, else it would serve an older one after the newer was said
 // to be in force. A holder has a lease's time to follow, else one that renews
 // without following would keep a change from ever being in force.
-func (bo Book) behind(now time.Time, rn Renewal, known bool) bool {
+func (bo LeaseTable) behind(now time.Time, rn Renewal, known bool) bool {
 	for _, co := range bo.revisions {
 		late := !now.Before(co.when.Add(bo.lease))
 		if rn.InForce < co.revision && (late || !known && !rn.Leased) {
@@ -164,7 +164,7 @@
 
 // divide returns the holder with the divisor that it may use, or the reason why
 // there is no room for it.
-func (bo Book) divide(now time.Time, ho Holder, rn Renewal, known bool, maxEntries int) (Holder, string) {
+func (bo LeaseTable) divide(now time.Time, ho Holder, rn Renewal, known bool, maxEntries int) (Holder, string) {
 	if maxEntries <= 0 {
 		return ho, reasonNoLimit
 	}
@@ -212,7 +212,7 @@
 
 // others returns the sum of the shares of the other entry holders, and how many
 // of them came before the holder.
-func (bo Book) others(ho Holder, in view.Instance) (shares float64, before int) {
+func (bo LeaseTable) others(ho Holder, in view.Instance) (shares float64, before int) {
 	own := holderKey(in)
 	for key, ot := range bo.holders.all() {
 		if key == own || !ot.Instance.Entry {
@@ -226,7 +226,7 @@
 	return shares, before
 }
 
-func (bo Book) withoutExpired(now time.Time) Book {
+func (bo LeaseTable) withoutExpired(now time.Time) LeaseTable {
 	for key, ho := range bo.holders.all() {
 		if !now.Before(ho.Until) {
 			bo.holders = bo.holders.without(key)
@@ -238,7 +238,7 @@
 // InForce reports whether every entry instance that may serve has the revision
 // in force, and names those that may not. An instance whose lease ran out does
 // not serve.
-func (bo Book) InForce(now time.Time, revision uint64) (all bool, waitingFor []string) {
+func (bo LeaseTable) InForce(now time.Time, revision uint64) (all bool, waitingFor []string) {
 	for _, ho := range bo.Holders(now) {
 		if ho.Instance.Entry && ho.InForce < revision {
 			waitingFor = append(waitingFor, ho.Instance.Name)
@@ -253,7 +253,7 @@
 }
 
 // Holders returns those that hold a lease, sorted by name and incarnation.
-func (bo Book) Holders(now time.Time) []Holder {
+func (bo LeaseTable) Holders(now time.Time) []Holder {
 	var hos []Holder
 	for _, ho := range bo.holders.all() {
 		if now.Before(ho.Until) {
@@ -265,7 +265,7 @@
 
 // Instances returns the instances that hold a lease, sorted by name; of each
 // name the one with the highest incarnation.
-func (bo Book) Instances(now time.Time) []view.Instance {
+func (bo LeaseTable) Instances(now time.Time) []view.Instance {
 	var ins []view.Instance
 	for _, ho := range bo.Holders(now) {
 		if le := len(ins); le > 0 && ins[le-1].Name == ho.Instance.Name {
@@ -279,7 +279,7 @@
 
 // Entries returns the divisor that the instance was granted, for Grant.Entries;
 // 0 if it holds no lease.
-func (bo Book) Entries(in view.Instance) int {
+func (bo LeaseTable) Entries(in view.Instance) int {
 	ho, _ := bo.holders.get(holderKey(in))
 	return ho.Entries
 }
@@ -287,7 +287,7 @@
 // LeaseMillis returns what a holder may count from when it sent its renewal, for
 // Grant.LeaseMillis: nine tenths of what the leader waits for, in case its clock
 // runs slower than the leader's.
-func (bo Book) LeaseMillis() int64 {
+func (bo LeaseTable) LeaseMillis() int64 {
 	return (bo.lease * 9 / 10).Milliseconds()
 }
 
--- a/control/book_test.go
+++ b/control/book_test.go
@@ -20,7 +20,7 @@
 }
 
 // settledBook is the book of a leader whose predecessor's leases have run out.
-func settledBook() Book {
+func settledBook() LeaseTable {
 	return NewBook(start.Add(-lease), lease)
 }
 
@@ -29,7 +29,7 @@
 }
 
 // renew asserts the verdict on a renewal.
-func renew(tb testing.TB, bo Book, at float64, rn Renewal, maxEntries int, reason string) Book {
+func renew(tb testing.TB, bo LeaseTable, at float64, rn Renewal, maxEntries int, reason string) LeaseTable {
 	tb.Helper()
 	ne, ok, got := bo.WithRenewal(later(at), rn, maxEntries)
 	qt.Assert(tb, got, qt.Matches, reason)
--- a/instance/voter.go
+++ b/instance/voter.go
@@ -52,7 +52,7 @@
 	role                      quorum.Role
 	leader                    quorum.ID
 	leaderSince               time.Time
-	bo                        control.Book
+	bo                        control.LeaseTable
 	roster                    roster
 	tag                       uint64
 	proposed                  map[uint64]pending
