--- a/capacity/grants.go
+++ b/capacity/grants.go
@@ -18,7 +18,7 @@
 
 // bookOf returns a leader's book in which the first instances hold leases.
 func bookOf(count int) control.LeaseTable {
-	bo := control.NewBook(began.Add(-2*leaseLength), leaseLength).WithRevision(began, 1)
+	bo := control.NewLeaseTable(began.Add(-2*leaseLength), leaseLength).WithRevision(began, 1)
 	for _, in := range instancesOf(count) {
 		bo, _, _ = bo.WithRenewal(began, control.Renewal{Instance: in, InForce: 1}, count)
 	}
--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -132,7 +132,7 @@
 // BenchmarkRenewal is what a renewal costs the leader of 890 entry instances.
 func BenchmarkRenewal(b *testing.B) {
 	const instances = 890
-	bo := control.NewBook(start.Add(-time.Hour), time.Hour)
+	bo := control.NewLeaseTable(start.Add(-time.Hour), time.Hour)
 	for i := 0; b.Loop(); i++ {
 		rn := control.Renewal{Instance: view.Instance{Name: fmt.Sprintf("instance-%03d", i%instances), Entry: true}}
 		bo, _, _ = bo.WithRenewal(start, rn, instances)
--- a/control/book.go
+++ b/control/book.go
@@ -65,7 +65,7 @@
 
 // NewBook returns the book of a new leader: every instance that it has not
 // heard of may hold a lease until now+lease.
-func NewBook(now time.Time, lease time.Duration) LeaseTable {
+func NewLeaseTable(now time.Time, lease time.Duration) LeaseTable {
 	return LeaseTable{lease: lease, quietUntil: now.Add(lease)}
 }
 
--- a/control/book_test.go
+++ b/control/book_test.go
@@ -21,7 +21,7 @@
 
 // settledBook is the book of a leader whose predecessor's leases have run out.
 func settledBook() LeaseTable {
-	return NewBook(start.Add(-lease), lease)
+	return NewLeaseTable(start.Add(-lease), lease)
 }
 
 func entryNamed(name string) view.Instance {
@@ -43,7 +43,7 @@
 // granted leases to others, a stale instance would serve beside them.
 func TestNewLeaderWaitsOutLeases(t *testing.T) {
 	c := qt.New(t)
-	bo := NewBook(start, lease)
+	bo := NewLeaseTable(start, lease)
 	bo = renew(t, bo, 1, Renewal{Instance: entryNamed("held"), InForce: 5, Leased: true}, 2, "")
 	bo = renew(t, bo, 1, Renewal{Instance: entryNamed("new"), InForce: 5}, 2, reasonQuiet)
 	all, waiting := bo.InForce(later(3.9), 5)
@@ -119,7 +119,7 @@
 		for range rapid.IntRange(1, 60).Draw(rt, "renewals") {
 			now = now.Add(rapid.SampledFrom([]time.Duration{0, lease / 4, lease / 2}).Draw(rt, "pause"))
 			if rapid.IntRange(0, 15).Draw(rt, "leader") == 0 {
-				bo = NewBook(now, lease)
+				bo = NewLeaseTable(now, lease)
 			}
 			at := rapid.IntRange(0, len(ps)-1).Draw(rt, "instance")
 			pr := &ps[at]
--- a/instance/voter.go
+++ b/instance/voter.go
@@ -317,7 +317,7 @@
 		zap.String("Leader", nameOf(ac.Leader)), zap.String("Reason", ac.Reason))
 	if ac.Role == quorum.Leader && was != quorum.Leader {
 		vo.roster = roster{}
-		vo.bo = control.NewBook(now, vo.th.cf.Timing.Lease).WithRevision(now, vo.sm.Revision())
+		vo.bo = control.NewLeaseTable(now, vo.th.cf.Timing.Lease).WithRevision(now, vo.sm.Revision())
 		return
 	}
 	if was == quorum.Leader && ac.Role != quorum.Leader {
