--- a/capacity/grants.go
+++ b/capacity/grants.go
@@ -31,7 +31,7 @@
 	bo, ok, reason := bo.WithRenewal(now, rn, maxEntries)
 	return bo, control.Grant{
 		Granted: ok, Reason: reason, LeaseMillis: bo.LeaseMillis(), Term: 1, Revision: 1, Leader: "entry-000",
-		Roster: rn.Roster, Entries: bo.Entries(rn.Instance),
+		Roster: rn.Roster, Entries: bo.Divisor(rn.Instance),
 	}
 }
 
--- a/control/book.go
+++ b/control/book.go
@@ -279,7 +279,7 @@
 
 // Entries returns the divisor that the instance was granted, for Grant.Entries;
 // 0 if it holds no lease.
-func (bo LeaseTable) Entries(in view.Instance) int {
+func (bo LeaseTable) Divisor(in view.Instance) int {
 	ho, _ := bo.holders.get(holderKey(in))
 	return ho.Entries
 }
--- a/control/book_test.go
+++ b/control/book_test.go
@@ -129,7 +129,7 @@
 			var ok bool
 			bo, ok, _ = bo.WithRenewal(now, rn, rapid.IntRange(1, 6).Draw(rt, "max"))
 			if ok && rapid.IntRange(0, 3).Draw(rt, "lost") > 0 {
-				pr.entries, pr.until = bo.Entries(in), now.Add(lease)
+				pr.entries, pr.until = bo.Divisor(in), now.Add(lease)
 			}
 			var shares float64
 			for i := range ps {
--- a/instance/leader.go
+++ b/instance/leader.go
@@ -35,7 +35,7 @@
 	if ro.digest != rn.Roster {
 		gr.Instances = ro.list
 	}
-	gr.Entries = bo.Entries(rn.Instance)
+	gr.Entries = bo.Divisor(rn.Instance)
 	if gr.Revision > rn.InForce {
 		gr.Newer = true
 		gr.Names, gr.Files = changedSince(vo.sm.Files(), rn.InForce)
