--- a/control/change.go
+++ b/control/change.go
@@ -30,7 +30,7 @@
 		if re.Digest == dg {
 			return st, re.Outcome
 		}
-		oc := ChangeOutcome{Code: result.Conflict, Conflict: &ConflictWith{
+		oc := ChangeOutcome{Code: result.Conflict, Conflict: &ConflictingChange{
 			Author:   re.Entry.Author,
 			ChangeID: re.Entry.ChangeID,
 			Revision: re.Entry.Revision,
@@ -145,17 +145,17 @@
 // conflict names the change that came between what the operator knew and now;
 // nil if none did. Without it the slower of two racing operators would undo the
 // other's change without either being told.
-func (st State) conflict(ch Change) *ConflictWith {
+func (st State) conflict(ch Change) *ConflictingChange {
 	for _, fc := range ch.Files {
 		fi, ok := st.files.get(fc.Name)
 		switch {
 		case ok && fi.Revision != fc.Base:
-			return &ConflictWith{File: fc.Name, Author: fi.Author, ChangeID: fi.ChangeID, Revision: fi.Revision}
+			return &ConflictingChange{File: fc.Name, Author: fi.Author, ChangeID: fi.ChangeID, Revision: fi.Revision}
 		case !ok && fc.Base != 0:
 			if cw, known := st.deleted.get(fc.Name); known {
 				return &cw
 			}
-			return &ConflictWith{File: fc.Name}
+			return &ConflictingChange{File: fc.Name}
 		}
 	}
 	return nil
@@ -170,7 +170,7 @@
 		}
 		if fc.Delete {
 			st.files = st.files.without(fc.Name)
-			st = st.withDeleted(ConflictWith{File: fc.Name, Author: ch.Author, ChangeID: ch.ChangeID, Revision: rev})
+			st = st.withDeleted(ConflictingChange{File: fc.Name, Author: ch.Author, ChangeID: ch.ChangeID, Revision: rev})
 			continue
 		}
 		st.fileBytes += len(fc.Content)
@@ -187,7 +187,7 @@
 }
 
 // withDeleted remembers who deleted a file, and forgets the oldest beyond the bound.
-func (st State) withDeleted(cw ConflictWith) State {
+func (st State) withDeleted(cw ConflictingChange) State {
 	st.deleted = st.deleted.with(cw.File, cw)
 	if st.deleted.len() <= MaxDeleted {
 		return st
--- a/control/change_test.go
+++ b/control/change_test.go
@@ -119,7 +119,7 @@
 	oc := ma.change("three", "ben", FileChange{Name: "a.yaml", Base: 1, Content: yaml("a", 300)})
 	c.Check(oc, qt.DeepEquals, ChangeOutcome{
 		Code:     result.Conflict,
-		Conflict: &ConflictWith{File: "a.yaml", Author: "ana", ChangeID: "two", Revision: 2},
+		Conflict: &ConflictingChange{File: "a.yaml", Author: "ana", ChangeID: "two", Revision: 2},
 	})
 	c.Check(ma.Revision(), qt.Equals, uint64(2))
 }
--- a/control/command.go
+++ b/control/command.go
@@ -49,12 +49,12 @@
 type ChangeOutcome struct {
 	Code     result.Code
 	Revision uint64 // Revision is the one that the change made; 0 if refused.
-	Conflict *ConflictWith
+	Conflict *ConflictingChange
 	Faults   []settings.Fault // Faults are at most MaxFaults.
 }
 
 // ConflictWith names the change that went first.
-type ConflictWith struct {
+type ConflictingChange struct {
 	File     string
 	Author   string
 	ChangeID string
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -15,7 +15,7 @@
 	Clock         int64
 	Configuration operator.Configuration
 	Files         []fileEntry
-	Deleted       []ConflictWith
+	Deleted       []ConflictingChange
 	Base          AuditHead
 	Records       []recordEntry
 	Intents       []intent
--- a/control/state.go
+++ b/control/state.go
@@ -25,7 +25,7 @@
 	cfg       operator.Configuration
 	files     tree[string, File]
 	fileBytes int
-	deleted   tree[string, ConflictWith] // deleted tells who deleted a file.
+	deleted   tree[string, ConflictingChange] // deleted tells who deleted a file.
 	trail     trail
 	intents   intents
 }
--- a/control/state_test.go
+++ b/control/state_test.go
@@ -186,7 +186,7 @@
 
 func TestOutcomeRoundTrip(t *testing.T) {
 	for _, oc := range []Outcome{
-		ChangeOutcome{Code: result.Conflict, Conflict: &ConflictWith{File: "f", Author: "a", ChangeID: "c", Revision: 2}},
+		ChangeOutcome{Code: result.Conflict, Conflict: &ConflictingChange{File: "f", Author: "a", ChangeID: "c", Revision: 2}},
 		IntentOutcome{Status: Finished, Code: result.Complete, Answer: []byte("x")},
 		Skipped{},
 	} {
