--- a/control/intent.go
+++ b/control/intent.go
@@ -26,7 +26,7 @@
 	MaxIntents = 32768
 	// ServiceIntents is how many places each service of the configuration has
 	// even when the others have used up MaxIntents.
-	ServiceIntents = 64
+	ReservedIntentsPerService = 64
 	// MaxAnswerBytes bounds one recorded answer; a larger one is dropped and
 	// only its code is kept.
 	MaxAnswerBytes = 16 << 10
@@ -83,7 +83,7 @@
 	}
 	it = it.forget(clock)
 	if it.byKey.len() >= MaxIntents {
-		if used, _ := it.services.get(bi.Service); !known || used >= ServiceIntents {
+		if used, _ := it.services.get(bi.Service); !known || used >= ReservedIntentsPerService {
 			return it, IntentOutcome{Status: Full, Code: result.NotRunNoControl}
 		}
 	}
--- a/control/intent_test.go
+++ b/control/intent_test.go
@@ -75,9 +75,9 @@
 	}
 	refused := IntentOutcome{Status: Full, Code: result.NotRunNoControl}
 	c.Check(ma.begin("new", "d", "", began), qt.DeepEquals, refused)
-	for i := range ServiceIntents + 1 {
+	for i := range ReservedIntentsPerService + 1 {
 		oc := ma.apply(BeginIntent{Key: fmt.Sprint("b", i), Service: "b", When: began}).(IntentOutcome)
-		c.Assert(oc.Status == Fresh, qt.Equals, i < ServiceIntents)
+		c.Assert(oc.Status == Fresh, qt.Equals, i < ReservedIntentsPerService)
 	}
 	c.Check(ma.apply(BeginIntent{Key: "x", Service: "unknown", When: began}), qt.DeepEquals, refused)
 	c.Check(ma.begin("0", "d", "", began).Status, qt.Equals, Running)
