--- a/control/intent.go
+++ b/control/intent.go
@@ -36,7 +36,7 @@
 	// MaxKeyBytes bounds keys, digests and the names of services and attempts.
 	MaxKeyBytes = 200
 	// KeySkew is how far the clock that made a UUID of version 7 may be ahead.
-	KeySkew = 5 * time.Minute
+	MaxKeyClockSkew = 5 * time.Minute
 )
 
 // intent is one kept intent. While it runs it has an Attempt.
@@ -72,13 +72,13 @@
 	if in, ok := it.byKey.get(bi.Key); ok {
 		return it, in.repeated(bi)
 	}
-	if bi.malformed() || keyTime(bi.Key) > clock+int64(KeySkew) {
+	if bi.malformed() || keyTime(bi.Key) > clock+int64(MaxKeyClockSkew) {
 		return it, IntentOutcome{Status: Malformed, Code: result.NotRunBadRequest}
 	}
 	// The intent of this key, if there was one, began at its stated time or
 	// later, give or take the skew. If all that began then are still kept, the
 	// key is new; if some were forgotten, this may be one of them.
-	if ti := keyTime(bi.Key); ti != 0 && it.horizon != 0 && ti <= it.horizon+int64(KeySkew) {
+	if ti := keyTime(bi.Key); ti != 0 && it.horizon != 0 && ti <= it.horizon+int64(MaxKeyClockSkew) {
 		return it, IntentOutcome{Status: TooOld, Code: result.OutcomeUnknown}
 	}
 	it = it.forget(clock)
--- a/control/intent_test.go
+++ b/control/intent_test.go
@@ -111,7 +111,7 @@
 	var ma machine
 	c.Check(ma.begin(key(start), "d", "", start).Status, qt.Equals, Fresh)
 	c.Check(ma.begin(key(start.Add(-time.Hour)), "d", "", start).Status, qt.Equals, Fresh) // nothing was forgotten yet
-	c.Check(ma.begin(key(start.Add(2*KeySkew)), "d", "", start).Status, qt.Equals, Malformed)
+	c.Check(ma.begin(key(start.Add(2*MaxKeyClockSkew)), "d", "", start).Status, qt.Equals, Malformed)
 	for i := range MaxIntents {
 		ma.apply(BeginIntent{Key: fmt.Sprint(i), When: start.Add(2 * IntentRetention)})
 	}
