--- a/control/audit.go
+++ b/control/audit.go
@@ -18,7 +18,7 @@
 	MaxAuditBytes = 8 << 20
 	// MaxAuditContent bounds the contents that are kept before and after.
 	// Entries beyond it keep the hashes.
-	MaxAuditContent = 4 << 20
+	MaxAuditContentBytes = 4 << 20
 )
 
 // AuditEntry is one accepted or refused change.
@@ -205,7 +205,7 @@
 }
 
 func (tr trail) bounded() trail {
-	for tr.content > MaxAuditContent {
+	for tr.content > MaxAuditContentBytes {
 		tr = tr.withoutOldestContent()
 	}
 	for tr.records.len() > MaxAuditEntries || tr.bytes > MaxAuditBytes {
--- a/control/change_test.go
+++ b/control/change_test.go
@@ -166,7 +166,7 @@
 func TestTrailIsBounded(t *testing.T) {
 	c := qt.New(t)
 	var tr trail
-	large := AuditFile{Name: "a.yaml", After: make([]byte, MaxAuditContent/4), AfterHash: hashOf(make([]byte, MaxAuditContent/4))}
+	large := AuditFile{Name: "a.yaml", After: make([]byte, MaxAuditContentBytes/4), AfterHash: hashOf(make([]byte, MaxAuditContentBytes/4))}
 	for i := range MaxAuditEntries + 10 {
 		en := AuditEntry{ChangeID: fmt.Sprint(i)}
 		if i%100 == 0 {
@@ -175,7 +175,7 @@
 		tr = tr.with(en, "digest", ChangeOutcome{})
 	}
 	c.Check(tr.records.len(), qt.Equals, MaxAuditEntries)
-	c.Check(tr.content <= MaxAuditContent, qt.IsTrue)
+	c.Check(tr.content <= MaxAuditContentBytes, qt.IsTrue)
 	c.Check(tr.base.Number, qt.Equals, uint64(10))
 	_, kept := tr.find("9")
 	c.Check(kept, qt.IsFalse)
