--- a/control/change.go
+++ b/control/change.go
@@ -13,11 +13,11 @@
 
 // The bounds of changes. All voters must have the same ones.
 const (
-	MaxFaults      = 100     // MaxFaults is how many faults an outcome names.
-	MaxChangeBytes = 1 << 20 // MaxChangeBytes bounds the contents of one change.
-	MaxFolderBytes = 4 << 20 // MaxFolderBytes bounds the contents of all accepted files.
-	MaxNameBytes   = 200     // MaxNameBytes bounds names of files and authors and change ids.
-	MaxDeleted     = 1000    // MaxDeleted is of how many deleted files it is kept who deleted them.
+	MaxFaults         = 100     // MaxFaults is how many faults an outcome names.
+	MaxChangeBytes    = 1 << 20 // MaxChangeBytes bounds the contents of one change.
+	MaxTotalFileBytes = 4 << 20 // MaxFolderBytes bounds the contents of all accepted files.
+	MaxNameBytes      = 200     // MaxNameBytes bounds names of files and authors and change ids.
+	MaxDeleted        = 1000    // MaxDeleted is of how many deleted files it is kept who deleted them.
 )
 
 // change decides a change and records it in the audit trail.
@@ -44,8 +44,8 @@
 		return st.refuse(ch, dg, ChangeOutcome{Code: result.Conflict, Conflict: cw})
 	}
 	next := st.withFiles(ch)
-	if next.fileBytes > MaxFolderBytes {
-		fa := settings.Fault{Field: "Files", Want: fmt.Sprintf("at most %d bytes in all", MaxFolderBytes), Got: fmt.Sprint(next.fileBytes)}
+	if next.fileBytes > MaxTotalFileBytes {
+		fa := settings.Fault{Field: "Files", Want: fmt.Sprintf("at most %d bytes in all", MaxTotalFileBytes), Got: fmt.Sprint(next.fileBytes)}
 		return st.refuse(ch, dg, invalid(settings.Faults{fa}))
 	}
 	cfg, fs := operator.Merge(next.operatorFiles())
