--- a/control/change.go
+++ b/control/change.go
@@ -17,7 +17,7 @@
 	MaxChangeBytes    = 1 << 20 // MaxChangeBytes bounds the contents of one change.
 	MaxTotalFileBytes = 4 << 20 // MaxFolderBytes bounds the contents of all accepted files.
 	MaxNameBytes      = 200     // MaxNameBytes bounds names of files and authors and change ids.
-	MaxDeleted        = 1000    // MaxDeleted is of how many deleted files it is kept who deleted them.
+	MaxDeletedFiles   = 1000    // MaxDeleted is of how many deleted files it is kept who deleted them.
 )
 
 // change decides a change and records it in the audit trail.
@@ -189,7 +189,7 @@
 // withDeleted remembers who deleted a file, and forgets the oldest beyond the bound.
 func (st State) withDeleted(cw ConflictingChange) State {
 	st.deleted = st.deleted.with(cw.File, cw)
-	if st.deleted.len() <= MaxDeleted {
+	if st.deleted.len() <= MaxDeletedFiles {
 		return st
 	}
 	oldest := cw
