--- a/control/intent.go
+++ b/control/intent.go
@@ -32,7 +32,7 @@
 	MaxAnswerBytes = 16 << 10
 	// MaxAnswersBytes bounds all recorded answers; the oldest are dropped and
 	// their codes kept.
-	MaxAnswersBytes = 4 << 20
+	MaxTotalAnswerBytes = 4 << 20
 	// MaxKeyBytes bounds keys, digests and the names of services and attempts.
 	MaxKeyBytes = 200
 	// KeySkew is how far the clock that made a UUID of version 7 may be ahead.
@@ -198,7 +198,7 @@
 
 // bounded drops the oldest answers beyond the bound; their codes stay.
 func (it intents) bounded() intents {
-	for it.bytes > MaxAnswersBytes {
+	for it.bytes > MaxTotalAnswerBytes {
 		begun, by, _ := it.answers.first()
 		key, _ := it.order.get(begun)
 		in, _ := it.byKey.get(key)
--- a/control/intent_test.go
+++ b/control/intent_test.go
@@ -124,7 +124,7 @@
 	c := qt.New(t)
 	var ma machine
 	large := string(make([]byte, MaxAnswerBytes))
-	count := MaxAnswersBytes/MaxAnswerBytes + 1
+	count := MaxTotalAnswerBytes/MaxAnswerBytes + 1
 	for i := range count {
 		ma.begin(fmt.Sprint(i), "d", "", start)
 		ma.finish(fmt.Sprint(i), "d", "", result.Complete, large)
