--- a/control/change_test.go
+++ b/control/change_test.go
@@ -198,9 +198,9 @@
 	c.Check(ok, qt.IsFalse)
 	oc := ChangeOutcome{Code: result.Accepted, Revision: 1}
 	pr = pr.WithOutcome(oc)
-	c.Check(oc.At(pr).Code, qt.Equals, result.Pending)
+	c.Check(oc.WithProgress(pr).Code, qt.Equals, result.Pending)
 	c.Check(pr.Done(), qt.IsFalse)
 	pr, _ = pr.With(EventInForce)
-	c.Check(oc.At(pr.WithOutcome(oc)).Code, qt.Equals, result.Accepted)
+	c.Check(oc.WithProgress(pr.WithOutcome(oc)).Code, qt.Equals, result.Accepted)
 	c.Check(NewProgress().WithOutcome(ChangeOutcome{Code: result.Invalid}).State(), qt.Equals, StateRefused)
 }
--- a/control/progress.go
+++ b/control/progress.go
@@ -67,7 +67,7 @@
 
 // At returns the outcome as the operator is told it: a committed change is
 // Pending until it is in force everywhere.
-func (oc ChangeOutcome) At(pr Progress) ChangeOutcome {
+func (oc ChangeOutcome) WithProgress(pr Progress) ChangeOutcome {
 	if pr.state == StateCommitted {
 		oc.Code = result.Pending
 	}
--- a/instance/proposals.go
+++ b/instance/proposals.go
@@ -76,7 +76,7 @@
 		if !wa.pr.Done() && now.Before(wa.until) && vo.role == quorum.Leader {
 			return false
 		}
-		wa.reply <- outcomeReply(wa.oc.At(wa.pr))
+		wa.reply <- outcomeReply(wa.oc.WithProgress(wa.pr))
 		return true
 	})
 }
