--- a/control/command.go
+++ b/control/command.go
@@ -91,7 +91,7 @@
 	Malformed IntentStatus = "Malformed"
 	// Lost says that a FinishIntent found no running intent of its attempt, so
 	// it changed nothing.
-	Lost IntentStatus = "Lost"
+	AttemptNotFound IntentStatus = "Lost"
 )
 
 // IntentOutcome is the verdict on a BeginIntent or FinishIntent.
--- a/control/intent.go
+++ b/control/intent.go
@@ -129,7 +129,7 @@
 	in, ok := it.byKey.get(fi.Key)
 	switch {
 	case !ok:
-		return it, IntentOutcome{Status: Lost, Code: result.OutcomeUnknown}
+		return it, IntentOutcome{Status: AttemptNotFound, Code: result.OutcomeUnknown}
 	case in.Digest != fi.Digest:
 		return it, IntentOutcome{Status: KeyReused, Code: result.NotRunKeyReused}
 	case in.Finished:
@@ -138,7 +138,7 @@
 		// A "not run" that was sent twice may arrive after a resend of the
 		// request has begun at another instance. It would free the key while
 		// that one runs, and a further resend would run it again.
-		return it, IntentOutcome{Status: Lost, Code: result.OutcomeUnknown}
+		return it, IntentOutcome{Status: AttemptNotFound, Code: result.OutcomeUnknown}
 	case fi.Code.NotRun():
 		return it.without(in), IntentOutcome{Status: Finished, Code: fi.Code}
 	}
--- a/control/intent_test.go
+++ b/control/intent_test.go
@@ -57,7 +57,7 @@
 	ma.begin("k", "d", "1", start)
 	ma.finish("k", "d", "1", result.NotRunOverloaded, "")
 	c.Check(ma.begin("k", "d", "2", start).Status, qt.Equals, Fresh)
-	c.Check(ma.finish("k", "d", "1", result.NotRunOverloaded, "").Status, qt.Equals, Lost)
+	c.Check(ma.finish("k", "d", "1", result.NotRunOverloaded, "").Status, qt.Equals, AttemptNotFound)
 	c.Check(ma.begin("k", "d", "3", start).Status, qt.Equals, Running)
 }
 
