--- a/member/list.go
+++ b/member/list.go
@@ -36,23 +36,23 @@
 }
 
 // Standing says why a backend server is listed or not.
-type Standing string
+type ServerStatus string
 
 // The standings of a backend server.
 const (
-	Listed       Standing = "Listed"
-	Silent       Standing = "Silent"       // Silent is no longer heard by its owner; listed until its time to live ends.
-	Gone         Standing = "Gone"         // Gone was silent for its time to live.
-	Departed     Standing = "Departed"     // Departed said that it left.
-	Unclaimed    Standing = "Unclaimed"    // Unclaimed lost its owner; listed until its time to live ends.
-	Forsaken     Standing = "Forsaken"     // Forsaken lost its owner and no other instance heard it in time.
-	AddressTaken Standing = "AddressTaken" // AddressTaken lost its address to a later server.
+	Listed       ServerStatus = "Listed"
+	Silent       ServerStatus = "Silent"       // Silent is no longer heard by its owner; listed until its time to live ends.
+	Gone         ServerStatus = "Gone"         // Gone was silent for its time to live.
+	Departed     ServerStatus = "Departed"     // Departed said that it left.
+	Unclaimed    ServerStatus = "Unclaimed"    // Unclaimed lost its owner; listed until its time to live ends.
+	Forsaken     ServerStatus = "Forsaken"     // Forsaken lost its owner and no other instance heard it in time.
+	AddressTaken ServerStatus = "AddressTaken" // AddressTaken lost its address to a later server.
 )
 
 // Explanation says what is held of a backend server and why.
 type Explanation struct {
 	Record           backend.Record
-	Standing         Standing
+	Standing         ServerStatus
 	Owner            string // Owner is the instance that vouches or vouched for it.
 	OwnerIncarnation uint64
 	Winner           string // Winner is the server that holds the address now, if another does.
@@ -210,7 +210,7 @@
 	return ex, true
 }
 
-func (st State) standing(it *item) Standing {
+func (st State) standing(it *item) ServerStatus {
 	doubted := it.version.status == statusDoubted
 	switch {
 	case it.version.status == statusLeft:
