--- a/member/list.go
+++ b/member/list.go
@@ -52,7 +52,7 @@
 // Explanation says what is held of a backend server and why.
 type Explanation struct {
 	Record           backend.Record
-	Standing         ServerStatus
+	Status           ServerStatus
 	Owner            string // Owner is the instance that vouches or vouched for it.
 	OwnerIncarnation uint64
 	Winner           string // Winner is the server that holds the address now, if another does.
@@ -199,12 +199,12 @@
 		return Explanation{}, false
 	}
 	ex := Explanation{
-		Record: *it.record, Standing: st.standing(&it),
+		Record: *it.record, Status: st.standing(&it),
 		Owner: it.version.owner, OwnerIncarnation: it.version.ownerIncarnation,
 	}
 	for _, co := range st.Conflicts() {
 		if co.Loser == server {
-			ex.Standing, ex.Winner = AddressTaken, co.Winner
+			ex.Status, ex.Winner = AddressTaken, co.Winner
 		}
 	}
 	return ex, true
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -73,7 +73,7 @@
 	c.Assert(cl.everywhere("s"), qt.DeepEquals, []backend.State{""})
 	ex, ok := cl.states["e0"].Explain("s")
 	c.Assert(ok, qt.IsTrue)
-	c.Assert(ex.Standing, qt.Equals, Departed)
+	c.Assert(ex.Status, qt.Equals, Departed)
 
 	cl.announce("d0", record("s", 2, 1, backend.Cold))
 	cl.announce("a0", record("s", 1, 9, backend.Left))
@@ -95,11 +95,11 @@
 	cl.ticks(7)
 	c.Assert(cl.everywhere("s"), qt.DeepEquals, []backend.State{backend.Serving})
 	ex, _ := cl.states["c0"].Explain("s")
-	c.Assert(ex.Standing, qt.Equals, Silent)
+	c.Assert(ex.Status, qt.Equals, Silent)
 	cl.ticks(4)
 	c.Assert(cl.everywhere("s"), qt.DeepEquals, []backend.State{""})
 	ex, _ = cl.states["c0"].Explain("s")
-	c.Assert(ex.Standing, qt.Equals, Gone)
+	c.Assert(ex.Status, qt.Equals, Gone)
 	cl.announce("b0", record("s", 1, 1, backend.Serving))
 	cl.ticks(1)
 	c.Assert(cl.everywhere("s"), qt.DeepEquals, []backend.State{backend.Serving})
@@ -164,7 +164,7 @@
 		c.Assert(cl.listed(name, "s"), qt.Equals, backend.State(""))
 		c.Assert(cl.states[name].Conflicts(), qt.DeepEquals, []Conflict{{Address: "s:2", Winner: "a", Loser: "s"}})
 		ex, _ := cl.states[name].Explain("s")
-		c.Assert(ex.Standing, qt.Equals, AddressTaken)
+		c.Assert(ex.Status, qt.Equals, AddressTaken)
 		c.Assert(ex.Winner, qt.Equals, "a")
 	}
 	newer.Sequence, newer.State = 2, backend.Left
