--- a/member/list.go
+++ b/member/list.go
@@ -40,13 +40,13 @@
 
 // The standings of a backend server.
 const (
-	Listed       ServerStatus = "Listed"
-	Silent       ServerStatus = "Silent"       // Silent is no longer heard by its owner; listed until its time to live ends.
-	Gone         ServerStatus = "Gone"         // Gone was silent for its time to live.
-	Departed     ServerStatus = "Departed"     // Departed said that it left.
-	Unclaimed    ServerStatus = "Unclaimed"    // Unclaimed lost its owner; listed until its time to live ends.
-	Forsaken     ServerStatus = "Forsaken"     // Forsaken lost its owner and no other instance heard it in time.
-	AddressTaken ServerStatus = "AddressTaken" // AddressTaken lost its address to a later server.
+	Listed        ServerStatus = "Listed"
+	Silent        ServerStatus = "Silent"       // Silent is no longer heard by its owner; listed until its time to live ends.
+	Gone          ServerStatus = "Gone"         // Gone was silent for its time to live.
+	Departed      ServerStatus = "Departed"     // Departed said that it left.
+	Unclaimed     ServerStatus = "Unclaimed"    // Unclaimed lost its owner; listed until its time to live ends.
+	OrphanExpired ServerStatus = "Forsaken"     // Forsaken lost its owner and no other instance heard it in time.
+	AddressTaken  ServerStatus = "AddressTaken" // AddressTaken lost its address to a later server.
 )
 
 // Explanation says what is held of a backend server and why.
@@ -224,7 +224,7 @@
 	case doubted:
 		return Gone
 	default:
-		return Forsaken
+		return OrphanExpired
 	}
 }
 
