--- a/member/list.go
+++ b/member/list.go
@@ -44,7 +44,7 @@
 	Silent        ServerStatus = "Silent"       // Silent is no longer heard by its owner; listed until its time to live ends.
 	Gone          ServerStatus = "Gone"         // Gone was silent for its time to live.
 	Departed      ServerStatus = "Departed"     // Departed said that it left.
-	Unclaimed     ServerStatus = "Unclaimed"    // Unclaimed lost its owner; listed until its time to live ends.
+	Orphaned      ServerStatus = "Unclaimed"    // Unclaimed lost its owner; listed until its time to live ends.
 	OrphanExpired ServerStatus = "Forsaken"     // Forsaken lost its owner and no other instance heard it in time.
 	AddressTaken  ServerStatus = "AddressTaken" // AddressTaken lost its address to a later server.
 )
@@ -220,7 +220,7 @@
 	case it.shown && doubted:
 		return Silent
 	case it.shown:
-		return Unclaimed
+		return Orphaned
 	case doubted:
 		return Gone
 	default:
