--- a/member/list.go
+++ b/member/list.go
@@ -42,7 +42,7 @@
 const (
 	Listed        ServerStatus = "Listed"
 	Silent        ServerStatus = "Silent"       // Silent is no longer heard by its owner; listed until its time to live ends.
-	Gone          ServerStatus = "Gone"         // Gone was silent for its time to live.
+	Expired       ServerStatus = "Gone"         // Gone was silent for its time to live.
 	Departed      ServerStatus = "Departed"     // Departed said that it left.
 	Orphaned      ServerStatus = "Unclaimed"    // Unclaimed lost its owner; listed until its time to live ends.
 	OrphanExpired ServerStatus = "Forsaken"     // Forsaken lost its owner and no other instance heard it in time.
@@ -222,7 +222,7 @@
 	case it.shown:
 		return Orphaned
 	case doubted:
-		return Gone
+		return Expired
 	default:
 		return OrphanExpired
 	}
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -99,7 +99,7 @@
 	cl.ticks(4)
 	c.Assert(cl.everywhere("s"), qt.DeepEquals, []backend.State{""})
 	ex, _ = cl.states["c0"].Explain("s")
-	c.Assert(ex.Status, qt.Equals, Gone)
+	c.Assert(ex.Status, qt.Equals, Expired)
 	cl.announce("b0", record("s", 1, 1, backend.Serving))
 	cl.ticks(1)
 	c.Assert(cl.everywhere("s"), qt.DeepEquals, []backend.State{backend.Serving})
