--- a/instance/operators.go
+++ b/instance/operators.go
@@ -24,7 +24,7 @@
 	control   control.StatusReply
 	leads     bool
 	leader    string
-	conflicts []member.Conflict
+	conflicts []member.AddressConflict
 }
 
 func (th *thread) status() statusSeen {
--- a/member/list.go
+++ b/member/list.go
@@ -24,12 +24,12 @@
 type serverList struct {
 	once      sync.Once
 	list      []backend.Record
-	conflicts []Conflict
+	conflicts []AddressConflict
 }
 
 // Conflict is an address that two backend servers claim. The later incarnation
 // is listed; the other one is not.
-type Conflict struct {
+type AddressConflict struct {
 	Address string
 	Winner  string
 	Loser   string
@@ -73,7 +73,7 @@
 
 // Conflicts returns the addresses that more than one live server claims, sorted
 // by address and loser.
-func (st State) Conflicts() []Conflict {
+func (st State) Conflicts() []AddressConflict {
 	return st.serverList().conflicts
 }
 
@@ -116,10 +116,10 @@
 	for _, re := range records {
 		if ho := holders[re.Address]; ho != re {
 			losers[re.Server] = true
-			sl.conflicts = append(sl.conflicts, Conflict{Address: re.Address, Winner: ho.Server, Loser: re.Server})
+			sl.conflicts = append(sl.conflicts, AddressConflict{Address: re.Address, Winner: ho.Server, Loser: re.Server})
 		}
 	}
-	slices.SortStableFunc(sl.conflicts, func(aa, bb Conflict) int { return strings.Compare(aa.Address, bb.Address) })
+	slices.SortStableFunc(sl.conflicts, func(aa, bb AddressConflict) int { return strings.Compare(aa.Address, bb.Address) })
 	return losers
 }
 
