--- a/instance/operators.go
+++ b/instance/operators.go
@@ -28,7 +28,7 @@
 }
 
 func (th *thread) status() statusSeen {
-	ss := statusSeen{leader: th.leader, conflicts: th.me.Conflicts()}
+	ss := statusSeen{leader: th.leader, conflicts: th.me.AddressConflicts()}
 	if th.vo != nil {
 		ss.control = th.vo.status()
 		ss.leads = th.vo.leads(th.ts.Now())
--- a/member/list.go
+++ b/member/list.go
@@ -73,7 +73,7 @@
 
 // Conflicts returns the addresses that more than one live server claims, sorted
 // by address and loser.
-func (st State) Conflicts() []AddressConflict {
+func (st State) AddressConflicts() []AddressConflict {
 	return st.serverList().conflicts
 }
 
@@ -202,7 +202,7 @@
 		Record: *it.record, Status: st.standing(&it),
 		Owner: it.version.owner, OwnerIncarnation: it.version.ownerIncarnation,
 	}
-	for _, co := range st.Conflicts() {
+	for _, co := range st.AddressConflicts() {
 		if co.Loser == server {
 			ex.Status, ex.Winner = AddressTaken, co.Winner
 		}
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -162,7 +162,7 @@
 	for _, name := range cl.names {
 		c.Assert(cl.listed(name, "a"), qt.Equals, backend.Serving)
 		c.Assert(cl.listed(name, "s"), qt.Equals, backend.State(""))
-		c.Assert(cl.states[name].Conflicts(), qt.DeepEquals, []AddressConflict{{Address: "s:2", Winner: "a", Loser: "s"}})
+		c.Assert(cl.states[name].AddressConflicts(), qt.DeepEquals, []AddressConflict{{Address: "s:2", Winner: "a", Loser: "s"}})
 		ex, _ := cl.states[name].Explain("s")
 		c.Assert(ex.Status, qt.Equals, AddressTaken)
 		c.Assert(ex.Winner, qt.Equals, "a")
