--- a/capacity/grants.go
+++ b/capacity/grants.go
@@ -86,7 +86,7 @@
 		me := member.New(rn.Instance, 1, began)
 		entry := spent(repetitions, func(int) {
 			_, _ = co.Decode(frame)
-			me, _ = member.Step(me, member.Instances{Now: began, Instances: holders})
+			me, _ = member.Step(me, member.InstancesGranted{Now: began, Instances: holders})
 			me.Instances()
 		})
 		look := spent(repetitions, func(int) { bo.InForce(began, 1) })
--- a/instance/configuration.go
+++ b/instance/configuration.go
@@ -34,7 +34,7 @@
 		th.roster.Store(ev.gr.Roster)
 	}
 	// The same list again says that control still hears them.
-	th.member(member.Instances{Now: th.ts.Now(), Instances: th.holders})
+	th.member(member.InstancesGranted{Now: th.ts.Now(), Instances: th.holders})
 	th.dirty = true
 }
 
--- a/member/cluster_test.go
+++ b/member/cluster_test.go
@@ -79,7 +79,7 @@
 		ins = append(ins, cl.states[name].self)
 	}
 	for _, name := range cl.names {
-		cl.step(name, Instances{Now: cl.now, Instances: ins})
+		cl.step(name, InstancesGranted{Now: cl.now, Instances: ins})
 	}
 }
 
--- a/member/member.go
+++ b/member/member.go
@@ -69,7 +69,7 @@
 type Tick struct{ Now time.Time }
 
 // Instances says which instances control names in a grant.
-type Instances struct {
+type InstancesGranted struct {
 	Now       time.Time
 	Instances []view.Instance
 }
@@ -84,12 +84,12 @@
 // Leave says that this instance stops. The actions tell the others.
 type Leave struct{ Now time.Time }
 
-func (Announced) isEvent() {}
-func (Received) isEvent()  {}
-func (Tick) isEvent()      {}
-func (Instances) isEvent() {}
-func (Changed) isEvent()   {}
-func (Leave) isEvent()     {}
+func (Announced) isEvent()        {}
+func (Received) isEvent()         {}
+func (Tick) isEvent()             {}
+func (InstancesGranted) isEvent() {}
+func (Changed) isEvent()          {}
+func (Leave) isEvent()            {}
 
 // Action is something that a State asks for. The only type is Send.
 type Action interface{ isAction() }
@@ -142,7 +142,7 @@
 	case Tick:
 		sp.at(ev.Now)
 		sp.tick()
-	case Instances:
+	case InstancesGranted:
 		sp.at(ev.Now)
 		sp.grant(ev.Instances)
 	case Changed:
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -25,7 +25,7 @@
 	cl.start("z0", 1)
 	c.Assert(cl.sees("z0"), qt.DeepEquals, []string{"z0"})
 	cl.lose = func(pk packet) bool { return isRumour(pk.ms) }
-	cl.step("z0", Instances{Now: cl.now, Instances: cl.states["a0"].Instances()})
+	cl.step("z0", InstancesGranted{Now: cl.now, Instances: cl.states["a0"].Instances()})
 	c.Assert(cl.states["z0"].Members()[0].Phase, qt.Equals, instanceChart.Initial())
 	cl.ticks(4)
 	c.Assert(cl.alike(), qt.IsTrue)
@@ -218,8 +218,8 @@
 	c := qt.New(t)
 	cl := newCluster(5, 1)
 	for range 60 {
-		cl.step("b0", Instances{Now: cl.now})
-		cl.step("c0", Instances{Now: cl.now, Instances: []view.Instance{instance("c0", 1)}})
+		cl.step("b0", InstancesGranted{Now: cl.now})
+		cl.step("c0", InstancesGranted{Now: cl.now, Instances: []view.Instance{instance("c0", 1)}})
 		cl.ticks(1)
 		c.Assert(cl.sees("b0"), qt.HasLen, 5)
 		c.Assert(cl.sees("c0"), qt.HasLen, 5)
@@ -317,7 +317,7 @@
 	cl.kill("b0")
 	c.Assert(cl.sees("d0"), qt.DeepEquals, []string{"a0", "c0", "d0"})
 	cl.now = cl.now.Add(time.Second)
-	cl.step("d0", Instances{Now: cl.now, Instances: []view.Instance{self}})
+	cl.step("d0", InstancesGranted{Now: cl.now, Instances: []view.Instance{self}})
 	c.Assert(cl.sees("d0"), qt.DeepEquals, []string{"a0", "c0", "d0"})
 	cl.start("b0", 2)
 	cl.grantAll()
