--- a/instance/thread.go
+++ b/instance/thread.go
@@ -213,7 +213,7 @@
 	th.draining = true
 	th.self.Draining = true
 	th.lg.Info("draining")
-	th.member(member.Changed{Now: th.ts.Now(), Self: th.self})
+	th.member(member.SelfChanged{Now: th.ts.Now(), Self: th.self})
 	th.wake()
 }
 
--- a/member/member.go
+++ b/member/member.go
@@ -76,7 +76,7 @@
 
 // Changed says that this instance's own entry changed, for example that it
 // drains. Its name and incarnation must stay.
-type Changed struct {
+type SelfChanged struct {
 	Now  time.Time
 	Self view.Instance
 }
@@ -88,7 +88,7 @@
 func (Received) isEvent()         {}
 func (Tick) isEvent()             {}
 func (InstancesGranted) isEvent() {}
-func (Changed) isEvent()          {}
+func (SelfChanged) isEvent()      {}
 func (Leave) isEvent()            {}
 
 // Action is something that a State asks for. The only type is Send.
@@ -145,7 +145,7 @@
 	case InstancesGranted:
 		sp.at(ev.Now)
 		sp.grant(ev.Instances)
-	case Changed:
+	case SelfChanged:
 		sp.at(ev.Now)
 		sp.changed(ev.Self)
 	case Leave:
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -308,7 +308,7 @@
 	cl := newCluster(4, 1)
 	self := cl.states["b0"].self
 	self.Draining = true
-	cl.step("b0", Changed{Now: cl.now, Self: self})
+	cl.step("b0", SelfChanged{Now: cl.now, Self: self})
 	cl.deliver()
 	c.Assert(cl.states["d0"].Instances()[1].Draining, qt.IsTrue)
 	c.Assert(cl.states["d0"].Members()[1].Phase, qt.Equals, chart.State("Draining"))
