--- a/member/message.go
+++ b/member/message.go
@@ -42,12 +42,12 @@
 
 // Leaf gives the versions that the sender holds under a path.
 type Leaf struct {
-	Path   path    `cbor:"1,keyasint"`
-	Stamps []Stamp `cbor:"2,keyasint"`
+	Path   path             `cbor:"1,keyasint"`
+	Stamps []VersionSummary `cbor:"2,keyasint"`
 }
 
 // Stamp is the version of an entry in few bytes.
-type Stamp struct {
+type VersionSummary struct {
 	_           struct{} `cbor:",toarray"`
 	Hash        uint64
 	Check       uint32 // Check tells apart what the numbers leave alike.
@@ -116,16 +116,16 @@
 }
 
 // stamp returns the version of an item in few bytes.
-func (it *item) stamp() Stamp {
+func (it *item) stamp() VersionSummary {
 	ve := it.version
-	return Stamp{
+	return VersionSummary{
 		Hash: it.hash, Check: uint32(it.sum), Incarnation: ve.incarnation,
 		Left: ve.left(), Sequence: ve.sequence, Claim: ve.claim,
 	}
 }
 
 // compare orders stamps of one subject as far as their numbers tell.
-func (sm Stamp) compare(ot Stamp) int {
+func (sm VersionSummary) compare(ot VersionSummary) int {
 	return cmp.Or(
 		cmp.Compare(sm.Incarnation, ot.Incarnation),
 		cmp.Compare(sm.Left, ot.Left),
--- a/member/spread.go
+++ b/member/spread.go
@@ -180,7 +180,7 @@
 // compareLeaf adds to a message the entries that the other instance lacks or
 // holds in an older version, and asks for those that it holds newer.
 func (sp *step) compareLeaf(tr *Transfer, le Leaf) {
-	theirs := make(map[uint64]Stamp, len(le.Stamps))
+	theirs := make(map[uint64]VersionSummary, len(le.Stamps))
 	for _, sm := range le.Stamps {
 		theirs[sm.Hash] = sm
 	}
