--- a/member/message.go
+++ b/member/message.go
@@ -42,8 +42,8 @@
 
 // Leaf gives the versions that the sender holds under a path.
 type Leaf struct {
-	Path   path             `cbor:"1,keyasint"`
-	Stamps []VersionSummary `cbor:"2,keyasint"`
+	Path     path             `cbor:"1,keyasint"`
+	Versions []VersionSummary `cbor:"2,keyasint"`
 }
 
 // Stamp is the version of an entry in few bytes.
--- a/member/spread.go
+++ b/member/spread.go
@@ -130,7 +130,7 @@
 	ta := sp.table.part(pa)
 	if ta.count == 0 || max(ta.count, theirs) <= leafItems || pa.Depth == maxDepth-1 {
 		le := Leaf{Path: pa}
-		ta.each(func(it *item) { le.Stamps = append(le.Stamps, it.stamp()) })
+		ta.each(func(it *item) { le.Versions = append(le.Versions, it.stamp()) })
 		rp.Leaves = append(rp.Leaves, le)
 		return
 	}
@@ -180,8 +180,8 @@
 // compareLeaf adds to a message the entries that the other instance lacks or
 // holds in an older version, and asks for those that it holds newer.
 func (sp *step) compareLeaf(tr *Transfer, le Leaf) {
-	theirs := make(map[uint64]VersionSummary, len(le.Stamps))
-	for _, sm := range le.Stamps {
+	theirs := make(map[uint64]VersionSummary, len(le.Versions))
+	for _, sm := range le.Versions {
 		theirs[sm.Hash] = sm
 	}
 	sp.table.part(le.Path).each(func(it *item) {
@@ -196,7 +196,7 @@
 			tr.Want = append(tr.Want, it.hash)
 		}
 	})
-	for _, sm := range le.Stamps {
+	for _, sm := range le.Versions {
 		if _, ok := theirs[sm.Hash]; ok {
 			tr.Want = append(tr.Want, sm.Hash)
 		}
