--- a/member/cluster_test.go
+++ b/member/cluster_test.go
@@ -15,7 +15,7 @@
 
 func isRumour(ms peer.Message) bool {
 	tr, ok := ms.(Transfer)
-	return ok && tr.Rumour
+	return ok && tr.Forward
 }
 
 // packet is a message under way.
--- a/member/message.go
+++ b/member/message.go
@@ -61,7 +61,7 @@
 type Transfer struct {
 	Entries []Entry  `cbor:"1,keyasint,omitempty"`
 	Want    []uint64 `cbor:"2,keyasint,omitempty"`
-	Rumour  bool     `cbor:"3,keyasint,omitempty"` // Rumour says that the entries are news to be passed on.
+	Forward bool     `cbor:"3,keyasint,omitempty"` // Rumour says that the entries are news to be passed on.
 }
 
 // Entry is an entry on the wire. Exactly one of Record and Instance is set.
--- a/member/property_test.go
+++ b/member/property_test.go
@@ -197,7 +197,7 @@
 		newServerEntry(&re, version{claim: 3, status: statusDoubted, owner: "o", ownerIncarnation: 4}),
 		newInstanceEntry(&sp.self, version{sequence: 2, claim: 5}),
 	} {
-		frame, err := co.Encode(Transfer{Entries: []Entry{sp.pack(item{entry: en})}, Rumour: true})
+		frame, err := co.Encode(Transfer{Entries: []Entry{sp.pack(item{entry: en})}, Forward: true})
 		c.Assert(err, qt.IsNil)
 		ms, err := co.Decode(frame)
 		c.Assert(err, qt.IsNil)
--- a/member/spread.go
+++ b/member/spread.go
@@ -74,7 +74,7 @@
 	if len(sp.rumours) == 0 || len(sp.partners) == 0 {
 		return
 	}
-	ms := Transfer{Rumour: true}
+	ms := Transfer{Forward: true}
 	rest := make([]rumour, 0, len(sp.rumours))
 	for _, ru := range sp.rumours {
 		if it, ok := sp.table.get(ru.hash); ok {
@@ -206,7 +206,7 @@
 // transfer takes over entries and gives those that are asked for.
 func (sp *step) transfer(from string, ms Transfer) {
 	for _, we := range ms.Entries {
-		sp.take(we, ms.Rumour)
+		sp.take(we, ms.Forward)
 	}
 	var tr Transfer
 	for _, hash := range ms.Want {
