--- a/member/message.go
+++ b/member/message.go
@@ -59,9 +59,9 @@
 
 // Transfer carries entries and asks for others by their hashes.
 type Transfer struct {
-	Entries []Entry  `cbor:"1,keyasint,omitempty"`
-	Want    []uint64 `cbor:"2,keyasint,omitempty"`
-	Forward bool     `cbor:"3,keyasint,omitempty"` // Rumour says that the entries are news to be passed on.
+	Entries   []Entry  `cbor:"1,keyasint,omitempty"`
+	Requested []uint64 `cbor:"2,keyasint,omitempty"`
+	Forward   bool     `cbor:"3,keyasint,omitempty"` // Rumour says that the entries are news to be passed on.
 }
 
 // Entry is an entry on the wire. Exactly one of Record and Instance is set.
--- a/member/spread.go
+++ b/member/spread.go
@@ -193,12 +193,12 @@
 			tr.Entries = append(tr.Entries, sp.pack(*it))
 		}
 		if ok && (order < 0 || (order == 0 && own.Check != sm.Check)) {
-			tr.Want = append(tr.Want, it.hash)
+			tr.Requested = append(tr.Requested, it.hash)
 		}
 	})
 	for _, sm := range le.Versions {
 		if _, ok := theirs[sm.Hash]; ok {
-			tr.Want = append(tr.Want, sm.Hash)
+			tr.Requested = append(tr.Requested, sm.Hash)
 		}
 	}
 }
@@ -209,7 +209,7 @@
 		sp.take(we, ms.Forward)
 	}
 	var tr Transfer
-	for _, hash := range ms.Want {
+	for _, hash := range ms.Requested {
 		if it, ok := sp.table.get(hash); ok {
 			tr.Entries = append(tr.Entries, sp.pack(it))
 		}
@@ -231,8 +231,8 @@
 	for chunk := range slices.Chunk(tr.Entries, transferEntries) {
 		sp.send(to, Transfer{Entries: chunk})
 	}
-	for chunk := range slices.Chunk(tr.Want, transferEntries) {
-		sp.send(to, Transfer{Want: chunk})
+	for chunk := range slices.Chunk(tr.Requested, transferEntries) {
+		sp.send(to, Transfer{Requested: chunk})
 	}
 }
 
