--- a/member/message.go
+++ b/member/message.go
@@ -70,7 +70,7 @@
 	Instance         *view.Instance `cbor:"2,keyasint,omitempty"`
 	Incarnation      uint64         `cbor:"3,keyasint"`
 	Sequence         uint64         `cbor:"4,keyasint,omitempty"`
-	Claim            uint64         `cbor:"5,keyasint,omitempty"`
+	Epoch            uint64         `cbor:"5,keyasint,omitempty"`
 	Status           uint8          `cbor:"6,keyasint,omitempty"`
 	Owner            string         `cbor:"7,keyasint,omitempty"`
 	OwnerIncarnation uint64         `cbor:"8,keyasint,omitempty"`
@@ -139,7 +139,7 @@
 	ve := it.version
 	we := Entry{
 		Instance: it.instance, Incarnation: ve.incarnation, Sequence: ve.sequence,
-		Claim: ve.claim, Status: uint8(ve.status),
+		Epoch: ve.claim, Status: uint8(ve.status),
 	}
 	if it.mark != 0 {
 		we.AgeMillis = max(sp.now-it.mark, 0).Milliseconds()
@@ -155,7 +155,7 @@
 // subject or an unknown status.
 func (we Entry) unpack() (*entry, error) {
 	ve := version{
-		incarnation: we.Incarnation, sequence: we.Sequence, claim: we.Claim,
+		incarnation: we.Incarnation, sequence: we.Sequence, claim: we.Epoch,
 		status: status(we.Status), owner: we.Owner, ownerIncarnation: we.OwnerIncarnation,
 	}
 	switch {
