--- a/member/message.go
+++ b/member/message.go
@@ -54,7 +54,7 @@
 	Incarnation uint64
 	Left        int
 	Sequence    uint64
-	Claim       uint64
+	Epoch       uint64
 }
 
 // Transfer carries entries and asks for others by their hashes.
@@ -120,7 +120,7 @@
 	ve := it.version
 	return VersionSummary{
 		Hash: it.hash, Check: uint32(it.sum), Incarnation: ve.incarnation,
-		Left: ve.left(), Sequence: ve.sequence, Claim: ve.claim,
+		Left: ve.left(), Sequence: ve.sequence, Epoch: ve.claim,
 	}
 }
 
@@ -130,7 +130,7 @@
 		cmp.Compare(sm.Incarnation, ot.Incarnation),
 		cmp.Compare(sm.Left, ot.Left),
 		cmp.Compare(sm.Sequence, ot.Sequence),
-		cmp.Compare(sm.Claim, ot.Claim),
+		cmp.Compare(sm.Epoch, ot.Epoch),
 	)
 }
 
