--- a/capacity/tier.go
+++ b/capacity/tier.go
@@ -49,7 +49,7 @@
 	tm := settings.NewInstance().Timing
 	tm.Lease = tierLease
 	ti.lo, err = instance.StartLocal(instance.LocalConfig{
-		Instances: size, Control: voters, Region: "local", DataCentres: []string{"a", "b", "c"}, Folder: folder, Timing: tm,
+		Instances: size, ControlInstances: voters, Region: "local", DataCentres: []string{"a", "b", "c"}, Folder: folder, Timing: tm,
 	}, ti.ts, zap.NewNop())
 	if err != nil {
 		_ = os.RemoveAll(folder)
--- a/cmd/balsamload/local.go
+++ b/cmd/balsamload/local.go
@@ -26,11 +26,11 @@
 		return nil, err
 	}
 	lo, err := instance.StartLocal(instance.LocalConfig{
-		Instances:   ex.Tier.Instances,
-		Control:     ex.Tier.Voters,
-		Region:      "local",
-		DataCentres: ex.Tier.DataCentres,
-		Folder:      folder,
+		Instances:        ex.Tier.Instances,
+		ControlInstances: ex.Tier.Voters,
+		Region:           "local",
+		DataCentres:      ex.Tier.DataCentres,
+		Folder:           folder,
 	}, ts, lg)
 	if err != nil {
 		return nil, errors.Join(err, os.RemoveAll(folder))
--- a/cmd/balsamwinch/demo.go
+++ b/cmd/balsamwinch/demo.go
@@ -80,12 +80,12 @@
 func runDemo(ctx context.Context, folder string, once bool, out io.Writer, lg *zap.Logger) error {
 	ts := timer.New()
 	lo, err := instance.StartLocal(instance.LocalConfig{
-		Instances:   demoInstances,
-		Control:     demoInstances,
-		Region:      "Lima",
-		DataCentres: []string{"miraflores", "surquillo", "san-isidro"},
-		Folder:      folder,
-		Timing:      demoTiming(),
+		Instances:        demoInstances,
+		ControlInstances: demoInstances,
+		Region:           "Lima",
+		DataCentres:      []string{"miraflores", "surquillo", "san-isidro"},
+		Folder:           folder,
+		Timing:           demoTiming(),
 	}, ts, lg)
 	if err != nil {
 		return err
--- a/instance/leader_bench_test.go
+++ b/instance/leader_bench_test.go
@@ -21,7 +21,7 @@
 		b.StopTimer()
 		ts := timer.New()
 		lo, err := instance.StartLocal(instance.LocalConfig{
-			Instances: 3, Control: 3, Region: "lima", DataCentres: []string{"a", "b", "c"}, Folder: b.TempDir(),
+			Instances: 3, ControlInstances: 3, Region: "lima", DataCentres: []string{"a", "b", "c"}, Folder: b.TempDir(),
 		}, ts, zap.NewNop())
 		if err != nil {
 			b.Fatal(err)
--- a/instance/local.go
+++ b/instance/local.go
@@ -23,13 +23,13 @@
 // LocalConfig describes a tier on one machine for demos, trials and tests. Its
 // instances speak over the network as they would apart.
 type LocalConfig struct {
-	Instances   int      // Instances is how many there are, each an entry.
-	Control     int      // Control is how many of them keep the durable state, from the first.
-	Region      string   // Region is that of all instances.
-	DataCentres []string // DataCentres are given to the instances in turn.
-	Folder      string   // Folder holds the data folders.
-	Timing      settings.Timing
-	Limits      settings.Limits
+	Instances        int      // Instances is how many there are, each an entry.
+	ControlInstances int      // Control is how many of them keep the durable state, from the first.
+	Region           string   // Region is that of all instances.
+	DataCentres      []string // DataCentres are given to the instances in turn.
+	Folder           string   // Folder holds the data folders.
+	Timing           settings.Timing
+	Limits           settings.Limits
 }
 
 // Local is a running local tier.
@@ -98,7 +98,7 @@
 		st.DataCentre = cf.DataCentres[ix%len(cf.DataCentres)]
 		st.Roles = []settings.Role{settings.Entry}
 		st.Addresses = settings.Addresses{Caller: loopback + ":0", Backend: loopback + ":0", Operator: loopback + ":0", Peer: pas[ix]}
-		if ix < cf.Control {
+		if ix < cf.ControlInstances {
 			st.Roles = append(st.Roles, settings.Control)
 			st.DataFolder = filepath.Join(cf.Folder, st.Name)
 			vrs = append(vrs, settings.Voter{Name: st.Name, Address: pas[ix]})
--- a/instance/local_bench_test.go
+++ b/instance/local_bench_test.go
@@ -59,7 +59,7 @@
 	timing.Lease = time.Second
 	timing.Renewal = 200 * time.Millisecond
 	lo, err := instance.StartLocal(instance.LocalConfig{
-		Instances: 1, Control: 1, Region: "lima", DataCentres: []string{"miraflores"}, Folder: b.TempDir(), Timing: timing,
+		Instances: 1, ControlInstances: 1, Region: "lima", DataCentres: []string{"miraflores"}, Folder: b.TempDir(), Timing: timing,
 	}, ts, zap.NewNop())
 	if err != nil {
 		b.Fatal(err)
