--- a/capacity/tier.go
+++ b/capacity/tier.go
@@ -278,7 +278,7 @@
 	ti.kill(stay)
 	began := time.Now()
 	for ix := stay; ix < ti.size; ix++ {
-		if err := ti.lo.Start(ix); err != nil {
+		if err := ti.lo.Restart(ix); err != nil {
 			return restartCost{}, err
 		}
 	}
--- a/cmd/balsamload/local.go
+++ b/cmd/balsamload/local.go
@@ -51,7 +51,9 @@
 func (li *localInstances) Kill(_ context.Context, number int) error { return li.lo.Kill(number - 1) }
 
 // Start starts a killed instance again with what is on its disk.
-func (li *localInstances) Start(_ context.Context, number int) error { return li.lo.Start(number - 1) }
+func (li *localInstances) Start(_ context.Context, number int) error {
+	return li.lo.Restart(number - 1)
+}
 
 // Close stops the instances and removes their data.
 func (li *localInstances) Close() error {
--- a/instance/local.go
+++ b/instance/local.go
@@ -173,7 +173,7 @@
 }
 
 // Start starts a killed instance again, from its disk if it has one.
-func (lo *Local) Start(ix int) error {
+func (lo *Local) Restart(ix int) error {
 	return lo.ins[ix].start(lo.ts, lo.lg)
 }
 
