--- a/feed/cluster_test.go
+++ b/feed/cluster_test.go
@@ -160,7 +160,7 @@
 
 func (cl *cluster) config() link.Config {
 	return link.Config{
-		Codec: peer.NewCodec(link.Messages(), Messages()), TS: cl.ts,
+		Codec: peer.NewCodec(link.Messages(), Messages()), Timers: cl.ts,
 		Dial: 500 * time.Millisecond, Ping: testPingInterval, Silence: testLinkTimeout,
 	}
 }
--- a/feed/invite.go
+++ b/feed/invite.go
@@ -89,7 +89,7 @@
 		if reached {
 			return attempt
 		}
-		if lc.TS.Sleep(ctx, backoff/2+rand.N(backoff/2)) != nil {
+		if lc.Timers.Sleep(ctx, backoff/2+rand.N(backoff/2)) != nil {
 			return 0
 		}
 		backoff = min(2*backoff, maxInviteBackoff)
--- a/feed/tcp_test.go
+++ b/feed/tcp_test.go
@@ -70,7 +70,7 @@
 	defer cancel()
 	ts := timer.New()
 	cf := link.Config{
-		Codec: peer.NewCodec(link.Messages(), Messages()), TS: ts,
+		Codec: peer.NewCodec(link.Messages(), Messages()), Timers: ts,
 		Dial: 5 * time.Second, Ping: time.Second, Silence: 30 * time.Second,
 	}
 	var ms []Member
--- a/link/link.go
+++ b/link/link.go
@@ -49,7 +49,7 @@
 // Config is what connections need.
 type Config struct {
 	Codec   *peer.Codec    // Codec knows Messages and all messages that are sent.
-	TS      *timer.Service // TS gives the time.
+	Timers  *timer.Service // TS gives the time.
 	Dial    time.Duration  // Dial bounds a dial.
 	Ping    time.Duration  // Ping is the longest time without a frame sent.
 	Silence time.Duration  // Silence without a byte received, or without progress in sending, ends the connection.
@@ -86,12 +86,12 @@
 // New takes over an established connection. It must be ended with Close, or by
 // an error of Receive.
 func New(nc net.Conn, cf Config) *Conn {
-	now := cf.TS.Now()
+	now := cf.Timers.Now()
 	co := &Conn{cf: cf, nc: nc, made: now, sent: now, done: make(chan struct{})}
 	co.rd = bufio.NewReaderSize(silentReader{co}, bufferBytes)
 	co.mu.Lock()
 	defer co.mu.Unlock()
-	co.beat = cf.TS.Timeout(cf.Ping, co.ping)
+	co.beat = cf.Timers.Timeout(cf.Ping, co.ping)
 	return co
 }
 
@@ -176,7 +176,7 @@
 		co.mu.Unlock()
 		return
 	}
-	if idle := co.cf.TS.Now().Sub(co.sent); !co.writing && idle < co.cf.Ping {
+	if idle := co.cf.Timers.Now().Sub(co.sent); !co.writing && idle < co.cf.Ping {
 		co.beat.Reset(co.cf.Ping - idle)
 		co.mu.Unlock()
 		return
@@ -200,7 +200,7 @@
 	for {
 		co.mu.Lock()
 		co.queued -= written
-		co.sent = co.cf.TS.Now()
+		co.sent = co.cf.Timers.Now()
 		queue := co.queue
 		co.queue = nil
 		if len(queue) == 0 || co.err != nil {
@@ -234,7 +234,7 @@
 				queue = queue[1:]
 			}
 		}
-		if err := co.nc.SetWriteDeadline(co.cf.TS.Now().Add(co.cf.Silence)); err != nil {
+		if err := co.nc.SetWriteDeadline(co.cf.Timers.Now().Add(co.cf.Silence)); err != nil {
 			return err
 		}
 		if err := co.writePiece(piece); err != nil {
@@ -297,12 +297,12 @@
 // Read reads what has come.
 func (sr silentReader) Read(buf []byte) (int, error) {
 	co := sr.co
-	if err := co.nc.SetReadDeadline(co.cf.TS.Now().Add(co.cf.Silence)); err != nil {
+	if err := co.nc.SetReadDeadline(co.cf.Timers.Now().Add(co.cf.Silence)); err != nil {
 		return 0, err
 	}
 	count, err := co.nc.Read(buf)
 	if count > 0 {
-		co.heard.Store(int64(co.cf.TS.Now().Sub(co.made)))
+		co.heard.Store(int64(co.cf.Timers.Now().Sub(co.made)))
 	}
 	return count, err
 }
@@ -341,7 +341,7 @@
 			return ctx.Err()
 		}
 		if err != nil {
-			if err := cf.TS.Sleep(ctx, cf.Ping); err != nil {
+			if err := cf.Timers.Sleep(ctx, cf.Ping); err != nil {
 				return err
 			}
 			continue
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -44,8 +44,8 @@
 
 func config() link.Config {
 	return link.Config{
-		Codec: peer.NewCodec(link.Messages(), []peer.Message{note{}}),
-		TS:    timer.New(), Dial: silence, Ping: ping, Silence: silence,
+		Codec:  peer.NewCodec(link.Messages(), []peer.Message{note{}}),
+		Timers: timer.New(), Dial: silence, Ping: ping, Silence: silence,
 	}
 }
 
--- a/tier/run.go
+++ b/tier/run.go
@@ -75,7 +75,7 @@
 	silence := ti.linkSilence()
 	return link.Config{
 		Codec:   peer.NewCodec(link.Messages(), quorum.Messages(), fleet.Messages(), feed.Messages()),
-		TS:      ts,
+		Timers:  ts,
 		Dial:    linkDialTimeout,
 		Ping:    silence / pingsPerSilence,
 		Silence: silence,
