--- a/feed/invite.go
+++ b/feed/invite.go
@@ -61,7 +61,7 @@
 func InviteAll(ctx context.Context, lc link.Config, lg *zap.Logger, iv Invite, invitees []Invitee, linked func(name string) bool) {
 	ctx, cancel := context.WithTimeout(ctx, inviteTimeout)
 	defer cancel()
-	lc.Dial = min(lc.Dial, inviteDialTimeout)
+	lc.DialTimeout = min(lc.DialTimeout, inviteDialTimeout)
 	slots := make(chan struct{}, maxConcurrentInvites)
 	var wg sync.WaitGroup
 	for _, ie := range invitees {
--- a/link/link.go
+++ b/link/link.go
@@ -48,11 +48,11 @@
 
 // Config is what connections need.
 type Config struct {
-	Codec   *peer.Codec    // Codec knows Messages and all messages that are sent.
-	Timers  *timer.Service // TS gives the time.
-	Dial    time.Duration  // Dial bounds a dial.
-	Ping    time.Duration  // Ping is the longest time without a frame sent.
-	Silence time.Duration  // Silence without a byte received, or without progress in sending, ends the connection.
+	Codec       *peer.Codec    // Codec knows Messages and all messages that are sent.
+	Timers      *timer.Service // TS gives the time.
+	DialTimeout time.Duration  // Dial bounds a dial.
+	Ping        time.Duration  // Ping is the longest time without a frame sent.
+	Silence     time.Duration  // Silence without a byte received, or without progress in sending, ends the connection.
 	// Connect opens the connection of a Dial to an address; nil means TCP.
 	Connect func(ctx context.Context, address string) (net.Conn, error)
 }
@@ -105,7 +105,7 @@
 			return di.DialContext(ctx, "tcp4", address)
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, cf.Dial)
+	ctx, cancel := context.WithTimeout(ctx, cf.DialTimeout)
 	defer cancel()
 	nc, err := connect(ctx, address)
 	if err != nil {
