--- a/link/link.go
+++ b/link/link.go
@@ -48,11 +48,11 @@
 
 // Config is what connections need.
 type Config struct {
-	Codec       *peer.Codec    // Codec knows Messages and all messages that are sent.
-	Timers      *timer.Service // TS gives the time.
-	DialTimeout time.Duration  // Dial bounds a dial.
-	Ping        time.Duration  // Ping is the longest time without a frame sent.
-	Silence     time.Duration  // Silence without a byte received, or without progress in sending, ends the connection.
+	Codec        *peer.Codec    // Codec knows Messages and all messages that are sent.
+	Timers       *timer.Service // TS gives the time.
+	DialTimeout  time.Duration  // Dial bounds a dial.
+	PingInterval time.Duration  // Ping is the longest time without a frame sent.
+	Silence      time.Duration  // Silence without a byte received, or without progress in sending, ends the connection.
 	// Connect opens the connection of a Dial to an address; nil means TCP.
 	Connect func(ctx context.Context, address string) (net.Conn, error)
 }
@@ -91,7 +91,7 @@
 	co.rd = bufio.NewReaderSize(silentReader{co}, bufferBytes)
 	co.mu.Lock()
 	defer co.mu.Unlock()
-	co.beat = cf.Timers.Timeout(cf.Ping, co.ping)
+	co.beat = cf.Timers.Timeout(cf.PingInterval, co.ping)
 	return co
 }
 
@@ -176,12 +176,12 @@
 		co.mu.Unlock()
 		return
 	}
-	if idle := co.cf.Timers.Now().Sub(co.sent); !co.writing && idle < co.cf.Ping {
-		co.beat.Reset(co.cf.Ping - idle)
+	if idle := co.cf.Timers.Now().Sub(co.sent); !co.writing && idle < co.cf.PingInterval {
+		co.beat.Reset(co.cf.PingInterval - idle)
 		co.mu.Unlock()
 		return
 	}
-	co.beat.Reset(co.cf.Ping)
+	co.beat.Reset(co.cf.PingInterval)
 	if co.writing {
 		co.mu.Unlock()
 		return
@@ -341,7 +341,7 @@
 			return ctx.Err()
 		}
 		if err != nil {
-			if err := cf.Timers.Sleep(ctx, cf.Ping); err != nil {
+			if err := cf.Timers.Sleep(ctx, cf.PingInterval); err != nil {
 				return err
 			}
 			continue
