--- a/feed/bench_test.go
+++ b/feed/bench_test.go
@@ -22,7 +22,7 @@
 	ts := timer.New()
 	cf := link.Config{
 		Codec: peer.NewCodec(link.Messages(), Messages()), Timers: ts,
-		DialTimeout: time.Second, PingInterval: time.Hour, Silence: time.Hour,
+		DialTimeout: time.Second, PingInterval: time.Hour, SilenceTimeout: time.Hour,
 	}
 	pu := NewPublisher(PublisherConfig{Name: "control-1", SilenceTimeout: time.Hour}, ts, zap.NewNop())
 	for ii := range servers {
@@ -93,7 +93,7 @@
 	for ix := range cos {
 		controlEnd, entryEnd := net.Pipe()
 		go func() { _, _ = io.Copy(io.Discard, entryEnd) }()
-		cos[ix] = link.New(controlEnd, link.Config{Codec: peer.NewCodec(link.Messages(), Messages()), Timers: pu.ts, DialTimeout: time.Second, PingInterval: time.Hour, Silence: time.Hour})
+		cos[ix] = link.New(controlEnd, link.Config{Codec: peer.NewCodec(link.Messages(), Messages()), Timers: pu.ts, DialTimeout: time.Second, PingInterval: time.Hour, SilenceTimeout: time.Hour})
 		b.Cleanup(cos[ix].Close)
 	}
 	for b.Loop() {
--- a/feed/cluster_test.go
+++ b/feed/cluster_test.go
@@ -161,7 +161,7 @@
 func (cl *cluster) config() link.Config {
 	return link.Config{
 		Codec: peer.NewCodec(link.Messages(), Messages()), Timers: cl.ts,
-		DialTimeout: 500 * time.Millisecond, PingInterval: testPingInterval, Silence: testLinkTimeout,
+		DialTimeout: 500 * time.Millisecond, PingInterval: testPingInterval, SilenceTimeout: testLinkTimeout,
 	}
 }
 
--- a/feed/tcp_test.go
+++ b/feed/tcp_test.go
@@ -71,7 +71,7 @@
 	ts := timer.New()
 	cf := link.Config{
 		Codec: peer.NewCodec(link.Messages(), Messages()), Timers: ts,
-		DialTimeout: 5 * time.Second, PingInterval: time.Second, Silence: 30 * time.Second,
+		DialTimeout: 5 * time.Second, PingInterval: time.Second, SilenceTimeout: 30 * time.Second,
 	}
 	var ms []Member
 	var pus []*Publisher
--- a/fleet/group_test.go
+++ b/fleet/group_test.go
@@ -175,7 +175,7 @@
 	gr := in.gr
 	gr.c.Helper()
 	gr.c.Assert(in.running, qt.IsFalse)
-	cf := link.Config{Codec: gr.codec, Timers: gr.ts, DialTimeout: 500 * time.Millisecond, PingInterval: 100 * time.Millisecond, Silence: time.Second}
+	cf := link.Config{Codec: gr.codec, Timers: gr.ts, DialTimeout: 500 * time.Millisecond, PingInterval: 100 * time.Millisecond, SilenceTimeout: time.Second}
 	in.ob = &recorder{}
 	nd := New(Config{
 		Name:              in.name,
--- a/fleet/links_test.go
+++ b/fleet/links_test.go
@@ -15,7 +15,7 @@
 func (in *instance) openLink(ctx context.Context, re Report) *link.Conn {
 	c := in.gr.c
 	co, err := link.Dial(ctx, in.address, link.Config{
-		Codec: in.gr.codec, Timers: in.gr.ts, DialTimeout: time.Second, PingInterval: 100 * time.Millisecond, Silence: time.Minute,
+		Codec: in.gr.codec, Timers: in.gr.ts, DialTimeout: time.Second, PingInterval: 100 * time.Millisecond, SilenceTimeout: time.Minute,
 	})
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(co.Close)
--- a/link/link.go
+++ b/link/link.go
@@ -48,11 +48,11 @@
 
 // Config is what connections need.
 type Config struct {
-	Codec        *peer.Codec    // Codec knows Messages and all messages that are sent.
-	Timers       *timer.Service // TS gives the time.
-	DialTimeout  time.Duration  // Dial bounds a dial.
-	PingInterval time.Duration  // Ping is the longest time without a frame sent.
-	Silence      time.Duration  // Silence without a byte received, or without progress in sending, ends the connection.
+	Codec          *peer.Codec    // Codec knows Messages and all messages that are sent.
+	Timers         *timer.Service // TS gives the time.
+	DialTimeout    time.Duration  // Dial bounds a dial.
+	PingInterval   time.Duration  // Ping is the longest time without a frame sent.
+	SilenceTimeout time.Duration  // Silence without a byte received, or without progress in sending, ends the connection.
 	// Connect opens the connection of a Dial to an address; nil means TCP.
 	Connect func(ctx context.Context, address string) (net.Conn, error)
 }
@@ -234,7 +234,7 @@
 				queue = queue[1:]
 			}
 		}
-		if err := co.nc.SetWriteDeadline(co.cf.Timers.Now().Add(co.cf.Silence)); err != nil {
+		if err := co.nc.SetWriteDeadline(co.cf.Timers.Now().Add(co.cf.SilenceTimeout)); err != nil {
 			return err
 		}
 		if err := co.writePiece(piece); err != nil {
@@ -297,7 +297,7 @@
 // Read reads what has come.
 func (sr silentReader) Read(buf []byte) (int, error) {
 	co := sr.co
-	if err := co.nc.SetReadDeadline(co.cf.Timers.Now().Add(co.cf.Silence)); err != nil {
+	if err := co.nc.SetReadDeadline(co.cf.Timers.Now().Add(co.cf.SilenceTimeout)); err != nil {
 		return 0, err
 	}
 	count, err := co.nc.Read(buf)
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -45,7 +45,7 @@
 func config() link.Config {
 	return link.Config{
 		Codec:  peer.NewCodec(link.Messages(), []peer.Message{note{}}),
-		Timers: timer.New(), DialTimeout: silence, PingInterval: ping, Silence: silence,
+		Timers: timer.New(), DialTimeout: silence, PingInterval: ping, SilenceTimeout: silence,
 	}
 }
 
--- a/tier/run.go
+++ b/tier/run.go
@@ -74,11 +74,11 @@
 func linkConfig(ti Timing, ts *timer.Service) link.Config {
 	silence := ti.linkSilence()
 	return link.Config{
-		Codec:        peer.NewCodec(link.Messages(), quorum.Messages(), fleet.Messages(), feed.Messages()),
-		Timers:       ts,
-		DialTimeout:  linkDialTimeout,
-		PingInterval: silence / pingsPerSilence,
-		Silence:      silence,
+		Codec:          peer.NewCodec(link.Messages(), quorum.Messages(), fleet.Messages(), feed.Messages()),
+		Timers:         ts,
+		DialTimeout:    linkDialTimeout,
+		PingInterval:   silence / pingsPerSilence,
+		SilenceTimeout: silence,
 	}
 }
 
--- a/tier/run_test.go
+++ b/tier/run_test.go
@@ -55,7 +55,7 @@
 	}
 	for _, tt := range tests {
 		lc := linkConfig(Timing{Drain: tt.drain, Apply: tt.apply}, timer.New())
-		qt.Check(t, lc.Silence, qt.Equals, tt.want, qt.Commentf("%v %v", tt.drain, tt.apply))
+		qt.Check(t, lc.SilenceTimeout, qt.Equals, tt.want, qt.Commentf("%v %v", tt.drain, tt.apply))
 		qt.Check(t, lc.PingInterval, qt.Equals, tt.want/4)
 	}
 }
