--- a/feed/documents.go
+++ b/feed/documents.go
@@ -24,7 +24,7 @@
 type configurationStore struct {
 	mu     sync.Mutex
 	stored []storedConfiguration // in the order of versions, the newest last
-	packed map[packedKey]link.Packed
+	packed map[packedKey]link.PreparedMessage
 }
 
 type storedConfiguration struct {
@@ -51,16 +51,16 @@
 			break
 		}
 	}
-	cs.packed = make(map[packedKey]link.Packed)
+	cs.packed = make(map[packedKey]link.PreparedMessage)
 }
 
 // pack returns the encoded answer to a Fetch and the version it contains; 0 if there is
 // none. All connections have the same codec.
-func (cs *configurationStore) pack(co *link.Conn, fe Fetch) (link.Packed, uint64, error) {
+func (cs *configurationStore) pack(co *link.Conn, fe Fetch) (link.PreparedMessage, uint64, error) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	if len(cs.stored) == 0 {
-		return link.Packed{}, 0, nil
+		return link.PreparedMessage{}, 0, nil
 	}
 	newest := cs.stored[len(cs.stored)-1]
 	base := cs.find(fe.Base)
@@ -72,7 +72,7 @@
 	if fe.AcceptDelta {
 		fr, err := delta.Encode(base.data, newest.data)
 		if err != nil {
-			return link.Packed{}, 0, err
+			return link.PreparedMessage{}, 0, err
 		}
 		cfg.Data, cfg.Digest, cfg.Base = fr.Data, fr.Digest, base.version
 	}
--- a/feed/publisher.go
+++ b/feed/publisher.go
@@ -91,7 +91,7 @@
 
 // encodedSnapshot is an encoded snapshot and the time at which it was made.
 type encodedSnapshot struct {
-	pa link.Packed
+	pa link.PreparedMessage
 	at time.Time
 }
 
@@ -319,7 +319,7 @@
 
 // broadcast sends a message to all subscribers. It is encoded once.
 func (pu *Publisher) broadcast(ms peer.Message) {
-	var pa *link.Packed
+	var pa *link.PreparedMessage
 	for sb := range pu.subscribers {
 		if pa == nil {
 			packed, err := sb.co.Pack(ms)
--- a/link/link.go
+++ b/link/link.go
@@ -58,10 +58,10 @@
 }
 
 // Packed is a message that is encoded once, to be sent on many connections.
-type Packed struct{ frame []byte }
+type PreparedMessage struct{ frame []byte }
 
 // Size returns the number of bytes that the message takes on a connection.
-func (pa Packed) Size() int { return len(pa.frame) }
+func (pa PreparedMessage) Size() int { return len(pa.frame) }
 
 // Conn is one connection. Send may be called from several goroutines, Receive
 // from one.
@@ -125,14 +125,14 @@
 
 // Pack encodes a message for SendPacked on any connection with the same codec.
 // The error is a *peer.Error.
-func (co *Conn) Pack(ms peer.Message) (Packed, error) {
+func (co *Conn) Pack(ms peer.Message) (PreparedMessage, error) {
 	body, err := co.cf.Codec.Encode(ms)
 	if err != nil {
-		return Packed{}, err
+		return PreparedMessage{}, err
 	}
 	frame := make([]byte, prefixBytes, prefixBytes+len(body))
 	binary.BigEndian.PutUint32(frame, uint32(len(body)))
-	return Packed{frame: append(frame, body...)}, nil
+	return PreparedMessage{frame: append(frame, body...)}, nil
 }
 
 // Send queues a message. It never waits for the other end: a connection whose
@@ -147,7 +147,7 @@
 }
 
 // SendPacked queues a message that is already encoded, as Send does.
-func (co *Conn) SendPacked(pa Packed) error {
+func (co *Conn) SendPacked(pa PreparedMessage) error {
 	co.mu.Lock()
 	if co.err != nil {
 		defer co.mu.Unlock()
