--- a/feed/bench_test.go
+++ b/feed/bench_test.go
@@ -50,7 +50,7 @@
 	size := 0
 	for b.Loop() {
 		pu.mu.Lock()
-		pa, err := co.Pack(pu.snapshot(pu.ts.Now()))
+		pa, err := co.Prepare(pu.snapshot(pu.ts.Now()))
 		pu.mu.Unlock()
 		if err != nil {
 			b.Fatal(err)
--- a/feed/documents.go
+++ b/feed/documents.go
@@ -76,7 +76,7 @@
 		}
 		cfg.Data, cfg.Digest, cfg.Base = fr.Data, fr.Digest, base.version
 	}
-	pa, err := co.Pack(cfg)
+	pa, err := co.Prepare(cfg)
 	if err == nil {
 		cs.packed[key] = pa
 	}
--- a/feed/publisher.go
+++ b/feed/publisher.go
@@ -253,7 +253,7 @@
 // to 3 ms with a shared snapshot (BenchmarkConnectBurst, on a busy machine).
 func (pu *Publisher) sendSnapshot(now time.Time, co *link.Conn) error {
 	if pu.lastSnapshot == nil || now.Sub(pu.lastSnapshot.at) >= minFlushInterval {
-		pa, err := co.Pack(pu.snapshot(now))
+		pa, err := co.Prepare(pu.snapshot(now))
 		if err != nil {
 			return err
 		}
@@ -322,7 +322,7 @@
 	var pa *link.PreparedMessage
 	for sb := range pu.subscribers {
 		if pa == nil {
-			packed, err := sb.co.Pack(ms)
+			packed, err := sb.co.Prepare(ms)
 			if err != nil {
 				pu.lg.Error("message-not-encoded", zap.Error(err))
 				return
--- a/link/link.go
+++ b/link/link.go
@@ -125,7 +125,7 @@
 
 // Pack encodes a message for SendPacked on any connection with the same codec.
 // The error is a *peer.Error.
-func (co *Conn) Pack(ms peer.Message) (PreparedMessage, error) {
+func (co *Conn) Prepare(ms peer.Message) (PreparedMessage, error) {
 	body, err := co.cf.Codec.Encode(ms)
 	if err != nil {
 		return PreparedMessage{}, err
@@ -139,7 +139,7 @@
 // queue is full is closed. The error is a *peer.Error if the message cannot be
 // encoded, and otherwise the *result.Error that ended the connection.
 func (co *Conn) Send(ms peer.Message) error {
-	pa, err := co.Pack(ms)
+	pa, err := co.Prepare(ms)
 	if err != nil {
 		return err
 	}
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -487,7 +487,7 @@
 		_ = receive(a)
 		var pe *peer.Error
 		c.Assert(errors.As(a.Send(stranger{}), &pe), qt.IsTrue)
-		_, err := a.Pack(stranger{})
+		_, err := a.Prepare(stranger{})
 		c.Assert(errors.As(err, &pe), qt.IsTrue)
 		c.Assert(a.Send(note{Number: 1}), qt.IsNil)
 		synctest.Wait()
@@ -509,7 +509,7 @@
 			conns, ins = append(conns, a), append(ins, receive(b))
 		}
 		want := note{Number: 7, Text: make([]byte, 200<<10)}
-		pa, err := conns[0].Pack(want)
+		pa, err := conns[0].Prepare(want)
 		c.Assert(err, qt.IsNil)
 		c.Assert(pa.Size() > 200<<10, qt.IsTrue)
 		for _, co := range conns {
