--- a/feed/fetch_test.go
+++ b/feed/fetch_test.go
@@ -227,7 +227,7 @@
 		pa, version, err := ds.pack(local, fe)
 		c.Assert(err, qt.IsNil)
 		c.Assert(version, qt.Equals, uint64(1))
-		c.Assert(local.SendPacked(pa), qt.IsNil)
+		c.Assert(local.SendPrepared(pa), qt.IsNil)
 		ms, err := remote.Receive()
 		c.Assert(err, qt.IsNil)
 		do = ms.(Configuration)
--- a/feed/publisher.go
+++ b/feed/publisher.go
@@ -259,7 +259,7 @@
 		}
 		pu.lastSnapshot = &encodedSnapshot{pa: pa, at: now}
 	}
-	return co.SendPacked(pu.lastSnapshot.pa)
+	return co.SendPrepared(pu.lastSnapshot.pa)
 }
 
 func (pu *Publisher) snapshot(now time.Time) Snapshot {
@@ -294,7 +294,7 @@
 		pu.lg.Warn("configuration-not-held", zap.String("Entry", sb.en.Name),
 			zap.Uint64("Version", fe.Version), zap.Uint64("Held", version))
 	default:
-		_ = sb.co.SendPacked(pa) // Reading from the link reports its end.
+		_ = sb.co.SendPrepared(pa) // Reading from the link reports its end.
 	}
 }
 
@@ -329,7 +329,7 @@
 			}
 			pa = &packed
 		}
-		_ = sb.co.SendPacked(*pa) // Reading from the link reports its end.
+		_ = sb.co.SendPrepared(*pa) // Reading from the link reports its end.
 	}
 }
 
--- a/link/link.go
+++ b/link/link.go
@@ -143,11 +143,11 @@
 	if err != nil {
 		return err
 	}
-	return co.SendPacked(pa)
+	return co.SendPrepared(pa)
 }
 
 // SendPacked queues a message that is already encoded, as Send does.
-func (co *Conn) SendPacked(pa PreparedMessage) error {
+func (co *Conn) SendPrepared(pa PreparedMessage) error {
 	co.mu.Lock()
 	if co.err != nil {
 		defer co.mu.Unlock()
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -513,8 +513,8 @@
 		c.Assert(err, qt.IsNil)
 		c.Assert(pa.Size() > 200<<10, qt.IsTrue)
 		for _, co := range conns {
-			c.Assert(co.SendPacked(pa), qt.IsNil)
-			c.Assert(co.SendPacked(pa), qt.IsNil)
+			c.Assert(co.SendPrepared(pa), qt.IsNil)
+			c.Assert(co.SendPrepared(pa), qt.IsNil)
 		}
 		synctest.Wait()
 		for _, in := range ins {
