--- a/feed/outliers.go
+++ b/feed/outliers.go
@@ -75,7 +75,7 @@
 	now := su.ts.Now()
 	var sos []*source
 	for so, co := range su.conns {
-		if so.connected.Load() && now.Sub(co.Heard()) < 2*su.cf.Link.PingInterval {
+		if so.connected.Load() && now.Sub(co.LastReceived()) < 2*su.cf.Link.PingInterval {
 			sos = append(sos, so)
 		}
 	}
--- a/link/link.go
+++ b/link/link.go
@@ -118,7 +118,7 @@
 func (co *Conn) Remote() string { return co.nc.RemoteAddr().String() }
 
 // Heard returns when a byte came last, or when the connection was made if none has.
-func (co *Conn) Heard() time.Time { return co.made.Add(time.Duration(co.heard.Load())) }
+func (co *Conn) LastReceived() time.Time { return co.made.Add(time.Duration(co.heard.Load())) }
 
 // Done is closed when the connection has ended.
 func (co *Conn) Done() <-chan struct{} { return co.done }
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -333,14 +333,14 @@
 		defer a.Close()
 		defer b.Close()
 		_, _ = receive(a), receive(b)
-		c.Assert(a.Heard(), qt.Equals, time.Now())
+		c.Assert(a.LastReceived(), qt.Equals, time.Now())
 		time.Sleep(2*time.Second + ping/2)
-		c.Assert(time.Since(a.Heard()) <= ping, qt.IsTrue)
+		c.Assert(time.Since(a.LastReceived()) <= ping, qt.IsTrue)
 		bw.swallow.Store(true)
 		cut := time.Now()
 		time.Sleep(2 * ping)
-		c.Assert(a.Heard().After(cut), qt.IsFalse)
-		c.Assert(b.Heard().After(cut), qt.IsTrue)
+		c.Assert(a.LastReceived().After(cut), qt.IsFalse)
+		c.Assert(b.LastReceived().After(cut), qt.IsTrue)
 	})
 }
 
