--- a/link/link.go
+++ b/link/link.go
@@ -115,7 +115,7 @@
 }
 
 // Remote returns the other end's address.
-func (co *Conn) Remote() string { return co.nc.RemoteAddr().String() }
+func (co *Conn) RemoteAddress() string { return co.nc.RemoteAddr().String() }
 
 // Heard returns when a byte came last, or when the connection was made if none has.
 func (co *Conn) LastReceived() time.Time { return co.made.Add(time.Duration(co.heard.Load())) }
@@ -317,7 +317,7 @@
 	if co.err != nil {
 		return co.err
 	}
-	co.err = &result.Error{Code: result.ControlUnavailable, Op: "link", Detail: co.Remote(), Err: err}
+	co.err = &result.Error{Code: result.ControlUnavailable, Op: "link", Detail: co.RemoteAddress(), Err: err}
 	co.beat.Stop()
 	co.queue = nil
 	close(co.done)
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -599,7 +599,7 @@
 		ms, err := co.Receive()
 		c.Assert(err, qt.IsNil)
 		equal(c, []note{ms.(note)}, []note{want})
-		c.Assert(co.Remote(), qt.Equals, li.Addr().String())
+		c.Assert(co.RemoteAddress(), qt.Equals, li.Addr().String())
 		c.Assert(co.Send(note{Number: -1}), qt.IsNil)
 		_, err = co.Receive()
 		c.Assert(code(c, err), qt.Equals, result.ControlUnavailable)
