--- a/link/link.go
+++ b/link/link.go
@@ -276,8 +276,8 @@
 	if size == 0 {
 		return nil, nil
 	}
-	if size > peer.FrameLimit {
-		return nil, fmt.Errorf("frame of %d bytes, want at most %d", size, peer.FrameLimit)
+	if size > peer.MaxFrameBytes {
+		return nil, fmt.Errorf("frame of %d bytes, want at most %d", size, peer.MaxFrameBytes)
 	}
 	frame := make([]byte, size)
 	if _, err := io.ReadFull(co.rd, frame); err != nil {
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -450,7 +450,7 @@
 		name  string
 		bytes []byte
 	}{
-		{"frame beyond the limit", frame(peer.FrameLimit + 1)},
+		{"frame beyond the limit", frame(peer.MaxFrameBytes + 1)},
 		{"text of another protocol", []byte("GET / HTTP/1.1\r\n\r\n")},
 		{"frame that isn't CBOR", frame(3, 0xff, 0xff, 0xff)},
 		{"frame that ends early", frame(10, 1, 2)},
--- a/peer/codec.go
+++ b/peer/codec.go
@@ -15,7 +15,7 @@
 const Version = 1
 
 // FrameLimit is the size of the largest frame in bytes.
-const FrameLimit = 16 << 20
+const MaxFrameBytes = 16 << 20
 
 // The kinds that the package itself uses.
 const (
@@ -112,8 +112,8 @@
 	if err != nil {
 		return nil, &Error{Kind: Malformed, Detail: fmt.Sprintf("kind %d", ki), Err: err}
 	}
-	if len(frame) > FrameLimit {
-		return nil, &Error{Kind: TooLarge, Detail: fmt.Sprintf("kind %d: %d bytes, at most %d", ki, len(frame), FrameLimit)}
+	if len(frame) > MaxFrameBytes {
+		return nil, &Error{Kind: TooLarge, Detail: fmt.Sprintf("kind %d: %d bytes, at most %d", ki, len(frame), MaxFrameBytes)}
 	}
 	return frame, nil
 }
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -376,12 +376,12 @@
 // readLimited reads a stream to its end. More than FrameLimit is refused before
 // it is held in memory.
 func readLimited(st *quic.Stream) ([]byte, error) {
-	data, err := io.ReadAll(io.LimitReader(st, FrameLimit+1))
+	data, err := io.ReadAll(io.LimitReader(st, MaxFrameBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(data) > FrameLimit {
-		return nil, &Error{Kind: TooLarge, Detail: fmt.Sprintf("more than %d bytes", FrameLimit)}
+	if len(data) > MaxFrameBytes {
+		return nil, &Error{Kind: TooLarge, Detail: fmt.Sprintf("more than %d bytes", MaxFrameBytes)}
 	}
 	return data, nil
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -49,7 +49,7 @@
 			c.Assert(err, qt.ErrorMatches, tt.want)
 		})
 	}
-	_, err = co.Encode(note{strings.Repeat("x", FrameLimit)})
+	_, err = co.Encode(note{strings.Repeat("x", MaxFrameBytes)})
 	c.Assert(err, qt.ErrorMatches, `peer: TooLarge: kind 301: .*`)
 	_, err = co.Encode(&note{})
 	c.Assert(err, qt.ErrorMatches, `peer: Malformed: type \*peer.note is not known.*`)
