--- a/replica/choose.go
+++ b/replica/choose.go
@@ -8,47 +8,47 @@
 )
 
 const (
-	// nearTie is how much longer than the best a server may be expected to take
-	// to count as good as it.
-	nearTie = 1.1
-	// ownFactor is how much longer than the best a server of the own data centre
-	// may be expected to take, beyond nearTie, and be chosen all the same. Bytes
-	// between data centres are dear, and what a server is slower by is mostly less
-	// than a hedge makes good (docs/design/near-servers.md).
-	ownFactor = 3.0
-	// fewFailures is the share of failures up to which a server is preferred for
-	// being near.
-	fewFailures = 0.1
-	// slowFactor is the slowness from which a server counts as slow: its requests
-	// are hedged sooner.
+	// tieFactor bounds the expected latency of a server, as a multiple of the lowest one,
+	// up to which the server counts as equally good.
+	tieFactor = 1.1
+	// localFactor is the additional factor by which a server of the local data centre may
+	// be slower than the best one and still be chosen. Traffic between data centres is
+	// expensive, and a hedge usually makes up for more than the difference in latency
+	// (docs/design/near-servers.md).
+	localFactor = 3.0
+	// maxLocalFailures is the failure fraction up to which a server is preferred because it
+	// is local.
+	maxLocalFailures = 0.1
+	// slowFactor is the slowness from which a server counts as slow; requests to slow
+	// servers are hedged sooner.
 	slowFactor = 2.0
-	// probeShare is the share of requests that probe a slow server, and
-	// returnShare the one after it has answered quickly.
-	probeShare  = 0.04
-	returnShare = 0.2
+	// probeFraction is the fraction of requests that probe a slow server.
+	// recoveryProbeFraction applies instead once the server's last answer was quick.
+	probeFraction         = 0.04
+	recoveryProbeFraction = 0.2
 )
 
-// Ask is what a server is wanted for.
+// Request describes the request for which a server is chosen.
 type Request struct {
 	Service string
-	// Work names requests that cost alike, of whatever service.
+	// Class names a set of requests with similar cost, across services.
 	Class string
-	// Avoid are the ids that were asked for this request before. A request with
-	// one or more of them is a hedge, or sent once more.
+	// Avoid lists the ids of servers already tried for this request. If it is not empty,
+	// the request is a hedge or a retry.
 	Avoid []string
-	// HedgeShare is the share of the requests of its work that should reach their
-	// hedge time; zero counts as that of the Config.
+	// HedgeFraction is the fraction of requests of the class that should reach their hedge
+	// delay; zero means the value of the Config.
 	HedgeFraction float64
-	// Sure says that the request must not probe a server that failed or was slow,
-	// for instance because it can't be sent again.
+	// NoProbe forbids using the request to probe a server that failed or was slow, for
+	// instance because the request can't be retried.
 	NoProbe bool
 }
 
-// Pick is a chosen server and a request in flight to it, until Done.
+// Pick is a chosen server. The request counts as in flight to it until Done.
 type Pick struct {
 	Server registry.Server
-	// Doubtful says that the server is suspect or set aside: it is probed, or no
-	// better one is left. A hedge there is hardly worth its cost.
+	// Unhealthy is set if the server is suspect or ejected: the request probes it, or no
+	// better server is available. Hedging to such a server is hardly worth its cost.
 	Unhealthy bool
 
 	se     *server
@@ -58,173 +58,169 @@
 // candidate is a server that may be chosen now.
 type candidate struct {
 	se       *server
-	standing standing
+	health   health
 	expected float64
-	own      bool    // own says that it is of the own data centre, or a home server.
-	handicap float64 // handicap divides the expected time against the best one.
+	local    bool    // local is set for servers of the local data centre and for preferred servers.
+	discount float64 // discount divides the expected latency when it is compared with the lowest one.
 }
 
-// Choose returns the ready server that is expected to answer soonest, at random
-// among near equals, of which those in the own data centre go first, and counts
-// a request to it as in flight. Suspect servers come after all others, those
-// set aside last. A server that was set aside gets a single request at the end
-// of that time, and a slow one a request now and then, to show how it does.
-// Choose returns false only when no ready server is left that isn't avoided and
-// has fewer requests in flight than the limit.
-func (tb *Balancer) Choose(now time.Time, as Request) (Pick, bool) {
-	tb.mu.Lock()
-	defer tb.mu.Unlock()
-	at := tb.at(now)
-	wo := tb.work(at, as)
-	cas := tb.rate(at, as, wo)
+// Choose returns the ready server with the lowest expected latency and counts the request
+// as in flight to it. Among servers that are nearly equal it prefers those in the local
+// data centre and then chooses at random. Suspect servers are used only if no healthy one
+// is left, ejected servers last. After its ejection a server gets a single probe request,
+// and a slow server gets an occasional one. Choose returns false only if every ready server
+// is in Avoid or has reached its limit of requests in flight.
+func (ba *Balancer) Choose(now time.Time, rq Request) (Pick, bool) {
+	ba.mu.Lock()
+	defer ba.mu.Unlock()
+	at := ba.at(now)
+	ls := ba.class(at, rq)
+	cas := ba.eligible(at, rq, ls)
 	if len(cas) == 0 {
 		return Pick{}, false
 	}
-	ca, ok := tb.probe(at, as, cas)
+	ca, ok := ba.pickProbe(at, rq, cas)
 	if !ok {
-		ca = tb.best(cas)
+		ca = ba.best(cas)
 	}
 	ca.se.permit = ca.se.permit.used(at)
 	return Pick{
-		Server: ca.se.record, Unhealthy: ca.standing != sound, se: ca.se, number: ca.se.take(at, wo),
+		Server: ca.se.record, Unhealthy: ca.health != healthy, se: ca.se, number: ca.se.send(at, ls),
 	}, true
 }
 
-// rate returns the servers that may be chosen. They are overwritten by the
-// next call.
-func (tb *Balancer) rate(at time.Duration, as Request, wo *work) []candidate {
-	cas := tb.candidates[:0]
-	hedge := len(as.Avoid) > 0
-	for _, se := range tb.services[as.Service] {
-		if !tb.usable(se, as) || !tb.permits(at, se) {
+// eligible returns the servers that may be chosen. The next call overwrites the returned
+// slice.
+func (ba *Balancer) eligible(at time.Duration, rq Request, ls *latencyStats) []candidate {
+	cas := ba.candidates[:0]
+	hedge := len(rq.Avoid) > 0
+	for _, se := range ba.services[rq.Service] {
+		if !ba.usable(se, rq) || !ba.mayReceive(at, se) {
 			continue
 		}
-		ca := candidate{se: se, standing: se.standing(at), expected: se.expected(at, wo.typical(), hedge), handicap: 1}
-		ca.own = tb.cf.DataCentre != "" && se.record.DataCentre == tb.cf.DataCentre || tb.home[se.record.ID]
-		if ca.own && se.reliable(at) {
-			ca.handicap = ownFactor
+		ca := candidate{se: se, health: se.health(at), expected: se.expectedLatency(at, ls.medianOrDefault(), hedge), discount: 1}
+		ca.local = ba.cf.DataCentre != "" && se.record.DataCentre == ba.cf.DataCentre || ba.preferred[se.record.ID]
+		if ca.local && se.reliable(at) {
+			ca.discount = localFactor
 		}
 		cas = append(cas, ca)
 	}
-	tb.candidates = cas
+	ba.candidates = cas
 	return cas
 }
 
 // usable reports whether the server may be chosen at all.
 //
-// One that all connections lead to already may not: a request would find none
-// free, and while a server stands still its queue here would grow although the
-// other replicas have room.
-func (tb *Balancer) usable(se *server, as Request) bool {
-	if most, ok := tb.limits[as.Service]; ok && len(se.flights) >= most {
+// A server at its limit of requests in flight may not: the request would find no free
+// connection, and while the server is stalled, requests would queue for it here although
+// other replicas have capacity.
+func (ba *Balancer) usable(se *server, rq Request) bool {
+	if limit, ok := ba.maxInFlight[rq.Service]; ok && len(se.inFlight) >= limit {
 		return false
 	}
-	return !se.moved && !slices.Contains(as.Avoid, se.record.ID)
+	return !se.replaced && !slices.Contains(rq.Avoid, se.record.ID)
 }
 
-// reliable reports whether the server hardly fails or refuses at the moment, and
-// wasn't found slow by all together. One that does costs retries or hedges, which
-// are scarcer than bytes between data centres.
+// reliable reports whether the server currently has few failures and no finding of all
+// entry instances marks it as slow. An unreliable server costs retries and hedges, which
+// are scarcer than bandwidth between data centres.
 func (se *server) reliable(at time.Duration) bool {
-	return se.failing(at) < fewFailures && (at >= se.until || se.found.Slowness == 0)
+	return se.failures(at) < maxLocalFailures && (at >= se.findingUntil || se.finding.Slowness == 0)
 }
 
-// probe returns a server that should be probed by the request, if there is one
-// and the request is fit for it: the first of its kind, while another server is
-// there to be asked in its place.
-func (tb *Balancer) probe(at time.Duration, as Request, cas []candidate) (candidate, bool) {
-	if as.NoProbe || len(as.Avoid) > 0 {
+// pickProbe returns the first candidate that the request should probe. It returns none if
+// the request may not probe or no other healthy server could take the request instead.
+func (ba *Balancer) pickProbe(at time.Duration, rq Request, cas []candidate) (candidate, bool) {
+	if rq.NoProbe || len(rq.Avoid) > 0 {
 		return candidate{}, false
 	}
-	good := 0
+	numHealthy := 0
 	for _, ca := range cas {
-		if ca.standing == sound {
-			good++
+		if ca.health == healthy {
+			numHealthy++
 		}
 	}
 	for _, ca := range cas {
 		switch {
-		case ca.standing == due && good > 0:
+		case ca.health == probeDue && numHealthy > 0:
 			return ca, true
-		case ca.standing == sound && good > 1 && len(ca.se.flights) == 0 && tb.curious(at, ca.se):
+		case ca.health == healthy && numHealthy > 1 && len(ca.se.inFlight) == 0 && ba.shouldProbeSlow(at, ca.se):
 			return ca, true
 		}
 	}
 	return candidate{}, false
 }
 
-// curious reports, at random, whether a slow server should show how it does.
-func (tb *Balancer) curious(at time.Duration, se *server) bool {
-	if se.factor(at) < slowFactor {
+// shouldProbeSlow reports, at random, whether a slow server should be probed now.
+func (ba *Balancer) shouldProbeSlow(at time.Duration, se *server) bool {
+	if se.slowness(at) < slowFactor {
 		return false
 	}
-	if se.quick {
-		return tb.rn.Float64() < returnShare
+	if se.lastWasQuick {
+		return ba.rn.Float64() < recoveryProbeFraction
 	}
-	return tb.rn.Float64() < probeShare
+	return ba.rn.Float64() < probeFraction
 }
 
-// best returns one of the candidates that have the best standing and are
-// expected to answer soonest.
-func (tb *Balancer) best(cas []candidate) candidate {
+// best returns one of the candidates with the best health and the lowest expected latency.
+func (ba *Balancer) best(cas []candidate) candidate {
 	first := cas[0]
 	for _, ca := range cas[1:] {
 		if ca.rank() < first.rank() || ca.rank() == first.rank() && ca.expected < first.expected {
 			first = ca
 		}
 	}
-	chosen, count, near := first, 0, false
+	chosen, count, localOnly := first, 0, false
 	for _, ca := range cas {
-		if ca.rank() != first.rank() || ca.expected/ca.handicap > nearTie*first.expected {
+		if ca.rank() != first.rank() || ca.expected/ca.discount > tieFactor*first.expected {
 			continue
 		}
-		if ca.own && !near {
-			count, near = 0, true
+		if ca.local && !localOnly {
+			count, localOnly = 0, true
 		}
-		if ca.own != near {
+		if ca.local != localOnly {
 			continue
 		}
 		count++
-		if tb.rn.IntN(count) == 0 {
+		if ba.rn.IntN(count) == 0 {
 			chosen = ca
 		}
 	}
 	return chosen
 }
 
-// rank returns the standing with which a candidate is compared: one that is due
-// for a probe is no better than others that were set aside.
-func (ca candidate) rank() standing { return min(ca.standing, shunned) }
-
-// HedgeAfter returns the time from a request's start after which another server
-// should be asked too: the latency that HedgeShare of the requests of its work
-// exceed. It is at most the median while the server of the pick is slow or
-// doubtful and another one isn't. While little is known it is three times the
-// median, or 50 ms.
-func (tb *Balancer) HedgeDelay(now time.Time, as Request, pk Pick) time.Duration {
-	tb.mu.Lock()
-	defer tb.mu.Unlock()
-	at := tb.at(now)
-	wo := tb.work(at, as)
-	delay := wo.delay(at)
-	if pk.se != nil && tb.outdone(at, as, pk) {
-		return min(delay, wo.typical())
+// rank returns the health used to compare candidates: a server that is due for a probe
+// ranks with the ejected ones.
+func (ca candidate) rank() health { return min(ca.health, ejected) }
+
+// HedgeDelay returns the time from a request's start after which the request should be
+// hedged: the latency that HedgeFraction of the requests of its class exceed. If the picked
+// server is slow or unhealthy and a better one exists, the delay is at most the median.
+// With few samples it is three times the median, with none 50 ms.
+func (ba *Balancer) HedgeDelay(now time.Time, rq Request, pk Pick) time.Duration {
+	ba.mu.Lock()
+	defer ba.mu.Unlock()
+	at := ba.at(now)
+	ls := ba.class(at, rq)
+	delay := ls.hedgeDelay(at)
+	if pk.se != nil && ba.hasBetter(at, rq, pk) {
+		return min(delay, ls.medianOrDefault())
 	}
 	return delay
 }
 
-// outdone reports whether the server of the pick is slow or doubtful and another
-// one is neither, or twice as quick.
-func (tb *Balancer) outdone(at time.Duration, as Request, pk Pick) bool {
-	factor := pk.se.factor(at)
-	if !pk.Unhealthy && factor < slowFactor && pk.se.standing(at) == sound {
+// hasBetter reports whether the picked server is slow or unhealthy while another one is
+// healthy and either not slow or at least twice as fast.
+func (ba *Balancer) hasBetter(at time.Duration, rq Request, pk Pick) bool {
+	factor := pk.se.slowness(at)
+	if !pk.Unhealthy && factor < slowFactor && pk.se.health(at) == healthy {
 		return false
 	}
-	for _, se := range tb.services[as.Service] {
-		if se == pk.se || !tb.usable(se, as) || se.standing(at) != sound {
+	for _, se := range ba.services[rq.Service] {
+		if se == pk.se || !ba.usable(se, rq) || se.health(at) != healthy {
 			continue
 		}
-		if ot := se.factor(at); ot < slowFactor || slowFactor*ot < factor {
+		if ot := se.slowness(at); ot < slowFactor || slowFactor*ot < factor {
 			return true
 		}
 	}
--- a/replica/server.go
+++ b/replica/server.go
@@ -9,256 +9,257 @@
 )
 
 const (
-	// usualGain is the weight of a new latency in the logarithm of the slowness.
-	// One that is off by the factor jump, either way, weighs jumpGain, so that a
-	// server that turned slow is left after two or three answers.
-	usualGain = 0.12
-	jumpGain  = 0.4
-	jump      = 2.0
-	// mostRatio bounds one latency against the median of its work.
-	mostRatio = 20.0
-	// forgetSlow is the time in which the logarithm of the slowness, and the
-	// share of failures, fall to 1/e while nothing is heard of the server.
-	forgetSlow = 5 * time.Second
-	// warmSlow is the slowness that a server is thought to have when it has just
-	// started.
-	warmSlow = 1.5
-	// failureGain is the weight of a new outcome in the share of failures, and
-	// failureCost how many expected times a failure is worth.
+	// latencyGain is the weight of a new latency in the logarithm of the slowness. A
+	// latency that differs by more than jumpFactor, in either direction, weighs jumpGain,
+	// so that a server that turned slow is avoided after two or three answers.
+	latencyGain = 0.12
+	jumpGain    = 0.4
+	jumpFactor  = 2.0
+	// maxLatencyRatio bounds the ratio of one latency to the median of its class.
+	maxLatencyRatio = 20.0
+	// decayTime is the time in which the logarithm of the slowness and the failure fraction
+	// decay to 1/e while no request to the server ends.
+	decayTime = 5 * time.Second
+	// coldSlowness is the slowness assumed for a server that has just started.
+	coldSlowness = 1.5
+	// failureGain is the weight of a new outcome in the failure fraction. failureCost is
+	// the cost of one failure as a multiple of the expected latency.
 	failureGain = 0.25
 	failureCost = 4.0
-	// failedRun is how many failures in a row set a server aside; a refusal or a
-	// failed connection does at once.
-	failedRun = 2
-	// leastAside and mostAside bound for how long a server is set aside.
-	leastAside = 100 * time.Millisecond
-	mostAside  = 2 * time.Second
-	// leastDoubt is for how long a server that let a request wait in vain is
-	// suspect, at the first time. Most of them only pause.
-	leastDoubt = 100 * time.Millisecond
-	// loadFresh is how long a reported load is of any use; it counts for less
-	// with every moment.
-	loadFresh = time.Second
-	// usualPace is the reported pace at which work takes as long as usual.
+	// ejectAfter is the number of consecutive failures that eject a server; a single
+	// refusal or failed connection ejects it at once.
+	ejectAfter = 2
+	// minEjection and maxEjection bound how long a server is ejected.
+	minEjection = 100 * time.Millisecond
+	maxEjection = 2 * time.Second
+	// minSuspicion is how long a server is suspect after its first abandoned request. Most
+	// such servers only pause.
+	minSuspicion = 100 * time.Millisecond
+	// loadTTL is how long a reported load is used; its weight falls linearly to zero over
+	// this time.
+	loadTTL = time.Second
+	// usualPace is the reported pace of a server on which work takes the usual time.
 	usualPace = 100.0
-	// staleSpan is how long a server must not have answered to count as
-	// staleCost worse for a hedge: it may have begun to pause since.
-	staleSpan = 150 * time.Millisecond
-	staleCost = 1.0
+	// staleAfter is the time without an answer after which the expected latency of a server
+	// is raised by staleCost, as a fraction, for a hedge: the server may have begun to
+	// pause since its last answer.
+	staleAfter = 150 * time.Millisecond
+	staleCost  = 1.0
 )
 
-// never is the time of what has not happened.
+// never is the time of an event that has not happened.
 const never = time.Duration(math.MinInt64 / 2)
 
-// server is what is known of one backend server.
+// server is the state of one backend server.
 type server struct {
-	record  registry.Server
-	moved   bool // moved says that its address belongs to another server for good.
-	flights []flight
-	flown   uint64 // flown counts the requests sent.
-
-	slowness float64       // slowness is the logarithm of its latency against the median.
-	quick    bool          // quick says that the last answer was no slower than usual.
-	failures float64       // failures is the decaying share of failures.
-	renewed  time.Duration // renewed is when slowness and failures were brought up to date.
-	answered time.Duration // answered is when the last answer came.
-
-	run      int           // run counts the failures in a row.
-	proving  bool          // proving says that it was set aside and has not served since.
-	since    time.Duration // since is when it was last set aside.
-	aside    time.Duration // aside is until when.
-	blamed   int           // blamed counts the flights that make it suspect.
-	silences int           // silences counts the requests in a row that waited in vain.
-	silent   time.Duration // silent is when the last one of them ended.
-	doubted  time.Duration // doubted is until when it is suspect for them.
-
-	waiting, slots, pace int           // These are as reported.
-	loaded               time.Duration // loaded is when they were.
-
-	returned time.Duration // returned is when it was ready again after it had not been.
-	permit   permit        // permit bounds the requests to it while it is cold.
-
-	news outlier.Sample // news is what is to be told of it; see news.go.
-	// slowFirst, slowLast and quickSent are when the slow and quick requests of the news
-	// were sent.
-	slowFirst, slowLast, quickSent time.Duration
-
-	found outlier.Finding // found is what all entry instances together saw of it.
-	until time.Duration   // until is when that runs out.
+	record   registry.Server
+	replaced bool // replaced is set once another server has taken over its address for good.
+	inFlight []flight
+	numSent  uint64 // numSent counts the requests sent.
+
+	ownLogSlowness float64       // ownLogSlowness is the logarithm of its latency relative to the median, as seen by this instance.
+	lastWasQuick   bool          // lastWasQuick is set if the last answer was not slow.
+	ownFailures    float64       // ownFailures is the decaying failure fraction seen by this instance.
+	decayedAt      time.Duration // decayedAt is when ownLogSlowness and ownFailures were last decayed.
+	answeredAt     time.Duration // answeredAt is when the last answer came.
+
+	failureRun   int           // failureRun counts consecutive failures.
+	onProbation  bool          // onProbation is set from an ejection until the next answer.
+	ejectedAt    time.Duration // ejectedAt is when the last ejection began.
+	ejectedUntil time.Duration // ejectedUntil is when the last ejection ends.
+	numSuspected int           // numSuspected counts the requests in flight that make the server suspect.
+	abandonedRun int           // abandonedRun counts consecutive abandoned requests.
+	abandonedAt  time.Duration // abandonedAt is when the last abandoned request ended.
+	suspectUntil time.Duration // suspectUntil is when the suspicion from abandoned requests ends.
+
+	waiting, slots, pace int           // These are as last reported.
+	loadAt               time.Duration // loadAt is when the load was reported.
+
+	readySince time.Duration // readySince is when the server last became ready again after another state.
+	permit     permit        // permit limits the requests to the server while it is cold.
+
+	sample outlier.Sample // sample is collected for the other entry instances; see samples.go.
+	// firstSlow, lastSlow and lastQuick are the send times of the slow and quick requests
+	// in the sample.
+	firstSlow, lastSlow, lastQuick time.Duration
+
+	finding      outlier.Finding // finding is what all entry instances together saw of the server.
+	findingUntil time.Duration   // findingUntil is when finding expires.
 }
 
-// flight is a request on its way.
+// flight is a request in flight.
 type flight struct {
-	number  uint64
-	start   time.Duration
-	work    *work
-	typical time.Duration // typical is how long it was expected to take.
-	overdue bool          // overdue says that it passed its hedge time.
-	blamed  bool          // blamed says so too, while the server has not answered since.
-	told    bool          // told says that the others know already how slow it is.
+	number    uint64
+	start     time.Duration
+	stats     *latencyStats
+	expected  time.Duration // expected is its expected latency.
+	overdue   bool          // overdue is set once the request has passed its hedge delay.
+	suspected bool          // suspected is set while the request is overdue and the server has not answered any request since.
+	reported  bool          // reported is set once the slow latency is in a sample.
 }
 
 func newServer(at time.Duration, re registry.Server) *server {
-	se := &server{record: re, renewed: at, answered: never, silent: never, doubted: never, loaded: never, returned: never}
+	se := &server{record: re, decayedAt: at, answeredAt: never, abandonedAt: never, suspectUntil: never, loadAt: never, readySince: never}
 	if re.WarmMillis > 0 {
-		se.slowness = math.Log(warmSlow)
+		se.ownLogSlowness = math.Log(coldSlowness)
 	}
 	return se
 }
 
-// take notes a request that is sent now and returns its number.
-func (se *server) take(at time.Duration, wo *work) uint64 {
-	typical := time.Duration(se.factor(at) * float64(wo.typical()))
-	se.flown++
-	se.flights = append(se.flights, flight{number: se.flown, start: at, work: wo, typical: max(typical, 1)})
-	return se.flown
+// send records a request that is sent now and returns its number.
+func (se *server) send(at time.Duration, ls *latencyStats) uint64 {
+	expected := time.Duration(se.slowness(at) * float64(ls.medianOrDefault()))
+	se.numSent++
+	se.inFlight = append(se.inFlight, flight{number: se.numSent, start: at, stats: ls, expected: max(expected, 1)})
+	return se.numSent
 }
 
-// find returns a request in flight; nil if it has ended.
+// find returns a request in flight, or nil if it has ended.
 func (se *server) find(number uint64) *flight {
-	for ix := range se.flights {
-		if se.flights[ix].number == number {
-			return &se.flights[ix]
+	for ix := range se.inFlight {
+		if se.inFlight[ix].number == number {
+			return &se.inFlight[ix]
 		}
 	}
 	return nil
 }
 
-// land removes a request in flight.
-func (se *server) land(fl *flight) {
-	if fl.blamed {
-		se.blamed--
+// remove removes a request in flight.
+func (se *server) remove(fl *flight) {
+	if fl.suspected {
+		se.numSuspected--
 	}
-	last := len(se.flights) - 1
-	*fl = se.flights[last]
-	se.flights[last] = flight{}
-	se.flights = se.flights[:last]
+	last := len(se.inFlight) - 1
+	*fl = se.inFlight[last]
+	se.inFlight[last] = flight{}
+	se.inFlight = se.inFlight[:last]
 }
 
-// blame makes the server suspect for a request that is overdue.
-func (se *server) blame(fl *flight) {
+// suspect makes the server suspect because a request is overdue.
+func (se *server) suspect(fl *flight) {
 	if !fl.overdue {
-		fl.overdue, fl.blamed = true, true
-		se.blamed++
+		fl.overdue, fl.suspected = true, true
+		se.numSuspected++
 	}
 }
 
-// clear takes the blame off all requests in flight.
-func (se *server) clear() {
-	se.blamed = 0
-	for ix := range se.flights {
-		se.flights[ix].blamed = false
+// clearSuspicion ends the suspicion caused by requests in flight.
+func (se *server) clearSuspicion() {
+	se.numSuspected = 0
+	for ix := range se.inFlight {
+		se.inFlight[ix].suspected = false
 	}
 }
 
-// fade returns what is left of the slowness and the failures.
-func (se *server) fade(at time.Duration) float64 {
-	return math.Exp(-float64(at-se.renewed) / float64(forgetSlow))
+// decay returns the factor by which slowness and failures have decayed since decayedAt.
+func (se *server) decay(at time.Duration) float64 {
+	return math.Exp(-float64(at-se.decayedAt) / float64(decayTime))
 }
 
-// factor returns how many times longer than usual the server takes.
-func (se *server) factor(at time.Duration) float64 {
-	return math.Exp(se.slow(at))
+// slowness returns the server's latency as a multiple of the usual one.
+func (se *server) slowness(at time.Duration) float64 {
+	return math.Exp(se.logSlowness(at))
 }
 
-// slow returns the logarithm of how many times longer than usual the server
-// takes, by what this instance saw and what all together found.
-func (se *server) slow(at time.Duration) float64 {
-	own := se.slowness * se.fade(at)
-	if at < se.until {
-		return max(own, float64(se.found.Slowness))
+// logSlowness returns the logarithm of the server's latency as a multiple of the usual one:
+// the higher value of what this instance saw and of the finding of all instances.
+func (se *server) logSlowness(at time.Duration) float64 {
+	own := se.ownLogSlowness * se.decay(at)
+	if at < se.findingUntil {
+		return max(own, float64(se.finding.Slowness))
 	}
 	return own
 }
 
-// failing returns the share of requests that fail, likewise.
-func (se *server) failing(at time.Duration) float64 {
-	own := se.failures * se.fade(at)
-	if at < se.until {
-		return max(own, float64(se.found.Failures))
+// failures returns the fraction of requests that fail: the higher value of what this
+// instance saw and of the finding of all instances.
+func (se *server) failures(at time.Duration) float64 {
+	own := se.ownFailures * se.decay(at)
+	if at < se.findingUntil {
+		return max(own, float64(se.finding.Failures))
 	}
 	return own
 }
 
-// renew brings the slowness and the failures up to date, before news.
-func (se *server) renew(at time.Duration) {
-	left := se.fade(at)
-	se.slowness *= left
-	se.failures *= left
-	se.renewed = at
+// applyDecay decays the slowness and the failures up to now. It is called before either is
+// updated.
+func (se *server) applyDecay(at time.Duration) {
+	decay := se.decay(at)
+	se.ownLogSlowness *= decay
+	se.ownFailures *= decay
+	se.decayedAt = at
 }
 
-// learn takes in how long a request took against the median of its work. The
-// latency of a request that was given up early is less than the real one and
-// can only raise the slowness.
-func (se *server) learn(latency, typical time.Duration, early bool) {
-	ratio := float64(latency) / float64(max(typical, 1))
-	ratio = min(max(ratio, 1/mostRatio), mostRatio)
-	step := math.Log(ratio) - se.slowness
-	if early && step <= 0 {
+// recordLatency updates the slowness with a latency and the median of its class. The
+// latency of an abandoned request is only a lower bound and can only raise the slowness.
+func (se *server) recordLatency(latency, median time.Duration, abandoned bool) {
+	ratio := float64(latency) / float64(max(median, 1))
+	ratio = min(max(ratio, 1/maxLatencyRatio), maxLatencyRatio)
+	step := math.Log(ratio) - se.ownLogSlowness
+	if abandoned && step <= 0 {
 		return
 	}
-	se.quick = ratio < jump
-	gain := usualGain
-	if math.Abs(step) > math.Log(jump) {
+	se.lastWasQuick = ratio < jumpFactor
+	gain := latencyGain
+	if math.Abs(step) > math.Log(jumpFactor) {
 		gain = jumpGain
 	}
-	se.slowness += gain * step
+	se.ownLogSlowness += gain * step
 }
 
-// serve notes that the server has answered.
-func (se *server) serve(at time.Duration) {
-	se.failures -= failureGain * se.failures
-	se.run, se.silences = 0, 0
-	se.proving, se.doubted = false, never
-	se.answered = at
-	se.clear()
+// recordAnswer records that the server has answered.
+func (se *server) recordAnswer(at time.Duration) {
+	se.ownFailures -= failureGain * se.ownFailures
+	se.failureRun, se.abandonedRun = 0, 0
+	se.onProbation, se.suspectUntil = false, never
+	se.answeredAt = at
+	se.clearSuspicion()
 }
 
-// fail notes the failure of a request that began at start. Requests that were
-// in flight together when the server fell ill count once: one crash must not
-// set it aside for as long as many failed probes.
-func (se *server) fail(at, start time.Duration, need int) {
-	se.failures += failureGain * (1 - se.failures)
-	if se.proving && start <= se.since {
+// recordFailure records the failure of a request that began at start. Requests that were in
+// flight together when the server failed count once: otherwise one crash would eject the
+// server for as long as many failed probes would.
+func (se *server) recordFailure(at, start time.Duration, threshold int) {
+	se.ownFailures += failureGain * (1 - se.ownFailures)
+	if se.onProbation && start <= se.ejectedAt {
 		return
 	}
-	se.run++
-	if se.run < need && !se.proving {
+	se.failureRun++
+	if se.failureRun < threshold && !se.onProbation {
 		return
 	}
-	se.proving, se.since = true, at
-	se.aside = at + grown(leastAside, se.run-need)
+	se.onProbation, se.ejectedAt = true, at
+	se.ejectedUntil = at + backoff(minEjection, se.failureRun-threshold)
 }
 
-// wait notes a request that began at start and waited in vain. Those that were
-// in flight together count once.
-func (se *server) wait(at, start time.Duration) {
-	if start <= se.silent {
+// recordAbandoned records an abandoned request that began at start. Requests that were in
+// flight together count once.
+func (se *server) recordAbandoned(at, start time.Duration) {
+	if start <= se.abandonedAt {
 		return
 	}
-	se.silent = at
-	se.doubted = at + grown(leastDoubt, se.silences)
-	se.silences++
+	se.abandonedAt = at
+	se.suspectUntil = at + backoff(minSuspicion, se.abandonedRun)
+	se.abandonedRun++
 }
 
-// grown returns a span that is doubled a number of times, up to mostAside.
-func grown(least time.Duration, times int) time.Duration {
-	for ; times > 0 && least < mostAside; times-- {
-		least *= 2
+// backoff returns the delay, doubled the given number of times, up to maxEjection.
+func backoff(delay time.Duration, times int) time.Duration {
+	for ; times > 0 && delay < maxEjection; times-- {
+		delay *= 2
 	}
-	return min(least, mostAside)
+	return min(delay, maxEjection)
 }
 
-// load takes over a reported load.
-func (se *server) load(at time.Duration, re Report) {
+// recordLoad stores a reported load.
+func (se *server) recordLoad(at time.Duration, re Report) {
 	se.waiting, se.slots, se.pace = max(0, re.Waiting), re.Slots, re.Pace
-	se.loaded = at
+	se.loadAt = at
 }
 
-// freshness returns how much a reported load still counts, from 0 to 1.
+// freshness returns the weight of the reported load, from 0 to 1.
 func (se *server) freshness(at time.Duration) float64 {
-	return max(0, 1-float64(at-se.loaded)/float64(loadFresh))
+	return max(0, 1-float64(at-se.loadAt)/float64(loadTTL))
 }
 
 // capacity returns the server's slots.
@@ -269,53 +270,53 @@
 	return float64(max(1, se.record.Slots))
 }
 
-// expected returns how long work of the given median should take at the
-// server, in nanoseconds, with what its failures cost.
-func (se *server) expected(at, typical time.Duration, hedge bool) float64 {
+// expectedLatency returns the expected latency at the server, in nanoseconds, of work with
+// the given median, including the expected cost of failures.
+func (se *server) expectedLatency(at, median time.Duration, hedge bool) float64 {
 	fresh := se.freshness(at)
-	time := se.factor(at) * float64(typical)
-	time *= 1 + (float64(len(se.flights))+fresh*float64(se.waiting))/se.capacity()
+	nanos := se.slowness(at) * float64(median)
+	nanos *= 1 + (float64(len(se.inFlight))+fresh*float64(se.waiting))/se.capacity()
 	if se.pace > 0 {
-		time *= 1 + fresh*(float64(se.pace)/usualPace-1)
+		nanos *= 1 + fresh*(float64(se.pace)/usualPace-1)
 	}
-	time *= 1 + failureCost*se.failing(at)
-	time *= se.stillness(at)
+	nanos *= 1 + failureCost*se.failures(at)
+	nanos *= se.stallFactor(at)
 	if hedge {
-		time *= 1 + staleCost*min(1, float64(at-se.answered)/float64(staleSpan))
+		nanos *= 1 + staleCost*min(1, float64(at-se.answeredAt)/float64(staleAfter))
 	}
-	return time
+	return nanos
 }
 
-// stillness returns by how many times the oldest request in flight exceeds its
-// expected time, at least one: the server may stand still, long before the
-// request is overdue.
-func (se *server) stillness(at time.Duration) float64 {
-	most := 1.0
-	for ix := range se.flights {
-		fl := &se.flights[ix]
-		most = max(most, float64(at-fl.start)/float64(fl.typical))
+// stallFactor returns the age of the oldest request in flight as a multiple of its expected
+// latency, at least one. It shows that a server may be stalled long before a request is
+// overdue.
+func (se *server) stallFactor(at time.Duration) float64 {
+	ratio := 1.0
+	for ix := range se.inFlight {
+		fl := &se.inFlight[ix]
+		ratio = max(ratio, float64(at-fl.start)/float64(fl.expected))
 	}
-	return most
+	return ratio
 }
 
-// standing says what is thought of a server beside its expected time.
-type standing uint8
+// health classifies a server independently of its expected latency.
+type health uint8
 
 const (
-	sound   standing = iota // sound is any server without the faults below.
-	suspect                 // suspect lets a request wait beyond its hedge time, or did so a moment ago.
-	shunned                 // shunned is set aside, or has a probe in flight.
-	due                     // due was set aside and may be probed by one request.
+	healthy  health = iota // healthy is a server in none of the states below.
+	suspect                // suspect has a request in flight beyond its hedge delay, or had one abandoned a moment ago.
+	ejected                // ejected is set aside after failures, or has a probe in flight.
+	probeDue               // probeDue was ejected and may now be probed by one request.
 )
 
-func (se *server) standing(at time.Duration) standing {
+func (se *server) health(at time.Duration) health {
 	switch {
-	case se.proving && (at < se.aside || len(se.flights) > 0):
-		return shunned
-	case se.proving:
-		return due
-	case se.blamed > 0 || at < se.doubted:
+	case se.onProbation && (at < se.ejectedUntil || len(se.inFlight) > 0):
+		return ejected
+	case se.onProbation:
+		return probeDue
+	case se.numSuspected > 0 || at < se.suspectUntil:
 		return suspect
 	}
-	return sound
+	return healthy
 }
--- a/replica/sim_test.go
+++ b/replica/sim_test.go
@@ -15,73 +15,73 @@
 	"balsamwinch.example/registry"
 )
 
-// trial is one run of a discrete-event simulation on virtual time: entry
-// instances that run the code of this package ask one replica of every shard
-// for each query, and a second one after the hedge time. They share the replicas.
-type trial struct {
-	name              string
-	entries, shards   int
-	slots, queue      int
-	perSecond         float64 // perSecond is the queries of all entries together.
-	works             []simWork
-	speeds            []float64
-	pause, pauseEvery time.Duration
-	slow              []simSlow
-	failing           []simFailing
-	hop, farHop       time.Duration // hop is one way within a data centre, farHop between two.
-	handshake         time.Duration
-	length, from      time.Duration // from is when measuring begins.
-	ratio             float64
-	slack             int
-	share             float64
-	seed              uint64
+// scenario configures one run of a discrete-event simulation on virtual time. Entry
+// instances that run the code of this package send a request to one replica of every shard
+// for each query, and to a second one after the hedge delay. They share the replicas.
+type scenario struct {
+	name                string
+	entries, shards     int
+	slots, queue        int
+	queriesPerSecond    float64 // queriesPerSecond is the total of all entry instances.
+	works               []simWork
+	speeds              []float64
+	pause, pauseEvery   time.Duration
+	slow                []simSlow
+	failing             []simFailing
+	hop, farHop         time.Duration // hop is the one-way delay within a data centre, farHop between two.
+	handshake           time.Duration
+	length, measureFrom time.Duration // measureFrom is when measuring begins.
+	ratio               float64
+	slack               int
+	budgetFraction      float64
+	seed                uint64
 }
 
 // simWork is a kind of query. The work of a request is lognormal.
 type simWork struct {
-	name         string
-	part         float64
-	mean, spread float64
-	tail, tailX  float64
-	aim          time.Duration
+	name             string
+	fraction         float64
+	mean, spread     float64
+	tail, tailFactor float64
+	target           time.Duration
 }
 
-// simSlow makes a part of the servers slower for a span.
+// simSlow makes a fraction of the servers slower for a time.
 type simSlow struct {
-	at, until time.Duration
-	share, by float64
+	from, until      time.Duration
+	fraction, factor float64
 }
 
-// simFailing makes a part of the servers refuse or fail a part of their
-// requests for a span.
+// simFailing makes a fraction of the servers refuse or fail a fraction of their requests
+// for a time.
 type simFailing struct {
-	at, until   time.Duration
-	share, part float64
-	kind        Outcome
+	from, until                     time.Duration
+	serverFraction, requestFraction float64
+	outcome                         Outcome
 }
 
 // policy is how a replica is chosen.
 type policy uint8
 
 const (
-	randomly policy = iota // randomly chooses any replica and never hedges.
-	hedged                 // hedged chooses any replica, and another one after the hedge time.
-	learned                // learned is this package.
+	randomChoice  policy = iota // randomChoice chooses any replica and never hedges.
+	randomHedged                // randomHedged chooses any replica, and another one after the hedge delay.
+	learnedChoice               // learnedChoice uses this package.
 )
 
 func (po policy) String() string { return [...]string{"random", "random+hedge", "learned"}[po] }
 
 type simEvent struct {
-	at    time.Duration
-	order int
-	do    func()
+	at       time.Duration
+	sequence int
+	run      func()
 }
 
 type simEvents []simEvent
 
 func (ev simEvents) Len() int { return len(ev) }
 func (ev simEvents) Less(ix, iy int) bool {
-	return ev[ix].at < ev[iy].at || ev[ix].at == ev[iy].at && ev[ix].order < ev[iy].order
+	return ev[ix].at < ev[iy].at || ev[ix].at == ev[iy].at && ev[ix].sequence < ev[iy].sequence
 }
 func (ev simEvents) Swap(ix, iy int) { ev[ix], ev[iy] = ev[iy], ev[ix] }
 func (ev *simEvents) Push(it any)    { *ev = append(*ev, it.(simEvent)) }
@@ -93,19 +93,19 @@
 }
 
 type sim struct {
-	trial
-	policy  policy
-	now     time.Duration
-	events  simEvents
-	order   int
-	rn      *rand.Rand
-	servers [][]*simServer // servers are by shard.
-	members []*simEntry
+	scenario
+	policy   policy
+	now      time.Duration
+	events   simEvents
+	sequence int
+	rn       *rand.Rand
+	servers  [][]*simServer // servers are by shard.
+	members  []*simEntry
 
 	latencies         [][]time.Duration // latencies of the slowest shards, by work.
 	requests, hedges  int
 	overdue, failures int
-	unbudgeted        int
+	budgetDenied      int
 }
 
 type simServer struct {
@@ -122,11 +122,11 @@
 type simRequest struct {
 	work              float64
 	started, canceled bool
-	done              func(kind Outcome)
+	done              func(outcome Outcome)
 }
 
 type simEntry struct {
-	tb     *Balancer
+	ba     *Balancer
 	bu     *budget.Budget
 	centre string
 }
@@ -135,54 +135,54 @@
 
 func (sm *sim) clock() time.Time { return simStart.Add(sm.now) }
 
-func (sm *sim) after(de time.Duration, do func()) {
-	sm.order++
-	heap.Push(&sm.events, simEvent{at: sm.now + de, order: sm.order, do: do})
+func (sm *sim) after(de time.Duration, action func()) {
+	sm.sequence++
+	heap.Push(&sm.events, simEvent{at: sm.now + de, sequence: sm.sequence, run: action})
 }
 
-func newSim(tr trial, po policy) *sim {
-	sm := &sim{trial: tr, policy: po, rn: rand.New(rand.NewPCG(tr.seed, 1))}
-	sm.latencies = make([][]time.Duration, len(tr.works))
+func newSim(sc scenario, po policy) *sim {
+	sm := &sim{scenario: sc, policy: po, rn: rand.New(rand.NewPCG(sc.seed, 1))}
+	sm.latencies = make([][]time.Duration, len(sc.works))
 	records := make(map[string][]registry.Server)
-	for sh := range tr.shards {
-		speeds := slices.Clone(tr.speeds)
+	for sh := range sc.shards {
+		speeds := slices.Clone(sc.speeds)
 		sm.rn.Shuffle(len(speeds), func(ix, iy int) { speeds[ix], speeds[iy] = speeds[iy], speeds[ix] })
 		var of []*simServer
 		for re, speed := range speeds {
 			service := fmt.Sprintf("shard-%d", sh)
 			se := &simServer{sm: sm, speed: speed, record: registry.Server{
-				ID: fmt.Sprintf("%s-%d", service, re), Service: service, Slots: tr.slots,
+				ID: fmt.Sprintf("%s-%d", service, re), Service: service, Slots: sc.slots,
 				DataCentre: fmt.Sprintf("centre-%d", re),
 			}}
-			if tr.pauseEvery > 0 {
-				se.phase = time.Duration(sm.rn.Int64N(int64(tr.pauseEvery)))
+			if sc.pauseEvery > 0 {
+				se.phase = time.Duration(sm.rn.Int64N(int64(sc.pauseEvery)))
 			}
 			records[service] = append(records[service], se.record)
 			of = append(of, se)
 		}
 		sm.servers = append(sm.servers, of)
 	}
-	sm.harm()
-	for en := range tr.entries {
-		centre := fmt.Sprintf("centre-%d", en%len(tr.speeds))
+	sm.assignFaults()
+	for en := range sc.entries {
+		centre := fmt.Sprintf("centre-%d", en%len(sc.speeds))
 		me := &simEntry{
-			tb:     New(Config{DataCentre: centre, Seed: tr.seed + uint64(en)}),
-			bu:     budget.New(budget.Config{Ratio: tr.ratio, Slack: tr.slack, Window: 10 * time.Second, Fraction: tr.share}, simStart),
+			ba:     New(Config{DataCentre: centre, Seed: sc.seed + uint64(en)}),
+			bu:     budget.New(budget.Config{Ratio: sc.ratio, Slack: sc.slack, Window: 10 * time.Second, Fraction: sc.budgetFraction}, simStart),
 			centre: centre,
 		}
-		me.bu.SetNumEntries(simStart, tr.entries)
-		me.tb.Update(simStart, records)
+		me.bu.SetNumEntries(simStart, sc.entries)
+		me.ba.Update(simStart, records)
 		sm.members = append(sm.members, me)
 	}
 	return sm
 }
 
-// harm gives the slow and failing spans to servers of different shards.
-func (sm *sim) harm() {
+// assignFaults assigns the slow and failing spans to servers of different shards.
+func (sm *sim) assignFaults() {
 	for _, sl := range sm.slow {
 		for _, of := range sm.servers {
 			for _, se := range of {
-				if sm.rn.Float64() < sl.share {
+				if sm.rn.Float64() < sl.fraction {
 					se.slow = append(se.slow, sl)
 					break
 				}
@@ -192,7 +192,7 @@
 	for _, fa := range sm.failing {
 		for _, of := range sm.servers {
 			for _, se := range of {
-				if sm.rn.Float64() < fa.share {
+				if sm.rn.Float64() < fa.serverFraction {
 					se.failing = append(se.failing, fa)
 					break
 				}
@@ -201,13 +201,13 @@
 	}
 }
 
-// finish returns when work that starts now is done: it stands still in pauses.
+// finish returns when work that starts now is done; no work is done in pauses.
 func (se *simServer) finish(work float64) time.Duration {
 	sm := se.sm
 	factor := se.speed
 	for _, sl := range se.slow {
-		if sm.now >= sl.at && sm.now < sl.until {
-			factor *= sl.by
+		if sm.now >= sl.from && sm.now < sl.until {
+			factor *= sl.factor
 		}
 	}
 	left := time.Duration(work * factor * float64(time.Millisecond))
@@ -230,10 +230,10 @@
 	}
 }
 
-func (se *simServer) offer(rq *simRequest) {
+func (se *simServer) receive(rq *simRequest) {
 	for _, fa := range se.failing {
-		if se.sm.now >= fa.at && se.sm.now < fa.until && se.sm.rn.Float64() < fa.part {
-			rq.done(fa.kind)
+		if se.sm.now >= fa.from && se.sm.now < fa.until && se.sm.rn.Float64() < fa.requestFraction {
+			rq.done(fa.outcome)
 			return
 		}
 	}
@@ -256,11 +256,11 @@
 		}
 		rq.started = false
 		rq.done(Served)
-		se.free()
+		se.release()
 	})
 }
 
-func (se *simServer) free() {
+func (se *simServer) release() {
 	se.busy--
 	for len(se.waiting) > 0 && se.busy < se.sm.slots {
 		rq := se.waiting[0]
@@ -271,15 +271,15 @@
 	}
 }
 
-// cancel closes the connection of a request: its slot is free after the
-// handshake of the next connection.
+// cancel closes the connection of a request. Its slot becomes free after the handshake of
+// the next connection.
 func (se *simServer) cancel(rq *simRequest) {
 	if rq.canceled {
 		return
 	}
 	rq.canceled = true
 	if rq.started {
-		se.sm.after(se.sm.handshake, se.free)
+		se.sm.after(se.sm.handshake, se.release)
 	}
 }
 
@@ -288,13 +288,13 @@
 	for len(sm.events) > 0 {
 		ev := heap.Pop(&sm.events).(simEvent)
 		sm.now = ev.at
-		ev.do()
+		ev.run()
 	}
 }
 
-// arrive lets queries come until the end.
+// arrive generates queries until the end.
 func (sm *sim) arrive() {
-	sm.after(time.Duration(sm.rn.ExpFloat64()/sm.perSecond*float64(time.Second)), func() {
+	sm.after(time.Duration(sm.rn.ExpFloat64()/sm.queriesPerSecond*float64(time.Second)), func() {
 		if sm.now < sm.length {
 			sm.query()
 			sm.arrive()
@@ -305,32 +305,32 @@
 func (sm *sim) query() {
 	en := sm.members[sm.rn.IntN(len(sm.members))]
 	kind, part := 0, sm.rn.Float64()
-	for kind < len(sm.works)-1 && part >= sm.works[kind].part {
-		part -= sm.works[kind].part
+	for kind < len(sm.works)-1 && part >= sm.works[kind].fraction {
+		part -= sm.works[kind].fraction
 		kind++
 	}
 	start, left := sm.now, sm.shards
 	for sh := range sm.shards {
-		fa := &simFan{sm: sm, en: en, shard: sh, work: &sm.works[kind], start: start}
-		fa.end = func() {
-			if left--; left == 0 && start >= sm.from {
+		sr := &simShardRequest{sm: sm, en: en, shard: sh, work: &sm.works[kind], start: start}
+		sr.end = func() {
+			if left--; left == 0 && start >= sm.measureFrom {
 				sm.latencies[kind] = append(sm.latencies[kind], sm.now-start)
 			}
 		}
-		fa.begin()
+		sr.begin()
 	}
 }
 
-// simFan is the request of one query for one shard.
-type simFan struct {
+// simShardRequest is the request of one query for one shard.
+type simShardRequest struct {
 	sm       *sim
 	en       *simEntry
 	shard    int
 	work     *simWork
 	start    time.Duration
 	attempts []*simAttempt
-	asked    []string
-	over     bool
+	tried    []string
+	finished bool
 	end      func()
 }
 
@@ -341,143 +341,143 @@
 	done bool
 }
 
-func (fa *simFan) ask() Request {
-	return Request{Service: fmt.Sprintf("shard-%d", fa.shard), Class: fa.work.name, Avoid: fa.asked}
+func (sr *simShardRequest) request() Request {
+	return Request{Service: fmt.Sprintf("shard-%d", sr.shard), Class: sr.work.name, Avoid: sr.tried}
 }
 
-func (fa *simFan) begin() {
-	sm := fa.sm
+func (sr *simShardRequest) begin() {
+	sm := sr.sm
 	sm.requests++
-	fa.en.bu.CountRequest(sm.clock(), fa.ask().Service)
-	at := fa.send()
-	if sm.policy == randomly {
+	sr.en.bu.CountRequest(sm.clock(), sr.request().Service)
+	at := sr.send()
+	if sm.policy == randomChoice {
 		return
 	}
-	sm.after(fa.delay(at), func() {
-		if fa.over || at.done {
+	sm.after(sr.delay(at), func() {
+		if sr.finished || at.done {
 			return
 		}
-		fa.en.tb.Overdue(sm.clock(), at.pk)
+		sr.en.ba.Overdue(sm.clock(), at.pk)
 		sm.overdue++
-		fa.again()
+		sr.sendExtra()
 	})
 }
 
-func (fa *simFan) delay(at *simAttempt) time.Duration {
-	if fa.sm.policy == learned {
-		return fa.en.tb.HedgeDelay(fa.sm.clock(), fa.ask(), at.pk)
+func (sr *simShardRequest) delay(at *simAttempt) time.Duration {
+	if sr.sm.policy == learnedChoice {
+		return sr.en.ba.HedgeDelay(sr.sm.clock(), sr.request(), at.pk)
 	}
-	tb := fa.en.tb
-	return tb.work(tb.at(fa.sm.clock()), Request{Class: fa.work.name}).delay(tb.latest)
+	ba := sr.en.ba
+	return ba.class(ba.at(sr.sm.clock()), Request{Class: sr.work.name}).hedgeDelay(ba.latest)
 }
 
-// again asks a second server if the budget has it.
-func (fa *simFan) again() {
-	if len(fa.attempts) >= 2 {
+// sendExtra sends the request to a second server if the budget allows it.
+func (sr *simShardRequest) sendExtra() {
+	if len(sr.attempts) >= 2 {
 		return
 	}
-	if !fa.en.bu.Spend(fa.sm.clock(), fa.ask().Service) {
-		fa.sm.unbudgeted++
+	if !sr.en.bu.Spend(sr.sm.clock(), sr.request().Service) {
+		sr.sm.budgetDenied++
 		return
 	}
-	fa.sm.hedges++
-	fa.send()
+	sr.sm.hedges++
+	sr.send()
 }
 
-func (fa *simFan) choose() Pick {
-	tb, as := fa.en.tb, fa.ask()
-	if fa.sm.policy == learned {
-		pk, _ := tb.Choose(fa.sm.clock(), as)
+func (sr *simShardRequest) choose() Pick {
+	ba, rq := sr.en.ba, sr.request()
+	if sr.sm.policy == learnedChoice {
+		pk, _ := ba.Choose(sr.sm.clock(), rq)
 		return pk
 	}
-	at := tb.at(fa.sm.clock())
-	wo := tb.work(at, as)
-	cas := tb.rate(at, as, wo)
-	se := cas[fa.sm.rn.IntN(len(cas))].se
-	return Pick{Server: se.record, se: se, number: se.take(at, wo)}
+	at := ba.at(sr.sm.clock())
+	ls := ba.class(at, rq)
+	cas := ba.eligible(at, rq, ls)
+	se := cas[sr.sm.rn.IntN(len(cas))].se
+	return Pick{Server: se.record, se: se, number: se.send(at, ls)}
 }
 
-func (fa *simFan) send() *simAttempt {
-	sm := fa.sm
-	at := &simAttempt{pk: fa.choose()}
-	for _, se := range sm.servers[fa.shard] {
+func (sr *simShardRequest) send() *simAttempt {
+	sm := sr.sm
+	at := &simAttempt{pk: sr.choose()}
+	for _, se := range sm.servers[sr.shard] {
 		if se.record.ID == at.pk.Server.ID {
 			at.se = se
 		}
 	}
 	hop := sm.hop
-	if at.se.record.DataCentre != fa.en.centre {
+	if at.se.record.DataCentre != sr.en.centre {
 		hop = sm.farHop
 	}
-	fa.attempts = append(fa.attempts, at)
-	fa.asked = append(fa.asked, at.pk.Server.ID)
-	at.rq = &simRequest{work: fa.draw()}
-	at.rq.done = func(kind Outcome) {
+	sr.attempts = append(sr.attempts, at)
+	sr.tried = append(sr.tried, at.pk.Server.ID)
+	at.rq = &simRequest{work: sr.drawWork()}
+	at.rq.done = func(outcome Outcome) {
 		se := at.se
-		re := Report{Outcome: kind, Running: se.busy, Waiting: len(se.waiting), Slots: sm.slots, HasLoad: true}
-		sm.after(hop, func() { fa.answered(at, re) })
+		re := Report{Outcome: outcome, Running: se.busy, Waiting: len(se.waiting), Slots: sm.slots, HasLoad: true}
+		sm.after(hop, func() { sr.answered(at, re) })
 	}
 	sm.after(hop, func() {
 		if !at.rq.canceled {
-			at.se.offer(at.rq)
+			at.se.receive(at.rq)
 		}
 	})
 	return at
 }
 
-func (fa *simFan) draw() float64 {
-	wo, rn := fa.work, fa.sm.rn
+func (sr *simShardRequest) drawWork() float64 {
+	wo, rn := sr.work, sr.sm.rn
 	work := wo.mean * math.Exp(wo.spread*rn.NormFloat64()-wo.spread*wo.spread/2)
 	if rn.Float64() < wo.tail {
-		work *= wo.tailX
+		work *= wo.tailFactor
 	}
 	return work
 }
 
-func (fa *simFan) answered(at *simAttempt, re Report) {
+func (sr *simShardRequest) answered(at *simAttempt, re Report) {
 	if at.done {
 		return
 	}
 	at.done = true
-	now := fa.sm.clock()
-	fa.en.tb.Done(now, at.pk, re)
-	if fa.over {
+	now := sr.sm.clock()
+	sr.en.ba.Done(now, at.pk, re)
+	if sr.finished {
 		return
 	}
 	if re.Outcome != Served {
-		fa.refused()
+		sr.refused()
 		return
 	}
-	fa.finish()
-	for ix, ot := range fa.attempts {
+	sr.finish()
+	for ix, ot := range sr.attempts {
 		if ot.done {
 			continue
 		}
 		ot.done = true
-		kind := Abandoned
+		outcome := Abandoned
 		if ix > 0 {
-			kind = Canceled
+			outcome = Canceled
 		}
-		fa.en.tb.Done(now, ot.pk, Report{Outcome: kind})
-		fa.sm.after(fa.sm.farHop, func() { ot.se.cancel(ot.rq) })
+		sr.en.ba.Done(now, ot.pk, Report{Outcome: outcome})
+		sr.sm.after(sr.sm.farHop, func() { ot.se.cancel(ot.rq) })
 	}
 }
 
-// refused asks another server, or gives the shard up when none is in flight.
-func (fa *simFan) refused() {
-	fa.again()
-	for _, at := range fa.attempts {
+// refused tries another server, or gives the shard up if no attempt is in flight.
+func (sr *simShardRequest) refused() {
+	sr.sendExtra()
+	for _, at := range sr.attempts {
 		if !at.done {
 			return
 		}
 	}
-	fa.sm.failures++
-	fa.finish()
+	sr.sm.failures++
+	sr.finish()
 }
 
-func (fa *simFan) finish() {
-	fa.over = true
-	fa.end()
+func (sr *simShardRequest) finish() {
+	sr.finished = true
+	sr.end()
 }
 
 func quantile(la []time.Duration, qu float64) time.Duration {
@@ -487,64 +487,64 @@
 	return la[min(len(la)-1, int(qu*float64(len(la))))].Round(100 * time.Microsecond)
 }
 
-func large() trial {
-	return trial{
-		name: "5 slots, 28 and 9.2 ms", entries: 9, shards: 10, slots: 5, queue: 30, perSecond: 180,
+func largeScenario() scenario {
+	return scenario{
+		name: "5 slots, 28 and 9.2 ms", entries: 9, shards: 10, slots: 5, queue: 30, queriesPerSecond: 180,
 		works: []simWork{
-			{name: "long", part: 0.75, mean: 28, spread: 0.35, tail: 0.01, tailX: 5, aim: 200 * time.Millisecond},
-			{name: "short", part: 0.25, mean: 9.2, spread: 0.35, tail: 0.01, tailX: 5, aim: 80 * time.Millisecond},
+			{name: "long", fraction: 0.75, mean: 28, spread: 0.35, tail: 0.01, tailFactor: 5, target: 200 * time.Millisecond},
+			{name: "short", fraction: 0.25, mean: 9.2, spread: 0.35, tail: 0.01, tailFactor: 5, target: 80 * time.Millisecond},
 		},
 		speeds: []float64{0.8, 1, 1.3},
 		pause:  250 * time.Millisecond, pauseEvery: 6 * time.Second,
 		hop: 200 * time.Microsecond, farHop: 1400 * time.Microsecond, handshake: 6 * time.Millisecond,
-		length: 40 * time.Second, from: 5 * time.Second,
-		ratio: 0.2, slack: 58, share: 0.85, seed: 7,
+		length: 40 * time.Second, measureFrom: 5 * time.Second,
+		ratio: 0.2, slack: 58, budgetFraction: 0.85, seed: 7,
 	}
 }
 
-func small() trial {
-	tr := large()
-	tr.name, tr.entries, tr.slots, tr.queue = "2 slots, 11 and 3.8 ms", 8, 2, 12
-	tr.works[0].mean, tr.works[1].mean = 11, 3.8
-	tr.works[0].aim, tr.works[1].aim = 100*time.Millisecond, 50*time.Millisecond
-	tr.speeds = []float64{1, 1, 1}
-	tr.pause, tr.pauseEvery = 120*time.Millisecond, 3*time.Second
-	tr.farHop, tr.slack = 900*time.Microsecond, 56
-	return tr
+func smallScenario() scenario {
+	sc := largeScenario()
+	sc.name, sc.entries, sc.slots, sc.queue = "2 slots, 11 and 3.8 ms", 8, 2, 12
+	sc.works[0].mean, sc.works[1].mean = 11, 3.8
+	sc.works[0].target, sc.works[1].target = 100*time.Millisecond, 50*time.Millisecond
+	sc.speeds = []float64{1, 1, 1}
+	sc.pause, sc.pauseEvery = 120*time.Millisecond, 3*time.Second
+	sc.farHop, sc.slack = 900*time.Microsecond, 56
+	return sc
 }
 
-func (tr trial) with(name string, change func(*trial)) trial {
-	tr.name += ", " + name
-	change(&tr)
-	return tr
+func (sc scenario) variant(name string, change func(*scenario)) scenario {
+	sc.name += ", " + name
+	change(&sc)
+	return sc
 }
 
-func simTrials() []trial {
-	slow := func(tr *trial) {
-		tr.slow = []simSlow{
-			{at: 10 * time.Second, until: 16500 * time.Millisecond, share: 0.15, by: 8.5},
-			{at: 22 * time.Second, until: 29 * time.Second, share: 0.15, by: 5},
+func scenarios() []scenario {
+	slow := func(sc *scenario) {
+		sc.slow = []simSlow{
+			{from: 10 * time.Second, until: 16500 * time.Millisecond, fraction: 0.15, factor: 8.5},
+			{from: 22 * time.Second, until: 29 * time.Second, fraction: 0.15, factor: 5},
 		}
 	}
-	grey := func(tr *trial) {
-		tr.failing = []simFailing{{at: 10 * time.Second, until: 17 * time.Second, share: 0.15, part: 0.45, kind: Shed}}
+	failing := func(sc *scenario) {
+		sc.failing = []simFailing{{from: 10 * time.Second, until: 17 * time.Second, serverFraction: 0.15, requestFraction: 0.45, outcome: Shed}}
 	}
-	burst := func(tr *trial) { tr.perSecond *= 1.7 }
-	return []trial{
-		large(), large().with("slow servers", slow), large().with("grey", grey), large().with("1.7 times the load", burst),
-		small(), small().with("slow servers", slow), small().with("grey", grey), small().with("1.7 times the load", burst),
+	burst := func(sc *scenario) { sc.queriesPerSecond *= 1.7 }
+	return []scenario{
+		largeScenario(), largeScenario().variant("slow servers", slow), largeScenario().variant("failing servers", failing), largeScenario().variant("1.7 times the load", burst),
+		smallScenario(), smallScenario().variant("slow servers", slow), smallScenario().variant("failing servers", failing), smallScenario().variant("1.7 times the load", burst),
 	}
 }
 
-// measured is what one run showed.
-type measured struct {
+// measurement is the result of one run.
+type measurement struct {
 	p50, p99, p999 []time.Duration
-	inAim          []float64
+	withinTarget   []float64
 	hedged         float64
 }
 
-func (sm *sim) measure() measured {
-	var me measured
+func (sm *sim) measure() measurement {
+	var me measurement
 	for ix, la := range sm.latencies {
 		slices.Sort(la)
 		me.p50 = append(me.p50, quantile(la, 0.5))
@@ -552,38 +552,38 @@
 		me.p999 = append(me.p999, quantile(la, 0.999))
 		in := 0
 		for _, lt := range la {
-			if lt+6*time.Millisecond <= sm.works[ix].aim {
+			if lt+6*time.Millisecond <= sm.works[ix].target {
 				in++
 			}
 		}
-		me.inAim = append(me.inAim, float64(in)/float64(len(la)))
+		me.withinTarget = append(me.withinTarget, float64(in)/float64(len(la)))
 	}
 	me.hedged = float64(sm.hedges) / float64(sm.requests)
 	return me
 }
 
-// TestSimulation compares the choice of this package with a random one, with
-// and without hedges, and prints what the slowest shard of a query took.
+// TestSimulation compares the choice of this package with a random one, with and without
+// hedges, and prints the latency of the slowest shard of a query.
 func TestSimulation(t *testing.T) {
-	for _, tr := range simTrials() {
-		t.Run(tr.name, func(t *testing.T) {
+	for _, sc := range scenarios() {
+		t.Run(sc.name, func(t *testing.T) {
 			c := qt.New(t)
-			var all []measured
-			for po := randomly; po <= learned; po++ {
-				sm := newSim(tr, po)
+			var all []measurement
+			for po := randomChoice; po <= learnedChoice; po++ {
+				sm := newSim(sc, po)
 				sm.run()
 				me := sm.measure()
 				all = append(all, me)
-				for ix, wo := range tr.works {
-					c.Logf("%-13s %-6s p50 %6v p99 %6v p99.9 %6v in aim %.4f hedged %.3f unbudgeted %d failed %d", po, wo.name,
-						me.p50[ix], me.p99[ix], me.p999[ix], me.inAim[ix], me.hedged, sm.unbudgeted, sm.failures)
+				for ix, wo := range sc.works {
+					c.Logf("%-13s %-6s p50 %6v p99 %6v p99.9 %6v within target %.4f hedged %.3f denied by budget %d failed %d", po, wo.name,
+						me.p50[ix], me.p99[ix], me.p999[ix], me.withinTarget[ix], me.hedged, sm.budgetDenied, sm.failures)
 				}
 			}
-			for ix := range tr.works {
-				c.Assert(all[learned].p99[ix] < all[hedged].p99[ix], qt.IsTrue)
-				c.Assert(all[learned].p99[ix] < all[randomly].p99[ix], qt.IsTrue)
+			for ix := range sc.works {
+				c.Assert(all[learnedChoice].p99[ix] < all[randomHedged].p99[ix], qt.IsTrue)
+				c.Assert(all[learnedChoice].p99[ix] < all[randomChoice].p99[ix], qt.IsTrue)
 			}
-			c.Assert(all[learned].hedged < 0.15, qt.IsTrue)
+			c.Assert(all[learnedChoice].hedged < 0.15, qt.IsTrue)
 		})
 	}
 }
