--- a/scatter/bench_test.go
+++ b/scatter/bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// BenchmarkGreatest measures the merge of 36 parts of 63 records of 16 bytes.
-func BenchmarkGreatest(be *testing.B) {
+// BenchmarkMergeTopK measures the merge of 36 parts of 63 records of 16 bytes.
+func BenchmarkMergeTopK(be *testing.B) {
 	rn := rand.New(rand.NewPCG(1, 2))
 	parts := make([][]byte, 36)
 	for ix := range parts {
@@ -15,11 +15,11 @@
 			parts[ix] = append(parts[ix], byte(rn.Uint32()))
 		}
 	}
-	for _, most := range []int{10, 100, 5000} {
-		be.Run(fmt.Sprintf("Most=%d", most), func(be *testing.B) {
+	for _, k := range []int{10, 100, 5000} {
+		be.Run(fmt.Sprintf("k=%d", k), func(be *testing.B) {
 			be.ReportAllocs()
 			for be.Loop() {
-				MergeTopK(parts, 16, most)
+				MergeTopK(parts, 16, k)
 			}
 		})
 	}
--- a/scatter/events.go
+++ b/scatter/events.go
@@ -2,46 +2,46 @@
 
 import "time"
 
-// Asked says that an attempt for a shard is under way. From hedgeAt on a second
-// one is wanted beside it; the zero time means never.
-func (qu *Query) AttemptStarted(po int, hedgeAt time.Time) {
-	sh := &qu.shards[po]
-	if sh.flying > 0 && !qu.answered {
-		qu.hedges++
-	}
-	sh.flying++
-	qu.flying++
-	qu.alone = qu.careful()
-	sh.next = hedgeAt
+// AttemptStarted records that an attempt for a shard is in flight. From hedgeAt on it
+// should be hedged; the zero time means never.
+func (qu *Query) AttemptStarted(index int, hedgeAt time.Time) {
+	sh := &qu.shards[index]
+	if sh.inFlight > 0 && !qu.answered {
+		qu.earlyHedges++
+	}
+	sh.inFlight++
+	qu.inFlight++
+	qu.alone = qu.oneAtATime()
+	sh.nextAt = hedgeAt
 	if hedgeAt.IsZero() {
-		sh.next = qu.pl.Deadline
+		sh.nextAt = qu.pl.Deadline
 	}
 }
 
-// Denied says that an attempt could not be begun and may be tried again later.
-// At Offer, or Room, a shard that nobody is asked for is given up: a caller that waits
-// for nothing is better told so at once.
-func (qu *Query) AttemptDeferred(now time.Time, po int, ca Cause, again time.Time) {
-	sh := &qu.shards[po]
-	if sh.flying > 0 {
-		sh.next = again
+// AttemptDeferred records that an attempt could not be started and may be tried again
+// later. At NoServerDeadline, or NoConnectionDeadline, a shard without an attempt in flight
+// is given up, so that the caller learns at once that waiting is in vain.
+func (qu *Query) AttemptDeferred(now time.Time, index int, ca Cause, again time.Time) {
+	sh := &qu.shards[index]
+	if sh.inFlight > 0 {
+		sh.nextAt = again
 		return
 	}
-	sh.blame(ca)
+	sh.setCause(ca)
 	until := qu.pl.NoServerDeadline
 	if ca != CauseNoServer {
 		until = qu.pl.NoConnectionDeadline
 	}
 	if !now.Before(until) {
-		qu.lose(sh)
-		qu.settle(now)
+		qu.giveUp(sh)
+		qu.updateState(now)
 		return
 	}
-	sh.next = earlier(again, until)
+	sh.nextAt = earlier(again, until)
 }
 
-// earlier returns the earlier time. A shard is given up just when its time is over, and
-// not at the next look after that.
+// earlier returns the earlier time. It makes a shard be given up exactly at its deadline
+// and not at the next retry after it.
 func earlier(one, other time.Time) time.Time {
 	if one.After(other) {
 		return other
@@ -49,120 +49,119 @@
 	return one
 }
 
-// Nobody says that nobody is left who could be asked for a shard and that nobody is
-// expected. Unless an attempt is under way, the shard is given up at once: held
-// until Offer, an answer would come late for a part that can't come. Beside an
-// attempt it only means that there is no hedge before the given time.
-func (qu *Query) NoServerLeft(now time.Time, po int, ca Cause, again time.Time) {
-	sh := &qu.shards[po]
-	if sh.flying > 0 {
-		sh.next = again
+// NoServerLeft records that no server is left to try for a shard and none is expected.
+// Unless an attempt is in flight, the shard is given up at once: waiting until
+// NoServerDeadline would delay the answer for a part that can't come. If an attempt is in
+// flight, it only means that there is no hedge before the given time.
+func (qu *Query) NoServerLeft(now time.Time, index int, ca Cause, again time.Time) {
+	sh := &qu.shards[index]
+	if sh.inFlight > 0 {
+		sh.nextAt = again
 		return
 	}
-	sh.blame(ca)
-	qu.lose(sh)
-	qu.settle(now)
+	sh.setCause(ca)
+	qu.giveUp(sh)
+	qu.updateState(now)
 }
 
-// Room says that a shard which waits for a server or a connection need not wait
-// any more.
-func (qu *Query) RetryNow(now time.Time, po int) {
-	sh := &qu.shards[po]
-	if sh.flying == 0 && now.Before(sh.next) {
-		sh.next = now
+// RetryNow makes a shard that waits for a server or a connection due at once.
+func (qu *Query) RetryNow(now time.Time, index int) {
+	sh := &qu.shards[index]
+	if sh.inFlight == 0 && now.Before(sh.nextAt) {
+		sh.nextAt = now
 	}
 }
 
-// Replied says how an attempt ended, and settles the query if that decides it.
-func (qu *Query) AttemptEnded(now time.Time, po int, re Outcome) {
-	sh := &qu.shards[po]
-	sh.flying--
-	qu.flying--
-	switch re {
+// AttemptEnded records how an attempt ended and updates the state of the query.
+func (qu *Query) AttemptEnded(now time.Time, index int, ou Outcome) {
+	sh := &qu.shards[index]
+	sh.inFlight--
+	qu.inFlight--
+	switch ou {
 	case OutcomePart:
 		qu.answered = true
 	case OutcomeLost:
-		qu.broke()
+		qu.recordLost()
 	}
-	if sh.have {
+	if sh.hasPart {
 		return
 	}
-	switch re {
+	switch ou {
 	case OutcomePart:
-		sh.have, sh.cause = true, CauseNone
-		if sh.lost {
-			sh.lost = false
-			qu.lost--
+		sh.hasPart, sh.cause = true, CauseNone
+		if sh.givenUp {
+			sh.givenUp = false
+			qu.numGivenUp--
 		}
-		qu.have++
+		qu.numParts++
 	case OutcomeNoConnection:
-		qu.busy(now, sh)
+		qu.backOff(now, sh)
 	case OutcomeNotRun:
-		sh.refused++
-		qu.ended(now, sh, CauseNotRun)
+		sh.numRefused++
+		qu.retryOrGiveUp(now, sh, CauseNotRun)
 	case OutcomeFailed:
-		sh.ran++
-		qu.ended(now, sh, CauseFailed)
+		sh.numRun++
+		qu.retryOrGiveUp(now, sh, CauseFailed)
 	case OutcomeLost:
-		sh.ran++
-		qu.ended(now, sh, CauseLost)
+		sh.numRun++
+		qu.retryOrGiveUp(now, sh, CauseLost)
 	}
-	qu.settle(now)
+	qu.updateState(now)
 }
 
-// broke counts a server that broke off, and gives the request up if it was asked alone to
-// see whether it would.
-func (qu *Query) broke() {
-	qu.broken++
-	if qu.alone && !qu.answered && (qu.pl.Probe || qu.broken >= mostBroken) {
-		qu.givenUp = true
+// recordLost counts a server that broke off, and assumes a query of death if that attempt
+// was made alone as a probe.
+func (qu *Query) recordLost() {
+	qu.numLost++
+	if qu.alone && !qu.answered && (qu.pl.Probe || qu.numLost >= maxLost) {
+		qu.assumedFatal = true
 	}
 }
 
-// ended decides what follows an attempt without a part.
-func (qu *Query) ended(now time.Time, sh *shard, ca Cause) {
-	sh.blame(ca)
-	if sh.flying > 0 {
+// retryOrGiveUp decides what follows an attempt without a part.
+func (qu *Query) retryOrGiveUp(now time.Time, sh *shard, ca Cause) {
+	sh.setCause(ca)
+	if sh.inFlight > 0 {
 		return // The other attempt may still bring the part.
 	}
-	if sh.ran >= max(1, qu.pl.MaxAttempts) || sh.refused > refusals || (sh.ran > 0 && !qu.pl.Repeatable) {
-		qu.lose(sh)
+	if sh.numRun >= max(1, qu.pl.MaxAttempts) || sh.numRefused > maxRefusals || (sh.numRun > 0 && !qu.pl.Repeatable) {
+		qu.giveUp(sh)
 		return
 	}
-	sh.next = now
-	if sh.refused > 1 {
-		sh.next = now.Add(qu.pl.RetryDelay * time.Duration(sh.refused-1))
+	sh.nextAt = now
+	if sh.numRefused > 1 {
+		sh.nextAt = now.Add(qu.pl.RetryDelay * time.Duration(sh.numRefused-1))
 	}
 }
 
-// busy has a shard asked again soon, and later each time. Having no connection free
-// is this instance's own lack and no refusal of a backend server: counted as one, a
-// burst of requests right after a start, while connections are few, would fail
-// within milliseconds although the servers have room. For the same reason a part of
-// a merged answer is waited for beyond the time of the other parts, as far as Room:
-// failed for want of it, the caller comes again and has all shards asked once more.
-func (qu *Query) busy(now time.Time, sh *shard) {
-	sh.blame(CauseNoConnection)
-	if sh.flying > 0 {
+// backOff makes a shard due again soon, with growing delays. A lack of free connections is
+// local and not a refusal by a backend server. If it counted as one, a burst of requests
+// right after a start, while there are few connections, would fail within milliseconds
+// although the servers have capacity. For the same reason a part of a merged answer may
+// wait longer than for the other parts, until NoConnectionDeadline: if the query failed
+// instead, the caller would retry it with all shards.
+func (qu *Query) backOff(now time.Time, sh *shard) {
+	sh.setCause(CauseNoConnection)
+	if sh.inFlight > 0 {
 		return
 	}
-	if !now.Before(qu.pl.NoConnectionDeadline) && sh.ran == 0 && sh.refused == 0 {
-		qu.lose(sh)
+	if !now.Before(qu.pl.NoConnectionDeadline) && sh.numRun == 0 && sh.numRefused == 0 {
+		qu.giveUp(sh)
 		return
 	}
-	sh.next = now.Add(qu.pl.RetryDelay << min(sh.busy, busyDoublings))
-	sh.busy++
-	if sh.ran == 0 && sh.refused == 0 {
-		sh.next = earlier(sh.next, qu.pl.NoConnectionDeadline)
+	sh.nextAt = now.Add(qu.pl.RetryDelay << min(sh.numNoConnection, maxBackoffDoublings))
+	sh.numNoConnection++
+	if sh.numRun == 0 && sh.numRefused == 0 {
+		sh.nextAt = earlier(sh.nextAt, qu.pl.NoConnectionDeadline)
 	}
 }
 
-func (qu *Query) lose(sh *shard) {
-	if !sh.lost {
-		sh.lost = true
-		qu.lost++
+func (qu *Query) giveUp(sh *shard) {
+	if !sh.givenUp {
+		sh.givenUp = true
+		qu.numGivenUp++
 	}
 }
 
-// blame notes why a shard has no part, unless more is known already.
-func (sh *shard) blame(ca Cause) { sh.cause = max(sh.cause, ca) }
+// setCause sets why a shard has no part, unless the cause so far tells more.
+func (sh *shard) setCause(ca Cause) { sh.cause = max(sh.cause, ca) }
--- a/scatter/merge_test.go
+++ b/scatter/merge_test.go
@@ -9,20 +9,20 @@
 	"pgregory.net/rapid"
 )
 
-func TestGreatest(t *testing.T) {
+func TestMergeTopK(t *testing.T) {
 	tests := []struct {
-		name   string
-		parts  []string
-		record int
-		most   int
-		want   string
+		name       string
+		parts      []string
+		recordSize int
+		k          int
+		want       string
 	}{
 		{"none", nil, 2, 3, ""},
-		{"falling over parts", []string{"aacc", "bb"}, 2, 3, "ccbbaa"},
+		{"descending over parts", []string{"aacc", "bb"}, 2, 3, "ccbbaa"},
 		{"only the greatest", []string{"aacc", "bbdd"}, 2, 2, "ddcc"},
 		{"equal records all count", []string{"aaaa", "aa"}, 2, 5, "aaaaaa"},
-		{"a remainder is no record", []string{"aab", "cc"}, 2, 5, "ccaa"},
-		{"most of none", []string{"aa"}, 2, 0, ""},
+		{"a remainder is ignored", []string{"aab", "cc"}, 2, 5, "ccaa"},
+		{"k is zero", []string{"aa"}, 2, 0, ""},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -30,31 +30,31 @@
 			for _, pa := range tt.parts {
 				parts = append(parts, []byte(pa))
 			}
-			qt.Assert(t, string(MergeTopK(parts, tt.record, tt.most)), qt.Equals, tt.want)
+			qt.Assert(t, string(MergeTopK(parts, tt.recordSize, tt.k)), qt.Equals, tt.want)
 		})
 	}
 }
 
-func TestGreatestIsSortedPrefix(t *testing.T) {
+func TestMergeTopKIsSortedPrefix(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		parts := rapid.SliceOfN(rapid.SliceOfN(rapid.Byte(), 0, 40), 0, 6).Draw(rt, "parts")
-		most := rapid.IntRange(0, 12).Draw(rt, "most")
+		k := rapid.IntRange(0, 12).Draw(rt, "k")
 		var all [][]byte
 		for _, pa := range parts {
 			all = slices.AppendSeq(all, slices.Chunk(pa[:len(pa)/4*4], 4))
 		}
 		slices.SortFunc(all, func(aa, bb []byte) int { return bytes.Compare(bb, aa) })
-		want := bytes.Join(all[:min(most, len(all))], nil)
-		if got := MergeTopK(parts, 4, most); !bytes.Equal(got, want) {
+		want := bytes.Join(all[:min(k, len(all))], nil)
+		if got := MergeTopK(parts, 4, k); !bytes.Equal(got, want) {
 			rt.Fatalf("want %x, got %x", want, got)
 		}
 	})
 }
 
-func TestLeast(t *testing.T) {
+func TestMinParts(t *testing.T) {
 	tests := []struct {
 		shards int
-		share  float64
+		ratio  float64
 		want   int
 	}{
 		{10, 0.89, 9},
@@ -70,6 +70,6 @@
 		{100, 0.29, 29},
 	}
 	for _, tt := range tests {
-		qt.Check(t, MinParts(tt.shards, tt.share), qt.Equals, tt.want, qt.Commentf("%d shards, %v", tt.shards, tt.share))
+		qt.Check(t, MinParts(tt.shards, tt.ratio), qt.Equals, tt.want, qt.Commentf("%d shards, %v", tt.shards, tt.ratio))
 	}
 }
--- a/scatter/scatter.go
+++ b/scatter/scatter.go
@@ -1,138 +1,138 @@
-// Package scatter decides how one request is carried out over the shards of its
-// route: which shard is asked, asked again or hedged, when the parts that are in
-// are given to the caller, and what is said if too few came. A request to a
-// single backend server is a query over one shard.
+// Package scatter decides how one request is carried out over the shards of its route:
+// which shards are tried, retried or hedged, when the parts so far are given to the caller,
+// and which error is returned if too few came. A request to a single backend server is a
+// query over one shard.
 //
-// A Query is driven by events with the time in them. It touches no clock and no
-// socket, so that a whole request can be tested as a table of events.
+// A Query is driven by events that carry the time. It uses no clock and no socket, so that
+// a whole request can be tested as a table of events.
 package scatter
 
 import (
 	"time"
 )
 
-// Plan is what a query is started with.
+// Plan configures a query.
 type Plan struct {
-	Shards               int           // Shards is how many parts make the whole answer, at least 1.
-	MinParts             int           // Least is how many parts an answer needs.
+	Shards               int           // Shards is the number of parts of a complete answer, at least 1.
+	MinParts             int           // MinParts is how many parts an answer needs.
 	MaxAttempts          int           // MaxAttempts is how many backend servers may run the request for one shard.
-	Repeatable           bool          // Repeatable says whether a request may run more than once.
-	NoServerDeadline     time.Time     // Offer is until when a shard that nobody could be asked for is tried.
-	NoConnectionDeadline time.Time     // Room is the same for one whose servers have no connection free; Offer if zero.
-	PartialDeadline      time.Time     // Hold is until when missing parts are waited for once Least are in.
-	Deadline             time.Time     // Deadline is when the query is given up.
-	RetryDelay           time.Duration // Pause is the time before a shard is asked again after a refusal, or the first time for want of a connection.
-	// Probe says that servers have ended under the same request before. One is asked
-	// alone, and others only once it has answered.
+	Repeatable           bool          // Repeatable is set if a request may run more than once.
+	NoServerDeadline     time.Time     // NoServerDeadline is when a shard without any server to try is given up.
+	NoConnectionDeadline time.Time     // NoConnectionDeadline is when a shard without a free connection to its servers is given up; zero means NoServerDeadline.
+	PartialDeadline      time.Time     // PartialDeadline is until when missing parts are awaited once MinParts are in.
+	Deadline             time.Time     // Deadline is when the query expires.
+	RetryDelay           time.Duration // RetryDelay is the delay before a shard is retried after a refusal, and the first delay if no connection is free.
+	// Probe is set if servers have failed under the same request before. One server is
+	// tried alone, and others only once it has answered.
 	Probe      bool
-	FirstShard int // From is the shard that is asked first, from 0.
+	FirstShard int // FirstShard is the index of the shard that is tried first.
 }
 
 // Cause says why a shard has no part.
 type Cause uint8
 
-// The causes, the later ones telling more about what happened to the request.
+// The causes. A greater one tells more about what happened to the request.
 const (
 	CauseNone         Cause = iota
 	CauseNoServer           // No backend server of the shard is known.
-	CauseCold               // Its backend servers are cold and get what they bear already.
-	CauseNoConnection       // No connection or slot was to be had, so nothing was sent.
+	CauseCold               // Its backend servers are cold and already get all they can take.
+	CauseNoConnection       // No connection or slot was free, so nothing was sent.
 	CauseBudget             // The retry budget is spent.
-	CauseNotRun             // Backend servers refused it unrun, or were not reached.
+	CauseNotRun             // Backend servers refused it without running it, or were unreachable.
 	CauseTimeout            // It was sent and not answered in time.
 	CauseFailed             // A backend server answered with a failure.
-	CauseLost               // It was sent and the answer was lost or wrong.
+	CauseLost               // It was sent and the answer was lost or invalid.
 )
 
-// Reply says how an attempt ended.
+// Outcome says how an attempt ended.
 type Outcome uint8
 
-// The kinds of replies.
+// The outcomes of an attempt.
 const (
-	OutcomePart         Outcome = iota // ReplyPart is a whole success.
-	OutcomeNotRun                      // ReplyNotRun: refused by the server's own word, or no byte was sent.
-	OutcomeFailed                      // ReplyFailed: the server answered with a failure of its own.
-	OutcomeLost                        // ReplyLost: bytes were sent and no good answer came.
-	OutcomeNoConnection                // ReplyBusy: this instance had no connection free, so nobody was asked.
+	OutcomePart         Outcome = iota // OutcomePart: a complete successful answer came.
+	OutcomeNotRun                      // OutcomeNotRun: the server said that it refused the request, or no byte was sent.
+	OutcomeFailed                      // OutcomeFailed: the server answered with a failure.
+	OutcomeLost                        // OutcomeLost: bytes were sent and no valid answer came.
+	OutcomeNoConnection                // OutcomeNoConnection: this instance had no free connection, so nothing was sent.
 )
 
-// End says that a query is over.
+// State is the state of a query.
 type State uint8
 
-// The ends of a query.
+// The states of a query.
 const (
 	Running  State = iota
-	Answered       // At least Least parts are in.
-	Failed         // Too few parts came, and more can't.
+	Answered       // At least MinParts parts are in.
+	Failed         // Too few parts came, and no more can come.
 	Expired        // The deadline passed.
 )
 
-// Want is something the executor is to try for a shard. It answers with Asked
-// or Denied.
+// Attempt is an attempt that the executor should start for a shard. It reports back with
+// AttemptStarted or AttemptDeferred.
 type Attempt struct {
 	Shard int
 	Kind  AttemptKind
 }
 
-// WantKind says for what an attempt is.
+// AttemptKind says why an attempt is made.
 type AttemptKind uint8
 
-// The kinds of wants.
+// The kinds of attempts.
 const (
-	First AttemptKind = iota // First is the first arrival for a shard, which costs no budget.
+	First AttemptKind = iota // First is the first attempt for a shard, which costs no budget.
 	Retry                    // Retry follows an attempt that ended without a part.
 	Hedge                    // Hedge runs beside an attempt that is overdue.
 )
 
-// refusals is how many backend servers that refused a request unrun are
-// followed by another one. Each counts as an arrival, so they are bounded
-// apart from MaxAttempts, which counts those that may have run it.
-const refusals = 3
+// maxRefusals is how many refusals of a shard are followed by a try of another backend
+// server. Each refused attempt reached a server, so they are bounded separately from
+// MaxAttempts, which counts attempts that may have run.
+const maxRefusals = 3
 
-// A request may end whoever runs it. Until a server has answered, there is no telling. A
-// failure proves nothing: a server may also give it before it runs the request, or at the
-// deadline, shortly before it would end.
+// A request may be a query of death, which crashes every server that runs it. This is
+// unknown until a server has answered. A failure response proves nothing: a server may send
+// it before it runs the request, or at the deadline, shortly before it would crash.
 const (
-	// fewHedges is how many hedges there may be until then.
-	fewHedges = 3
-	// fewBroken is how many servers may break off until then before the others are asked one
-	// at a time, and mostBroken how many before no further one is asked.
-	fewBroken  = 2
-	mostBroken = 3
+	// maxEarlyHedges bounds the hedges before the first answer.
+	maxEarlyHedges = 3
+	// cautiousAfter is how many servers may break off before the first answer until servers
+	// are tried one at a time, and maxLost how many until no further one is tried.
+	cautiousAfter = 2
+	maxLost       = 3
 )
 
-// busyDoublings is how often the pause for want of a connection doubles.
-const busyDoublings = 3
+// maxBackoffDoublings is how often the delay for lack of a connection doubles.
+const maxBackoffDoublings = 3
 
 // shard is the state of one part.
 type shard struct {
-	flying  int // flying counts attempts under way.
-	ran     int // ran counts attempts that may have run.
-	refused int
-	busy    int // busy counts how often no connection was free.
-	have    bool
-	lost    bool      // lost says that no further attempt is made.
-	next    time.Time // next is when the next ask or hedge is considered.
-	cause   Cause
+	inFlight        int // inFlight counts attempts in flight.
+	numRun          int // numRun counts ended attempts that may have run.
+	numRefused      int
+	numNoConnection int // numNoConnection counts how often no connection was free.
+	hasPart         bool
+	givenUp         bool      // givenUp is set if no further attempt is made.
+	nextAt          time.Time // nextAt is when the next attempt or hedge is due.
+	cause           Cause
 }
 
-// Query is the state of one query. It is used by one goroutine.
+// Query is the state of one query. It is not safe for concurrent use.
 type Query struct {
-	pl     Plan
-	shards []shard
-	have   int
-	lost   int
-	end    State
+	pl         Plan
+	shards     []shard
+	numParts   int
+	numGivenUp int
+	state      State
 
-	flying   int  // flying counts the attempts under way for all shards.
-	hedges   int  // hedges counts those that were begun before any server had answered.
-	broken   int  // broken counts those that were sent and had no good answer.
-	answered bool // answered says that a part has come: the request doesn't end whoever runs it.
-	alone    bool // alone says that the attempt under way was begun alone, to see whether it does.
-	givenUp  bool // givenUp says that it is taken to do so, so that no further one is asked.
+	inFlight     int  // inFlight counts the attempts in flight for all shards.
+	earlyHedges  int  // earlyHedges counts the hedges started before any server had answered.
+	numLost      int  // numLost counts the attempts that were sent and got no valid answer.
+	answered     bool // answered is set once a part has come: the request is no query of death.
+	alone        bool // alone is set if the attempt in flight was started alone to probe for a query of death.
+	assumedFatal bool // assumedFatal is set if the request is taken for a query of death, so that no further server is tried.
 }
 
-// New returns a query that has asked nobody yet.
+// New returns a query without any attempt yet.
 func New(pl Plan) *Query {
 	if pl.NoConnectionDeadline.IsZero() {
 		pl.NoConnectionDeadline = pl.NoServerDeadline
@@ -140,136 +140,136 @@
 	return &Query{pl: pl, shards: make([]shard, pl.Shards)}
 }
 
-// End returns how the query ended, or Running.
-func (qu *Query) State() State { return qu.end }
+// State returns the state of the query.
+func (qu *Query) State() State { return qu.state }
 
-// Have returns how many parts are in.
-func (qu *Query) NumParts() int { return qu.have }
+// NumParts returns how many parts are in.
+func (qu *Query) NumParts() int { return qu.numParts }
 
-// Has reports whether the part of a shard is in.
-func (qu *Query) HasPart(sh int) bool { return qu.shards[sh].have }
+// HasPart reports whether the part of a shard is in.
+func (qu *Query) HasPart(index int) bool { return qu.shards[index].hasPart }
 
 // Cause returns why a shard has no part yet.
-func (qu *Query) Cause(sh int) Cause { return qu.shards[sh].cause }
+func (qu *Query) Cause(index int) Cause { return qu.shards[index].cause }
 
-// Waits reports whether a shard has neither a part nor an attempt under way, and is
+// NeedsAttempt reports whether a shard has neither a part nor an attempt in flight, and is
 // not given up.
-func (qu *Query) NeedsAttempt(po int) bool {
-	sh := &qu.shards[po]
-	return qu.end == Running && !sh.have && !sh.lost && sh.flying == 0
+func (qu *Query) NeedsAttempt(index int) bool {
+	sh := &qu.shards[index]
+	return qu.state == Running && !sh.hasPart && !sh.givenUp && sh.inFlight == 0
 }
 
-// Next appends what is to be tried now to out and returns it. Until the next
-// event, Wake tells when to call it again.
+// Next appends the attempts that are due now to out and returns it. Unless an event comes
+// first, it should be called again at WakeAt.
 func (qu *Query) Next(now time.Time, out []Attempt) []Attempt {
-	qu.settle(now)
-	if qu.end != Running {
+	qu.updateState(now)
+	if qu.state != Running {
 		return out
 	}
-	hedges := 0
+	planned := 0
 	for ix := range qu.shards {
-		po := (qu.pl.FirstShard + ix) % len(qu.shards)
-		sh := &qu.shards[po]
-		if sh.have || sh.lost || now.Before(sh.next) || !qu.mayAsk(sh) {
+		index := (qu.pl.FirstShard + ix) % len(qu.shards)
+		sh := &qu.shards[index]
+		if sh.hasPart || sh.givenUp || now.Before(sh.nextAt) || !qu.mayAttempt(sh) {
 			continue
 		}
 		switch {
-		case sh.flying > 0 && !qu.mayHedge(hedges):
+		case sh.inFlight > 0 && !qu.mayHedge(planned):
 			continue
-		case sh.flying > 0:
-			hedges++
-			out = append(out, Attempt{po, Hedge})
-		case sh.ran+sh.refused > 0:
-			out = append(out, Attempt{po, Retry})
+		case sh.inFlight > 0:
+			planned++
+			out = append(out, Attempt{index, Hedge})
+		case sh.numRun+sh.numRefused > 0:
+			out = append(out, Attempt{index, Retry})
 		default:
-			out = append(out, Attempt{po, First})
+			out = append(out, Attempt{index, First})
 		}
-		if qu.careful() {
+		if qu.oneAtATime() {
 			break
 		}
 	}
 	return out
 }
 
-// careful reports whether servers are asked one at a time. Otherwise a request that ends
-// whoever runs it takes two servers of each shard, by its retries, within milliseconds.
-func (qu *Query) careful() bool {
-	return !qu.answered && (qu.pl.Probe || qu.broken >= fewBroken)
+// oneAtATime reports whether servers are tried one at a time. Otherwise a query of death
+// and its retries would take two servers of each shard within milliseconds.
+func (qu *Query) oneAtATime() bool {
+	return !qu.answered && (qu.pl.Probe || qu.numLost >= cautiousAfter)
 }
 
-// mayHedge reports whether there may be one more hedge beside those that are wanted. Where
-// no shard has answered, it is not a slow server that hedges help against, and the request
-// may be ending all that have it.
-func (qu *Query) mayHedge(wanted int) bool {
-	return qu.answered || qu.hedges+wanted < fewHedges
+// mayHedge reports whether one more hedge is allowed beside those already planned. As long
+// as no shard has answered, hedging against a slow server does not help, and the request
+// may be crashing every server that has it.
+func (qu *Query) mayHedge(planned int) bool {
+	return qu.answered || qu.earlyHedges+planned < maxEarlyHedges
 }
 
-// mayAsk reports whether one more backend server may get the request.
-func (qu *Query) mayAsk(sh *shard) bool {
+// mayAttempt reports whether one more backend server may get the request.
+func (qu *Query) mayAttempt(sh *shard) bool {
 	switch {
-	case sh.flying > 0 && !qu.pl.Repeatable:
-		return false // A request that may run once has one attempt at a time.
-	case qu.flying > 0 && qu.careful():
+	case sh.inFlight > 0 && !qu.pl.Repeatable:
+		return false // A request that may run only once has one attempt at a time.
+	case qu.inFlight > 0 && qu.oneAtATime():
 		return false
-	case sh.flying > 0 && !qu.mayHedge(0):
+	case sh.inFlight > 0 && !qu.mayHedge(0):
 		return false
 	}
-	return sh.ran+sh.flying < max(1, qu.pl.MaxAttempts)
+	return sh.numRun+sh.inFlight < max(1, qu.pl.MaxAttempts)
 }
 
-// settle ends the query if nothing better can come of waiting.
-func (qu *Query) settle(now time.Time) {
-	if qu.end != Running {
+// updateState ends the query if waiting can't improve the result.
+func (qu *Query) updateState(now time.Time) {
+	if qu.state != Running {
 		return
 	}
 	total := qu.pl.Shards
 	switch {
-	case qu.givenUp:
-		qu.end = Failed
-	case qu.have == total:
-		qu.end = Answered
-	case qu.have+qu.lost == total && qu.have >= qu.pl.MinParts:
-		qu.end = Answered
-	case total-qu.lost < qu.pl.MinParts:
-		// Enough parts can't come any more: what was given up on is said at once.
-		qu.end = Failed
-	case qu.have >= qu.pl.MinParts && !now.Before(qu.pl.PartialDeadline):
-		qu.end = Answered
+	case qu.assumedFatal:
+		qu.state = Failed
+	case qu.numParts == total:
+		qu.state = Answered
+	case qu.numParts+qu.numGivenUp == total && qu.numParts >= qu.pl.MinParts:
+		qu.state = Answered
+	case total-qu.numGivenUp < qu.pl.MinParts:
+		// Enough parts can't come any more, so the failure is reported at once.
+		qu.state = Failed
+	case qu.numParts >= qu.pl.MinParts && !now.Before(qu.pl.PartialDeadline):
+		qu.state = Answered
 	case !now.Before(qu.pl.Deadline):
-		qu.end = Expired
+		qu.state = Expired
 	}
-	if qu.end == Answered || qu.end == Running {
+	if qu.state == Answered || qu.state == Running {
 		return
 	}
-	for po := range qu.shards {
-		if sh := &qu.shards[po]; !sh.have && sh.flying > 0 && sh.cause < CauseTimeout {
+	for index := range qu.shards {
+		if sh := &qu.shards[index]; !sh.hasPart && sh.inFlight > 0 && sh.cause < CauseTimeout {
 			sh.cause = CauseTimeout
 		}
 	}
 }
 
-// Wake returns when Next is to be called again if no event comes before.
+// WakeAt returns when Next should be called again if no event comes first.
 func (qu *Query) WakeAt(now time.Time) time.Time {
-	at := qu.pl.Deadline
-	if qu.have >= qu.pl.MinParts && qu.pl.PartialDeadline.Before(at) {
-		at = qu.pl.PartialDeadline
+	wake := qu.pl.Deadline
+	if qu.numParts >= qu.pl.MinParts && qu.pl.PartialDeadline.Before(wake) {
+		wake = qu.pl.PartialDeadline
 	}
-	for po := range qu.shards {
-		sh := &qu.shards[po]
-		if !sh.have && !sh.lost && qu.mayAsk(sh) && sh.next.Before(at) {
-			at = sh.next
+	for index := range qu.shards {
+		sh := &qu.shards[index]
+		if !sh.hasPart && !sh.givenUp && qu.mayAttempt(sh) && sh.nextAt.Before(wake) {
+			wake = sh.nextAt
 		}
 	}
-	if at.Before(now) {
+	if wake.Before(now) {
 		return now
 	}
-	return at
+	return wake
 }
 
-// Ran reports whether any backend server may have run the request.
+// MayHaveRun reports whether any backend server may have run the request.
 func (qu *Query) MayHaveRun() bool {
 	for _, sh := range qu.shards {
-		if sh.have || sh.ran > 0 || sh.flying > 0 {
+		if sh.hasPart || sh.numRun > 0 || sh.inFlight > 0 {
 			return true
 		}
 	}
--- a/scatter/scatter_test.go
+++ b/scatter/scatter_test.go
@@ -11,27 +11,27 @@
 
 func at(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
 
-func plan(shards, least int) Plan {
+func plan(shards, minParts int) Plan {
 	return Plan{
-		Shards: shards, MinParts: least, MaxAttempts: 2, Repeatable: true,
+		Shards: shards, MinParts: minParts, MaxAttempts: 2, Repeatable: true,
 		NoServerDeadline: at(20), PartialDeadline: at(90), Deadline: at(600), RetryDelay: 5 * time.Millisecond,
 	}
 }
 
-// begun returns a query of which every shard was asked at the start, to be
-// hedged at 30 ms.
-func begun(t *testing.T, pl Plan) *Query {
+// newStartedQuery returns a query with an attempt started for every shard, to be hedged at
+// 30 ms.
+func newStartedQuery(t *testing.T, pl Plan) *Query {
 	qu := New(pl)
-	for _, wa := range qu.Next(t0, nil) {
-		qt.Assert(t, wa.Kind, qt.Equals, First)
-		qu.AttemptStarted(wa.Shard, at(30))
+	for _, att := range qu.Next(t0, nil) {
+		qt.Assert(t, att.Kind, qt.Equals, First)
+		qu.AttemptStarted(att.Shard, at(30))
 	}
 	qt.Assert(t, qu.Next(t0, nil), qt.HasLen, 0)
 	return qu
 }
 
-func TestAllParts(t *testing.T) {
-	qu := begun(t, plan(3, 2))
+func TestAnsweredWithAllParts(t *testing.T) {
+	qu := newStartedQuery(t, plan(3, 2))
 	for sh := range 3 {
 		qt.Assert(t, qu.State(), qt.Equals, Running)
 		qu.AttemptEnded(at(10), sh, OutcomePart)
@@ -40,10 +40,10 @@
 	qt.Assert(t, qu.NumParts(), qt.Equals, 3)
 }
 
-// A backend server pauses: its part doesn't come. The query asks another one
-// once the request is overdue, and takes whichever part comes first.
-func TestHedge(t *testing.T) {
-	qu := begun(t, plan(2, 2))
+// A backend server pauses, so its part doesn't come. The query tries another one once the
+// request is overdue, and takes whichever part comes first.
+func TestOverdueAttemptIsHedged(t *testing.T) {
+	qu := newStartedQuery(t, plan(2, 2))
 	qu.AttemptEnded(at(10), 0, OutcomePart)
 	qt.Assert(t, qu.WakeAt(at(10)), qt.Equals, at(30))
 	qt.Assert(t, qu.Next(at(30), nil), qt.DeepEquals, []Attempt{{1, Hedge}})
@@ -55,10 +55,10 @@
 	qt.Assert(t, qu.NumParts(), qt.Equals, 2, qt.Commentf("the later part counts once"))
 }
 
-// One shard is down. The caller would wait until its deadline for a part that
-// doesn't come; just before the aim it gets what is in.
-func TestHold(t *testing.T) {
-	qu := begun(t, plan(3, 2))
+// One shard is down. Instead of waiting until the deadline, the query ends at the partial
+// deadline with the parts that are in.
+func TestPartialAnswerAtPartialDeadline(t *testing.T) {
+	qu := newStartedQuery(t, plan(3, 2))
 	qu.AttemptEnded(at(10), 0, OutcomePart)
 	qu.AttemptEnded(at(12), 1, OutcomePart)
 	qu.Next(at(89), nil)
@@ -71,10 +71,10 @@
 	qt.Assert(t, qu.HasPart(2), qt.IsFalse)
 }
 
-// Below the least share nothing is given at the aim; the first part that makes
-// it enough ends the query.
-func TestHoldBelowLeast(t *testing.T) {
-	qu := begun(t, plan(3, 2))
+// Below the minimum number of parts there is no partial answer; the first part that reaches
+// it ends the query.
+func TestNoPartialAnswerBelowMinParts(t *testing.T) {
+	qu := newStartedQuery(t, plan(3, 2))
 	qu.AttemptEnded(at(10), 0, OutcomePart)
 	qu.Next(at(95), nil)
 	qt.Assert(t, qu.State(), qt.Equals, Running)
@@ -82,10 +82,10 @@
 	qt.Assert(t, qu.State(), qt.Equals, Answered)
 }
 
-// Too many shards failed for an answer. Nothing is gained by waiting for the
-// rest, so the caller is told at once.
-func TestFailsAtOnce(t *testing.T) {
-	qu := begun(t, plan(3, 3))
+// Too many shards failed for an answer. Waiting for the rest gains nothing, so the query
+// fails at once.
+func TestFailsOnceMinPartsIsOutOfReach(t *testing.T) {
+	qu := newStartedQuery(t, plan(3, 3))
 	qu.AttemptEnded(at(10), 0, OutcomeFailed)
 	qt.Assert(t, qu.Next(at(10), nil), qt.DeepEquals, []Attempt{{0, Retry}})
 	qu.AttemptStarted(0, at(40))
@@ -95,19 +95,19 @@
 	qt.Assert(t, qu.Cause(1), qt.Equals, CauseTimeout)
 }
 
-func TestDeadline(t *testing.T) {
-	qu := begun(t, plan(1, 1))
+func TestQueryExpiresAtDeadline(t *testing.T) {
+	qu := newStartedQuery(t, plan(1, 1))
 	qu.Next(at(600), nil)
 	qt.Assert(t, qu.State(), qt.Equals, Expired)
 	qt.Assert(t, qu.MayHaveRun(), qt.IsTrue)
 }
 
-// Backend servers that refuse a request have not run it, so others are asked,
-// but each of them was an arrival: after a few the shard is given up.
-func TestRefusals(t *testing.T) {
-	qu := begun(t, plan(1, 1))
+// Backend servers that refuse a request have not run it, so others are tried, but each try
+// costs an arrival: after a few refusals the shard is given up.
+func TestRefusalsAreBounded(t *testing.T) {
+	qu := newStartedQuery(t, plan(1, 1))
 	now := 1
-	for range refusals {
+	for range maxRefusals {
 		qu.AttemptEnded(at(now), 0, OutcomeNotRun)
 		qt.Assert(t, qu.State(), qt.Equals, Running)
 		now += 20
@@ -119,18 +119,18 @@
 	qt.Assert(t, qu.MayHaveRun(), qt.IsFalse)
 }
 
-// A booking whose answer was lost may have run: it must not be sent again, and
-// the caller must not be told that it did not run.
-func TestNotRepeatable(t *testing.T) {
+// A booking whose answer was lost may have run. It must not be retried, and MayHaveRun must
+// say so.
+func TestNonRepeatableRequestIsNotRetriedAfterRun(t *testing.T) {
 	pl := plan(1, 1)
 	pl.Repeatable = false
-	qu := begun(t, pl)
+	qu := newStartedQuery(t, pl)
 	qt.Assert(t, qu.Next(at(500), nil), qt.HasLen, 0, qt.Commentf("no hedge"))
 	qu.AttemptEnded(at(510), 0, OutcomeLost)
 	qt.Assert(t, qu.State(), qt.Equals, Failed)
 	qt.Assert(t, qu.MayHaveRun(), qt.IsTrue)
 
-	qu = begun(t, pl)
+	qu = newStartedQuery(t, pl)
 	qu.AttemptEnded(at(10), 0, OutcomeNotRun)
 	qt.Assert(t, qu.Next(at(10), nil), qt.DeepEquals, []Attempt{{0, Retry}})
 	qu.AttemptStarted(0, time.Time{})
@@ -139,9 +139,9 @@
 	qt.Assert(t, qu.MayHaveRun(), qt.IsTrue)
 }
 
-// No backend server of the shard is known. The caller is told while it still
-// has time to ask elsewhere.
-func TestNobodyToAsk(t *testing.T) {
+// No backend server of the shard is known. The query fails early enough for the caller to
+// retry elsewhere.
+func TestFailsAtNoServerDeadline(t *testing.T) {
 	qu := New(plan(1, 1))
 	for now := 0; now < 20; now += 10 {
 		qt.Assert(t, qu.Next(at(now), nil), qt.HasLen, 1)
@@ -154,10 +154,9 @@
 	qt.Assert(t, qu.Cause(0), qt.Equals, CauseNoServer)
 }
 
-// A hedge that the budget doesn't allow changes nothing for the attempt beside
-// which it was wanted.
-func TestHedgeDenied(t *testing.T) {
-	qu := begun(t, plan(1, 1))
+// A hedge that the budget denies changes nothing for the attempt in flight.
+func TestDeferredHedgeKeepsAttempt(t *testing.T) {
+	qu := newStartedQuery(t, plan(1, 1))
 	qt.Assert(t, qu.Next(at(30), nil), qt.DeepEquals, []Attempt{{0, Hedge}})
 	qu.AttemptDeferred(at(30), 0, CauseBudget, at(55))
 	qt.Assert(t, qu.WakeAt(at(30)), qt.Equals, at(55))
@@ -165,11 +164,11 @@
 	qt.Assert(t, qu.State(), qt.Equals, Answered)
 }
 
-// An instance has just started and opens few connections, and all of them are in
-// use when a request comes. Its backend servers are idle; the request must wait
-// for a connection instead of being counted as refused by three of them.
-func TestBusy(t *testing.T) {
-	qu := begun(t, plan(1, 1))
+// An instance has just started and has few connections, all of them in use when a request
+// comes. The backend servers are idle, so the request must wait for a connection. Lack of
+// one must not count as a refusal by a server.
+func TestNoConnectionIsNoRefusal(t *testing.T) {
+	qu := newStartedQuery(t, plan(1, 1))
 	now := 0
 	for _, next := range []int{5, 15} {
 		qu.AttemptEnded(at(now), 0, OutcomeNoConnection)
@@ -183,41 +182,41 @@
 	qu.AttemptEnded(at(now), 0, OutcomePart)
 	qt.Assert(t, qu.State(), qt.Equals, Answered)
 
-	qu = begun(t, plan(1, 1))
+	qu = newStartedQuery(t, plan(1, 1))
 	qu.AttemptEnded(at(20), 0, OutcomeNoConnection)
-	qt.Assert(t, qu.State(), qt.Equals, Failed, qt.Commentf("told at once when no connection comes free"))
+	qt.Assert(t, qu.State(), qt.Equals, Failed, qt.Commentf("fails at once when no connection becomes free"))
 	qt.Assert(t, qu.MayHaveRun(), qt.IsFalse)
 	qt.Assert(t, qu.Cause(0), qt.Equals, CauseNoConnection)
 }
 
-// A shard finds no connection, or no server. A request to a single backend server
-// is given up at Offer, since its caller can ask elsewhere. A part of a merged answer
-// is waited for until Hold, as the other parts are; for it Offer is Hold. Both are
-// answered then, not at the look after it.
-func TestWaitForRoom(t *testing.T) {
-	busy := func(qu *Query, now time.Time, po int) {
-		qu.AttemptStarted(po, now.Add(30*time.Millisecond))
-		qu.AttemptEnded(now, po, OutcomeNoConnection)
+// A shard finds no connection or no server. A request to a single backend server is given
+// up at NoServerDeadline, since its caller can retry elsewhere. A part of a merged answer
+// is awaited until PartialDeadline, like the other parts; its NoServerDeadline is the same.
+// Both end exactly then, not at the retry after it.
+func TestWaitForServerOrConnection(t *testing.T) {
+	noConnection := func(qu *Query, now time.Time, index int) {
+		qu.AttemptStarted(index, now.Add(30*time.Millisecond))
+		qu.AttemptEnded(now, index, OutcomeNoConnection)
 	}
-	noServer := func(qu *Query, now time.Time, po int) {
-		qu.AttemptDeferred(now, po, CauseNoServer, now.Add(13*time.Millisecond))
+	noServer := func(qu *Query, now time.Time, index int) {
+		qu.AttemptDeferred(now, index, CauseNoServer, now.Add(13*time.Millisecond))
 	}
-	noRoom := func(qu *Query, now time.Time, po int) {
-		qu.AttemptDeferred(now, po, CauseNoConnection, now.Add(20*time.Millisecond))
+	deferred := func(qu *Query, now time.Time, index int) {
+		qu.AttemptDeferred(now, index, CauseNoConnection, now.Add(20*time.Millisecond))
 	}
 	tests := []struct {
-		name   string
-		shards int
-		short  func(qu *Query, now time.Time, po int)
-		until  int
-		end    State
-		cause  Cause
+		name    string
+		shards  int
+		attempt func(qu *Query, now time.Time, index int)
+		until   int
+		state   State
+		cause   Cause
 	}{
-		{"single, no connection", 1, busy, 20, Failed, CauseNoConnection},
-		{"single, no room", 1, noRoom, 20, Failed, CauseNoConnection},
+		{"single, no connection", 1, noConnection, 20, Failed, CauseNoConnection},
+		{"single, deferred", 1, deferred, 20, Failed, CauseNoConnection},
 		{"single, no server", 1, noServer, 20, Failed, CauseNoServer},
-		{"part, no connection", 3, busy, 90, Answered, CauseNoConnection},
-		{"part, no room", 3, noRoom, 90, Answered, CauseNoConnection},
+		{"part, no connection", 3, noConnection, 90, Answered, CauseNoConnection},
+		{"part, deferred", 3, deferred, 90, Answered, CauseNoConnection},
 		{"part, no server", 3, noServer, 90, Answered, CauseNoServer},
 	}
 	for _, tt := range tests {
@@ -228,31 +227,31 @@
 			}
 			qu := New(pl)
 			last := tt.shards - 1
-			for _, wa := range qu.Next(t0, nil) {
-				if wa.Shard == last {
-					tt.short(qu, t0, last)
+			for _, att := range qu.Next(t0, nil) {
+				if att.Shard == last {
+					tt.attempt(qu, t0, last)
 					continue
 				}
-				qu.AttemptStarted(wa.Shard, time.Time{})
-				qu.AttemptEnded(t0, wa.Shard, OutcomePart)
+				qu.AttemptStarted(att.Shard, time.Time{})
+				qu.AttemptEnded(t0, att.Shard, OutcomePart)
 			}
 			now := t0
 			for qu.State() == Running {
 				now = qu.WakeAt(now)
-				for _, wa := range qu.Next(now, nil) {
-					tt.short(qu, now, wa.Shard)
+				for _, att := range qu.Next(now, nil) {
+					tt.attempt(qu, now, att.Shard)
 				}
 			}
 			qt.Assert(t, now, qt.Equals, at(tt.until))
-			qt.Assert(t, qu.State(), qt.Equals, tt.end)
+			qt.Assert(t, qu.State(), qt.Equals, tt.state)
 			qt.Assert(t, qu.Cause(last), qt.Equals, tt.cause)
 		})
 	}
 }
 
-// A connection comes free while a shard waits for one. It is asked at once, not at
-// its next look; and a shard that is asked, or has its part, is not asked again.
-func TestRoom(t *testing.T) {
+// A connection becomes free while a shard waits for one. The shard is due at once, not at
+// its next retry. A shard with an attempt in flight, or with its part, is not tried again.
+func TestRetryNow(t *testing.T) {
 	qu := New(plan(2, 2))
 	for sh := range 2 {
 		qu.AttemptDeferred(t0, sh, CauseNoConnection, at(20))
@@ -269,18 +268,18 @@
 	qt.Assert(t, qu.Next(at(7), nil), qt.DeepEquals, []Attempt{{0, First}})
 }
 
-// All connections to a server wait to be opened, for as long as the request has
-// time. Looking for a free one each 5 ms brought 35 looks.
-func TestBusyGrows(t *testing.T) {
+// All connections to a server wait to be opened for as long as the request has time.
+// Retrying every 5 ms made 35 attempts.
+func TestNoConnectionBacksOff(t *testing.T) {
 	pl := plan(2, 1)
 	pl.NoServerDeadline, pl.PartialDeadline = at(188), at(188)
 	qu := New(pl)
 	qu.AttemptDeferred(t0, 1, CauseNoServer, at(188))
-	var looks []time.Duration
+	var attempts []time.Duration
 	for now := t0; qu.State() == Running; now = qu.WakeAt(now) {
-		for _, wa := range qu.Next(now, nil) {
-			if wa.Shard == 0 {
-				looks = append(looks, now.Sub(t0)/time.Millisecond)
+		for _, att := range qu.Next(now, nil) {
+			if att.Shard == 0 {
+				attempts = append(attempts, now.Sub(t0)/time.Millisecond)
 				qu.AttemptStarted(0, time.Time{})
 				qu.AttemptEnded(now, 0, OutcomeNoConnection)
 				continue
@@ -288,62 +287,61 @@
 			qu.AttemptDeferred(now, 1, CauseNoServer, at(188))
 		}
 	}
-	qt.Assert(t, looks, qt.DeepEquals, []time.Duration{0, 5, 15, 35, 75, 115, 155, 188})
+	qt.Assert(t, attempts, qt.DeepEquals, []time.Duration{0, 5, 15, 35, 75, 115, 155, 188})
 	qt.Assert(t, qu.State(), qt.Equals, Failed)
 }
 
-// Nobody is left who could give a part. The answer is due as soon as the others are
-// in, a failure as soon as too many can't come, and an attempt under way goes on.
-func TestNobodyLeft(t *testing.T) {
+// No server is left for a shard. The query is answered as soon as the other parts are in
+// and fails as soon as too many can't come. An attempt in flight continues.
+func TestNoServerLeftGivesUpShard(t *testing.T) {
 	type event struct {
-		at    int
-		shard int
-		reply Outcome
+		at      int
+		shard   int
+		outcome Outcome
 	}
 	tests := []struct {
-		name   string
-		least  int
-		nobody []int // nobody are the shards that are given up before any is asked.
-		events []event
-		until  int
-		end    State
-		ran    bool
+		name       string
+		minParts   int
+		noServer   []int // noServer lists the shards that are given up before any attempt.
+		events     []event
+		until      int
+		state      State
+		mayHaveRun bool
 	}{
-		{"others in", 2, []int{1}, []event{{10, 0, OutcomePart}, {15, 2, OutcomePart}}, 15, Answered, true},
-		{"others in, all left but one", 1, []int{0, 1}, []event{{10, 2, OutcomePart}}, 10, Answered, true},
-		{"too many", 2, []int{0, 1}, nil, 0, Failed, false},
+		{"other parts are in", 2, []int{1}, []event{{10, 0, OutcomePart}, {15, 2, OutcomePart}}, 15, Answered, true},
+		{"one part is in, the others are given up", 1, []int{0, 1}, []event{{10, 2, OutcomePart}}, 10, Answered, true},
+		{"too many given up", 2, []int{0, 1}, nil, 0, Failed, false},
 		{"all", 1, []int{0, 1, 2}, nil, 0, Failed, false},
-		{"too many with one that fails", 2, []int{1}, []event{{10, 0, OutcomePart}, {12, 2, OutcomeLost}}, 12, Failed, true},
+		{"too many given up after one is lost", 2, []int{1}, []event{{10, 0, OutcomePart}, {12, 2, OutcomeLost}}, 12, Failed, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			pl := plan(3, tt.least)
+			pl := plan(3, tt.minParts)
 			pl.NoServerDeadline, pl.MaxAttempts = pl.PartialDeadline, 1
 			qu := New(pl)
-			for _, sh := range tt.nobody {
+			for _, sh := range tt.noServer {
 				qu.NoServerLeft(t0, sh, CauseNoServer, at(20))
 			}
-			for _, wa := range qu.Next(t0, nil) {
-				qu.AttemptStarted(wa.Shard, time.Time{})
+			for _, att := range qu.Next(t0, nil) {
+				qu.AttemptStarted(att.Shard, time.Time{})
 			}
 			now := 0
 			for _, ev := range tt.events {
 				qt.Assert(t, qu.State(), qt.Equals, Running)
 				now = ev.at
-				qu.AttemptEnded(at(now), ev.shard, ev.reply)
+				qu.AttemptEnded(at(now), ev.shard, ev.outcome)
 			}
-			qt.Assert(t, qu.State(), qt.Equals, tt.end)
+			qt.Assert(t, qu.State(), qt.Equals, tt.state)
 			qt.Assert(t, now, qt.Equals, tt.until)
-			qt.Assert(t, qu.MayHaveRun(), qt.Equals, tt.ran)
+			qt.Assert(t, qu.MayHaveRun(), qt.Equals, tt.mayHaveRun)
 		})
 	}
 }
 
-// All backend servers of a shard were tried and refused it, or nobody is left for a
-// hedge. The first ends the shard, the second changes nothing for the attempt that
-// is under way.
-func TestNobodyLeftAfter(t *testing.T) {
-	qu := begun(t, plan(1, 1))
+// All backend servers of a shard refused the request, or none is left for a hedge. The
+// former ends the shard; the latter changes nothing for the attempt in flight.
+func TestNoServerLeftKeepsAttemptInFlight(t *testing.T) {
+	qu := newStartedQuery(t, plan(1, 1))
 	qt.Assert(t, qu.Next(at(30), nil), qt.DeepEquals, []Attempt{{0, Hedge}})
 	qu.NoServerLeft(at(30), 0, CauseNotRun, at(50))
 	qt.Assert(t, qu.State(), qt.Equals, Running)
@@ -355,9 +353,9 @@
 	qt.Assert(t, qu.MayHaveRun(), qt.IsFalse)
 }
 
-// Guards against an answer that fails at the end of the hold for one part that waits for a
-// connection, and against waiting as long for a part that nobody is known for.
-func TestRoomOutlastsOffer(t *testing.T) {
+// Guards against a query that fails at the partial deadline for one part that waits for a
+// connection, and against waiting as long for a part without any known server.
+func TestNoConnectionDeadlineOutlastsNoServerDeadline(t *testing.T) {
 	pl := plan(2, 2)
 	pl.NoServerDeadline, pl.NoConnectionDeadline = at(90), at(600)
 	for ca, want := range map[Cause]State{CauseNoConnection: Running, CauseNoServer: Failed} {
