--- a/admit/admit.go
+++ b/admit/admit.go
@@ -1,7 +1,7 @@
-// Package admit decides how many requests an entry instance has under way at a
-// time for the services that they share. What the backend servers can take is not
-// known and changes, so it is learned: while requests end well the limit grows, and
-// when backend servers refuse or no connection is free it falls.
+// Package admit limits how many requests an entry instance has in flight for each set of
+// services. The capacity of the backend servers is unknown and changes, so the limit is
+// learned: it grows while requests succeed and falls when backend servers refuse requests
+// or no connection is free.
 package admit
 
 import (
@@ -9,83 +9,81 @@
 	"time"
 )
 
-// Bounds of a limit and its steps.
+// These constants bound a limit and its steps.
 const (
-	// least is the lowest limit. Below it nothing would be learned any more.
-	least = 4
-	// cutPart is what is left of the requests under way when too many were.
-	cutPart = 0.85
-	// cutPause is the least time between two cuts: requests that were admitted
-	// together fail together, and tell of one overload.
-	cutPause = 150 * time.Millisecond
-	// growFrom is the part of the limit in use from which on it grows. A limit that
-	// isn't reached would grow without telling anything.
-	growFrom = 0.75
-	// growth is by how much the limit grows when as many requests as it allows have
-	// ended well.
+	// minLimit is the lowest limit. Below it too few requests would end to adjust it.
+	minLimit = 4
+	// decreaseFactor scales the number of requests in flight to the new limit on overload.
+	decreaseFactor = 0.85
+	// decreaseInterval is the minimum time between two decreases: requests that were
+	// admitted together fail together and show a single overload.
+	decreaseInterval = 150 * time.Millisecond
+	// growthThreshold is the fraction of the limit in use from which the limit grows.
+	// Success at lower usage says nothing about the capacity.
+	growthThreshold = 0.75
+	// growth is how much the limit grows when as many requests as it allows have succeeded.
 	growth = 2
-	// mostGroups bounds the groups that are remembered.
-	mostGroups = 1024
+	// maxGroups bounds the groups that are kept.
+	maxGroups = 1024
 )
 
-// Limiter holds the limits of one entry instance. It is safe for many goroutines.
+// Limiter holds the limits of one entry instance. It is safe for concurrent use.
 type Limiter struct {
-	most int
+	maxLimit int
 
 	mu     sync.Mutex
 	groups map[string]*group
 }
 
-// group is a set of services that requests share.
+// group is the set of services that a request uses.
 type group struct {
-	limit  float64
-	active int
-	cutAt  time.Time
+	limit       float64
+	inFlight    int
+	decreasedAt time.Time
 }
 
-// New returns a limiter whose limits begin at most, and never pass it.
-func New(most int) *Limiter {
-	return &Limiter{most: most, groups: make(map[string]*group)}
+// New returns a Limiter whose limits start at maxLimit and never exceed it.
+func New(maxLimit int) *Limiter {
+	return &Limiter{maxLimit: maxLimit, groups: make(map[string]*group)}
 }
 
-// Enter reports whether a request may begin. If so, Leave must be called when it
-// is over.
+// Acquire reports whether a request is admitted. If so, Release must be called when it
+// ends.
 //
-// A request that is refused at once, while nobody has worked on it, costs little
-// and can come back. Admitted beyond what the backend servers can take, it waits
-// with all others until all are late: callers then see hardly any answer in time
-// although the servers are busy all along.
+// A request rejected at once, before any work was done, costs little and can be retried. If
+// it were admitted beyond the capacity of the backend servers, it would queue with all
+// others until all are late, and hardly any answer would come in time although the servers
+// are always busy.
 func (li *Limiter) Acquire(name string) bool {
 	li.mu.Lock()
 	defer li.mu.Unlock()
 	gr := li.group(name)
-	if gr.active >= li.most || float64(gr.active) >= gr.limit {
+	if gr.inFlight >= li.maxLimit || float64(gr.inFlight) >= gr.limit {
 		return false
 	}
-	gr.active++
+	gr.inFlight++
 	return true
 }
 
-// Leave says that a request is over, and whether it met backend servers that had
-// no room.
+// Release records that a request has ended and whether the backend servers were overloaded.
 func (li *Limiter) Release(now time.Time, name string, overloaded bool) {
 	li.mu.Lock()
 	defer li.mu.Unlock()
 	gr := li.group(name)
-	active := float64(gr.active)
-	gr.active = max(0, gr.active-1)
+	inFlight := float64(gr.inFlight)
+	gr.inFlight = max(0, gr.inFlight-1)
 	switch {
 	case !overloaded:
-		if active >= growFrom*gr.limit {
-			gr.limit = min(gr.limit+growth/gr.limit, float64(li.most))
+		if inFlight >= growthThreshold*gr.limit {
+			gr.limit = min(gr.limit+growth/gr.limit, float64(li.maxLimit))
 		}
-	case gr.cutAt.IsZero() || now.Sub(gr.cutAt) >= cutPause:
-		gr.limit = max(least, cutPart*min(active, gr.limit))
-		gr.cutAt = now
+	case gr.decreasedAt.IsZero() || now.Sub(gr.decreasedAt) >= decreaseInterval:
+		gr.limit = max(minLimit, decreaseFactor*min(inFlight, gr.limit))
+		gr.decreasedAt = now
 	}
 }
 
-// Limit returns how many requests of a group may be under way.
+// Limit returns how many requests of a group may be in flight.
 func (li *Limiter) Limit(name string) int {
 	li.mu.Lock()
 	defer li.mu.Unlock()
@@ -95,20 +93,20 @@
 func (li *Limiter) group(name string) *group {
 	gr := li.groups[name]
 	if gr == nil {
-		li.forget()
-		gr = &group{limit: float64(li.most)}
+		li.evictIdle()
+		gr = &group{limit: float64(li.maxLimit)}
 		li.groups[name] = gr
 	}
 	return gr
 }
 
-// forget makes room for a group, if there are too many, by dropping idle ones.
-func (li *Limiter) forget() {
-	if len(li.groups) < mostGroups {
+// evictIdle removes the idle groups if the number of groups has reached its bound.
+func (li *Limiter) evictIdle() {
+	if len(li.groups) < maxGroups {
 		return
 	}
 	for name, gr := range li.groups {
-		if gr.active == 0 {
+		if gr.inFlight == 0 {
 			delete(li.groups, name)
 		}
 	}
--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -11,7 +11,7 @@
 
 var start = time.Unix(1000, 0)
 
-func TestEnterAndLeave(t *testing.T) {
+func TestAcquireAndRelease(t *testing.T) {
 	c := qt.New(t)
 	li := New(3)
 	for range 3 {
@@ -23,9 +23,9 @@
 	c.Assert(li.Acquire("a"), qt.IsTrue)
 }
 
-// Requests that were admitted together are refused together by the backend
-// servers. That is one overload, and must not bring the limit down once for each.
-func TestOneCutForManyFailures(t *testing.T) {
+// Requests that were admitted together are refused together by the backend servers. That is
+// one overload and must decrease the limit only once.
+func TestOverloadDecreasesLimitOnce(t *testing.T) {
 	c := qt.New(t)
 	li := New(100)
 	for range 40 {
@@ -35,19 +35,19 @@
 		li.Release(start, "a", true)
 	}
 	c.Assert(li.Limit("a"), qt.Equals, 34)
-	li.Release(start.Add(cutPause), "a", true)
+	li.Release(start.Add(decreaseInterval), "a", true)
 	c.Assert(li.Limit("a"), qt.Equals, 25)
 	for range 100 {
 		start := start.Add(time.Hour)
 		li.Release(start, "a", true)
 	}
-	c.Assert(li.Limit("a") >= least, qt.IsTrue)
+	c.Assert(li.Limit("a") >= minLimit, qt.IsTrue)
 }
 
-// Many callers come at once, four times what the backend servers can take. Without a
-// limit all requests wait and all are late; with it, nearly as many are answered in
-// time as without the burst, and the limit comes back when the burst is over.
-func TestBurst(t *testing.T) {
+// A burst of four times the capacity of the backend servers arrives. Without a limit all
+// requests queue and are late. With it, most of the capacity must still be answered in
+// time.
+func TestLimitKeepsAnswersInTimeDuringBurst(t *testing.T) {
 	c := qt.New(t)
 	limited, late := simulate(New(400), 4)
 	unlimited, _ := simulate(nil, 4)
@@ -56,66 +56,66 @@
 	c.Assert(limited > 2800, qt.IsTrue)
 }
 
-// simulate plays 10 s of requests at times the rate that servers with 20 slots of
-// 50 ms can take, with a queue of 40 behind them, and counts those answered within
-// 100 ms and those answered later.
-func simulate(li *Limiter, times int) (inTime, late int) {
-	const slots, queue, work, aim = 20, 40, 50, 100
+// simulate runs 10 s of requests at a multiple of the rate that servers with 20 slots of 50
+// ms can take, with a queue of 40. It counts the requests answered within 100 ms and those
+// answered later.
+func simulate(li *Limiter, factor int) (inTime, late int) {
+	const slots, queue, serviceTime, target = 20, 40, 50, 100
 	rn := rand.New(rand.NewPCG(1, 2))
-	var done [slots]int
+	var freeAt [slots]int
 	type end struct {
 		at         int
 		overloaded bool
 	}
 	var ends []end
 	for ms := range 10_000 {
-		rest := ends[:0]
+		remaining := ends[:0]
 		for _, en := range ends {
 			if en.at > ms {
-				rest = append(rest, en)
+				remaining = append(remaining, en)
 				continue
 			}
 			if li != nil {
 				li.Release(start.Add(time.Duration(ms)*time.Millisecond), "a", en.overloaded)
 			}
 		}
-		ends = rest
-		for range times {
-			if rn.Float64() >= float64(slots)/work {
+		ends = remaining
+		for range factor {
+			if rn.Float64() >= float64(slots)/serviceTime {
 				continue
 			}
 			if li != nil && !li.Acquire("a") {
 				continue
 			}
 			first := 0
-			for nth := range done {
-				if done[nth] < done[first] {
+			for nth := range freeAt {
+				if freeAt[nth] < freeAt[first] {
 					first = nth
 				}
 			}
-			begin := max(ms, done[first])
-			if begin-ms > queue*work/slots {
+			begin := max(ms, freeAt[first])
+			if begin-ms > queue*serviceTime/slots {
 				ends = append(ends, end{ms + 1, true})
 				continue
 			}
-			done[first] = begin + work
-			if begin+work-ms <= aim {
+			freeAt[first] = begin + serviceTime
+			if begin+serviceTime-ms <= target {
 				inTime++
 			} else {
 				late++
 			}
-			ends = append(ends, end{begin + work, begin-ms > work})
+			ends = append(ends, end{begin + serviceTime, begin-ms > serviceTime})
 		}
 	}
 	return inTime, late
 }
 
-func TestForget(t *testing.T) {
+func TestGroupsAreBounded(t *testing.T) {
 	li := New(10)
 	qt.Assert(t, li.Acquire("busy"), qt.IsTrue)
-	for nth := range 3 * mostGroups {
+	for nth := range 3 * maxGroups {
 		li.Release(start, fmt.Sprint(nth), true)
 	}
-	qt.Assert(t, len(li.groups) <= mostGroups, qt.IsTrue)
-	qt.Assert(t, li.groups["busy"].active, qt.Equals, 1)
+	qt.Assert(t, len(li.groups) <= maxGroups, qt.IsTrue)
+	qt.Assert(t, li.groups["busy"].inFlight, qt.Equals, 1)
 }
