--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -16,9 +16,11 @@
 	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-func plain() Config { return Config{Ratio: 0.2, Slack: 50, Window: 10 * time.Second, Fraction: 1} }
+func defaultConfig() Config {
+	return Config{Ratio: 0.2, Slack: 50, Window: 10 * time.Second, Fraction: 1}
+}
 
-// spendAll spends what the budget has and returns how much that was.
+// spendAll spends all that the budget allows and returns how much that was.
 func spendAll(bu *Budget, now time.Time) int {
 	count := 0
 	for bu.Spend(now, "s") {
@@ -27,13 +29,13 @@
 	return count
 }
 
-func arrive(bu *Budget, now time.Time, count int) {
+func countRequests(bu *Budget, now time.Time, count int) {
 	for range count {
 		bu.CountRequest(now, "s")
 	}
 }
 
-func TestSpend(t *testing.T) {
+func TestSpendWithinBound(t *testing.T) {
 	tests := []struct {
 		name              string
 		cf                Config
@@ -41,21 +43,21 @@
 		arrived, at       float64 // These are in seconds since the start.
 		want              int
 	}{
-		{"nothing asked, entries unknown", plain(), 0, 0, 20, 20, 0},
-		{"ratio alone while entries are unknown", plain(), 0, 100, 20, 20, 20},
-		{"slack of one entry", plain(), 1, 0, 20, 20, 50},
-		{"slack of five entries", plain(), 5, 0, 20, 20, 10},
-		{"less than one extra", plain(), 60, 0, 20, 20, 0},
-		{"ratio and slack", plain(), 5, 100, 20, 20, 30},
-		{"share of both", Config{Ratio: 0.2, Slack: 50, Window: 10 * time.Second, Fraction: 0.5}, 5, 100, 20, 20, 15},
-		{"no share is all", Config{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}, 5, 100, 20, 20, 30},
+		{"no requests, entries unknown", defaultConfig(), 0, 0, 20, 20, 0},
+		{"ratio alone while entries are unknown", defaultConfig(), 0, 100, 20, 20, 20},
+		{"slack of one entry", defaultConfig(), 1, 0, 20, 20, 50},
+		{"slack of five entries", defaultConfig(), 5, 0, 20, 20, 10},
+		{"less than one extra", defaultConfig(), 60, 0, 20, 20, 0},
+		{"ratio and slack", defaultConfig(), 5, 100, 20, 20, 30},
+		{"fraction of both", Config{Ratio: 0.2, Slack: 50, Window: 10 * time.Second, Fraction: 0.5}, 5, 100, 20, 20, 15},
+		{"no fraction is all", Config{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}, 5, 100, 20, 20, 30},
 		{"no window is 10 s", Config{Ratio: 0.2, Fraction: 1}, 1, 100, 20, 29.5, 20},
-		{"requests inside the window", plain(), 0, 100, 20, 29.7, 20},
-		{"requests out of the window", plain(), 0, 100, 20, 30.3, 0},
-		{"no slack at the start", plain(), 1, 0, 0, 0, 0},
-		{"slack after half a window", plain(), 1, 0, 0, 5, 25},
-		{"slack after a window", plain(), 1, 0, 0, 10, 50},
-		{"ratio counts from the start", plain(), 1, 50, 0, 0, 10},
+		{"requests inside the window", defaultConfig(), 0, 100, 20, 29.7, 20},
+		{"requests out of the window", defaultConfig(), 0, 100, 20, 30.3, 0},
+		{"no slack at the start", defaultConfig(), 1, 0, 0, 0, 0},
+		{"slack after half a window", defaultConfig(), 1, 0, 0, 5, 25},
+		{"slack after a window", defaultConfig(), 1, 0, 0, 10, 50},
+		{"ratio counts from the start", defaultConfig(), 1, 50, 0, 0, 10},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -63,15 +65,15 @@
 			if tt.entries > 0 {
 				bu.SetNumEntries(start, tt.entries)
 			}
-			arrive(bu, after(tt.arrived), tt.requests)
+			countRequests(bu, after(tt.arrived), tt.requests)
 			qt.Assert(t, spendAll(bu, after(tt.at)), qt.Equals, tt.want)
 		})
 	}
 }
 
-func TestLeft(t *testing.T) {
+func TestRemainingFraction(t *testing.T) {
 	c := qt.New(t)
-	bu := New(plain(), start)
+	bu := New(defaultConfig(), start)
 	c.Assert(bu.RemainingFraction(after(20), "s"), qt.Equals, 0.0)
 	bu.SetNumEntries(start, 5)
 	c.Assert(bu.RemainingFraction(after(20), "s"), qt.Equals, 1.0)
@@ -85,10 +87,10 @@
 	c.Assert(bu.RemainingFraction(after(31), "s"), qt.Equals, 1.0)
 }
 
-// What is spent returns when its window has passed, not a moment sooner.
-func TestWindowSlides(t *testing.T) {
+// Spent extra attempts count until their window has passed, and not a moment less.
+func TestSpentExtrasCountForOneWindow(t *testing.T) {
 	c := qt.New(t)
-	bu := New(plain(), start)
+	bu := New(defaultConfig(), start)
 	bu.SetNumEntries(start, 1)
 	c.Assert(spendAll(bu, after(20)), qt.Equals, 50)
 	for _, at := range []float64{20.1, 25, 29.9, 30} {
@@ -97,12 +99,12 @@
 	c.Assert(spendAll(bu, after(30.5)), qt.Equals, 50)
 }
 
-// An instance is out of sight of control for some seconds and goes on serving
-// with the part of the slack that it knew. If the others took its part at once,
-// the service would get more than the bound in that window.
-func TestEntriesOutOfSight(t *testing.T) {
+// An instance is out of contact with control for some seconds and still uses the part of
+// the slack that it knew. If the others took over its part at once, the service would
+// exceed the bound in that window.
+func TestSlackUsesHighestCountOfTwoWindows(t *testing.T) {
 	c := qt.New(t)
-	bu := New(plain(), start)
+	bu := New(defaultConfig(), start)
 	bu.SetNumEntries(after(0), 10)
 	bu.SetNumEntries(after(20), 5)
 	c.Assert(bu.Spend(after(39), "a"), qt.IsTrue)
@@ -112,18 +114,18 @@
 	c.Assert(spendAll(bu, after(70)), qt.Equals, 1)
 }
 
-func TestEntriesAfterSilence(t *testing.T) {
+func TestEntryCountHoldsWithoutUpdates(t *testing.T) {
 	c := qt.New(t)
-	bu := New(plain(), start)
+	bu := New(defaultConfig(), start)
 	bu.SetNumEntries(after(0), 10)
 	c.Assert(spendAll(bu, after(1000)), qt.Equals, 5)
 	bu.SetNumEntries(after(1000), 0)
 	c.Assert(spendAll(bu, after(1015)), qt.Equals, 5)
 }
 
-func TestReturn(t *testing.T) {
+func TestRefund(t *testing.T) {
 	c := qt.New(t)
-	bu := New(plain(), start)
+	bu := New(defaultConfig(), start)
 	bu.SetNumEntries(start, 50)
 	c.Assert(bu.Spend(after(20), "s"), qt.IsTrue)
 	c.Assert(bu.Spend(after(21), "s"), qt.IsFalse)
@@ -137,22 +139,22 @@
 	c.Assert(spendAll(bu, after(40)), qt.Equals, 1)
 }
 
-// Callers read the clock before they take the lock, so a call may come with an
-// older time than the one before it.
-func TestTimeOfOvertakenCalls(t *testing.T) {
+// Callers read the clock before they take the lock, so a call may carry an earlier time
+// than the one before it.
+func TestCallsWithEarlierTime(t *testing.T) {
 	c := qt.New(t)
-	bu := New(plain(), start)
+	bu := New(defaultConfig(), start)
 	bu.SetNumEntries(start, 1)
 	c.Assert(spendAll(bu, after(20)), qt.Equals, 50)
 	c.Assert(spendAll(bu, after(19)), qt.Equals, 0)
 	c.Assert(spendAll(bu, after(9)), qt.Equals, 0)
-	arrive(bu, after(9), 10)
+	countRequests(bu, after(9), 10)
 	c.Assert(spendAll(bu, after(20)), qt.Equals, 2)
 }
 
-func TestUnusedServicesAreForgotten(t *testing.T) {
+func TestUnusedServicesAreEvicted(t *testing.T) {
 	c := qt.New(t)
-	bu := New(plain(), start)
+	bu := New(defaultConfig(), start)
 	for ix := range 1000 {
 		bu.CountRequest(after(0), fmt.Sprint(ix))
 	}
@@ -164,7 +166,7 @@
 }
 
 func TestNoAllocations(t *testing.T) {
-	bu := New(plain(), start)
+	bu := New(defaultConfig(), start)
 	bu.SetNumEntries(start, 3)
 	now := after(20)
 	bu.CountRequest(now, "s")
@@ -178,15 +180,15 @@
 	qt.Assert(t, got, qt.Equals, 0.0)
 }
 
-// TestBound checks the bound of the package against the exact times of all
-// requests and extra arrivals, for the window that ends at each extra arrival.
-func TestBound(t *testing.T) {
+// TestExtrasStayWithinBound checks the bound against the exact times of all requests and
+// extra attempts, for the window that ends at each extra attempt.
+func TestExtrasStayWithinBound(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cf := Config{
 			Ratio:    rapid.Float64Range(0, 1).Draw(rt, "ratio"),
 			Slack:    rapid.IntRange(0, 100).Draw(rt, "slack"),
 			Window:   time.Duration(rapid.IntRange(1, 20).Draw(rt, "window")) * time.Second,
-			Fraction: rapid.Float64Range(0.1, 1).Draw(rt, "share"),
+			Fraction: rapid.Float64Range(0.1, 1).Draw(rt, "fraction"),
 		}
 		bu := New(cf, start)
 		entries := rapid.IntRange(1, 20).Draw(rt, "entries")
@@ -204,18 +206,18 @@
 					break
 				}
 				extras = append(extras, now)
-				grown := min(1, float64(now.Sub(start))/float64(cf.Window))
-				bound := cf.Fraction * (cf.Ratio*float64(within(requests, now, cf.Window)) + grown*float64(cf.Slack)/float64(entries))
-				if spent := within(extras, now, cf.Window); float64(spent) > bound+1e-9 {
-					rt.Fatalf("%d extra arrivals in the window, the bound is %v", spent, bound)
+				ramp := min(1, float64(now.Sub(start))/float64(cf.Window))
+				bound := cf.Fraction * (cf.Ratio*float64(countWithin(requests, now, cf.Window)) + ramp*float64(cf.Slack)/float64(entries))
+				if spent := countWithin(extras, now, cf.Window); float64(spent) > bound+1e-9 {
+					rt.Fatalf("%d extra attempts in the window, the bound is %v", spent, bound)
 				}
 			}
 		}
 	})
 }
 
-// within returns how many of the times lie in the window that ends now.
-func within(tis []time.Time, now time.Time, window time.Duration) int {
+// countWithin returns how many of the times lie in the window that ends now.
+func countWithin(tis []time.Time, now time.Time, window time.Duration) int {
 	count := 0
 	for _, ti := range tis {
 		if now.Sub(ti) <= window {
@@ -225,9 +227,10 @@
 	return count
 }
 
-// TestManyInstances checks that instances that don't talk keep the sum within
-// the bound of the whole system, though one is started anew and forgets.
-func TestManyInstances(t *testing.T) {
+// TestSumOverInstancesStaysWithinBound checks that instances that don't communicate
+// together stay within the bound of the whole system, even if one restarts and loses its
+// counts.
+func TestSumOverInstancesStaysWithinBound(t *testing.T) {
 	const count = 9
 	c := qt.New(t)
 	cf := Config{Ratio: 0.2, Slack: 58, Window: 10 * time.Second, Fraction: 0.85}
@@ -253,14 +256,14 @@
 				extras = append(extras, now)
 			}
 		}
-		bound := cf.Ratio*float64(within(requests, now, cf.Window)) + float64(cf.Slack)
-		c.Assert(float64(within(extras, now, cf.Window)) <= bound, qt.IsTrue, qt.Commentf("at %d ms", ms))
+		bound := cf.Ratio*float64(countWithin(requests, now, cf.Window)) + float64(cf.Slack)
+		c.Assert(float64(countWithin(extras, now, cf.Window)) <= bound, qt.IsTrue, qt.Commentf("at %d ms", ms))
 	}
-	c.Assert(len(extras) > 400, qt.IsTrue, qt.Commentf("%d extra arrivals", len(extras)))
+	c.Assert(len(extras) > 400, qt.IsTrue, qt.Commentf("%d extra attempts", len(extras)))
 }
 
 func TestConcurrentUse(t *testing.T) {
-	bu := New(plain(), start)
+	bu := New(defaultConfig(), start)
 	bu.SetNumEntries(start, 1)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -285,7 +288,7 @@
 }
 
 func BenchmarkSpend(b *testing.B) {
-	bu := New(plain(), start)
+	bu := New(defaultConfig(), start)
 	bu.SetNumEntries(start, 9)
 	now := after(20)
 	for b.Loop() {
--- a/budget/ring.go
+++ b/budget/ring.go
@@ -1,17 +1,17 @@
 package budget
 
-// service counts what happened to one service. The window of bucketCount whole
-// buckets ends in the newest one. An extra arrival counts while any moment of
-// its bucket is in a window that ends in the newest bucket, a request only while
-// all moments of its bucket are, so both err to the side of fewer extras.
+// service holds the counts of one service. The window of numBuckets whole buckets ends with
+// the newest one. An extra attempt counts while any moment of its bucket may be in the
+// window, a request only while all moments of its bucket are, so that both err towards
+// fewer extra attempts.
 type service struct {
 	newest   int64 // newest is the index of the newest bucket.
-	requests int   // requests are those of the newest bucketCount buckets.
-	extras   int   // extras are those of all buckets of the ring.
+	requests int   // requests counts those of the newest numBuckets buckets.
+	extras   int   // extras counts the extra attempts of all buckets in the ring.
 	ring     [ringLength]counts
 }
 
-// counts are those of one bucket.
+// counts holds the counts of one bucket.
 type counts struct {
 	requests, extras int32
 }
@@ -31,11 +31,11 @@
 		oldest := se.at(se.newest)
 		se.extras -= int(oldest.extras)
 		*oldest = counts{}
-		se.requests -= int(se.at(se.newest - bucketCount + ringLength).requests)
+		se.requests -= int(se.at(se.newest - numBuckets + ringLength).requests)
 	}
 }
 
-func (se *service) request() {
+func (se *service) countRequest() {
 	se.at(se.newest).requests++
 	se.requests++
 }
@@ -45,8 +45,8 @@
 	se.extras++
 }
 
-// unspend takes back an extra arrival that was spent in the given bucket.
-func (se *service) unspend(bucket int64) {
+// refund removes an extra attempt that was spent in the given bucket.
+func (se *service) refund(bucket int64) {
 	if bucket > se.newest || se.newest-bucket >= ringLength {
 		return
 	}
@@ -57,49 +57,47 @@
 }
 
 const (
-	// spanBuckets is how many buckets one remembered span of entry counts has.
-	spanBuckets = bucketCount / 4
-	// spanCount covers two windows and the span that is partly in them.
-	spanCount = 2*bucketCount/spanBuckets + 1
+	// spanBuckets is the number of buckets per span for which a maximum is kept.
+	spanBuckets = numBuckets / 4
+	// numSpans covers two windows and the span that is partly in them.
+	numSpans = 2*numBuckets/spanBuckets + 1
 )
 
-// entries remembers the highest count of entry instances in each of the spans
-// that may lie in the last two windows.
-type entries struct {
-	count   int   // count is the newest one.
+// entryCounts keeps the highest count of entry instances in each span of the last two
+// windows.
+type entryCounts struct {
+	count   int   // count is the latest one.
 	newest  int64 // newest is the index of the newest span.
-	highs   [spanCount]int
+	maxima  [numSpans]int
 	started bool
 }
 
-func (en *entries) set(bucket int64, count int) {
+func (en *entryCounts) set(bucket int64, count int) {
 	en.advance(bucket / spanBuckets)
 	en.count = max(0, count)
-	high := &en.highs[en.newest%spanCount]
+	high := &en.maxima[en.newest%numSpans]
 	*high = max(*high, en.count)
 }
 
-// highest returns the highest count of the last two windows; zero if none was
-// ever set.
-func (en *entries) highest(bucket int64) int {
+// highest returns the highest count of the last two windows; zero if none was ever set.
+func (en *entryCounts) highest(bucket int64) int {
 	en.advance(bucket / spanBuckets)
 	high := 0
-	for _, count := range en.highs {
+	for _, count := range en.maxima {
 		high = max(high, count)
 	}
 	return high
 }
 
-// advance makes a span the newest one. The count in force at its beginning
-// belongs to it.
-func (en *entries) advance(span int64) {
+// advance makes a span the newest one. The count in force at its start belongs to it.
+func (en *entryCounts) advance(span int64) {
 	if !en.started {
 		en.started, en.newest = true, span
 		return
 	}
-	for steps := 0; en.newest < span && steps < spanCount; steps++ {
+	for steps := 0; en.newest < span && steps < numSpans; steps++ {
 		en.newest++
-		en.highs[en.newest%spanCount] = en.count
+		en.maxima[en.newest%numSpans] = en.count
 	}
 	en.newest = max(en.newest, span)
 }
