--- a/roster/groups.go
+++ b/roster/groups.go
@@ -7,92 +7,94 @@
 	"time"
 )
 
-// Group is the callers of the same backend servers.
+// Group is a set of callers that use the same backend servers.
 type Group struct {
-	Key            string // Key names the group; it stays while its backend servers do.
-	MaxConnections int    // Limit is how many connections each of these servers takes; 0 if any number.
+	Key            string // Key identifies the group; it stays the same as long as its backend servers do.
+	MaxConnections int    // MaxConnections is how many connections each of these servers accepts; 0 means no limit.
 }
 
-// Groups is what was decided for several groups in all data centres. It is immutable; the
-// zero Groups has decided nothing.
+// Groups holds the subsets chosen for several groups in all data centres. It is immutable;
+// the zero Groups has chosen nothing.
 type Groups struct {
-	sizes   map[place]Size
-	chosen  map[place][]Instance
-	ready   map[string]int       // ready counts the instances by data centre.
-	seen    map[string]time.Time // seen is when a data centre had an instance last.
-	sharers int
+	sizes    map[subset]Size
+	chosen   map[subset][]Instance
+	numReady map[string]int       // numReady counts the ready instances by data centre.
+	seenAt   map[string]time.Time // seenAt is when a data centre last had a ready instance.
+	sharers  int
 }
 
-// awayFor is for how long a data centre without an instance still counts as one.
-const awayFor = 10 * time.Minute
+// absenceTTL is how long a data centre without a ready instance still counts as one that
+// has some.
+const absenceTTL = 10 * time.Minute
 
-// place is a group in a data centre.
-type place struct{ key, dataCentre string }
+// subset identifies the instances chosen for a group in a data centre.
+type subset struct{ key, dataCentre string }
 
-// With returns what is decided after a look at the instances that are ready.
+// Update returns the groups after a change of the ready instances or their loads.
 func (gs Groups) Update(now time.Time, groups []Group, ins []Instance) Groups {
-	by := byDataCentre(ins)
+	byCentre := byDataCentre(ins)
 	out := Groups{
-		sizes: make(map[place]Size), chosen: make(map[place][]Instance), ready: make(map[string]int),
-		seen: gs.lately(now), sharers: len(ins),
+		sizes: make(map[subset]Size), chosen: make(map[subset][]Instance), numReady: make(map[string]int),
+		seenAt: gs.recentlySeen(now), sharers: len(ins),
 	}
-	for centre, here := range by {
-		out.ready[centre], out.seen[centre] = len(here), now
+	for centre, here := range byCentre {
+		out.numReady[centre], out.seenAt[centre] = len(here), now
 	}
 	for _, gr := range groups {
-		bo := NewBounds(gr.MaxConnections, len(out.seen))
+		bo := NewBounds(gr.MaxConnections, len(out.seenAt))
 		count := 0
-		for centre := range out.seen {
-			pl := place{gr.Key, centre}
-			si := gs.sizes[pl]
-			if here := by[centre]; len(here) > 0 {
-				si = si.Next(now, bo, total(here))
-				out.chosen[pl] = Choose(gr.Key, here, si.Members())
+		for centre := range out.seenAt {
+			su := subset{gr.Key, centre}
+			si := gs.sizes[su]
+			if here := byCentre[centre]; len(here) > 0 {
+				si = si.Next(now, bo, totalLoad(here))
+				out.chosen[su] = Choose(gr.Key, here, si.Members())
 			}
-			out.sizes[pl] = si
-			count += len(out.chosen[pl])
+			out.sizes[su] = si
+			count += len(out.chosen[su])
 		}
 		out.sharers = min(out.sharers, count)
 	}
 	return out
 }
 
-// byDataCentre divides instances by their data centre.
+// byDataCentre groups instances by their data centre.
 func byDataCentre(ins []Instance) map[string][]Instance {
-	by := make(map[string][]Instance)
+	byCentre := make(map[string][]Instance)
 	for _, in := range ins {
-		by[in.DataCentre] = append(by[in.DataCentre], in)
+		byCentre[in.DataCentre] = append(byCentre[in.DataCentre], in)
 	}
-	return by
+	return byCentre
 }
 
-// lately returns when data centres had an instance last, of those that did lately. One
-// that is away for a while keeps its part of the connections: after a loss of power of
-// all, the first data centre to be back would otherwise take those of the others.
-func (gs Groups) lately(now time.Time) map[string]time.Time {
-	out := make(map[string]time.Time, len(gs.seen))
-	for centre, at := range gs.seen {
-		if now.Sub(at) < awayFor {
+// recentlySeen returns when data centres last had a ready instance, without those that have
+// been absent for absenceTTL. A data centre that is absent for a while keeps its part of
+// the connections: after a power loss of all data centres, the first one to return would
+// otherwise take those of the others.
+func (gs Groups) recentlySeen(now time.Time) map[string]time.Time {
+	out := make(map[string]time.Time, len(gs.seenAt))
+	for centre, at := range gs.seenAt {
+		if now.Sub(at) < absenceTTL {
 			out[centre] = at
 		}
 	}
 	return out
 }
 
-// Noted is a size as it is noted for the next start.
+// SavedSize is a size as it is persisted for the next start.
 type SavedSize struct {
 	Key, DataCentre string
 	Members         int
 }
 
-// Note returns the sizes, in the order of their keys and data centres.
+// SavedSizes returns the sizes, ordered by key and data centre.
 func (gs Groups) SavedSizes() []SavedSize {
 	out := make([]SavedSize, 0, len(gs.sizes))
-	for pl, si := range gs.sizes {
+	for su, si := range gs.sizes {
 		if si.members == 0 {
 			continue
 		}
-		out = append(out, SavedSize{Key: pl.key, DataCentre: pl.dataCentre, Members: si.members})
+		out = append(out, SavedSize{Key: su.key, DataCentre: su.dataCentre, Members: si.members})
 	}
 	slices.SortFunc(out, func(a, b SavedSize) int {
 		return cmp.Or(strings.Compare(a.Key, b.Key), strings.Compare(a.DataCentre, b.DataCentre))
@@ -100,44 +102,44 @@
 	return out
 }
 
-// Restore returns groups of the sizes that were noted before a start.
+// Restore returns groups with the sizes that were persisted before a restart.
 //
-// After a loss of power of all, backend servers still count the connections of before and
-// reset what is beyond their limit. Were as many instances chosen as there may be, they
-// would open twice the connections that the load needs, in just these seconds.
-func Restore(now time.Time, nos []SavedSize) Groups {
-	gs := Groups{sizes: make(map[place]Size), seen: make(map[string]time.Time)}
-	for _, no := range nos {
-		if no.Members > 0 {
-			gs.sizes[place{no.Key, no.DataCentre}] = Size{members: no.Members, shrunk: now}
-			gs.seen[no.DataCentre] = now
+// After a power loss of all machines, backend servers still count the old connections and
+// reset new ones beyond their limit. If the maximum number of instances were chosen then,
+// they would open twice the connections that the load needs, just in these seconds.
+func Restore(now time.Time, saved []SavedSize) Groups {
+	gs := Groups{sizes: make(map[subset]Size), seenAt: make(map[string]time.Time)}
+	for _, sz := range saved {
+		if sz.Members > 0 {
+			gs.sizes[subset{sz.Key, sz.DataCentre}] = Size{members: sz.Members, changedAt: now}
+			gs.seenAt[sz.DataCentre] = now
 		}
 	}
 	return gs
 }
 
-// Members returns the names of those of the instances that callers of any group would be
-// led to at the sizes of now.
+// Members returns the names of those of the given instances that callers of any group would
+// be directed to at the current sizes.
 func (gs Groups) Members(ins []Instance) map[string]bool {
-	by := byDataCentre(ins)
+	byCentre := byDataCentre(ins)
 	out := make(map[string]bool)
-	for pl, si := range gs.sizes {
-		for _, in := range Choose(pl.key, by[pl.dataCentre], si.members) {
+	for su, si := range gs.sizes {
+		for _, in := range Choose(su.key, byCentre[su.dataCentre], si.members) {
 			out[in.Name] = true
 		}
 	}
 	return out
 }
 
-// Sharers returns how many entry instances share the backend servers of the group with
-// the fewest.
+// Sharers returns how many entry instances share the backend servers of the group with the
+// fewest such instances.
 func (gs Groups) Sharers() int { return gs.sharers }
 
-// Addresses returns the addresses that a caller of a group in a data centre is led to;
-// none if all instances may serve it, also those of other data centres.
+// Addresses returns the addresses to which callers of a group in a data centre are
+// directed; none if all instances may serve them, also those of other data centres.
 func (gs Groups) Addresses(key, dataCentre string) []string {
-	chosen := gs.chosen[place{key, dataCentre}]
-	if len(chosen) == 0 || len(chosen) == gs.ready[dataCentre] {
+	chosen := gs.chosen[subset{key, dataCentre}]
+	if len(chosen) == 0 || len(chosen) == gs.numReady[dataCentre] {
 		return nil
 	}
 	out := make([]string, len(chosen))
