--- a/warmup/warmup_test.go
+++ b/warmup/warmup_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestDivide(t *testing.T) {
+func TestPerSender(t *testing.T) {
 	li := Limit{Rate: 12, BurstFactor: 1.5, Slack: 5}
 	qt.Assert(t, li.MaxPerSecond(), qt.Equals, 23)
 	tests := []struct {
@@ -23,31 +23,31 @@
 		qt.Assert(t, li.PerSender(tt.senders), qt.Equals, tt.want)
 	}
 	many := li.PerSender(67)
-	qt.Assert(t, many.MinInterval >= leastSpacing, qt.IsTrue)
+	qt.Assert(t, many.MinInterval >= minInterval, qt.IsTrue)
 	qt.Assert(t, many.Probability > 0.05 && many.Probability < 0.2, qt.IsTrue, qt.Commentf("%v", many))
 	qt.Assert(t, Limit{}.Bounded(), qt.IsFalse)
 }
 
-// Guards against parts that add up to more than a cold server bears, or to nothing.
-func TestDivideHolds(t *testing.T) {
+// Guards against allowances that add up to more than a cold server can take, or to nothing.
+func TestPerSenderStaysWithinLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		li := Limit{
 			Rate:        rapid.Float64Range(0.1, 200).Draw(rt, "rate"),
-			BurstFactor: rapid.Float64Range(0, 3).Draw(rt, "overage"),
+			BurstFactor: rapid.Float64Range(0, 3).Draw(rt, "burst factor"),
 			Slack:       rapid.Float64Range(0, 50).Draw(rt, "slack"),
 		}
 		senders := rapid.IntRange(0, 2000).Draw(rt, "senders")
-		pa := li.PerSender(senders)
-		if pa.Probability <= 0 || pa.Probability > 1 || pa.MinInterval <= 0 {
-			rt.Fatalf("no part: %v", pa)
+		al := li.PerSender(senders)
+		if al.Probability <= 0 || al.Probability > 1 || al.MinInterval <= 0 {
+			rt.Fatalf("no allowance: %v", al)
 		}
-		taking := float64(max(1, senders)) * pa.Probability
-		if sum := taking / pa.MinInterval.Seconds(); sum > li.Rate*1.001 {
-			rt.Fatalf("%v a second together", sum)
+		takingPart := float64(max(1, senders)) * al.Probability
+		if sum := takingPart / al.MinInterval.Seconds(); sum > li.Rate*1.001 {
+			rt.Fatalf("%v per second together", sum)
 		}
-		most := float64(li.MaxPerSecond())
-		if pa.MinInterval > time.Second && taking > most || pa.MinInterval <= time.Second && taking+li.Rate > most {
-			rt.Fatalf("%v take part with a spacing of %v, allowed %v", taking, pa.MinInterval, most)
+		maxPerSecond := float64(li.MaxPerSecond())
+		if al.MinInterval > time.Second && takingPart > maxPerSecond || al.MinInterval <= time.Second && takingPart+li.Rate > maxPerSecond {
+			rt.Fatalf("%v take part with an interval of %v, allowed %v", takingPart, al.MinInterval, maxPerSecond)
 		}
 	})
 }
