--- a/evacuation/evacuation.go
+++ b/evacuation/evacuation.go
@@ -1,6 +1,6 @@
 // Package evacuation holds which data centres are evacuated: their backend servers get no
-// requests until the evacuation is withdrawn. A Set is immutable; Orders change it in the
-// order of a replicated log. The package keeps no disk, reads no clock and sends nothing.
+// requests until the evacuation is withdrawn. A Set is immutable; Changes are applied to it
+// in the order of a replicated log. The package does no I/O and reads no clock.
 package evacuation
 
 import (
@@ -14,37 +14,38 @@
 )
 
 const (
-	// NameLimit is the longest name of a data centre in bytes.
+	// MaxNameLength is the maximum length of a data centre's name in bytes.
 	MaxNameLength = 64
-	// mostDataCentres bounds the data centres that are evacuated at one time.
-	mostDataCentres = 64
+	// maxDataCentres bounds the data centres that are evacuated at the same time.
+	maxDataCentres = 64
 )
 
-// Set is the evacuated data centres. The zero Set is that of a new group.
+// Set is the set of evacuated data centres. The zero Set is that of a new group.
 type Set struct {
 	Revision    uint64   `cbor:"1,keyasint"`           // Revision grows by one with every change.
-	DataCentres []string `cbor:"2,keyasint,omitempty"` // DataCentres are in order and never changed in place.
+	DataCentres []string `cbor:"2,keyasint,omitempty"` // DataCentres is sorted and never changed in place.
 }
 
-// Order evacuates a data centre or withdraws that.
+// Change evacuates a data centre or withdraws its evacuation.
 type Change struct {
 	DataCentre string `cbor:"1,keyasint"`
 	Evacuate   bool   `cbor:"2,keyasint,omitempty"` // Evacuate is false for a withdrawal.
-	// Base is the revision of the Set that the order is based on.
+	// BaseRevision is the revision of the Set that the change is based on.
 	BaseRevision uint64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Outcome says what became of an order.
+// Outcome is the result of applying a Change.
 type Outcome uint8
 
-// The outcomes of an order.
+// The outcomes of a change.
 const (
-	// InForce says that the Set is as the order wants it, by this order or an earlier one.
+	// InForce means that the Set is as the change wants it, by this change or an earlier
+	// one.
 	InForce Outcome = iota
-	// Stale says that the order changed nothing, since another one came between its base
-	// and it.
+	// Stale means that the change had no effect, because the Set was not at its base
+	// revision.
 	Stale
-	// Full says that too many data centres are evacuated already.
+	// Full means that too many data centres are evacuated already.
 	Full
 )
 
@@ -54,46 +55,47 @@
 	return ok
 }
 
-// With returns the set after an order.
+// Apply returns the set after a change.
 //
-// A delayed order may arrive after the one that reversed it, and applied then would evacuate
-// the data centre for good. So an order changes only the revision that it is based on.
-func (st Set) Apply(or Change) (Set, Outcome) {
-	at, has := slices.BinarySearch(st.DataCentres, or.DataCentre)
+// A delayed change may arrive after the one that reversed it, and if it were applied then,
+// the data centre would stay evacuated. So a change applies only to the revision that it is
+// based on.
+func (st Set) Apply(ch Change) (Set, Outcome) {
+	at, has := slices.BinarySearch(st.DataCentres, ch.DataCentre)
 	switch {
-	case has == or.Evacuate:
+	case has == ch.Evacuate:
 		return st, InForce
-	case or.BaseRevision != st.Revision:
+	case ch.BaseRevision != st.Revision:
 		return st, Stale
-	case or.Evacuate && len(st.DataCentres) >= mostDataCentres:
+	case ch.Evacuate && len(st.DataCentres) >= maxDataCentres:
 		return st, Full
 	}
 	next := Set{Revision: st.Revision + 1, DataCentres: slices.Clone(st.DataCentres)}
-	if or.Evacuate {
-		next.DataCentres = slices.Insert(next.DataCentres, at, or.DataCentre)
+	if ch.Evacuate {
+		next.DataCentres = slices.Insert(next.DataCentres, at, ch.DataCentre)
 	} else {
 		next.DataCentres = slices.Delete(next.DataCentres, at, at+1)
 	}
 	return next, InForce
 }
 
-// Check returns an error if a text can't be the name of a data centre. It is a
+// CheckName returns an error if a text can't be the name of a data centre. The error is a
 // *result.Error with the code Invalid.
-func CheckName(dataCentre string) error {
-	fault := ""
+func CheckName(name string) error {
+	detail := ""
 	switch {
-	case dataCentre == "":
-		fault = "it is empty"
-	case len(dataCentre) > MaxNameLength:
-		fault = fmt.Sprintf("it has more than %d bytes", MaxNameLength)
-	case !utf8.ValidString(dataCentre):
-		fault = "it isn't UTF-8"
-	case strings.ContainsFunc(dataCentre, func(ru rune) bool { return !unicode.IsGraphic(ru) || unicode.IsSpace(ru) || ru == '/' }):
-		fault = "it has a space, a slash or a control character"
+	case name == "":
+		detail = "name is empty"
+	case len(name) > MaxNameLength:
+		detail = fmt.Sprintf("name is longer than %d bytes", MaxNameLength)
+	case !utf8.ValidString(name):
+		detail = "name is not valid UTF-8"
+	case strings.ContainsFunc(name, func(ru rune) bool { return !unicode.IsGraphic(ru) || unicode.IsSpace(ru) || ru == '/' }):
+		detail = "name contains a space, a slash or a control character"
 	default:
 		return nil
 	}
-	return &result.Error{Code: result.Invalid, Op: "check name of data centre", Detail: fault}
+	return &result.Error{Code: result.Invalid, Op: "check data centre name", Detail: detail}
 }
 
 // String returns the name of the outcome.
--- a/evacuation/evacuation_test.go
+++ b/evacuation/evacuation_test.go
@@ -11,26 +11,26 @@
 	"balsamwinch.example/result"
 )
 
-func TestWith(t *testing.T) {
+func TestApply(t *testing.T) {
 	st := Set{Revision: 7, DataCentres: []string{"north", "south"}}
 	tests := []struct {
 		name    string
-		order   Change
+		change  Change
 		outcome Outcome
 		want    Set
 	}{
 		{"evacuate", Change{"east", true, 7}, InForce, Set{8, []string{"east", "north", "south"}}},
 		{"withdraw", Change{"north", false, 7}, InForce, Set{8, []string{"south"}}},
 		{"evacuated already", Change{"north", true, 7}, InForce, st},
-		{"evacuated already, given on an older set", Change{"north", true, 2}, InForce, st},
+		{"evacuated already, based on an older revision", Change{"north", true, 2}, InForce, st},
 		{"withdrawn already", Change{"east", false, 2}, InForce, st},
-		{"overtaken", Change{"east", true, 6}, Stale, st},
-		{"overtaken withdrawal", Change{"south", false, 6}, Stale, st},
-		{"given on a set that isn't known here", Change{"east", true, 8}, Stale, st},
+		{"stale", Change{"east", true, 6}, Stale, st},
+		{"stale withdrawal", Change{"south", false, 6}, Stale, st},
+		{"based on an unknown revision", Change{"east", true, 8}, Stale, st},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			got, outcome := st.Apply(tt.order)
+			got, outcome := st.Apply(tt.change)
 			qt.Assert(t, outcome, qt.Equals, tt.outcome)
 			qt.Assert(t, got, qt.DeepEquals, tt.want)
 			qt.Assert(t, st, qt.DeepEquals, Set{Revision: 7, DataCentres: []string{"north", "south"}})
@@ -38,10 +38,10 @@
 	}
 }
 
-// Guards against a set that grows without a bound.
-func TestFull(t *testing.T) {
+// Guards against a set that grows without bound.
+func TestFullSetRejectsEvacuation(t *testing.T) {
 	var st Set
-	for nth := range mostDataCentres {
+	for nth := range maxDataCentres {
 		st, _ = st.Apply(Change{DataCentre: strings.Repeat("a", nth+1), Evacuate: true, BaseRevision: st.Revision})
 	}
 	got, outcome := st.Apply(Change{DataCentre: "b", Evacuate: true, BaseRevision: st.Revision})
@@ -49,9 +49,8 @@
 	qt.Assert(t, got, qt.DeepEquals, st)
 }
 
-// Guards against an order that comes late, or twice, and undoes the one that was
-// acknowledged after it.
-func TestLateOrders(t *testing.T) {
+// Guards against a delayed or duplicated change that undoes a later, acknowledged one.
+func TestDelayedChangesDoNotUndoLaterOnes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		names := []string{"a", "b", "c"}
 		var st Set
@@ -61,13 +60,13 @@
 			if len(sent) > 0 && rapid.Bool().Draw(rt, "late") {
 				st, _ = st.Apply(rapid.SampledFrom(sent).Draw(rt, "which"))
 			} else {
-				or := Change{rapid.SampledFrom(names).Draw(rt, "name"), rapid.Bool().Draw(rt, "evacuate"), st.Revision}
+				ch := Change{rapid.SampledFrom(names).Draw(rt, "name"), rapid.Bool().Draw(rt, "evacuate"), st.Revision}
 				var outcome Outcome
-				if st, outcome = st.Apply(or); outcome != InForce {
-					rt.Fatalf("an order on the newest set: %v", outcome)
+				if st, outcome = st.Apply(ch); outcome != InForce {
+					rt.Fatalf("a change of the newest revision: %v", outcome)
 				}
-				sent = append(sent, or)
-				want[or.DataCentre] = or.Evacuate
+				sent = append(sent, ch)
+				want[ch.DataCentre] = ch.Evacuate
 			}
 			for _, name := range names {
 				if st.Has(name) != want[name] {
@@ -78,7 +77,7 @@
 	})
 }
 
-func TestCheck(t *testing.T) {
+func TestCheckName(t *testing.T) {
 	for _, name := range []string{"miraflores", "halle-bad-tölz", strings.Repeat("a", MaxNameLength)} {
 		qt.Assert(t, CheckName(name), qt.IsNil)
 	}
