--- a/quarantine/key_test.go
+++ b/quarantine/key_test.go
@@ -6,9 +6,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Two requests of different content must never share a key: callers of one would be
-// refused for the other. Attempts of the same request share it at every instance.
-func TestKey(t *testing.T) {
+// Two requests with different content must never share a key, or callers of one would be
+// refused because of the other. Attempts of the same request must have the same key at
+// every instance.
+func TestKeyDistinguishesContent(t *testing.T) {
 	c := qt.New(t)
 	base := Content{Method: "GET", Host: "a.example", URI: "/x?q=1", Authorization: "t", Body: []byte("b")}
 	c.Assert(base.Key(), qt.Equals, base.Key())
--- a/quarantine/outage.go
+++ b/quarantine/outage.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// outage is what a service lost since it last answered: the first losses of two different
-// requests, so that for each request that of another one is known.
+// outage holds what a service has lost since it last answered: the first losses of two
+// different requests, so that for any request the loss of another one is known.
 type outage [2]struct {
 	key Key
 	at  time.Time
 }
 
-// add takes in a loss.
+// add records a loss.
 func (ou *outage) add(now time.Time, key Key) {
 	for ix := range ou {
 		if ou[ix].at.IsZero() {
@@ -21,8 +21,9 @@
 	}
 }
 
-// before reports whether another request than the given one was lost before a time.
-func (ou *outage) before(until time.Time, key Key) bool {
+// lostOtherBefore reports whether a request other than the given one was lost before a
+// time.
+func (ou *outage) lostOtherBefore(until time.Time, key Key) bool {
 	for _, lo := range ou {
 		if !lo.at.IsZero() && lo.key != key && lo.at.Before(until) {
 			return true
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	// lossesToRefuse is after how many attempts, and enders after how many servers that
-	// ended under them, a request is refused. The first attempts can't know of each other;
-	// each further one is a probe at one server.
-	lossesToRefuse = 3
-	enders         = 3
-	// holdFor is how long a request is refused, and a suspicion lasts, after the last
-	// loss. After that time a refused request is probed again: a release may have mended
-	// what it met.
-	holdFor = 10 * time.Minute
-	// clearFor is how long a cleared request is remembered as such, so that what others
-	// still tell of older losses doesn't bring the suspicion back.
-	clearFor = time.Minute
-	// retold is how much newer the last loss must be to be told again if nothing else
-	// changed.
-	retold = time.Second
+	// A request is refused after refuseAfterLosses attempts under which servers failed, if
+	// at least refuseAfterServers servers did. The first attempts can't know of each other
+	// and count as one; each further one is a probe of one server.
+	refuseAfterLosses  = 3
+	refuseAfterServers = 3
+	// suspicionTTL is how long a request is refused, and how long a suspicion lasts, after
+	// the last loss. After that time a refused request is probed again: a new release may
+	// have fixed the cause.
+	suspicionTTL = 10 * time.Minute
+	// clearedTTL is how long a cleared request is remembered, so that older losses still
+	// sent by other instances don't bring the suspicion back.
+	clearedTTL = time.Minute
+	// resendInterval is how much later the last loss must be to be sent again if nothing
+	// else changed.
+	resendInterval = time.Second
 )
 
 // Verdict says how a request may run.
@@ -28,9 +28,9 @@
 
 // The verdicts.
 const (
-	Pass   Verdict = iota // Pass: nothing is known against it.
-	Probe                 // Probe: servers ended under it. One server alone runs it until one has answered.
-	Refuse                // Refuse: it is not run.
+	Pass   Verdict = iota // Pass: there is no suspicion.
+	Probe                 // Probe: servers failed under it. It runs on one server alone until one has answered.
+	Refuse                // Refuse: it must not run.
 )
 
 // String returns the verdict's name.
@@ -47,34 +47,34 @@
 	}
 }
 
-// Loss is an attempt of a request that no server answered but with a failure, and under
-// which some ended.
+// Loss is an attempt of a request that got no answer other than failures, and under which
+// some servers failed.
 type Loss struct {
 	Key     Key
 	Attempt string // Attempt is the id of the attempt.
 	Start   time.Time
-	Probe   bool     // Probe says that one server alone was asked.
-	Service string   // Service is the one whose servers ended, if it was only one.
-	Servers []string // Servers are the ids of those that ended.
+	Probe   bool     // Probe is set if one server alone was tried.
+	Service string   // Service is the service whose servers failed, if there was only one.
+	Servers []string // Servers lists the ids of the servers that failed.
 }
 
-// Record is what a book knows of one request, as instances tell each other.
+// Record is what a Tracker knows of one request, as it is sent between instances.
 type Record struct {
 	Key     Key      `cbor:"1,keyasint"`
-	Losses  []uint64 `cbor:"2,keyasint,omitempty"` // Losses stand for attempts, at most lossesToRefuse.
-	Servers []string `cbor:"3,keyasint,omitempty"` // Servers are ids of those that ended, at most enders.
-	Cleared bool     `cbor:"4,keyasint,omitempty"` // Cleared says that a server has answered the request.
-	// Ago is how long ago the last loss, or the answer, was, in milliseconds. Instances
-	// need no common clock.
+	Losses  []uint64 `cbor:"2,keyasint,omitempty"` // Losses identify attempts, at most refuseAfterLosses.
+	Servers []string `cbor:"3,keyasint,omitempty"` // Servers lists ids of servers that failed, at most refuseAfterServers.
+	Cleared bool     `cbor:"4,keyasint,omitempty"` // Cleared is set once a server has answered the request.
+	// AgeMillis is the time since the last loss, or since the answer, in milliseconds.
+	// Being relative, it needs no common clock.
 	AgeMillis uint32 `cbor:"5,keyasint,omitempty"`
 }
 
-// Verdict returns the verdict of a record that has not run out.
+// Verdict returns the verdict of a record that has not expired.
 func (rc Record) Verdict() Verdict {
 	switch {
 	case rc.Cleared || len(rc.Losses) == 0:
 		return Pass
-	case len(rc.Losses) >= lossesToRefuse && len(rc.Servers) >= enders:
+	case len(rc.Losses) >= refuseAfterLosses && len(rc.Servers) >= refuseAfterServers:
 		return Refuse
 	default:
 		return Probe
@@ -85,58 +85,58 @@
 func (rc Record) lifetime() time.Duration {
 	switch {
 	case rc.Cleared:
-		return clearFor
+		return clearedTTL
 	case rc.Verdict() == Refuse:
-		return 2 * holdFor // In the second half it is probed.
+		return 2 * suspicionTTL // In the second half it is probed.
 	default:
-		return holdFor
+		return suspicionTTL
 	}
 }
 
-// entry is a record in a book. Its Ago is not used.
+// entry is a record in a Tracker. Its AgeMillis is not used.
 type entry struct {
 	Record
 	at time.Time // at is when the last loss, or the answer, was.
 }
 
-// outlived reports whether the entry has run out.
-func (en *entry) outlived(now time.Time) bool { return now.Sub(en.at) >= en.lifetime() }
+// expired reports whether the entry has expired.
+func (en *entry) expired(now time.Time) bool { return now.Sub(en.at) >= en.lifetime() }
 
-// told returns the record as it is told.
-func (en *entry) told(now time.Time) Record {
+// snapshot returns a copy of the record with its age set.
+func (en *entry) snapshot(now time.Time) Record {
 	rc := en.Record
 	rc.Losses, rc.Servers = slices.Clone(rc.Losses), slices.Clone(rc.Servers)
 	rc.AgeMillis = uint32(max(0, now.Sub(en.at)).Milliseconds())
 	return rc
 }
 
-// add takes in losses and servers, as far as there is room, and reports whether any was
-// new.
+// add adds losses and servers up to their limits and reports whether any was new.
 func (en *entry) add(losses []uint64, servers []string) bool {
-	news := false
+	changed := false
 	for _, lo := range losses {
-		if len(en.Losses) < lossesToRefuse && !slices.Contains(en.Losses, lo) {
+		if len(en.Losses) < refuseAfterLosses && !slices.Contains(en.Losses, lo) {
 			en.Losses = append(en.Losses, lo)
-			news = true
+			changed = true
 		}
 	}
 	for _, id := range servers {
-		if len(en.Servers) < enders && !slices.Contains(en.Servers, id) {
+		if len(en.Servers) < refuseAfterServers && !slices.Contains(en.Servers, id) {
 			en.Servers = append(en.Servers, id)
-			news = true
+			changed = true
 		}
 	}
-	return news
+	return changed
 }
 
-// lost takes in losses, the last of them at a time, and reports whether that is news.
-func (en *entry) lost(at time.Time, losses []uint64, servers []string) bool {
-	news := en.add(losses, servers) || at.Sub(en.at) >= retold
+// addLosses adds losses, the last of them at the given time, and reports whether the record
+// must be sent.
+func (en *entry) addLosses(at time.Time, losses []uint64, servers []string) bool {
+	changed := en.add(losses, servers) || at.Sub(en.at) >= resendInterval
 	en.at = later(en.at, at)
-	return news
+	return changed
 }
 
-// clear takes in that a server has answered the request.
+// clear records that a server has answered the request.
 func (en *entry) clear(at time.Time) {
 	en.Losses, en.Servers, en.Cleared, en.at = nil, nil, true, at
 }
