--- a/outlier/bench_test.go
+++ b/outlier/bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// samples returns what an entry instance tells of so many backend servers.
+// samples returns the samples of an entry instance for the given number of backend servers.
 func samples(count int) []Sample {
 	sas := make([]Sample, count)
 	for ix := range sas {
@@ -17,8 +17,8 @@
 	return sas
 }
 
-// BenchmarkAdd is the cost of one message at the control instance that judges, and its
-// size.
+// BenchmarkAdd measures adding one message of samples at the control instance, and reports
+// its size.
 func BenchmarkAdd(b *testing.B) {
 	for _, count := range []int{12, 48} {
 		b.Run(fmt.Sprintf("samples=%d", count), func(b *testing.B) {
@@ -35,7 +35,7 @@
 	}
 }
 
-// BenchmarkFindings is the cost of one look at all backend servers.
+// BenchmarkFindings measures one evaluation of all backend servers.
 func BenchmarkFindings(b *testing.B) {
 	for _, count := range []int{100, 1000, 6900} {
 		b.Run(fmt.Sprintf("servers=%d", count), func(b *testing.B) {
--- a/outlier/detector.go
+++ b/outlier/detector.go
@@ -9,84 +9,87 @@
 )
 
 const (
-	// span is the least time over which samples are judged. Backend servers stand
-	// still for up to a quarter of a second now and then, and their queues drain for
-	// half as long again: a server is slow only if two spans in a row say so, which no
-	// such pause fills. With 400 ms a pause at the border of two spans did (model of 191
-	// entry instances: 466 false findings in 16,128 server-seconds, 235 with 800). What is much
-	// slower is found by its spell long before.
-	span = 800 * time.Millisecond
-	// failingSpan is the same for failures, which no pause brings about.
+	// slowSpan is the minimum time over which latencies are evaluated. Backend servers
+	// pause for up to a quarter of a second now and then, and their queues take half as
+	// long again to drain. So a server is slow only if two consecutive spans say so, which
+	// no such pause fills. With spans of 400 ms a pause at the border of two spans did (in
+	// a model of 191 entry instances: 466 false findings in 16,128 server-seconds, 235 with
+	// 800 ms). Servers that are much slower are found by their slow period long before.
+	slowSpan = 800 * time.Millisecond
+	// failingSpan is the same for failures, which pauses don't cause.
 	failingSpan = 150 * time.Millisecond
-	// leastSamples is how many samples a span needs; it is prolonged until it has
-	// them. One request in a hundred is slow at a sound server.
-	leastSamples = 3
-	// leastSlow and leastFailing are the levels from which a server is slow (twice the
-	// usual latency; at 1.6 times, a server that is 1.3 times slower than others by
-	// nature was found after every other pause) or failing.
-	leastSlow    = 0.69
-	leastFailing = 0.15
-	// mostSlow bounds the slowness of one sample.
-	mostSlow = 3.0
-	// movedSlow and movedFailing are by how much a level must change to be told.
-	movedSlow    = 0.3
-	movedFailing = 0.2
-	// again is after how long a finding is told again, so that it doesn't run out.
-	again = FindingTTL / 2
-	// forget is after how long without samples a server is forgotten.
-	forget = 10 * time.Second
-	// mostTellers bounds the entry instances that are told apart in a span. Where more
-	// tell of one server, none of them weighs much.
-	mostTellers = 16
-	// mostServers bounds the servers that are remembered.
-	mostServers = 16384
+	// minSamples is how many samples a span needs; it is extended until it has them. One
+	// request in a hundred is slow at a healthy server.
+	minSamples = 3
+	// minSlowness and minFailures are the levels from which a server is slow or failing.
+	// minSlowness is the logarithm of twice the usual latency; with 1.6 times, a server
+	// that is by nature 1.3 times slower than others was found slow after every other
+	// pause.
+	minSlowness = 0.69
+	minFailures = 0.15
+	// maxSlowness bounds the slowness of one sample.
+	maxSlowness = 3.0
+	// slownessDelta and failuresDelta are the changes of a level from which it is sent
+	// again.
+	slownessDelta = 0.3
+	failuresDelta = 0.2
+	// resendInterval is the time after which a finding is sent again, so that it doesn't
+	// expire.
+	resendInterval = FindingTTL / 2
+	// idleTTL is the time without samples after which a server is dropped.
+	idleTTL = 10 * time.Second
+	// maxReporters bounds the entry instances that are counted separately in a span. If
+	// more report on a server, none of them has much weight.
+	maxReporters = 16
+	// maxServers bounds the servers that are tracked.
+	maxServers = 16384
 )
 
-// Detector judges backend servers by the samples of all entry instances. It is
-// used by one goroutine at a time and reads no clock.
+// Detector finds outliers among the backend servers by the samples of all entry instances.
+// It reads no clock and is not safe for concurrent use.
 type Detector struct {
 	servers map[string]*server
 }
 
-// server is what is known of one backend server.
+// server is the state of one backend server.
 type server struct {
 	slow, failing signal
-	spell         spell
-	told          Finding
-	toldAt        time.Time
-	seen          time.Time
+	slowPeriod    slowPeriod
+	sent          Finding
+	sentAt        time.Time
+	sampledAt     time.Time
 }
 
-// signal is one property of a server, judged span by span.
+// signal is one property of a server, evaluated span by span.
 type signal struct {
-	begun   time.Time
-	sum     float64
-	count   uint32
-	tellers tally
-	before  float64 // before is the mean of the span before.
-	level   float64 // level is the lower mean of the last two spans, or 0.
+	start     time.Time
+	sum       float64
+	count     uint32
+	reporters tally
+	previous  float64 // previous is the mean of the previous span.
+	level     float64 // level is the lower mean of the last two spans, or 0 if that is below the minimum.
 }
 
-// New returns a detector that has seen nothing.
+// New returns a detector without samples.
 func New() *Detector { return &Detector{servers: make(map[string]*server)} }
 
-// Add takes in the samples of the entry instance of a name.
+// Add adds the samples of the entry instance with the given name.
 func (de *Detector) Add(now time.Time, from string, sas []Sample) {
 	for _, sa := range sas {
 		se := de.servers[sa.ID]
 		if se == nil {
-			if len(de.servers) >= mostServers {
+			if len(de.servers) >= maxServers {
 				continue
 			}
 			se = &server{}
 			de.servers[sa.ID] = se
 		}
-		se.seen = now
+		se.sampledAt = now
 		if sa.Count > 0 && !math.IsNaN(float64(sa.LogSum)) {
-			most := mostSlow * float64(sa.Count)
-			sa.LogSum = float32(max(-most, min(most, float64(sa.LogSum))))
+			limit := maxSlowness * float64(sa.Count)
+			sa.LogSum = float32(max(-limit, min(limit, float64(sa.LogSum))))
 			se.slow.add(now, from, float64(sa.LogSum), sa.Count)
-			se.spell.add(now, from, sa)
+			se.slowPeriod.add(now, from, sa)
 		}
 		se.failing.add(now, from, float64(sa.Failed), sa.Served+sa.Failed)
 	}
@@ -97,50 +100,51 @@
 		return
 	}
 	if si.count == 0 {
-		si.begun = now
+		si.start = now
 	}
 	si.sum += sum
 	si.count += count
-	si.tellers.add(from, sum, count, mostTellers)
+	si.reporters.add(from, sum, count, maxReporters)
 }
 
-// judge ends the span if it has the given length and enough samples.
-func (si *signal) judge(now time.Time, length time.Duration, least float64) {
-	if si.count < leastSamples || now.Sub(si.begun) < length {
+// endSpan ends the span if it has the given length and enough samples.
+func (si *signal) endSpan(now time.Time, length time.Duration, minLevel float64) {
+	if si.count < minSamples || now.Sub(si.start) < length {
 		return
 	}
 	mean := si.mean()
-	si.level = min(mean, si.before)
-	if si.level < least {
+	si.level = min(mean, si.previous)
+	if si.level < minLevel {
 		si.level = 0
 	}
-	si.before, si.sum, si.count, si.tellers = mean, 0, 0, si.tellers[:0]
+	si.previous, si.sum, si.count, si.reporters = mean, 0, 0, si.reporters[:0]
 }
 
-// mean returns the mean of the span, or that without the entry instance that says the
-// worst, if it is lower: one with a bad link, or that lies, sets nobody aside.
+// mean returns the mean of the span, or the mean without the entry instance that reports
+// the worst, whichever is lower. So a single instance that has a bad link, or lies, can't
+// get a server ejected.
 func (si *signal) mean() float64 {
 	mean := si.sum / float64(si.count)
-	worst := slices.MaxFunc(si.tellers, func(a, b teller) int { return cmp.Compare(a.sum, b.sum) })
+	worst := slices.MaxFunc(si.reporters, func(a, b report) int { return cmp.Compare(a.sum, b.sum) })
 	if worst.count == si.count {
 		return min(mean, 0)
 	}
 	return min(mean, (si.sum-worst.sum)/float64(si.count-worst.count))
 }
 
-// Findings returns what is to be told now, by id: levels that have changed, and
-// those that stand and were told a while ago.
+// Findings returns the findings that should be sent now, sorted by id: those that have
+// changed, and those that hold and were last sent resendInterval ago.
 func (de *Detector) Findings(now time.Time) []Finding {
 	var out []Finding
 	for id, se := range de.servers {
-		se.judge(now)
-		fi := Finding{ID: id, Slowness: float32(max(se.slow.level, se.spell.level)), Failures: float32(se.failing.level)}
-		idle := now.Sub(se.seen) >= forget
+		se.update(now)
+		fi := Finding{ID: id, Slowness: float32(max(se.slow.level, se.slowPeriod.level)), Failures: float32(se.failing.level)}
+		idle := now.Sub(se.sampledAt) >= idleTTL
 		if idle {
 			fi = Finding{ID: id}
 		}
-		if fi.news(se.told) || !fi.Healthy() && now.Sub(se.toldAt) >= again {
-			se.told, se.toldAt = fi, now
+		if fi.differs(se.sent) || !fi.Healthy() && now.Sub(se.sentAt) >= resendInterval {
+			se.sent, se.sentAt = fi, now
 			out = append(out, fi)
 		}
 		if idle {
@@ -151,23 +155,23 @@
 	return out
 }
 
-// judge brings the levels up to date.
-func (se *server) judge(now time.Time) {
-	se.slow.judge(now, span, leastSlow)
-	se.failing.judge(now, failingSpan, leastFailing)
+// update brings the levels up to date.
+func (se *server) update(now time.Time) {
+	se.slow.endSpan(now, slowSpan, minSlowness)
+	se.failing.endSpan(now, failingSpan, minFailures)
 	if se.failing.level > 0 {
-		se.failing.level = se.failing.before // The span before may have begun when all was well.
+		se.failing.level = se.failing.previous // The previous span may have begun before the failures did.
 	}
-	if se.spell.judge(now, leastSlow) {
-		se.slow = signal{} // What it holds was seen before the server was quick again.
+	if se.slowPeriod.update(now, minSlowness) {
+		se.slow = signal{} // Its samples are from before the server was quick again.
 	}
 }
 
-// news reports whether a finding says something else than the one told before.
-func (fi Finding) news(told Finding) bool {
-	return differ(fi.Slowness, told.Slowness, movedSlow) || differ(fi.Failures, told.Failures, movedFailing)
+// differs reports whether a finding differs from the one sent before by enough to be sent.
+func (fi Finding) differs(sent Finding) bool {
+	return differ(fi.Slowness, sent.Slowness, slownessDelta) || differ(fi.Failures, sent.Failures, failuresDelta)
 }
 
-func differ(a, b float32, moved float64) bool {
-	return (a == 0) != (b == 0) || math.Abs(float64(a-b)) >= moved
+func differ(a, b float32, minDelta float64) bool {
+	return (a == 0) != (b == 0) || math.Abs(float64(a-b)) >= minDelta
 }
--- a/outlier/detector_test.go
+++ b/outlier/detector_test.go
@@ -11,141 +11,140 @@
 
 const ms = time.Millisecond
 
-// feeder gives a detector the samples of many entry instances, one of each for
-// each step of time.
+// feeder feeds a detector with the samples of several entry instances, one of each per time
+// step.
 type feeder struct {
-	de  *Detector
-	now time.Time
-	out []Finding
+	de       *Detector
+	now      time.Time
+	findings []Finding
 }
 
 func newFeeder() *feeder { return &feeder{de: New(), now: time.Unix(1000, 0)} }
 
-// run gives samples for a time: each step of 100 ms those of three entry instances.
+// run feeds the sample of three entry instances every 100 ms.
 func (fe *feeder) run(length time.Duration, sa Sample) {
 	for end := fe.now.Add(length); fe.now.Before(end); fe.now = fe.now.Add(100 * ms) {
 		for ix := range 3 {
 			fe.de.Add(fe.now, fmt.Sprint("e", ix), []Sample{sa})
 		}
-		fe.out = append(fe.out, fe.de.Findings(fe.now)...)
+		fe.findings = append(fe.findings, fe.de.Findings(fe.now)...)
 	}
 }
 
-// last returns the newest finding.
-func (fe *feeder) last() Finding {
-	if len(fe.out) == 0 {
+// lastFinding returns the newest finding.
+func (fe *feeder) lastFinding() Finding {
+	if len(fe.findings) == 0 {
 		return Finding{}
 	}
-	return fe.out[len(fe.out)-1]
+	return fe.findings[len(fe.findings)-1]
 }
 
-func usual() Sample { return Sample{ID: "a", Count: 1, Served: 1} }
+func quickSample() Sample { return Sample{ID: "a", Count: 1, Served: 1} }
 
-func slow(times float64) Sample {
+func slowSample(times float64) Sample {
 	return Sample{ID: "a", Count: 1, LogSum: float32(math.Log(times)), Served: 1, Slow: 1}
 }
 
-// A backend server turns nine times slower while each entry instance sends it a
-// request in two seconds. Alone, each has it learned after several slow answers of
-// its own; the callers of all of them have waited by then. Together they know it
-// within a second, and as soon that it is over.
+// A backend server becomes nine times slower while each entry instance sends it one request
+// in two seconds. Alone, each instance would learn it only from several slow answers.
+// Together they must find it within a second, and its recovery as soon.
 func TestSlowServerIsFoundWithinASecond(t *testing.T) {
 	c := qt.New(t)
 	fe := newFeeder()
-	fe.run(2*time.Second, usual())
-	c.Assert(fe.out, qt.HasLen, 0)
-	fe.run(1100*ms, slow(9))
-	c.Assert(fe.last().Slowness > float32(math.Log(8)), qt.IsTrue, qt.Commentf("%v", fe.out))
-	fe.run(600*ms, usual())
-	c.Assert(fe.last(), qt.Equals, Finding{ID: "a"})
+	fe.run(2*time.Second, quickSample())
+	c.Assert(fe.findings, qt.HasLen, 0)
+	fe.run(1100*ms, slowSample(9))
+	c.Assert(fe.lastFinding().Slowness > float32(math.Log(8)), qt.IsTrue, qt.Commentf("%v", fe.findings))
+	fe.run(600*ms, quickSample())
+	c.Assert(fe.lastFinding(), qt.Equals, Finding{ID: "a"})
 }
 
-// A sound backend server stands still for a quarter of a second, and what waited
-// there is answered late, all at once. Were it found slow, all entry instances would
-// leave it for seconds, after each of its pauses.
-func TestPauseIsNotFound(t *testing.T) {
+// A healthy backend server pauses for a quarter of a second, and all requests that waited
+// are answered late at once. If it were found slow, all entry instances would avoid it for
+// seconds after each of its pauses.
+func TestPauseIsNotFoundSlow(t *testing.T) {
 	for offset := range 4 {
 		t.Run(fmt.Sprint(offset), func(t *testing.T) {
 			c := qt.New(t)
 			fe := newFeeder()
-			fe.run(time.Second+time.Duration(offset)*100*ms, usual())
-			fe.run(300*ms, slow(9))
-			fe.run(2*time.Second, usual())
-			c.Assert(fe.out, qt.HasLen, 0)
+			fe.run(time.Second+time.Duration(offset)*100*ms, quickSample())
+			fe.run(300*ms, slowSample(9))
+			fe.run(2*time.Second, quickSample())
+			c.Assert(fe.findings, qt.HasLen, 0)
 		})
 	}
 }
 
-// A backend server refuses half of its requests while it says that it is well.
+// A backend server refuses half of its requests while it reports that it is healthy.
 func TestFailingServerIsFound(t *testing.T) {
 	c := qt.New(t)
 	fe := newFeeder()
-	fe.run(time.Second, usual())
+	fe.run(time.Second, quickSample())
 	fe.run(1200*ms, Sample{ID: "a", Served: 1, Failed: 1})
-	c.Assert(fe.last(), qt.Equals, Finding{ID: "a", Failures: 0.5})
-	fe.run(time.Second, usual())
-	c.Assert(fe.last().Healthy(), qt.IsTrue)
+	c.Assert(fe.lastFinding(), qt.Equals, Finding{ID: "a", Failures: 0.5})
+	fe.run(time.Second, quickSample())
+	c.Assert(fe.lastFinding().Healthy(), qt.IsTrue)
 }
 
-// One request in a hundred takes five times as long at sound servers, and a single
-// late one in a span of few samples must not make its server slow.
-func TestTailOfSoundServerIsNotFound(t *testing.T) {
+// One request in a hundred takes five times as long at healthy servers. A single late one
+// in a span with few samples must not make its server slow.
+func TestTailLatencyOfHealthyServerIsNotFoundSlow(t *testing.T) {
 	c := qt.New(t)
 	fe := newFeeder()
 	for range 20 {
-		fe.run(900*ms, usual())
-		fe.run(100*ms, slow(5))
+		fe.run(900*ms, quickSample())
+		fe.run(100*ms, slowSample(5))
 	}
-	c.Assert(fe.out, qt.HasLen, 0)
+	c.Assert(fe.findings, qt.HasLen, 0)
 }
 
-// A finding that stands is told again before it runs out, and one of a server that
-// nobody asks any more ends.
-func TestFindingIsToldAgainAndEnds(t *testing.T) {
+// A finding that holds must be sent again before it expires, and end once nobody sends the
+// server requests any more.
+func TestFindingIsResentAndEnds(t *testing.T) {
 	c := qt.New(t)
 	fe := newFeeder()
-	fe.run(8*time.Second, slow(4))
-	c.Assert(len(fe.out) >= 3, qt.IsTrue)
+	fe.run(8*time.Second, slowSample(4))
+	c.Assert(len(fe.findings) >= 3, qt.IsTrue)
 	for range 110 {
 		fe.now = fe.now.Add(100 * ms)
-		fe.out = append(fe.out, fe.de.Findings(fe.now)...)
+		fe.findings = append(fe.findings, fe.de.Findings(fe.now)...)
 	}
-	c.Assert(fe.last().Healthy(), qt.IsTrue)
+	c.Assert(fe.lastFinding().Healthy(), qt.IsTrue)
 	c.Assert(fe.de.servers, qt.HasLen, 0)
 }
 
-// Whatever an entry instance sends, the detector's memory stays bounded.
+// Memory must stay bounded whatever an entry instance sends.
 func TestServersAreBounded(t *testing.T) {
 	c := qt.New(t)
 	de := New()
-	for ix := range mostServers + 10 {
+	for ix := range maxServers + 10 {
 		de.Add(time.Unix(1000, 0), "e1", []Sample{{ID: fmt.Sprint(ix), Count: 1, LogSum: float32(math.NaN())}})
 	}
-	c.Assert(de.servers, qt.HasLen, mostServers)
+	c.Assert(de.servers, qt.HasLen, maxServers)
 }
 
-// A backend server turns slow, and only one entry instance says so: its link is bad, or
-// it lies. All others find the server quick. It stays as it is for all.
-func TestOneLiarIsNotBelieved(t *testing.T) {
+// Only one entry instance reports that a server is slow, because its link is bad or it
+// lies. All others find the server quick. No finding may result.
+func TestSingleReporterCannotMakeServerSlow(t *testing.T) {
 	c := qt.New(t)
 	fe := newFeeder()
 	for range 40 {
-		fe.de.Add(fe.now, "liar", []Sample{slow(20), slow(20), slow(20)})
-		fe.run(100*ms, usual())
+		fe.de.Add(fe.now, "faulty", []Sample{slowSample(20), slowSample(20), slowSample(20)})
+		fe.run(100*ms, quickSample())
 	}
-	c.Assert(fe.out, qt.HasLen, 0)
-	for range 40 { // Not even where nobody else asks the server.
-		fe.de.Add(fe.now, "liar", []Sample{slow(20)})
+	c.Assert(fe.findings, qt.HasLen, 0)
+	for range 40 { // The same holds if no other instance sends the server requests.
+		fe.de.Add(fe.now, "faulty", []Sample{slowSample(20)})
 		fe.now = fe.now.Add(10 * ms)
-		fe.out = append(fe.out, fe.de.Findings(fe.now)...)
+		fe.findings = append(fe.findings, fe.de.Findings(fe.now)...)
 	}
-	c.Assert(fe.out, qt.HasLen, 0)
+	c.Assert(fe.findings, qt.HasLen, 0)
 }
 
-// A sample tells when the requests in it were sent. Two entry instances report late, and
-// at once, what spans more than a pause: the server is slow. The same number of slow
-// requests that were sent close together met a pause.
-func TestTimeOfSendingTellsPauseFromSlowness(t *testing.T) {
+// Samples contain when their slow requests were sent. If the send times span more than a
+// pause, the server is slow, even if the samples come late and all at once. The same number
+// of slow requests sent close together met a pause.
+func TestSendTimesDistinguishPauseFromSlowness(t *testing.T) {
 	for _, tc := range []struct {
 		name           string
 		oldest, newest uint32
@@ -161,27 +160,27 @@
 			sa := Sample{ID: "a", Count: 4, LogSum: 4 * float32(math.Log(5)), Slow: 4, OldestSlow: tc.oldest, NewestSlow: tc.newest}
 			fe.de.Add(fe.now, "e1", []Sample{sa})
 			fe.de.Add(fe.now, "e2", []Sample{sa})
-			fe.out = fe.de.Findings(fe.now)
-			c.Assert(len(fe.out) > 0, qt.Equals, tc.found)
+			fe.findings = fe.de.Findings(fe.now)
+			c.Assert(len(fe.findings) > 0, qt.Equals, tc.found)
 		})
 	}
 }
 
-// A server was found slow. A probe that was sent before that and comes back quick only
-// now says nothing; two that were sent since end the finding at once.
-func TestQuickAnswersEndAFinding(t *testing.T) {
+// A server was found slow. A request that was sent before that and answered quickly says
+// nothing; two that were sent since end the finding at once.
+func TestQuickAnswersEndFinding(t *testing.T) {
 	c := qt.New(t)
 	fe := newFeeder()
-	fe.run(time.Second, slow(9))
-	c.Assert(fe.last().Slowness > 0, qt.IsTrue)
+	fe.run(time.Second, slowSample(9))
+	c.Assert(fe.lastFinding().Slowness > 0, qt.IsTrue)
 	for range 3 {
 		fe.de.Add(fe.now, "e1", []Sample{{ID: "a", Count: 1, NewestQuick: 5000}})
-		fe.out = append(fe.out, fe.de.Findings(fe.now)...)
+		fe.findings = append(fe.findings, fe.de.Findings(fe.now)...)
 	}
-	c.Assert(fe.last().Slowness > 0, qt.IsTrue)
+	c.Assert(fe.lastFinding().Slowness > 0, qt.IsTrue)
 	for range 2 {
 		fe.de.Add(fe.now, "e1", []Sample{{ID: "a", Count: 1}})
 	}
-	fe.out = append(fe.out, fe.de.Findings(fe.now)...)
-	c.Assert(fe.last().Healthy(), qt.IsTrue)
+	fe.findings = append(fe.findings, fe.de.Findings(fe.now)...)
+	c.Assert(fe.lastFinding().Healthy(), qt.IsTrue)
 }
--- a/outlier/tally.go
+++ b/outlier/tally.go
@@ -1,26 +1,27 @@
 package outlier
 
-// tally is what entry instances told of one backend server, each by itself. It is bounded:
-// where more of them tell of a server than are told apart, none weighs much.
-type tally []teller
+// tally is what entry instances reported on one backend server, by instance. It is bounded:
+// if more of them report on a server than are counted separately, none has much weight.
+type tally []report
 
-// teller is what one entry instance told.
-type teller struct {
+// report sums up what one entry instance reported.
+type report struct {
 	name  string
 	sum   float64
 	count uint32
 }
 
-// add takes in what an entry instance told, unless it would be one more than most.
-func (ta *tally) add(name string, sum float64, count uint32, most int) {
+// add adds to the report of an entry instance, unless that would be one report more than
+// the limit.
+func (ta *tally) add(name string, sum float64, count uint32, limit int) {
 	for ix := range *ta {
-		if te := &(*ta)[ix]; te.name == name {
-			te.sum += sum
-			te.count += count
+		if re := &(*ta)[ix]; re.name == name {
+			re.sum += sum
+			re.count += count
 			return
 		}
 	}
-	if len(*ta) < most {
-		*ta = append(*ta, teller{name, sum, count})
+	if len(*ta) < limit {
+		*ta = append(*ta, report{name, sum, count})
 	}
 }
