--- a/replica/balancer.go
+++ b/replica/balancer.go
@@ -195,7 +195,7 @@
 	Failed                     // Failed is a 5xx, an invalid answer or a lost one.
 	Abandoned                  // Abandoned means given up while waiting for the answer: a hedge won, or the deadline passed.
 	Unreachable                // Unreachable means that no connection could be opened.
-	Replaced                   // Replaced means that another server answered at the address; this one is gone for good.
+	Replaced                   // Replaced means that another server answered at the address; the listed one is gone permanently.
 	Canceled                   // Canceled says nothing about the server: the caller left, or this was a hedge that lost.
 )
 
--- a/replica/balancer_test.go
+++ b/replica/balancer_test.go
@@ -137,11 +137,11 @@
 	for _, count := range fx.countChoices(900) {
 		c.Assert(count > 200, qt.IsTrue, qt.Commentf("%d of 900", count))
 	}
-	held := make(map[string]int)
+	counts := make(map[string]int)
 	for range 6 {
-		held[fx.choose().Server.ID]++
+		counts[fx.choose().Server.ID]++
 	}
-	c.Assert(held, qt.DeepEquals, map[string]int{"a": 2, "b": 2, "c": 2})
+	c.Assert(counts, qt.DeepEquals, map[string]int{"a": 2, "b": 2, "c": 2})
 }
 
 func TestMoreSlotsGetMoreRequests(t *testing.T) {
@@ -149,12 +149,12 @@
 	large := ready("a")
 	large.Slots = 6
 	fx := newFixture(c, large, ready("b"))
-	held := make(map[string]int)
+	counts := make(map[string]int)
 	for range 8 {
-		held[fx.choose().Server.ID]++
+		counts[fx.choose().Server.ID]++
 	}
 	// The last choice compares 1 + 5/6 with 1 + 2/2, which is a near tie.
-	c.Assert(held["a"] >= 5 && held["b"] >= 2, qt.IsTrue, qt.Commentf("%v", held))
+	c.Assert(counts["a"] >= 5 && counts["b"] >= 2, qt.IsTrue, qt.Commentf("%v", counts))
 }
 
 func TestLocalDataCentrePreferred(t *testing.T) {
@@ -532,8 +532,8 @@
 		fx.ba.Done(fx.now, pk, Report{Outcome: outcome})
 		fx.answer("b", 30*ms) // This is the server of the hedge.
 	}
-	share := float64(hedged) / float64(count)
-	c.Assert(share > 0.05 && share < 0.2, qt.IsTrue, qt.Commentf("%.3f", share))
+	fraction := float64(hedged) / float64(count)
+	c.Assert(fraction > 0.05 && fraction < 0.2, qt.IsTrue, qt.Commentf("%.3f", fraction))
 }
 
 func TestOldLatenciesDecay(t *testing.T) {
--- a/replica/fault_test.go
+++ b/replica/fault_test.go
@@ -16,11 +16,11 @@
 	c := qt.New(t)
 	fx := newFixture(c, ready("a"), ready("b"))
 	fx.train("a", "b")
-	var held []Pick
+	var picks []Pick
 	for range 6 {
-		held = append(held, fx.chooseServer("a"))
+		picks = append(picks, fx.chooseServer("a"))
 	}
-	for _, pk := range held {
+	for _, pk := range picks {
 		fx.ba.Done(fx.now, pk, Report{Outcome: Unreachable})
 	}
 	fx.advance(minEjection + ms)
@@ -34,15 +34,15 @@
 	c := qt.New(t)
 	fx := newFixture(c, ready("a"), ready("b"))
 	fx.train("a", "b")
-	var held []Pick
+	var picks []Pick
 	for range 5 {
-		held = append(held, fx.chooseServer("a"))
+		picks = append(picks, fx.chooseServer("a"))
 	}
 	fx.advance(50 * ms)
-	for _, pk := range held {
+	for _, pk := range picks {
 		fx.ba.Overdue(fx.now, pk)
 	}
-	for _, pk := range held {
+	for _, pk := range picks {
 		fx.advance(ms)
 		fx.ba.Done(fx.now, pk, Report{Outcome: Abandoned})
 	}
@@ -75,8 +75,8 @@
 		fx.advance(5 * ms)
 		fx.ba.Done(fx.now, pk, Report{Outcome: Abandoned})
 	}
-	share := float64(hedged) / float64(count)
-	c.Assert(share > 0.04 && share < 0.12, qt.IsTrue, qt.Commentf("%.3f", share))
+	fraction := float64(hedged) / float64(count)
+	c.Assert(fraction > 0.04 && fraction < 0.12, qt.IsTrue, qt.Commentf("%.3f", fraction))
 }
 
 // A request's deadline passes without a call of Overdue. Its server becomes suspect all the
@@ -124,9 +124,9 @@
 	fx.finish("a", ms, Replaced)
 	fx.setServers(ready("a"), ready("b"))
 	c.Assert(fx.countChoices(50), qt.DeepEquals, map[string]int{"b": 50})
-	again := ready("a")
-	again.Born = 20
-	fx.setServers(again, ready("b"))
+	restarted := ready("a")
+	restarted.Born = 20
+	fx.setServers(restarted, ready("b"))
 	fx.ba.Done(fx.now, old, Report{Outcome: Failed})
 	c.Assert(fx.countChoices(50)["a"] > 10, qt.IsTrue)
 	c.Assert(fx.ba.NumReady("s"), qt.Equals, 2)
--- a/replica/samples_test.go
+++ b/replica/samples_test.go
@@ -57,14 +57,14 @@
 	for ix := range 5 {
 		fx.ba.Done(fx.now, fx.chooseServer(fmt.Sprint(ix)), Report{Outcome: Shed})
 	}
-	var told []string
+	var sampled []string
 	for range 3 {
 		for _, sa := range fx.ba.TakeSamples(fx.now, 2) {
 			c.Assert(sa, qt.Equals, outlier.Sample{ID: sa.ID, Failed: 1})
-			told = append(told, sa.ID)
+			sampled = append(sampled, sa.ID)
 		}
 	}
-	c.Assert(told, qt.DeepEquals, []string{"0", "1", "2", "3", "4"})
+	c.Assert(sampled, qt.DeepEquals, []string{"0", "1", "2", "3", "4"})
 	c.Assert(fx.ba.TakeSamples(fx.now, 2), qt.HasLen, 0)
 }
 
@@ -103,7 +103,7 @@
 // A request is sent to a server that doesn't answer, and no hedge can be afforded. The
 // others must learn that the server is slow while the request still waits, and not a second
 // time when it ends. The send times of both the oldest and the newest slow request are
-// included: their distance tells a slow server from a short pause.
+// included: their distance distinguishes a slow server from a short pause.
 func TestSamplesIncludeInFlightRequests(t *testing.T) {
 	c := qt.New(t)
 	fx := newFixture(c, ready("a"))
