--- a/scatter/events.go
+++ b/scatter/events.go
@@ -21,10 +21,10 @@
 // AttemptDeferred records that an attempt could not be started and may be tried again
 // later. At NoServerDeadline, or NoConnectionDeadline, a shard without an attempt in flight
 // is given up, so that the caller learns at once that waiting is in vain.
-func (qu *Query) AttemptDeferred(now time.Time, index int, ca Cause, again time.Time) {
+func (qu *Query) AttemptDeferred(now time.Time, index int, ca Cause, retryAt time.Time) {
 	sh := &qu.shards[index]
 	if sh.inFlight > 0 {
-		sh.nextAt = again
+		sh.nextAt = retryAt
 		return
 	}
 	sh.setCause(ca)
@@ -37,7 +37,7 @@
 		qu.updateState(now)
 		return
 	}
-	sh.nextAt = earlier(again, until)
+	sh.nextAt = earlier(retryAt, until)
 }
 
 // earlier returns the earlier time. It makes a shard be given up exactly at its deadline
@@ -52,11 +52,11 @@
 // NoServerLeft records that no server is left to try for a shard and none is expected.
 // Unless an attempt is in flight, the shard is given up at once: waiting until
 // NoServerDeadline would delay the answer for a part that can't come. If an attempt is in
-// flight, it only means that there is no hedge before the given time.
-func (qu *Query) NoServerLeft(now time.Time, index int, ca Cause, again time.Time) {
+// flight, it only means that there is no hedge before retryAt.
+func (qu *Query) NoServerLeft(now time.Time, index int, ca Cause, retryAt time.Time) {
 	sh := &qu.shards[index]
 	if sh.inFlight > 0 {
-		sh.nextAt = again
+		sh.nextAt = retryAt
 		return
 	}
 	sh.setCause(ca)
