--- a/limit/admission.go
+++ b/limit/admission.go
@@ -10,55 +10,57 @@
 	"balsamwinch.example/timer"
 )
 
-// The values that hold for what an AdmissionConfig leaves out.
+// Defaults for the fields of AdmissionConfig.
 const (
 	DefaultMaxLeafRequests = 16384
 	DefaultTarget          = 20 * time.Millisecond
 	DefaultInterval        = 30 * time.Millisecond
 )
 
-// AdmissionConfig is what an Admission is made with. The zero AdmissionConfig
-// is usable.
+// AdmissionConfig configures an Admission. The zero value is usable.
 type AdmissionConfig struct {
-	// Capacity is how many leaf requests all queries together may have; zero is
-	// the default. It bounds the instance's memory and is what services share by
+	// MaxLeafRequests bounds the leaf requests of all running queries together; zero
+	// means the default. It bounds the instance's memory, and services divide it by
 	// their weights.
 	MaxLeafRequests int
-	// Room says what the backend servers of a service can take; Table.Room is
-	// one. Without it only Capacity bounds what runs.
+	// ServiceCapacity returns what the backend servers of a service can take;
+	// Table.ServiceCapacity is one implementation. If it is nil, only
+	// MaxLeafRequests bounds the running queries.
 	ServiceCapacity func(service string) ServiceCapacity
 	// Target is the longest wait in a queue that has been long for Interval. Zero
-	// is the default; a negative Target lets queries wait as their deadlines allow.
+	// means the default. With a negative Target, queries wait as long as their
+	// deadlines allow.
 	Target   time.Duration
 	Interval time.Duration
-	// Order is OldestFirst unless the orders are compared: newest first answers as
-	// many, but whoever it leaves for last hears of it only at the deadline.
+	// Order is OldestFirst except in benchmarks that compare the orders. Newest
+	// first answers as many queries, but those left for last are rejected only at
+	// their deadlines.
 	Order Order
 }
 
-// Admission queues queries at the entry and refuses those that can't be served
-// in time, while not one of their leaf requests has been sent. It is safe for
-// many goroutines.
+// Admission queues queries at the entry instance and rejects those that can't be
+// answered in time, before any of their leaf requests is sent. It is safe for
+// concurrent use.
 type Admission struct {
 	ts *timer.Service
 
-	mu    sync.Mutex
-	qu    *queue
-	wake  *timer.Timeout // wake is set while queries wait behind running ones.
-	stats map[string]AdmissionStats
+	mu         sync.Mutex
+	qu         *queue
+	agingTimer *timer.Timeout // set while queries wait behind running ones
+	stats      map[string]AdmissionStats
 }
 
 // AdmissionStats counts the queries of one service.
 type AdmissionStats struct {
 	Waiting  int
-	Running  int    // Running counts those that take room at the backend servers.
-	Admitted uint64 // Admitted counts those that have started.
-	Refused  uint64 // Refused counts those refused on arrival.
-	Expired  uint64 // Expired counts those that did not start in time after all.
-	Unserved uint64 // Unserved counts those that started and gave no useful answer.
+	Running  int    // running queries that still count against the capacity
+	Admitted uint64 // queries that have started
+	Refused  uint64 // queries rejected on arrival
+	Expired  uint64 // queries that were queued but didn't start in time
+	Unserved uint64 // queries that started and gave no useful answer
 }
 
-// NewAdmission returns an admission without queries.
+// NewAdmission returns an Admission without queries.
 func NewAdmission(ts *timer.Service, cf AdmissionConfig) *Admission {
 	return &Admission{ts: ts, qu: newQueue(cf.withDefaults()), stats: make(map[string]AdmissionStats)}
 }
@@ -79,24 +81,25 @@
 	return cf
 }
 
-// Admit waits until a query may start and returns what must be called when it
-// has ended, with whether its answer was useful. Cost is how many leaf requests
-// it makes, weight its service's share of the instance. The error is
-// NotRunOverloaded: at once if the query can't start in time by what is known,
-// later if that turns out while it waits or the context ends.
+// Admit waits until a query may start. It returns a function that the caller
+// must call when the query has ended; served says whether its answer was useful.
+// Cost is the number of leaf requests of the query, and weight is its service's
+// share of the instance. The error is NotRunOverloaded: at once if the query is
+// not expected to start in time, later if it does not start in time after all or
+// the context ends.
 func (ad *Admission) Admit(ctx context.Context, service string, weight, cost int, deadline time.Time) (release func(served bool), err *result.Error) {
-	wa, told, retryAfter := ad.arrive(service, weight, cost, deadline)
-	if wa == nil {
+	qy, decided, retryAfter := ad.enqueue(service, weight, cost, deadline)
+	if qy == nil {
 		return nil, overloaded(service, "the queue is longer than the deadline allows", retryAfter, nil)
 	}
-	if told != nil {
-		if err := ad.await(ctx, wa, told); err != nil {
+	if decided != nil {
+		if err := ad.waitForStart(ctx, qy, decided); err != nil {
 			return nil, err
 		}
 	}
 	var once sync.Once
 	return func(served bool) {
-		once.Do(func() { ad.end(wa, served) })
+		once.Do(func() { ad.end(qy, served) })
 	}, nil
 }
 
@@ -105,93 +108,94 @@
 	ad.mu.Lock()
 	defer ad.mu.Unlock()
 	st := ad.stats[service]
-	if li := ad.qu.lines[service]; li != nil {
-		st.Waiting, st.Running = len(li.waiting), len(li.running)
+	if sq := ad.qu.byService[service]; sq != nil {
+		st.Waiting, st.Running = len(sq.waiting), len(sq.running)
 	}
 	return st
 }
 
-// arrive returns the query, and a channel that is closed when it starts or
-// expires unless it has started already; or when to come back.
-func (ad *Admission) arrive(service string, weight, cost int, deadline time.Time) (*waiting, <-chan struct{}, time.Duration) {
+// enqueue adds a query. It returns the query and, unless it has already started,
+// a channel that is closed when it starts or expires. If the query is rejected,
+// enqueue returns nil and when to retry.
+func (ad *Admission) enqueue(service string, weight, cost int, deadline time.Time) (*query, <-chan struct{}, time.Duration) {
 	ad.mu.Lock()
 	defer ad.mu.Unlock()
-	wa, retryAfter := ad.qu.arrive(ad.ts.Now(), service, weight, cost, deadline)
-	ad.rewake()
+	qy, retryAfter := ad.qu.enqueue(ad.ts.Now(), service, weight, cost, deadline)
+	ad.resetAgingTimer()
 	switch {
-	case wa == nil:
-		ad.count(service, func(st *AdmissionStats) { st.Refused++ })
+	case qy == nil:
+		ad.updateStats(service, func(st *AdmissionStats) { st.Refused++ })
 		return nil, nil, retryAfter
-	case wa.state == running:
-		ad.count(service, func(st *AdmissionStats) { st.Admitted++ })
-		return wa, nil, 0
+	case qy.state == running:
+		ad.updateStats(service, func(st *AdmissionStats) { st.Admitted++ })
+		return qy, nil, 0
 	}
-	told := make(chan struct{})
-	wa.told = func() { close(told) }
-	return wa, told, 0
+	decided := make(chan struct{})
+	qy.onDecision = func() { close(decided) }
+	return qy, decided, 0
 }
 
-// await waits until the query starts.
-func (ad *Admission) await(ctx context.Context, wa *waiting, told <-chan struct{}) *result.Error {
-	late := ad.ts.Timeout(wa.latest.Sub(ad.ts.Now())+time.Nanosecond, ad.advance)
+// waitForStart waits until the query starts, expires or the context ends.
+func (ad *Admission) waitForStart(ctx context.Context, qy *query, decided <-chan struct{}) *result.Error {
+	late := ad.ts.Timeout(qy.latest.Sub(ad.ts.Now())+time.Nanosecond, ad.advance)
 	defer late.Stop()
 	select {
-	case <-told:
+	case <-decided:
 	case <-ctx.Done():
 	}
 	ad.mu.Lock()
 	defer ad.mu.Unlock()
-	service := wa.li.name
+	service := qy.sq.name
 	switch {
-	case wa.state == running && ctx.Err() == nil:
-		ad.count(service, func(st *AdmissionStats) { st.Admitted++ })
+	case qy.state == running && ctx.Err() == nil:
+		ad.updateStats(service, func(st *AdmissionStats) { st.Admitted++ })
 		return nil
-	case wa.state == expired:
-		ad.count(service, func(st *AdmissionStats) { st.Expired++ })
-		return overloaded(service, "the query could not start in time", leastRetryAfter, nil)
+	case qy.state == expired:
+		ad.updateStats(service, func(st *AdmissionStats) { st.Expired++ })
+		return overloaded(service, "the query could not start in time", minRetryAfter, nil)
 	default:
-		ad.qu.end(ad.ts.Now(), wa)
-		ad.rewake()
-		return overloaded(service, "given up while it waited", leastRetryAfter, ctx.Err())
+		ad.qu.end(ad.ts.Now(), qy)
+		ad.resetAgingTimer()
+		return overloaded(service, "cancelled while queued", minRetryAfter, ctx.Err())
 	}
 }
 
-func (ad *Admission) end(wa *waiting, served bool) {
+func (ad *Admission) end(qy *query, served bool) {
 	ad.mu.Lock()
 	defer ad.mu.Unlock()
 	if !served {
-		ad.count(wa.li.name, func(st *AdmissionStats) { st.Unserved++ })
+		ad.updateStats(qy.sq.name, func(st *AdmissionStats) { st.Unserved++ })
 	}
-	ad.qu.end(ad.ts.Now(), wa)
-	ad.rewake()
+	ad.qu.end(ad.ts.Now(), qy)
+	ad.resetAgingTimer()
 }
 
 func (ad *Admission) advance() {
 	ad.mu.Lock()
 	defer ad.mu.Unlock()
 	ad.qu.advance(ad.ts.Now())
-	ad.rewake()
+	ad.resetAgingTimer()
 }
 
-// rewake sets the timeout for when a running query stops counting, which may
-// let a waiting one start though nothing ended.
-func (ad *Admission) rewake() {
-	at, ok := ad.qu.nextAged()
+// resetAgingTimer sets the timer for when a running query stops counting, since
+// a waiting one may then start although no query has ended.
+func (ad *Admission) resetAgingTimer() {
+	at, ok := ad.qu.nextAgedAt()
 	if !ok {
-		if ad.wake != nil {
-			ad.wake.Stop()
+		if ad.agingTimer != nil {
+			ad.agingTimer.Stop()
 		}
 		return
 	}
 	delay := max(0, at.Sub(ad.ts.Now())) + time.Nanosecond
-	if ad.wake == nil {
-		ad.wake = ad.ts.Timeout(delay, ad.advance)
+	if ad.agingTimer == nil {
+		ad.agingTimer = ad.ts.Timeout(delay, ad.advance)
 		return
 	}
-	ad.wake.Reset(delay)
+	ad.agingTimer.Reset(delay)
 }
 
-func (ad *Admission) count(service string, change func(st *AdmissionStats)) {
+func (ad *Admission) updateStats(service string, change func(st *AdmissionStats)) {
 	st := ad.stats[service]
 	change(&st)
 	ad.stats[service] = st
--- a/limit/admission_test.go
+++ b/limit/admission_test.go
@@ -12,51 +12,53 @@
 	"balsamwinch.example/timer"
 )
 
-// fixedRoom returns a config for servers that run one query at a time in 10 ms.
-func fixedRoom(queries float64) AdmissionConfig {
+// fixedCapacity returns a config for servers that run the given number of
+// queries at a time, each in 10 ms.
+func fixedCapacity(queries float64) AdmissionConfig {
 	return AdmissionConfig{ServiceCapacity: func(string) ServiceCapacity {
-		return ServiceCapacity{Concurrency: queries / roomFactor, MedianLatency: 10 * ms}
+		return ServiceCapacity{Concurrency: queries / concurrencyFactor, MedianLatency: 10 * ms}
 	}}.withDefaults()
 }
 
-// A burst finds the queue longer than the deadline allows. Whoever can't be
-// served hears so at once and not after waiting, and those refused are sent
-// back one after another, so that they don't return as a second burst.
-func TestRefusedAtOnce(t *testing.T) {
+// In a burst, the queue gets longer than the deadline allows. Queries that can't
+// be served must be rejected at once instead of after waiting. Their retry
+// delays must be spaced, or they come back as a second burst.
+func TestAdmissionRejectsWhenQueueExceedsDeadline(t *testing.T) {
 	c := qt.New(t)
-	qu := newQueue(fixedRoom(1))
+	qu := newQueue(fixedCapacity(1))
 	deadline := t0.Add(100 * ms)
 	queued := 0
-	var back []time.Duration
+	var retries []time.Duration
 	for range 20 {
-		wa, retryAfter := qu.arrive(t0, "s", 1, 3, deadline)
-		if wa != nil {
+		qy, retryAfter := qu.enqueue(t0, "s", 1, 3, deadline)
+		if qy != nil {
 			queued++
 			continue
 		}
-		back = append(back, retryAfter)
+		retries = append(retries, retryAfter)
 	}
 	c.Assert(queued, qt.Equals, 10)
-	c.Assert(back[0] >= 80*ms && back[9] >= back[0]+80*ms, qt.IsTrue, qt.Commentf("%v", back))
-	wa, _ := qu.arrive(t0, "s", 1, 3, t0.Add(time.Second))
-	c.Assert(wa, qt.IsNotNil, qt.Commentf("a later deadline has time to wait"))
-	_, now := qu.arrive(t0, "s", 1, 3, t0)
+	c.Assert(retries[0] >= 80*ms && retries[9] >= retries[0]+80*ms, qt.IsTrue, qt.Commentf("%v", retries))
+	qy, _ := qu.enqueue(t0, "s", 1, 3, t0.Add(time.Second))
+	c.Assert(qy, qt.IsNotNil, qt.Commentf("a later deadline has time to wait"))
+	_, now := qu.enqueue(t0, "s", 1, 3, t0)
 	c.Assert(now, qt.Not(qt.Equals), time.Duration(0), qt.Commentf("the deadline has passed"))
 }
 
-// One service has a surge of ten times what the instance can run. Another sends
-// as much as before; its queries must not queue behind the surge.
-func TestSurgeStarvesNobody(t *testing.T) {
+// One service has a surge of ten times what the instance can run, another sends
+// as much as before. The other service's queries must not queue behind the
+// surge.
+func TestAdmissionIsFairDuringSurge(t *testing.T) {
 	c := qt.New(t)
 	cf := AdmissionConfig{MaxLeafRequests: 4, Target: -1}.withDefaults()
 	qu := newQueue(cf)
 	now, deadline := t0, t0.Add(time.Hour)
-	var runs []*waiting
+	var runs []*query
 	started := map[string]int{}
-	all := map[*waiting]bool{}
+	all := map[*query]bool{}
 	arrive := func(service string, weight int) {
-		wa, _ := qu.arrive(now, service, weight, 1, deadline)
-		all[wa] = true
+		qy, _ := qu.enqueue(now, service, weight, 1, deadline)
+		all[qy] = true
 	}
 	for range 1000 {
 		now = now.Add(ms)
@@ -67,15 +69,15 @@
 		arrive("heavy", 2)
 		arrive("heavy", 2)
 		runs = runs[:0]
-		for wa := range all {
-			if wa.state == running {
-				started[wa.li.name]++
-				runs = append(runs, wa)
-				delete(all, wa)
+		for qy := range all {
+			if qy.state == running {
+				started[qy.sq.name]++
+				runs = append(runs, qy)
+				delete(all, qy)
 			}
 		}
-		for _, wa := range runs {
-			qu.end(now, wa)
+		for _, qy := range runs {
+			qu.end(now, qy)
 		}
 	}
 	c.Assert(started["calm"] >= 995, qt.IsTrue, qt.Commentf("%v", started))
@@ -84,28 +86,28 @@
 }
 
 // A leaf without a replica is stuck, and each query waits for it until its
-// deadline. If those queries kept their room, the instance would refuse what
-// the other leafs could well answer in part.
-func TestStuckLeafTakesNoRoom(t *testing.T) {
+// deadline. If those queries kept their places, the instance would reject
+// queries that the other leafs could answer in part.
+func TestAgedQueryFreesItsPlace(t *testing.T) {
 	c := qt.New(t)
-	qu := newQueue(fixedRoom(1))
-	stuck, _ := qu.arrive(t0, "s", 1, 3, t0.Add(time.Second))
+	qu := newQueue(fixedCapacity(1))
+	stuck, _ := qu.enqueue(t0, "s", 1, 3, t0.Add(time.Second))
 	c.Assert(stuck.state, qt.Equals, running)
-	next, _ := qu.arrive(t0, "s", 1, 3, t0.Add(time.Second))
+	next, _ := qu.enqueue(t0, "s", 1, 3, t0.Add(time.Second))
 	c.Assert(next.state, qt.Equals, queued)
-	at, ok := qu.nextAged()
+	at, ok := qu.nextAgedAt()
 	c.Assert([]any{at, ok}, qt.DeepEquals, []any{t0.Add(agedFactor * 10 * ms), true})
 	qu.advance(at.Add(1))
 	c.Assert(next.state, qt.Equals, running)
 	qu.end(at, stuck)
-	c.Assert(qu.cost, qt.Equals, 3)
+	c.Assert(qu.runningCost, qt.Equals, 3)
 }
 
-// Admit lets queries start, wait, give up and run out of time on the clock.
+// Queries start, are rejected, are cancelled and expire.
 func TestAdmit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		ad := NewAdmission(timer.New(), fixedRoom(1))
+		ad := NewAdmission(timer.New(), fixedCapacity(1))
 		start := time.Now()
 		admit := func(ctx context.Context, wait time.Duration) (func(bool), *result.Error) {
 			return ad.Admit(ctx, "s", 1, 3, start.Add(wait))
@@ -138,24 +140,24 @@
 	})
 }
 
-// Callers send twice what the servers can take, for seconds. Without a bound
-// the entry sends work whose time is over when it ends, answers nothing in
-// time and needs long to recover.
-func TestSurge(t *testing.T) {
+// For seconds, callers send twice what the servers can take. Without a bound,
+// the instance would send queries that end after their deadlines, answer nothing
+// in time and take long to recover.
+func TestGoodputDuringOverload(t *testing.T) {
 	c := qt.New(t)
-	tr := trial{
+	sc := simConfig{
 		entries: 2, leafs: 3, slots: 4, length: 9 * time.Second, deadline: 250 * ms, hop: 200 * time.Microsecond,
-		tactics: "Adaptive", admit: &AdmissionConfig{}, seed: 1, load: steady(1),
+		tactics: "Adaptive", admission: &AdmissionConfig{}, seed: 1, load: steady(1),
 	}
-	capacity := tr.run()
-	tr.load = surge
-	ta := tr.run()
+	capacity := sc.run()
+	sc.load = surge
+	sr := sc.run()
 	for se := 3; se < 6; se++ {
-		c.Check(ta.bySecond[se]*10 >= capacity.bySecond[se]*9, qt.IsTrue, qt.Commentf("second %d: %d of %d", se, ta.bySecond[se], capacity.bySecond[se]))
+		c.Check(sr.bySecond[se]*10 >= capacity.bySecond[se]*9, qt.IsTrue, qt.Commentf("second %d: %d of %d", se, sr.bySecond[se], capacity.bySecond[se]))
 	}
-	c.Check(ta.shed*100 < ta.sent, qt.IsTrue, qt.Commentf("%d of %d shed", ta.shed, ta.sent))
-	late := millis(ta.refusals, 0.99)
-	c.Check(len(ta.refusals) > 0 && late <= 20, qt.IsTrue, qt.Commentf("%v ms", late))
-	before, after := ta.bySecond[0]+ta.bySecond[1], ta.bySecond[7]+ta.bySecond[8]
+	c.Check(sr.shed*100 < sr.sent, qt.IsTrue, qt.Commentf("%d of %d shed", sr.shed, sr.sent))
+	late := quantileMillis(sr.refusals, 0.99)
+	c.Check(len(sr.refusals) > 0 && late <= 20, qt.IsTrue, qt.Commentf("%v ms", late))
+	before, after := sr.bySecond[0]+sr.bySecond[1], sr.bySecond[7]+sr.bySecond[8]
 	c.Check(after*10 >= before*9, qt.IsTrue, qt.Commentf("%d after, %d before", after, before))
 }
--- a/limit/bench_test.go
+++ b/limit/bench_test.go
@@ -10,8 +10,8 @@
 	"balsamwinch.example/view"
 )
 
-// BenchmarkPick times one leaf request's Pick and Done among replicas of a
-// shard (2) and among large groups (13, 180).
+// BenchmarkPick measures Pick and Done for one leaf request, with the replicas
+// of a shard (2) and with large groups (13, 180).
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{2, 13, 180} {
 		ta, res := tableOf(TableConfig{}, n)
@@ -65,7 +65,7 @@
 	})
 }
 
-// BenchmarkUpdate times taking over a view of the size of the letter.
+// BenchmarkUpdate measures Update with views as large as those in operation.
 func BenchmarkUpdate(b *testing.B) {
 	for _, n := range []int{360, 6900} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -78,14 +78,14 @@
 	}
 }
 
-// BenchmarkReview times comparing the servers of one service.
+// BenchmarkReview measures comparing the servers of one service.
 func BenchmarkReview(b *testing.B) {
 	for _, n := range []int{26, 360} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			ta, res := tableOf(TableConfig{}, n)
 			warmTable(ta, res, t0)
 			for b.Loop() {
-				ta.sn.Load().groups["s"].review(t0)
+				ta.st.Load().groups["s"].review(t0)
 			}
 		})
 	}
--- a/limit/budget.go
+++ b/limit/budget.go
@@ -2,45 +2,47 @@
 
 import "sync/atomic"
 
-// request is one leaf request in the budget's unit, a millionth of one.
-const request = 1_000_000
+// unitsPerRequest is what one leaf request costs in the unit of the budget, a
+// millionth of a request.
+const unitsPerRequest = 1_000_000
 
-// Budget bounds the extra leaf requests of hedges and retries to a percentage
-// of the leaf requests. Over any span of time at most that percentage of the
-// requests of the span and one burst are spent. It is safe for many goroutines.
+// Budget limits the extra leaf requests of hedges and retries to a percentage of
+// the leaf requests. In any period, at most that percentage of the period's
+// requests plus one burst is spent. It is safe for concurrent use.
 type Budget struct {
-	saved atomic.Int64
-	share int64
-	most  int64
+	balance    atomic.Int64
+	perRequest int64
+	maxBalance int64
 }
 
-// NewBudget returns a budget of the given percentage that can save up, and
-// starts with, burst extra requests.
+// NewBudget returns a budget of the given percentage. It holds at most burst
+// extra requests and starts with that many.
 func NewBudget(percent float64, burst int) *Budget {
-	bu := &Budget{share: int64(percent * request / 100), most: int64(burst) * request}
-	bu.saved.Store(bu.most)
+	bu := &Budget{perRequest: int64(percent * unitsPerRequest / 100), maxBalance: int64(burst) * unitsPerRequest}
+	bu.balance.Store(bu.maxBalance)
 	return bu
 }
 
-// Earn adds the share that n leaf requests bring.
+// Earn adds the percentage of n leaf requests to the balance.
 func (bu *Budget) Earn(n int) {
 	for {
-		old := bu.saved.Load()
-		sum := min(bu.most, old+bu.share*int64(n))
-		if sum == old || bu.saved.CompareAndSwap(old, sum) {
+		old := bu.balance.Load()
+		sum := min(bu.maxBalance, old+bu.perRequest*int64(n))
+		if sum == old || bu.balance.CompareAndSwap(old, sum) {
 			return
 		}
 	}
 }
 
-// Spend takes one extra leaf request and reports whether the budget had it.
+// Spend takes one extra leaf request from the budget and reports whether the
+// balance allowed it.
 func (bu *Budget) Spend() bool {
 	for {
-		old := bu.saved.Load()
-		if old < request {
+		old := bu.balance.Load()
+		if old < unitsPerRequest {
 			return false
 		}
-		if bu.saved.CompareAndSwap(old, old-request) {
+		if bu.balance.CompareAndSwap(old, old-unitsPerRequest) {
 			return true
 		}
 	}
--- a/limit/entry.go
+++ b/limit/entry.go
@@ -8,228 +8,230 @@
 	"balsamwinch.example/operator"
 )
 
-// entry guards one Server and remembers its requests in flight.
-type entry struct {
-	mu      sync.Mutex
-	se      Server
-	flights []flight // flights are in the order of sending.
-	ticket  uint64
-	rn      *rand.Rand
-	groups  []*group // groups are those of the services that select the server.
-	waiters []*Waiter
+// serverEntry guards one Server and tracks its requests in flight.
+type serverEntry struct {
+	mu       sync.Mutex
+	se       Server
+	inFlight []sentRequest // ordered by time of sending
+	lastID   uint64
+	rn       *rand.Rand
+	groups   []*group // groups of the services that select the server
+	waiters  []*Waiter
 }
 
-// flight is one request that runs or may still run.
-type flight struct {
-	ticket uint64
-	sent   time.Time
-	until  time.Time // until is when a held flight is let go without proof; zero unless held.
-	probe  bool
+// sentRequest is a request that is running or may still be running.
+type sentRequest struct {
+	id        uint64
+	sentAt    time.Time
+	heldUntil time.Time // when a held slot is freed without confirmation; zero unless held
+	probe     bool
 }
 
-// offer says how a server takes one more request.
-type offer uint8
+// availability tells on which terms a server takes one more request. Higher
+// values are preferred.
+type availability uint8
 
 const (
-	closed  offer = iota // closed takes none: it leaves, or has no connections for us.
-	full                 // full has no room now.
-	spare                // spare fails or is stuck and takes one only if no other ever will.
-	poor                 // poor is set aside as slow and takes one at a time if the others are full.
-	open                 // open has room.
-	overdue              // overdue is set aside and due for a probe.
+	unavailable availability = iota // takes none: it is leaving, or this instance may not connect to it
+	full                            // has no capacity now
+	lastResort                      // fails or is stuck; takes one only if no other server ever will
+	degraded                        // ejected as slow; takes one at a time if the others are full
+	available                       // has capacity
+	probeDue                        // ejected and due for a probe
 )
 
-// offer returns how the server takes one more request at the given time.
-func (se Server) offer(now time.Time) offer {
-	if se.connections == 0 || se.inFlight >= se.connections {
-		return se.closedOrFull()
+// availability returns on which terms the server takes one more request now.
+func (se Server) availability(now time.Time) availability {
+	if se.maxConnections == 0 || se.inFlight >= se.maxConnections {
+		return se.unavailableOrFull()
 	}
 	switch se.state {
 	case StateCold, StateServing:
-		return se.openOrFull(now)
+		return se.availableOrFull(now)
 	case StateEjected, StateProbing:
-		if !se.probing && !now.Before(se.probeAt) {
-			return overdue
+		if !se.probing && !now.Before(se.nextProbe) {
+			return probeDue
 		}
 		switch {
 		case se.inFlight > 0:
 			return full
 		case se.reason == Slow:
-			return poor
+			return degraded
 		default:
-			return spare
+			return lastResort
 		}
 	default:
-		return closed
+		return unavailable
 	}
 }
 
-// offerFor returns how the server takes one more request by the given tactics.
-// The baseline takes any server that has room in its equal static share of the
-// slots, whatever was learned of it.
-func (se Server) offerFor(now time.Time, tactics operator.Tactics) offer {
+// availabilityFor returns the availability under the given tactics. The baseline
+// uses any server that has capacity in its equal static share of the slots,
+// whatever was learned about it.
+func (se Server) availabilityFor(now time.Time, tactics operator.Tactics) availability {
 	if tactics != operator.Baseline {
-		return se.offer(now)
+		return se.availability(now)
 	}
-	if of := se.closedOrFull(); of == closed || se.inFlight >= se.static() {
-		return of
+	if av := se.unavailableOrFull(); av == unavailable || se.inFlight >= se.staticShare() {
+		return av
 	}
-	return open
+	return available
 }
 
-func (se Server) closedOrFull() offer {
-	if se.connections == 0 || se.state == StateDraining || se.state == StateGone {
-		return closed
+func (se Server) unavailableOrFull() availability {
+	if se.maxConnections == 0 || se.state == StateDraining || se.state == StateGone {
+		return unavailable
 	}
 	return full
 }
 
-func (se Server) openOrFull(now time.Time) offer {
+func (se Server) availableOrFull(now time.Time) availability {
 	switch {
-	case se.inFlight+se.held >= se.whole() || se.rest(now) > 0:
+	case se.inFlight+se.held >= se.maxInFlight() || se.sendDelay(now) > 0:
 		return full
 	case se.stuck(now):
-		return spare
+		return lastResort
 	default:
-		return open
+		return available
 	}
 }
 
-// look returns the server after letting go what was held too long.
-func (en *entry) look(now time.Time) Server {
+// current returns the server after freeing slots that were held for too long.
+func (en *serverEntry) current(now time.Time) Server {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	en.expire(now)
+	en.releaseExpired(now)
 	return en.se
 }
 
-// rate returns how the server takes one more request and how good it is.
-func (en *entry) rate(now time.Time, tactics operator.Tactics) (offer, float64) {
+// evaluate returns the server's availability and its score.
+func (en *serverEntry) evaluate(now time.Time, tactics operator.Tactics) (availability, float64) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	en.expire(now)
-	of := en.se.offerFor(now, tactics)
-	if of < spare || tactics == operator.Baseline {
-		return of, 0
+	en.releaseExpired(now)
+	av := en.se.availabilityFor(now, tactics)
+	if av < lastResort || tactics == operator.Baseline {
+		return av, 0
 	}
-	return of, en.se.score(now)
+	return av, en.se.score(now)
 }
 
-// take sends one request to the server if it is still on offer as it was. It
-// returns the request's ticket and this instance's share of the connections.
-func (en *entry) take(now time.Time, tactics operator.Tactics, of offer) (ticket uint64, connections int, ok bool) {
+// reserve records a request to the server if its availability is unchanged. It
+// returns the request's ID and this instance's share of the connections.
+func (en *serverEntry) reserve(now time.Time, tactics operator.Tactics, av availability) (id uint64, connections int, ok bool) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if en.se.offerFor(now, tactics) != of {
+	if en.se.availabilityFor(now, tactics) != av {
 		return 0, 0, false
 	}
-	en.add(now, of == overdue)
-	return en.ticket, en.se.connections, true
+	en.addRequest(now, av == probeDue)
+	return en.lastID, en.se.maxConnections, true
 }
 
-func (en *entry) add(now time.Time, probe bool) {
-	en.ticket++
-	en.flights = append(en.flights, flight{ticket: en.ticket, sent: now, probe: probe})
-	en.se = en.se.Step(Sent{Now: now, Oldest: en.flights[0].sent, Probe: probe})
+func (en *serverEntry) addRequest(now time.Time, probe bool) {
+	en.lastID++
+	en.inFlight = append(en.inFlight, sentRequest{id: en.lastID, sentAt: now, probe: probe})
+	en.se = en.se.Step(Sent{Now: now, Oldest: en.inFlight[0].sentAt, Probe: probe})
 }
 
-// done ends a request. Until is how long its slot stays taken without proof;
-// zero frees it. It returns the server, and false if the request is not known.
-func (en *entry) done(now time.Time, ticket uint64, oc Outcome, until time.Time) (Server, bool) {
+// finish ends a request. Its slot stays taken until heldUntil without
+// confirmation, or is freed if that is zero. finish returns the server, and
+// false if the request is unknown or has already ended.
+func (en *serverEntry) finish(now time.Time, id uint64, oc Outcome, heldUntil time.Time) (Server, bool) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	ix := en.find(ticket)
-	if ix < 0 || !en.flights[ix].until.IsZero() {
+	ix := en.find(id)
+	if ix < 0 || !en.inFlight[ix].heldUntil.IsZero() {
 		return en.se, false
 	}
-	defer en.tell()
-	fl := en.flights[ix]
-	held := !until.IsZero()
+	defer en.notifyWaiter()
+	rq := en.inFlight[ix]
+	held := !heldUntil.IsZero()
 	if held {
-		en.flights[ix].until = until
+		en.inFlight[ix].heldUntil = heldUntil
 	} else {
 		en.remove(ix)
 	}
 	en.se = en.se.Step(Ended{
-		Now: now, Outcome: oc, Oldest: en.oldest(), Probe: fl.probe, Held: held, Random: en.rn.Float64(),
+		Now: now, Outcome: oc, Oldest: en.oldestSent(), Probe: rq.probe, Held: held, Random: en.rn.Float64(),
 	})
 	return en.se, true
 }
 
-// stopped lets a held request go.
-func (en *entry) stopped(ticket uint64) {
+// releaseSlot frees the slot of a held request.
+func (en *serverEntry) releaseSlot(id uint64) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if ix := en.find(ticket); ix >= 0 && !en.flights[ix].until.IsZero() {
+	if ix := en.find(id); ix >= 0 && !en.inFlight[ix].heldUntil.IsZero() {
 		en.release(ix)
 	}
 }
 
-func (en *entry) expire(now time.Time) {
+func (en *serverEntry) releaseExpired(now time.Time) {
 	if en.se.held == 0 {
 		return
 	}
-	for ix := len(en.flights) - 1; ix >= 0; ix-- {
-		if un := en.flights[ix].until; !un.IsZero() && !now.Before(un) {
+	for ix := len(en.inFlight) - 1; ix >= 0; ix-- {
+		if un := en.inFlight[ix].heldUntil; !un.IsZero() && !now.Before(un) {
 			en.release(ix)
 		}
 	}
 }
 
-func (en *entry) release(ix int) {
+func (en *serverEntry) release(ix int) {
 	en.remove(ix)
-	defer en.tell()
-	en.se = en.se.Step(SlotReleased{Oldest: en.oldest()})
+	defer en.notifyWaiter()
+	en.se = en.se.Step(SlotReleased{Oldest: en.oldestSent()})
 }
 
-func (en *entry) find(ticket uint64) int {
-	for ix := range en.flights {
-		if en.flights[ix].ticket == ticket {
+func (en *serverEntry) find(id uint64) int {
+	for ix := range en.inFlight {
+		if en.inFlight[ix].id == id {
 			return ix
 		}
 	}
 	return -1
 }
 
-func (en *entry) remove(ix int) {
-	en.flights = append(en.flights[:ix], en.flights[ix+1:]...)
+func (en *serverEntry) remove(ix int) {
+	en.inFlight = append(en.inFlight[:ix], en.inFlight[ix+1:]...)
 }
 
-func (en *entry) oldest() time.Time {
-	if len(en.flights) == 0 {
+func (en *serverEntry) oldestSent() time.Time {
+	if len(en.inFlight) == 0 {
 		return time.Time{}
 	}
-	return en.flights[0].sent
+	return en.inFlight[0].sentAt
 }
 
-// step steps the server with an event from outside the traffic.
-func (en *entry) step(ev Event) {
+// step applies an event that doesn't come from a request.
+func (en *serverEntry) step(ev Event) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	before := en.se.incarnation
 	en.se = en.se.Step(ev)
 	if en.se.incarnation != before {
-		en.flights = en.flights[:0]
+		en.inFlight = en.inFlight[:0]
 	}
 }
 
-// judge steps the server with the result of a comparison.
-func (en *entry) judge(ev Compared) {
+// applyComparison applies the result of a comparison.
+func (en *serverEntry) applyComparison(ev Compared) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	ev.Random = en.rn.Float64()
 	en.se = en.se.Step(ev)
 }
 
-// join replaces the groups that the server belongs to.
-func (en *entry) join(groups []*group) {
+// setGroups replaces the groups that the server belongs to.
+func (en *serverEntry) setGroups(groups []*group) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	en.groups = groups
 }
 
-// memberOf returns the groups that the server belongs to.
-func (en *entry) memberOf() []*group {
+// loadGroups returns the groups that the server belongs to.
+func (en *serverEntry) loadGroups() []*group {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	return en.groups
--- a/limit/group.go
+++ b/limit/group.go
@@ -10,46 +10,47 @@
 	"balsamwinch.example/operator"
 )
 
-// reviewEvery is how often the servers of a service that is in use are compared.
-const reviewEvery = 50 * time.Millisecond
+// reviewInterval is how often the servers of a service in use are compared.
+const reviewInterval = 50 * time.Millisecond
 
-// Room is what the backend servers of a service can take from one instance.
+// ServiceCapacity is what the backend servers of a service can take from one
+// instance.
 type ServiceCapacity struct {
-	// Queries is how many leaf requests the scarcest shard may have in flight;
-	// zero if unknown. Shards without a usable server don't count.
+	// Concurrency is how many leaf requests may be in flight to the shard with the
+	// lowest limit; zero if unknown. Shards without a usable server don't count.
 	Concurrency   float64
-	MedianLatency time.Duration // Typical is the median leaf latency; zero if unknown.
+	MedianLatency time.Duration // median leaf latency; zero if unknown
 }
 
-// shardKey names a shard of one partition map.
+// shardKey identifies a shard of one partition map.
 type shardKey struct {
 	partition uint64
 	shard     string
 }
 
-// wanted finds the services that select a server.
-type wanted struct {
-	named map[string][]operator.Service // named are those that select by a service, by its name.
-	other []operator.Service
+// selectorIndex finds the services that select a server.
+type selectorIndex struct {
+	byService map[string][]operator.Service // services whose selector names a service, by that name
+	others    []operator.Service
 }
 
-func newWanted(services map[string]operator.Service) wanted {
-	wa := wanted{named: make(map[string][]operator.Service)}
+func newSelectorIndex(services map[string]operator.Service) selectorIndex {
+	si := selectorIndex{byService: make(map[string][]operator.Service)}
 	for name, se := range services {
 		se.Name = name
 		if sl := se.Selector.Service; sl != "" {
-			wa.named[sl] = append(wa.named[sl], se)
+			si.byService[sl] = append(si.byService[sl], se)
 		} else {
-			wa.other = append(wa.other, se)
+			si.others = append(si.others, se)
 		}
 	}
-	return wa
+	return si
 }
 
-// of yields the services that select the server.
-func (wa wanted) of(re *backend.Record) iter.Seq[operator.Service] {
+// servicesOf yields the services that select the server.
+func (si selectorIndex) servicesOf(re *backend.Record) iter.Seq[operator.Service] {
 	return func(yield func(operator.Service) bool) {
-		for _, ses := range [][]operator.Service{wa.named[re.Service], wa.other} {
+		for _, ses := range [][]operator.Service{si.byService[re.Service], si.others} {
 			for _, se := range ses {
 				if Selects(se, re) && !yield(se) {
 					return
@@ -59,43 +60,43 @@
 	}
 }
 
-// group is the servers that one service selects.
+// group holds the servers that one service selects.
 type group struct {
-	service  operator.Service
-	scarcest int // scarcest is the fewest slots of a server.
-	entries  []*entry
-	shards   [][]int          // shards lists, for each shard, the indices of its entries.
-	index    map[shardKey]int // index maps to indices of shards.
-
-	mu   sync.Mutex // mu lets one goroutine review at a time.
-	next atomic.Int64
-	room atomic.Pointer[ServiceCapacity]
+	service    operator.Service
+	minSlots   int // lowest number of slots of a server
+	servers    []*serverEntry
+	shards     [][]int          // for each shard, the indices of its servers
+	shardIndex map[shardKey]int // index into shards
+
+	mu         sync.Mutex // held by the goroutine that reviews
+	nextReview atomic.Int64
+	capacity   atomic.Pointer[ServiceCapacity]
 }
 
-// newGroup returns a group without servers that keeps the room of the one that
-// it replaces until its next review.
+// newGroup returns a group without servers. Until its first review it keeps the
+// capacity of the group that it replaces.
 func newGroup(se operator.Service, old *group) *group {
-	gr := &group{service: se, index: make(map[shardKey]int)}
-	gr.room.Store(&ServiceCapacity{})
+	gr := &group{service: se, shardIndex: make(map[shardKey]int)}
+	gr.capacity.Store(&ServiceCapacity{})
 	if old != nil {
-		gr.room.Store(old.room.Load())
-		gr.next.Store(old.next.Load())
+		gr.capacity.Store(old.capacity.Load())
+		gr.nextReview.Store(old.nextReview.Load())
 	}
 	return gr
 }
 
-func (gr *group) add(en *entry, re *backend.Record) {
-	ix := len(gr.entries)
-	gr.entries = append(gr.entries, en)
-	if re.Slots > 0 && (gr.scarcest == 0 || re.Slots < gr.scarcest) {
-		gr.scarcest = re.Slots
+func (gr *group) add(en *serverEntry, re *backend.Record) {
+	ix := len(gr.servers)
+	gr.servers = append(gr.servers, en)
+	if re.Slots > 0 && (gr.minSlots == 0 || re.Slots < gr.minSlots) {
+		gr.minSlots = re.Slots
 	}
 	for _, ho := range re.Holdings {
 		key := shardKey{ho.Snapshot.Partition, ho.Shard}
-		sh, ok := gr.index[key]
+		sh, ok := gr.shardIndex[key]
 		if !ok {
 			sh = len(gr.shards)
-			gr.index[key] = sh
+			gr.shardIndex[key] = sh
 			gr.shards = append(gr.shards, nil)
 		}
 		if holders := gr.shards[sh]; len(holders) == 0 || holders[len(holders)-1] != ix {
@@ -104,68 +105,69 @@
 	}
 }
 
-// sharers returns how many instances share each server for this service.
-func (gr *group) sharers(instances int) int {
-	if n := entriesOf(gr.service, gr.scarcest); n > 0 {
+// numSharers returns how many instances share each server for this service.
+func (gr *group) numSharers(instances int) int {
+	if n := numEntries(gr.service, gr.minSlots); n > 0 {
 		return min(n, instances)
 	}
 	return instances
 }
 
-// due reports whether it is time for a review, to one caller only.
-func (gr *group) due(now time.Time) bool {
-	next := gr.next.Load()
-	return now.UnixNano() >= next && gr.next.CompareAndSwap(next, now.Add(reviewEvery).UnixNano())
+// claimReview reports whether a review is due. Of concurrent callers, only one
+// gets true.
+func (gr *group) claimReview(now time.Time) bool {
+	next := gr.nextReview.Load()
+	return now.UnixNano() >= next && gr.nextReview.CompareAndSwap(next, now.Add(reviewInterval).UnixNano())
 }
 
-// review compares the servers and works out the room. It returns at once when
-// another goroutine is at it.
+// review compares the servers and computes the capacity. It returns at once if
+// another goroutine is doing so.
 func (gr *group) review(now time.Time) {
 	if !gr.mu.TryLock() {
 		return
 	}
 	defer gr.mu.Unlock()
-	sv := make([]Server, len(gr.entries))
-	for ix, en := range gr.entries {
-		sv[ix] = en.look(now)
+	sv := make([]Server, len(gr.servers))
+	for ix, en := range gr.servers {
+		sv[ix] = en.current(now)
 	}
-	ju := judge(now, sv, gr.shards)
-	for ix, en := range gr.entries {
-		en.judge(Compared{Now: now, MedianLatency: ju.typical, Verdict: ju.verdicts[ix], Reason: ju.reasons[ix]})
+	co := compare(now, sv, gr.shards)
+	for ix, en := range gr.servers {
+		en.applyComparison(Compared{Now: now, MedianLatency: co.medianLatency, Verdict: co.verdicts[ix], Reason: co.reasons[ix]})
 	}
-	gr.room.Store(&ServiceCapacity{Concurrency: gr.queries(now, sv), MedianLatency: ju.typical})
+	gr.capacity.Store(&ServiceCapacity{Concurrency: gr.concurrency(now, sv), MedianLatency: co.medianLatency})
 }
 
-// queries returns the room of the scarcest shard, in the partition map that has
-// the most of it.
-func (gr *group) queries(now time.Time, sv []Server) float64 {
-	most := 0.0
+// concurrency returns the limit of the shard with the lowest one, in the
+// partition map for which that is highest.
+func (gr *group) concurrency(now time.Time, sv []Server) float64 {
+	highest := 0.0
 	for _, pa := range gr.service.Partitions {
-		least := 0.0
+		lowest := 0.0
 		for _, sh := range pa.Shards {
-			ix, ok := gr.index[shardKey{pa.Number, sh}]
+			ix, ok := gr.shardIndex[shardKey{pa.Number, sh}]
 			if !ok {
 				continue
 			}
-			if room := gr.shardRoom(now, sv, gr.shards[ix]); room > 0 && (least == 0 || room < least) {
-				least = room
+			if capacity := gr.shardConcurrency(now, sv, gr.shards[ix]); capacity > 0 && (lowest == 0 || capacity < lowest) {
+				lowest = capacity
 			}
 		}
-		most = max(most, least)
+		highest = max(highest, lowest)
 	}
-	return most
+	return highest
 }
 
-func (gr *group) shardRoom(now time.Time, sv []Server, holders []int) float64 {
-	room := 0.0
+func (gr *group) shardConcurrency(now time.Time, sv []Server, holders []int) float64 {
+	capacity := 0.0
 	for _, ix := range holders {
 		switch se := sv[ix]; {
 		case !se.usable() || se.stuck(now):
 		case gr.service.Tactics == operator.Baseline:
-			room += float64(se.static())
+			capacity += float64(se.staticShare())
 		default:
-			room += se.limit
+			capacity += se.limit
 		}
 	}
-	return room
+	return capacity
 }
--- a/limit/health.go
+++ b/limit/health.go
@@ -3,125 +3,132 @@
 import "time"
 
 const (
-	// failuresSuspected is how many failures in a row make a server suspect.
-	failuresSuspected = 3
-	// stuckFactor and leastStuck say how long nothing may come back, in mean
-	// latencies and at least, before a server counts as stuck.
-	stuckFactor = 20
-	leastStuck  = 100 * time.Millisecond
-	// leastColdStuck is leastStuck for a cold server, whose first replies are slow.
-	leastColdStuck = time.Second
+	// failureThreshold is the number of consecutive failures after which a server is
+	// ejected.
+	failureThreshold = 3
+	// A server is stuck if no reply has come for stuckFactor times its mean latency,
+	// and for minStuckTimeout at least.
+	stuckFactor     = 20
+	minStuckTimeout = 100 * time.Millisecond
+	// minColdStuckTimeout replaces minStuckTimeout for a cold server, whose first
+	// replies are slow.
+	minColdStuckTimeout = time.Second
 
-	// loadWeight is how many latencies worse a server is rated when its limit is
-	// reached than when it is idle.
-	loadWeight = 2
-	// staleAfter is after how long the last request says nothing of the present.
+	// loadPenalty is by how many latencies the score of a server worsens from idle
+	// to the limit.
+	loadPenalty = 2
+	// staleAfter is the time after which the outcome of the last request no longer
+	// affects the score.
 	staleAfter = time.Second
 
-	// coldReplies is how many replies a cold server must give to be warm.
-	coldReplies = 20
-	// coldFor is after how long a server is no longer excused as cold.
-	coldFor = 30 * time.Second
-	// coldPenalty is how many times worse a server that has just started is rated
-	// than a warm one. It wanes with replies and over coldRamp: by replies alone, a
-	// server that the others leave nothing to do would stay cold.
-	coldPenalty = 8
-	coldRamp    = 10 * time.Second
+	// warmupReplies is how many replies a cold server must give to become warm.
+	warmupReplies = 20
+	// maxWarmup is the time after which a server may become warm although it is
+	// slow.
+	maxWarmup = 30 * time.Second
+	// warmupPenalty is by how many times the score of a server that has just started
+	// is worse than that of a warm one. It falls with replies and with time over
+	// warmupRamp: with replies alone, a server that gets no requests because the
+	// others can take them all would stay cold.
+	warmupPenalty = 8
+	warmupRamp    = 10 * time.Second
 
-	// probesPassed is how many probes in a row must be good.
-	probesPassed = 3
-	// probeGap is the time between good probes.
-	probeGap = 20 * time.Millisecond
-	// leastProbe and mostProbe bound the time from a failed probe to the next.
-	leastProbe = 250 * time.Millisecond
-	mostProbe  = 30 * time.Second
+	// minGoodProbes is how many consecutive probes must succeed.
+	minGoodProbes = 3
+	// probeInterval is the time between successful probes.
+	probeInterval = 20 * time.Millisecond
+	// minProbeBackoff and maxProbeBackoff bound the time from a failed probe to the
+	// next.
+	minProbeBackoff = 250 * time.Millisecond
+	maxProbeBackoff = 30 * time.Second
 )
 
-// probed takes in the end of a probe. Only replies as quick as the peers' make
-// it good; a shed reply or a request that was not sent says nothing of that.
-func (se Server) probed(ev Ended) Server {
+// probeEnded applies the result of a probe. Only replies as quick as those of
+// the peers count as success. A shed reply or a request that was not sent is
+// neither success nor failure.
+func (se Server) probeEnded(ev Ended) Server {
 	se.probing = false
 	if se.state != StateProbing {
 		return se
 	}
-	quick := se.typical == 0 || ev.Outcome.Latency <= slowGrowth*se.typical+leastPause
+	quick := se.medianLatency == 0 || ev.Outcome.Latency <= growthLatencyRatio*se.medianLatency+minPause
 	switch {
 	case ev.Outcome.Kind == Shed || ev.Outcome.Kind == NotSent:
-		se.probeAt = ev.Now.Add(leastProbe)
+		se.nextProbe = ev.Now.Add(minProbeBackoff)
 	case ev.Outcome.Kind == OK && quick:
 		se.goodProbes++
-		se.probeAt = ev.Now.Add(probeGap)
-		if se.goodProbes >= probesPassed {
-			se = se.moved(pass, ev.Now)
+		se.nextProbe = ev.Now.Add(probeInterval)
+		if se.goodProbes >= minGoodProbes {
+			se = se.transition(pass, ev.Now)
 			se.latency = latency{}.with(ev.Outcome.Latency)
 		}
 	default:
-		se = se.moved(fail, ev.Now).probedLater(ev.Now, ev.Random)
+		se = se.transition(fail, ev.Now).backOffProbe(ev.Now, ev.Random)
 	}
 	return se
 }
 
-func (se Server) probedLater(now time.Time, random float64) Server {
+func (se Server) backOffProbe(now time.Time, random float64) Server {
 	se.goodProbes = 0
-	se.probeAfter = min(mostProbe, max(leastProbe, 2*se.probeAfter))
-	se.probeAt = now.Add(time.Duration(float64(se.probeAfter) * (0.75 + 0.5*random)))
+	se.probeBackoff = min(maxProbeBackoff, max(minProbeBackoff, 2*se.probeBackoff))
+	se.nextProbe = now.Add(time.Duration(float64(se.probeBackoff) * (0.75 + 0.5*random)))
 	return se
 }
 
-func (se Server) judged(ev Compared) Server {
-	se.typical = ev.MedianLatency
+func (se Server) compared(ev Compared) Server {
+	se.medianLatency = ev.MedianLatency
 	switch ev.Verdict {
 	case Eject:
-		if to, ok := servers.Next(se.state, suspect); ok {
-			se.state, se.since, se.reason = to, ev.Now, ev.Reason
-			se = se.probedLater(ev.Now, ev.Random)
+		if to, ok := serverStates.Next(se.state, suspect); ok {
+			se.state, se.stateSince, se.reason = to, ev.Now, ev.Reason
+			se = se.backOffProbe(ev.Now, ev.Random)
 		}
 	case Readmit:
-		return se.moved(recall, ev.Now)
+		return se.transition(recall, ev.Now)
 	}
-	if se.state == StateCold && se.warmed(ev.Now) {
-		return se.moved(warm, ev.Now)
+	if se.state == StateCold && se.isWarm(ev.Now) {
+		return se.transition(warm, ev.Now)
 	}
 	return se
 }
 
-func (se Server) warmed(now time.Time) bool {
-	if se.cold || se.replies < coldReplies {
+func (se Server) isWarm(now time.Time) bool {
+	if se.announcedCold || se.repliesSinceCold < warmupReplies {
 		return false
 	}
-	quick := se.typical == 0 || se.latency.value <= slowGrowth*se.typical
-	return quick || now.Sub(se.since) >= coldFor
+	quick := se.medianLatency == 0 || se.latency.value <= growthLatencyRatio*se.medianLatency
+	return quick || now.Sub(se.stateSince) >= maxWarmup
 }
 
-// stuck reports whether requests wait and nothing has come back for long. One
-// old request alone does not make a server stuck: its connection may have gone
-// silent while others are answered.
+// stuck reports whether requests are in flight and no reply has come for too
+// long. One old request alone does not make a server stuck: its connection may
+// have gone silent while requests on others are answered.
 func (se Server) stuck(now time.Time) bool {
-	if se.oldest.IsZero() {
+	if se.oldestSent.IsZero() {
 		return false
 	}
-	least := leastStuck
+	minTimeout := minStuckTimeout
 	if se.state == StateCold {
-		least = leastColdStuck
+		minTimeout = minColdStuckTimeout
 	}
-	bound := max(least, time.Duration(stuckFactor*se.expected()))
-	return now.Sub(later(se.oldest, se.heard)) > bound
+	bound := max(minTimeout, time.Duration(stuckFactor*se.expectedLatency()))
+	return now.Sub(later(se.oldestSent, se.lastReply)) > bound
 }
 
 // score rates the server for one more request; lower is better. Latency and
-// failures count only while they are fresh: a server that was slow once and gets
-// nothing for it could not show that it has become quick.
+// failures count only while they are recent: otherwise a server that was slow
+// once would get no requests and could not show that it has recovered.
 func (se Server) score(now time.Time) float64 {
-	sc := se.expected()
-	if now.Sub(se.ended) <= staleAfter {
-		sc *= float64((1 + se.failures) * (1 + se.failures))
-	} else if se.typical > 0 {
-		sc = float64(se.typical)
+	sc := se.expectedLatency()
+	if now.Sub(se.lastEnd) <= staleAfter {
+		sc *= float64((1 + se.consecutiveFailures) * (1 + se.consecutiveFailures))
+	} else if se.medianLatency > 0 {
+		sc = float64(se.medianLatency)
 	}
-	sc *= 1 + loadWeight*float64(se.inFlight+se.held)/se.limit
+	sc *= 1 + loadPenalty*float64(se.inFlight+se.held)/se.limit
 	if se.state == StateCold {
-		left := 1 - max(float64(se.replies)/coldReplies, float64(now.Sub(se.since))/float64(coldRamp))
-		sc *= 1 + coldPenalty*max(0, left)
+		left := 1 - max(float64(se.repliesSinceCold)/warmupReplies, float64(now.Sub(se.stateSince))/float64(warmupRamp))
+		sc *= 1 + warmupPenalty*max(0, left)
 	}
 	return sc
 }
--- a/limit/hedge.go
+++ b/limit/hedge.go
@@ -9,68 +9,70 @@
 )
 
 const (
-	// DefaultHedgeDelay holds until enough latencies are known.
+	// DefaultHedgeDelay is used until enough latencies are known.
 	DefaultHedgeDelay = 50 * time.Millisecond
-	// hedgeQuantile is the percentile of leaf latencies after which one is late.
-	// It leaves two of the default five percent of extra load to retries.
-	hedgeQuantile = 97
-	// hedgeWindows windows of hedgeWindow latencies each are what is remembered.
-	hedgeWindows = 4
-	hedgeWindow  = 512
-	// hedgeFirst is how many latencies the first estimate is made from.
-	hedgeFirst = 64
-	// longestLatency is what a longer one is counted as.
-	longestLatency = time.Minute
+	// hedgePercentile is the percentile of leaf latencies after which a request is
+	// hedged. It leaves two of the default five percent of extra load for retries.
+	hedgePercentile = 97
+	// The estimate is based on numHedgeWindows windows of hedgeWindowSize latencies
+	// each.
+	numHedgeWindows = 4
+	hedgeWindowSize = 512
+	// minHedgeSamples is how many latencies the first estimate needs.
+	minHedgeSamples = 64
+	// Longer latencies are recorded as maxLatency.
+	maxLatency = time.Minute
 )
 
-// hedge learns the delay of one service. It is safe for many goroutines.
-type hedge struct {
-	mu    sync.Mutex
-	wi    *hdrhistogram.WindowedHistogram
-	count int
-	delay atomic.Int64
+// delayEstimator estimates the hedge delay of one service. It is safe for
+// concurrent use.
+type delayEstimator struct {
+	mu         sync.Mutex
+	wi         *hdrhistogram.WindowedHistogram
+	numSamples int
+	delay      atomic.Int64
 }
 
-func newHedge() *hedge {
-	he := &hedge{wi: hdrhistogram.NewWindowed(hedgeWindows, int64(time.Microsecond), int64(longestLatency), 2)}
-	he.delay.Store(int64(DefaultHedgeDelay))
-	return he
+func newDelayEstimator() *delayEstimator {
+	de := &delayEstimator{wi: hdrhistogram.NewWindowed(numHedgeWindows, int64(time.Microsecond), int64(maxLatency), 2)}
+	de.delay.Store(int64(DefaultHedgeDelay))
+	return de
 }
 
-// observe takes in one latency. A sample that meets another goroutine's is
-// dropped: a sample is worth less than waiting for the lock.
-func (he *hedge) observe(la time.Duration) {
-	if !he.mu.TryLock() {
+// observe adds a latency sample. If another goroutine holds the lock, the sample
+// is dropped, since it is worth less than waiting for the lock.
+func (de *delayEstimator) observe(la time.Duration) {
+	if !de.mu.TryLock() {
 		return
 	}
-	defer he.mu.Unlock()
-	la = min(max(la, time.Microsecond), longestLatency)
-	_ = he.wi.Current.RecordValue(int64(la)) // the range is checked above
-	he.count++
-	if he.count != hedgeFirst && he.count%hedgeWindow != 0 {
+	defer de.mu.Unlock()
+	la = min(max(la, time.Microsecond), maxLatency)
+	_ = de.wi.Current.RecordValue(int64(la)) // the sample is within the histogram's range
+	de.numSamples++
+	if de.numSamples != minHedgeSamples && de.numSamples%hedgeWindowSize != 0 {
 		return
 	}
-	he.delay.Store(he.wi.Merge().ValueAtQuantile(hedgeQuantile))
-	if he.count%hedgeWindow == 0 {
-		he.wi.Rotate()
+	de.delay.Store(de.wi.Merge().ValueAtQuantile(hedgePercentile))
+	if de.numSamples%hedgeWindowSize == 0 {
+		de.wi.Rotate()
 	}
 }
 
 // HedgeDelay returns how long a leaf request of the service may take before it
-// is late: a high percentile of what was observed.
+// is hedged: a high percentile of the observed latencies.
 func (ta *Table) HedgeDelay(service string) time.Duration {
-	if he, ok := ta.hedges.Load(service); ok {
-		return time.Duration(he.(*hedge).delay.Load())
+	if de, ok := ta.estimators.Load(service); ok {
+		return time.Duration(de.(*delayEstimator).delay.Load())
 	}
 	return DefaultHedgeDelay
 }
 
-// Observe takes in how long a leaf request of the service took, or, for one
-// that was given up, how long it was waited for.
+// ObserveLatency adds the latency of a leaf request of the service or, if the
+// request was abandoned, how long it was waited for.
 func (ta *Table) ObserveLatency(service string, la time.Duration) {
-	he, ok := ta.hedges.Load(service)
+	de, ok := ta.estimators.Load(service)
 	if !ok {
-		he, _ = ta.hedges.LoadOrStore(service, newHedge())
+		de, _ = ta.estimators.LoadOrStore(service, newDelayEstimator())
 	}
-	he.(*hedge).observe(la)
+	de.(*delayEstimator).observe(la)
 }
--- a/limit/outcome.go
+++ b/limit/outcome.go
@@ -6,42 +6,42 @@
 	"balsamwinch.example/backend"
 )
 
-// OutcomeKind says how a leaf request ended.
+// OutcomeKind tells how a leaf request ended.
 type OutcomeKind uint8
 
 // The kinds of outcomes.
 const (
-	OK             OutcomeKind = iota // OK is a reply with rows.
-	Shed                              // Shed is a reply that no slot was free; not run.
-	Draining                          // Draining is a reply that the server is leaving; not run.
-	Failed                            // Failed is a reply that reports failure, or a refused connection.
-	ConnectionLost                    // Silent is a connection that was cut or made no progress.
-	TimedOut                          // Timeout is a request given up at its deadline.
-	Cancelled                         // Cancelled is a request given up before its deadline.
-	NotSent                           // NotSent is a request of which no byte left.
+	OK             OutcomeKind = iota // reply with rows
+	Shed                              // not run: the server had no free slot
+	Draining                          // not run: the server is leaving
+	Failed                            // reply that reports failure, or a refused connection
+	ConnectionLost                    // connection was cut or made no progress
+	TimedOut                          // abandoned at its deadline
+	Cancelled                         // abandoned before its deadline
+	NotSent                           // no byte was sent
 )
 
-// unproven reports whether the request may still hold a slot after its end.
-func (ki OutcomeKind) unproven() bool {
+// mayHoldSlot reports whether the request may still hold a slot after its end.
+func (ki OutcomeKind) mayHoldSlot() bool {
 	return ki == ConnectionLost || ki == TimedOut || ki == Cancelled
 }
 
-// Outcome is how a leaf request ended, and after how long.
+// Outcome describes how a leaf request ended and how long it took.
 type Outcome struct {
 	Kind         OutcomeKind
-	Latency      time.Duration // Latency is the time from sending to the end.
-	RetryAfter   time.Duration // RetryAfter is what a Shed reply asked for; zero if nothing.
-	SlotReleased bool          // Stopped says that the server has proved that it holds no slot.
+	Latency      time.Duration // time from sending to the end
+	RetryAfter   time.Duration // delay that a Shed reply asked for; zero if none
+	SlotReleased bool          // whether the server has confirmed that the request holds no slot
 }
 
-// Choice is a backend server that may be sent one leaf request. Each Choice
-// must be given to Table.Done once.
+// Choice is a backend server to which one leaf request may be sent. Each Choice
+// must be passed to Table.Done once.
 type Choice struct {
 	Server         string
 	Record         backend.Record
-	MaxConnections int  // Connections is this instance's share of the connection limit.
-	Probe          bool // Probe says that the server is set aside and this request tries it.
+	MaxConnections int  // this instance's share of the connection limit
+	Probe          bool // whether the server is ejected and this request probes it
 
-	en     *entry
-	ticket uint64
+	en *serverEntry
+	id uint64
 }
--- a/limit/queue.go
+++ b/limit/queue.go
@@ -15,264 +15,267 @@
 )
 
 const (
-	// roomFactor is how many queries run for each one that the scarcest shard has
-	// room for. The shards of a query end at different times: with one query for
-	// each place, most shards would wait for the slowest one.
-	roomFactor = 3.0
-	// agedFactor is after how many typical leaf latencies a query no longer
-	// counts. One that waits for a stuck server until its deadline takes no room
-	// at the others.
+	// concurrencyFactor is how many queries may run for each one that the shard with
+	// the lowest limit can take. The shards of a query finish at different times:
+	// with a factor of one, most shards would be idle while the slowest one
+	// finishes.
+	concurrencyFactor = 3.0
+	// agedFactor is the number of median leaf latencies after which a running query
+	// no longer counts. Otherwise, a query that waits for a stuck server until its
+	// deadline would block capacity of the others.
 	agedFactor = 8
-	// gapWeight is the weight of a new sample of the time between starts.
-	gapWeight = 0.05
-	// longestGap bounds one sample of it.
-	longestGap = 100 * time.Millisecond
-	// leastRetryAfter and mostRetryAfter bound what a refusal asks for.
-	leastRetryAfter = 20 * time.Millisecond
-	mostRetryAfter  = 5 * time.Second
+	// startGapWeight is the weight of a new sample of the time between starts.
+	startGapWeight = 0.05
+	// maxStartGap bounds one sample of the time between starts.
+	maxStartGap = 100 * time.Millisecond
+	// minRetryAfter and maxRetryAfter bound the delay that a rejection asks for.
+	minRetryAfter = 20 * time.Millisecond
+	maxRetryAfter = 5 * time.Second
 )
 
-// waiting is a query in the queue or running.
-type waiting struct {
-	li      *line
-	cost    int
-	arrived time.Time
-	latest  time.Time // latest is when it must have started.
-	started time.Time
-	state   waitState
-	told    func() // told, if set, is called when it starts or expires after it has waited.
+// query is a query that is queued or running.
+type query struct {
+	sq         *serviceQueue
+	cost       int
+	arrived    time.Time
+	latest     time.Time // latest time at which it may start
+	started    time.Time
+	state      queryState
+	onDecision func() // if set, called when the query starts or expires after it was queued
 }
 
-type waitState uint8
+type queryState uint8
 
 const (
-	queued waitState = iota
+	queued queryState = iota
 	running
 	expired
-	gone // gone has ended or was taken out by its caller.
+	removed // ended, or cancelled by its caller
 )
 
-// line is the queue of one service.
-type line struct {
-	name    string
-	weight  int
-	waiting []*waiting
-	running []*waiting // running are those that count, in the order of starting.
-	tag     float64    // tag is the service's virtual time.
-	gap     time.Duration
-	last    time.Time // last is when a query last left the queue.
-	long    time.Time // long is since when queries have waited longer than the target.
-	// promised is when the refused query that was told last will come back.
-	promised time.Time
+// serviceQueue is the queue of one service.
+type serviceQueue struct {
+	name        string
+	weight      int
+	waiting     []*query
+	running     []*query // those that count against the capacity, in order of starting
+	virtualTime float64  // virtual time of the service, for weighted fair queueing
+	startGap    time.Duration
+	lastStart   time.Time // when a query last left the queue
+	longSince   time.Time // since when queries have waited longer than the target
+	// when the query rejected last was asked to retry
+	lastRetryAt time.Time
 }
 
 // queue holds the queries of one instance. It has no clock and no lock.
 type queue struct {
-	cf      AdmissionConfig
-	lines   map[string]*line
-	cost    int     // cost is the leaf requests of all queries that run.
-	virtual float64 // virtual is the tag of the query that started last.
+	cf          AdmissionConfig
+	byService   map[string]*serviceQueue
+	runningCost int     // leaf requests of all running queries
+	virtualTime float64 // virtual time of the query that started last
 }
 
 func newQueue(cf AdmissionConfig) *queue {
-	return &queue{cf: cf, lines: make(map[string]*line)}
+	return &queue{cf: cf, byService: make(map[string]*serviceQueue)}
 }
 
-func (qu *queue) line(service string, weight int) *line {
-	li := qu.lines[service]
-	if li == nil {
-		li = &line{name: service}
-		qu.lines[service] = li
+func (qu *queue) serviceQueue(service string, weight int) *serviceQueue {
+	sq := qu.byService[service]
+	if sq == nil {
+		sq = &serviceQueue{name: service}
+		qu.byService[service] = sq
 	}
-	li.weight = max(1, weight)
-	return li
+	sq.weight = max(1, weight)
+	return sq
 }
 
-// arrive takes in a query. It returns it started or queued, or nil and when to
-// come back.
-func (qu *queue) arrive(now time.Time, service string, weight, cost int, deadline time.Time) (*waiting, time.Duration) {
-	li := qu.line(service, weight)
-	ro := qu.cf.ServiceCapacity(service)
+// enqueue adds a query and returns it, started or queued. If the query is
+// rejected, enqueue returns nil and when to retry.
+func (qu *queue) enqueue(now time.Time, service string, weight, cost int, deadline time.Time) (*query, time.Duration) {
+	sq := qu.serviceQueue(service, weight)
+	sc := qu.cf.ServiceCapacity(service)
 	left := deadline.Sub(now)
-	pace := li.pace(ro)
-	wait := time.Duration(len(li.waiting)) * pace
-	if left <= 0 || wait > qu.patience(now, li, ro, left) {
-		return nil, li.comeBack(now, wait, pace)
+	pace := sq.expectedStartGap(sc)
+	wait := time.Duration(len(sq.waiting)) * pace
+	if left <= 0 || wait > qu.maxWait(now, sq, sc, left) {
+		return nil, sq.nextRetryAfter(now, wait, pace)
 	}
-	wa := &waiting{li: li, cost: cost, arrived: now, latest: now.Add(left - need(ro, left))}
-	li.waiting = append(li.waiting, wa)
+	qy := &query{sq: sq, cost: cost, arrived: now, latest: now.Add(left - expectedRunTime(sc, left))}
+	sq.waiting = append(sq.waiting, qy)
 	qu.advance(now)
-	return wa, 0
+	return qy, 0
 }
 
-// need returns the part of the time left that the query needs once started. At
-// most half of it, or queries that wait for a stuck server would make the
-// instance refuse all others.
-func need(ro ServiceCapacity, left time.Duration) time.Duration {
-	return min(left/2, 2*ro.MedianLatency)
+// expectedRunTime returns the part of the remaining time that the query needs
+// after it has started. It is at most half of it: otherwise, queries that wait
+// for a stuck server would make the instance reject all others.
+func expectedRunTime(sc ServiceCapacity, left time.Duration) time.Duration {
+	return min(left/2, 2*sc.MedianLatency)
 }
 
-// patience returns how long a query that arrives now may wait. A burst may wait
-// as long as the deadline allows; but when the queue has been long for a while,
-// it holds more than a burst, and a longer one only makes answers late.
-func (qu *queue) patience(now time.Time, li *line, ro ServiceCapacity, left time.Duration) time.Duration {
-	most := left - need(ro, left)
-	if qu.cf.Target > 0 && !li.long.IsZero() && now.Sub(li.long) >= qu.cf.Interval {
-		most = min(most, qu.cf.Target)
+// maxWait returns how long a query that arrives now may wait. A burst may wait
+// as long as the deadline allows. If the queue has been long for Interval, it
+// holds more than a burst, and a longer queue would only delay the answers.
+func (qu *queue) maxWait(now time.Time, sq *serviceQueue, sc ServiceCapacity, left time.Duration) time.Duration {
+	wait := left - expectedRunTime(sc, left)
+	if qu.cf.Target > 0 && !sq.longSince.IsZero() && now.Sub(sq.longSince) >= qu.cf.Interval {
+		wait = min(wait, qu.cf.Target)
 	}
-	return most
+	return wait
 }
 
-// pace returns the time between starts: as seen, or as the room suggests.
-func (li *line) pace(ro ServiceCapacity) time.Duration {
-	if li.gap == 0 && ro.Concurrency > 0 {
-		return time.Duration(float64(ro.MedianLatency) / (roomFactor * ro.Concurrency))
+// expectedStartGap returns the time between starts: the observed one, or an
+// estimate from the capacity.
+func (sq *serviceQueue) expectedStartGap(sc ServiceCapacity) time.Duration {
+	if sq.startGap == 0 && sc.Concurrency > 0 {
+		return time.Duration(float64(sc.MedianLatency) / (concurrencyFactor * sc.Concurrency))
 	}
-	return li.gap
+	return sq.startGap
 }
 
-// comeBack returns when a refused query should come back. Each gets the next
-// turn of the rate at which the queue drains: if all were told how long the
-// queue is now, they would come back together and be refused again.
-func (li *line) comeBack(now time.Time, wait, pace time.Duration) time.Duration {
-	li.promised = later(li.promised, now.Add(wait)).Add(pace)
-	return min(mostRetryAfter, max(leastRetryAfter, li.promised.Sub(now)))
+// nextRetryAfter returns when a rejected query should be retried. The retries
+// are spaced at the rate at which the queue drains: if all rejected queries were
+// given the current wait, they would come back together and be rejected again.
+func (sq *serviceQueue) nextRetryAfter(now time.Time, wait, pace time.Duration) time.Duration {
+	sq.lastRetryAt = later(sq.lastRetryAt, now.Add(wait)).Add(pace)
+	return min(maxRetryAfter, max(minRetryAfter, sq.lastRetryAt.Sub(now)))
 }
 
-// end takes out a query that ended or that its caller gave up on.
-func (qu *queue) end(now time.Time, wa *waiting) {
-	switch wa.state {
+// end removes a query that has ended or that its caller has cancelled.
+func (qu *queue) end(now time.Time, qy *query) {
+	switch qy.state {
 	case running:
-		qu.cost -= wa.cost
-		wa.li.running = without(wa.li.running, wa)
+		qu.runningCost -= qy.cost
+		qy.sq.running = remove(qy.sq.running, qy)
 	case queued:
-		wa.li.waiting = without(wa.li.waiting, wa)
+		qy.sq.waiting = remove(qy.sq.waiting, qy)
 	}
-	wa.state = gone
+	qy.state = removed
 	qu.advance(now)
 }
 
-// advance starts the queries that have room and takes out those that can't
-// start in time any more. Among services it starts the one with the lowest
-// virtual time, which a start moves on by cost over weight: a service in a
-// surge only competes with itself.
+// advance starts the queries for which there is capacity and drops those that
+// can no longer start in time. Among services it starts the one with the lowest
+// virtual time, which each start advances by cost over weight. So a service in a
+// surge competes only with itself.
 func (qu *queue) advance(now time.Time) {
-	for _, li := range qu.lines {
-		li.drop(now)
-		li.age(now, qu.cf.ServiceCapacity(li.name))
+	for _, sq := range qu.byService {
+		sq.dropExpired(now)
+		sq.dropAged(now, qu.cf.ServiceCapacity(sq.name))
 	}
 	for {
-		li := qu.nextLine()
-		if li == nil {
+		sq := qu.nextService()
+		if sq == nil {
 			return
 		}
-		qu.start(now, li)
+		qu.start(now, sq)
 	}
 }
 
-func (qu *queue) nextLine() *line {
-	var best *line
-	for _, li := range qu.lines {
-		if len(li.waiting) == 0 || !qu.fits(li) {
+func (qu *queue) nextService() *serviceQueue {
+	var best *serviceQueue
+	for _, sq := range qu.byService {
+		if len(sq.waiting) == 0 || !qu.fits(sq) {
 			continue
 		}
-		if best == nil || li.tag < best.tag || li.tag == best.tag && li.name < best.name {
-			best = li
+		if best == nil || sq.virtualTime < best.virtualTime || sq.virtualTime == best.virtualTime && sq.name < best.name {
+			best = sq
 		}
 	}
 	return best
 }
 
-func (qu *queue) fits(li *line) bool {
-	if qu.cost > 0 && qu.cost+li.next(qu.cf.Order).cost > qu.cf.MaxLeafRequests {
+func (qu *queue) fits(sq *serviceQueue) bool {
+	if qu.runningCost > 0 && qu.runningCost+sq.nextQuery(qu.cf.Order).cost > qu.cf.MaxLeafRequests {
 		return false
 	}
-	ro := qu.cf.ServiceCapacity(li.name)
-	return ro.Concurrency == 0 || len(li.running) < max(1, int(roomFactor*ro.Concurrency))
+	sc := qu.cf.ServiceCapacity(sq.name)
+	return sc.Concurrency == 0 || len(sq.running) < max(1, int(concurrencyFactor*sc.Concurrency))
 }
 
-func (li *line) next(or Order) *waiting {
+func (sq *serviceQueue) nextQuery(or Order) *query {
 	if or == NewestFirst {
-		return li.waiting[len(li.waiting)-1]
+		return sq.waiting[len(sq.waiting)-1]
 	}
-	return li.waiting[0]
+	return sq.waiting[0]
 }
 
-func (qu *queue) start(now time.Time, li *line) {
-	wa := li.next(qu.cf.Order)
-	li.waiting = without(li.waiting, wa)
-	li.running = append(li.running, wa)
-	qu.cost += wa.cost
-	qu.virtual = max(qu.virtual, li.tag)
-	li.tag = qu.virtual + float64(wa.cost)/float64(li.weight)
-	li.learn(now, wa, qu.cf.Target)
-	wa.state, wa.started = running, now
-	wa.tell()
+func (qu *queue) start(now time.Time, sq *serviceQueue) {
+	qy := sq.nextQuery(qu.cf.Order)
+	sq.waiting = remove(sq.waiting, qy)
+	sq.running = append(sq.running, qy)
+	qu.runningCost += qy.cost
+	qu.virtualTime = max(qu.virtualTime, sq.virtualTime)
+	sq.virtualTime = qu.virtualTime + float64(qy.cost)/float64(sq.weight)
+	sq.recordStart(now, qy, qu.cf.Target)
+	qy.state, qy.started = running, now
+	qy.notify()
 }
 
-func (wa *waiting) tell() {
-	if wa.told != nil {
-		wa.told()
+func (qy *query) notify() {
+	if qy.onDecision != nil {
+		qy.onDecision()
 	}
 }
 
-// learn takes in a start: how quickly the queue drains, and whether it is long.
-func (li *line) learn(now time.Time, wa *waiting, target time.Duration) {
-	if now.After(wa.arrived) && !li.last.IsZero() {
-		gap := min(longestGap, now.Sub(li.last))
-		if li.gap == 0 {
-			li.gap = gap
+// recordStart updates the rate at which the queue drains, and since when it has
+// been long.
+func (sq *serviceQueue) recordStart(now time.Time, qy *query, target time.Duration) {
+	if now.After(qy.arrived) && !sq.lastStart.IsZero() {
+		gap := min(maxStartGap, now.Sub(sq.lastStart))
+		if sq.startGap == 0 {
+			sq.startGap = gap
 		}
-		li.gap += time.Duration(gapWeight * float64(gap-li.gap))
+		sq.startGap += time.Duration(startGapWeight * float64(gap-sq.startGap))
 	}
-	li.last = now
-	switch wait := now.Sub(wa.arrived); {
+	sq.lastStart = now
+	switch wait := now.Sub(qy.arrived); {
 	case wait == 0:
-		li.long = time.Time{}
-	case wait > target && li.long.IsZero():
-		li.long = now
+		sq.longSince = time.Time{}
+	case wait > target && sq.longSince.IsZero():
+		sq.longSince = now
 	}
 }
 
-// drop takes out the queries that can't start in time any more.
-func (li *line) drop(now time.Time) {
-	li.waiting = slices.DeleteFunc(li.waiting, func(wa *waiting) bool {
-		late := now.After(wa.latest)
+// dropExpired removes the queries that can no longer start in time.
+func (sq *serviceQueue) dropExpired(now time.Time) {
+	sq.waiting = slices.DeleteFunc(sq.waiting, func(qy *query) bool {
+		late := now.After(qy.latest)
 		if late {
-			wa.state = expired
-			wa.tell()
+			qy.state = expired
+			qy.notify()
 		}
 		return late
 	})
 }
 
-// age stops counting the queries that have run for long.
-func (li *line) age(now time.Time, ro ServiceCapacity) {
-	if ro.MedianLatency == 0 {
+// dropAged stops counting queries that have run for a long time.
+func (sq *serviceQueue) dropAged(now time.Time, sc ServiceCapacity) {
+	if sc.MedianLatency == 0 {
 		return
 	}
-	for len(li.running) > 0 && now.Sub(li.running[0].started) > agedFactor*ro.MedianLatency {
-		li.running = li.running[1:]
+	for len(sq.running) > 0 && now.Sub(sq.running[0].started) > agedFactor*sc.MedianLatency {
+		sq.running = sq.running[1:]
 	}
 }
 
-func without(ws []*waiting, wa *waiting) []*waiting {
-	if ix := slices.Index(ws, wa); ix >= 0 {
-		return slices.Delete(ws, ix, ix+1)
+func remove(qys []*query, qy *query) []*query {
+	if ix := slices.Index(qys, qy); ix >= 0 {
+		return slices.Delete(qys, ix, ix+1)
 	}
-	return ws
+	return qys
 }
 
-// nextAged returns when the next running query stops counting, if that could
-// let a waiting one start.
-func (qu *queue) nextAged() (time.Time, bool) {
+// nextAgedAt returns when the next running query stops counting, if a waiting
+// one could then start.
+func (qu *queue) nextAgedAt() (time.Time, bool) {
 	var next time.Time
-	for _, li := range qu.lines {
-		typical := qu.cf.ServiceCapacity(li.name).MedianLatency
-		if len(li.waiting) == 0 || len(li.running) == 0 || typical == 0 {
+	for _, sq := range qu.byService {
+		median := qu.cf.ServiceCapacity(sq.name).MedianLatency
+		if len(sq.waiting) == 0 || len(sq.running) == 0 || median == 0 {
 			continue
 		}
-		if at := li.running[0].started.Add(agedFactor * typical); next.IsZero() || at.Before(next) {
+		if at := sq.running[0].started.Add(agedFactor * median); next.IsZero() || at.Before(next) {
 			next = at
 		}
 	}
--- a/limit/server.go
+++ b/limit/server.go
@@ -11,7 +11,7 @@
 //go:embed server.yaml
 var serverChart []byte
 
-// The events of the chart.
+// Events of the state chart.
 const (
 	warm    chart.Event = "Warm"
 	suspect chart.Event = "Suspect"
@@ -25,7 +25,7 @@
 	leave   chart.Event = "Leave"
 )
 
-// The states of the chart.
+// States of the state chart.
 const (
 	StateCold     chart.State = "Cold"
 	StateServing  chart.State = "Serving"
@@ -35,57 +35,57 @@
 	StateGone     chart.State = "Gone"
 )
 
-var servers = chart.MustLoad(serverChart, warm, suspect, probe, pass, fail, recall, drain, resume, restart, leave)
+var serverStates = chart.MustLoad(serverChart, warm, suspect, probe, pass, fail, recall, drain, resume, restart, leave)
 
-// Reason says why a server is set aside.
+// Reason tells why a server is ejected.
 type Reason string
 
-// The reasons for which a server is set aside.
+// The reasons for ejecting a server.
 const (
-	Slow    Reason = "Slow"    // Slow is slower than its peers.
-	Failing Reason = "Failing" // Failing is failures in a row.
-	Stuck   Reason = "Stuck"   // Stuck is nothing coming back.
+	Slow    Reason = "Slow"    // slower than its peers
+	Failing Reason = "Failing" // consecutive failures
+	Stuck   Reason = "Stuck"   // no replies
 )
 
-// Server is what one instance knows of one backend server. It is immutable:
-// Step returns the next value.
+// Server is this instance's view of one backend server. It is immutable: Step
+// returns the next value.
 type Server struct {
-	incarnation uint64
-	sequence    uint64
-	slots       int
-	share       float64 // share is this instance's equal part of the slots.
-	connections int
-	cold        bool // cold says that the server announces itself as cold.
-
-	state  chart.State
-	since  time.Time
-	reason Reason // reason is why the server is set aside, or was last.
-
-	limit    float64 // limit is how many requests may be in flight; below one, their share of time.
-	bound    bool    // bound says that the limit was reached since the last growth.
-	patience float64
-	calm     int
-	cutAt    time.Time
-	pause    time.Time // pause is before when nothing is sent, after a shed reply.
-	paced    time.Time // paced is when the requests so far would have been sent at an even pace.
-	sheds    int       // sheds counts the shed replies in a row.
-
-	inFlight int
-	held     int       // held counts the requests given up on that may still hold a slot.
-	oldest   time.Time // oldest is when the oldest of these was sent; zero for none.
-	heard    time.Time // heard is when the last reply came.
-	ended    time.Time // ended is when the last request ended, in whatever way.
-
-	latency  latency
-	best     time.Duration // best is the latency that the server shows when it is not loaded.
-	typical  time.Duration // typical is the latency of the peers at the last comparison.
-	replies  int           // replies counts those since the server became cold.
-	failures int           // failures counts those in a row.
-
-	probing    bool // probing says that a probe is in flight.
-	probeAt    time.Time
-	probeAfter time.Duration
-	goodProbes int
+	incarnation    uint64
+	sequence       uint64
+	slots          int
+	slotShare      float64 // this instance's equal share of the slots
+	maxConnections int
+	announcedCold  bool // whether the server reports itself as cold
+
+	state      chart.State
+	stateSince time.Time
+	reason     Reason // why the server is ejected, or was last
+
+	limit            float64 // maximum of requests in flight; below one, the fraction of time in which one may be
+	limitReached     bool    // whether the limit was reached since it last grew
+	growthDivisor    float64
+	repliesSinceShed int
+	lastCut          time.Time
+	pauseUntil       time.Time // nothing is sent before this time, after a shed reply
+	pacedUntil       time.Time // when the last request would have been sent at a constant rate
+	consecutiveSheds int       // shed replies since the last OK reply
+
+	inFlight   int
+	held       int       // abandoned requests that may still hold a slot
+	oldestSent time.Time // when the oldest request in flight or held was sent; zero if none
+	lastReply  time.Time // when the last reply other than a failure came
+	lastEnd    time.Time // when the last request ended, whatever its outcome
+
+	latency             latency
+	unloadedLatency     time.Duration // latency without load
+	medianLatency       time.Duration // median of the peers at the last comparison
+	repliesSinceCold    int           // OK replies since the server became cold
+	consecutiveFailures int           // failures since the last OK reply
+
+	probing      bool // whether a probe is in flight
+	nextProbe    time.Time
+	probeBackoff time.Duration
+	goodProbes   int
 }
 
 // Event is something that happened to a backend server.
@@ -95,14 +95,14 @@
 type Announced struct {
 	Now            time.Time
 	Record         backend.Record
-	MaxConnections int // Connections is this instance's share of the connection limit.
-	NumSharers     int // Entries is how many instances share the slots.
+	MaxConnections int // this instance's share of the connection limit
+	NumSharers     int // number of instances that share the slots
 }
 
-// Sent is a request on its way to the server.
+// Sent is a request that is sent to the server.
 type Sent struct {
 	Now    time.Time
-	Oldest time.Time // Oldest is when the oldest request in flight was sent.
+	Oldest time.Time // when the oldest request in flight was sent
 	Probe  bool
 }
 
@@ -112,35 +112,35 @@
 	Outcome Outcome
 	Oldest  time.Time
 	Probe   bool
-	Held    bool    // Held says that the request may still run and keeps its slot.
-	Random  float64 // Random is between 0 and 1; it spreads what instances do at a time.
+	Held    bool    // whether the request may still run and keeps its slot
+	Random  float64 // between 0 and 1; jitter, so that instances don't act in step
 }
 
-// Proved says that a held request has ended.
+// SlotReleased is the end of a held request.
 type SlotReleased struct {
 	Oldest time.Time
 }
 
-// Judged is the result of comparing the server with its peers.
+// Compared is the result of comparing the server with its peers.
 type Compared struct {
 	Now           time.Time
-	MedianLatency time.Duration // Typical is the median latency of the peers; zero if unknown.
+	MedianLatency time.Duration // median of the peers; zero if unknown
 	Verdict       Verdict
 	Reason        Reason
 	Random        float64
 }
 
-// Verdict is what a comparison says of a server.
+// Verdict is what a comparison decides about a server.
 type Verdict uint8
 
 // The verdicts.
 const (
-	NoChange Verdict = iota // Keep leaves the server as it is.
-	Eject                   // Aside sets the server aside.
-	Readmit                 // Recalled takes it back, because a shard has no other.
+	NoChange Verdict = iota // leaves the server as it is
+	Eject                   // ejects the server
+	Readmit                 // ends the ejection, because a shard has no other server
 )
 
-// Missed says that the server is in no view any more.
+// Removed says that the server is no longer in the view.
 type Removed struct {
 	Now time.Time
 }
@@ -163,19 +163,19 @@
 		return se.end(ev)
 	case SlotReleased:
 		se.held--
-		se.oldest = ev.Oldest
+		se.oldestSent = ev.Oldest
 	case Compared:
-		return se.judged(ev)
+		return se.compared(ev)
 	case Removed:
-		return se.moved(leave, ev.Now)
+		return se.transition(leave, ev.Now)
 	}
 	return se
 }
 
-// State returns the state of the chart.
+// State returns the server's state in the chart.
 func (se Server) State() chart.State { return se.state }
 
-// Reason returns why the server is set aside; empty if it is not.
+// Reason returns why the server is ejected; empty if it is not.
 func (se Server) Reason() Reason {
 	if se.state == StateEjected || se.state == StateProbing {
 		return se.reason
@@ -186,22 +186,22 @@
 // Limit returns how many requests this instance may have in flight.
 func (se Server) Limit() float64 { return se.limit }
 
-// InFlight returns how many requests are running and how many are held as
-// taken because nothing proved that they have ended.
+// InFlight returns how many requests are running, and how many ended ones still
+// hold a slot because the server has not confirmed their end.
 func (se Server) InFlight() (running, held int) { return se.inFlight, se.held }
 
-// Latency returns the decaying mean latency; zero if unknown.
+// Latency returns the moving average of the latency; zero if unknown.
 func (se Server) Latency() time.Duration { return se.latency.value }
 
-func (se Server) moved(ev chart.Event, now time.Time) Server {
-	to, ok := servers.Next(se.state, ev)
+func (se Server) transition(ev chart.Event, now time.Time) Server {
+	to, ok := serverStates.Next(se.state, ev)
 	if !ok {
 		return se
 	}
-	se.state, se.since = to, now
+	se.state, se.stateSince = to, now
 	if to == StateCold {
-		se.replies, se.failures, se.goodProbes, se.probeAfter = 0, 0, 0, 0
-		se.limit = min(se.limit, max(1, se.share))
+		se.repliesSinceCold, se.consecutiveFailures, se.goodProbes, se.probeBackoff = 0, 0, 0, 0
+		se.limit = min(se.limit, max(1, se.slotShare))
 	}
 	return se
 }
@@ -216,39 +216,39 @@
 	resumed := newer || re.Sequence > se.sequence
 	se.incarnation, se.sequence = re.Incarnation, re.Sequence
 	se.slots = max(1, re.Slots)
-	se.share = float64(se.slots) / float64(max(1, ev.NumSharers))
-	se.connections = ev.MaxConnections
-	se.cold = re.State == backend.Cold
+	se.slotShare = float64(se.slots) / float64(max(1, ev.NumSharers))
+	se.maxConnections = ev.MaxConnections
+	se.announcedCold = re.State == backend.Cold
 	switch {
 	case !known:
-		se.state, se.since = servers.Initial(), ev.Now
-		se.limit, se.patience = max(1, se.share), 1
+		se.state, se.stateSince = serverStates.Initial(), ev.Now
+		se.limit, se.growthDivisor = max(1, se.slotShare), 1
 	case newer:
 		se = se.restarted(ev.Now)
 	}
-	se.limit = max(se.least(), min(se.limit, se.most()))
+	se.limit = max(se.minLimit(), min(se.limit, se.maxLimit()))
 	switch {
 	case re.State == backend.Draining || re.State == backend.Left:
-		return se.moved(drain, ev.Now)
+		return se.transition(drain, ev.Now)
 	case resumed:
-		return se.moved(resume, ev.Now)
+		return se.transition(resume, ev.Now)
 	}
 	return se
 }
 
-// restarted forgets what was learned of the process before, which is gone with
-// the requests that it held.
+// restarted resets what was learned about the previous process. The requests
+// that it held are gone with it.
 func (se Server) restarted(now time.Time) Server {
-	se = se.moved(restart, now)
-	se.inFlight, se.held, se.oldest, se.probing = 0, 0, time.Time{}, false
-	se.latency, se.best, se.heard = latency{}, 0, time.Time{}
-	se.sheds, se.patience, se.pause = 0, 1, time.Time{}
+	se = se.transition(restart, now)
+	se.inFlight, se.held, se.oldestSent, se.probing = 0, 0, time.Time{}, false
+	se.latency, se.unloadedLatency, se.lastReply = latency{}, 0, time.Time{}
+	se.consecutiveSheds, se.growthDivisor, se.pauseUntil = 0, 1, time.Time{}
 	return se
 }
 
 func (se Server) end(ev Ended) Server {
 	se.inFlight--
-	se.oldest, se.ended = ev.Oldest, ev.Now
+	se.oldestSent, se.lastEnd = ev.Oldest, ev.Now
 	if ev.Held {
 		se.held++
 	}
@@ -256,40 +256,41 @@
 	case OK:
 		se = se.replied(oc.Latency, ev.Now).grown(ev.Now)
 	case Shed:
-		se.heard = ev.Now
+		se.lastReply = ev.Now
 		se = se.shed(ev)
 	case Draining:
-		// The server's own word counts at once. The record that this instance holds
-		// may be older and say Serving; only a newer one takes the server back.
-		se.heard = ev.Now
-		se = se.moved(drain, ev.Now)
+		// A draining reply takes effect at once. The record that this instance
+		// has may be older and still say Serving; only a newer record makes the
+		// server usable again.
+		se.lastReply = ev.Now
+		se = se.transition(drain, ev.Now)
 	case Failed:
-		se.failures++
+		se.consecutiveFailures++
 	case ConnectionLost, TimedOut:
-		se.failures++
-		se.latency = se.latency.withAtLeast(oc.Latency)
+		se.consecutiveFailures++
+		se.latency = se.latency.withLowerBound(oc.Latency)
 	case Cancelled:
-		se.latency = se.latency.withAtLeast(oc.Latency)
+		se.latency = se.latency.withLowerBound(oc.Latency)
 	case NotSent:
 		if se.limit < 1 {
-			se.paced = se.paced.Add(-se.pace())
+			se.pacedUntil = se.pacedUntil.Add(-se.sendInterval())
 		}
 	}
 	if ev.Probe {
-		se = se.probed(ev)
+		se = se.probeEnded(ev)
 	}
 	return se
 }
 
 func (se Server) replied(sample time.Duration, now time.Time) Server {
-	se.heard = now
-	se.failures, se.sheds = 0, 0
-	se.replies++
+	se.lastReply = now
+	se.consecutiveFailures, se.consecutiveSheds = 0, 0
+	se.repliesSinceCold++
 	se.latency = se.latency.with(sample)
-	if se.best == 0 || se.latency.value < se.best {
-		se.best = se.latency.value
+	if se.unloadedLatency == 0 || se.latency.value < se.unloadedLatency {
+		se.unloadedLatency = se.latency.value
 	} else {
-		se.best += time.Duration(bestDrift * float64(se.latency.value-se.best))
+		se.unloadedLatency += time.Duration(unloadedLatencyDrift * float64(se.latency.value-se.unloadedLatency))
 	}
 	return se
 }
--- a/limit/server_test.go
+++ b/limit/server_test.go
@@ -23,7 +23,7 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	// The properties are drawn from one seed, so that a run tells what the last did.
+	// A fixed seed for the property tests makes runs reproducible.
 	if fl := flag.Lookup("rapid.seed"); fl.Value.String() == fl.DefValue {
 		_ = fl.Value.Set("1")
 	}
@@ -35,7 +35,7 @@
 	se := Server{}.Step(Announced{
 		Now: t0, Record: backend.Record{Incarnation: 1, Sequence: 1, Slots: slots}, MaxConnections: 16, NumSharers: entries,
 	})
-	for range coldReplies {
+	for range warmupReplies {
 		se = se.Step(Sent{Now: t0, Oldest: t0}).Step(Ended{Now: t0, Outcome: Outcome{Kind: OK, Latency: 5 * ms}})
 	}
 	return se.Step(Compared{Now: t0, MedianLatency: 5 * ms})
@@ -45,19 +45,19 @@
 	return Ended{Now: now, Outcome: Outcome{Kind: ki, Latency: la}, Probe: probe, Random: 0.5}
 }
 
-// TestServerLife steps a server through its states. The golden file has one
-// line for each event with the state, the limit and how it is on offer.
-func TestServerLife(t *testing.T) {
+// TestServerStates steps a server through its states. The golden file has one
+// line for each event, with the state, the limit and the availability.
+func TestServerStates(t *testing.T) {
 	c := qt.New(t)
 	var sb strings.Builder
 	se, now := Server{}, t0
-	offers := []string{"closed", "full", "spare", "poor", "open", "overdue"}
+	availabilities := []string{"unavailable", "full", "lastResort", "degraded", "available", "probeDue"}
 	step := func(name string, after time.Duration, evs ...Event) {
 		now = now.Add(after)
 		for _, ev := range evs {
 			se = se.Step(ev)
 		}
-		fmt.Fprintf(&sb, "%-28s %-9s limit %.2f %s\n", name, se.State(), se.Limit(), offers[se.offer(now)])
+		fmt.Fprintf(&sb, "%-28s %-9s limit %.2f %s\n", name, se.State(), se.Limit(), availabilities[se.availability(now)])
 	}
 	announced := func(inc, seq uint64, st backend.State) Event {
 		return Announced{Now: now, Record: backend.Record{Incarnation: inc, Sequence: seq, State: st, Slots: 2}, MaxConnections: 4, NumSharers: 2}
@@ -73,24 +73,24 @@
 	step("compared", 0, Compared{Now: now, MedianLatency: 5 * ms})
 	step("shed", 0, Sent{Now: now, Oldest: now}, reply(now, Shed, 0, false))
 	step("20 ms later", 20*ms)
-	step("set aside", 0, Compared{Now: now, MedianLatency: 5 * ms, Verdict: Eject, Reason: Slow, Random: 0.5})
+	step("ejected", 0, Compared{Now: now, MedianLatency: 5 * ms, Verdict: Eject, Reason: Slow, Random: 0.5})
 	step("250 ms later", 250*ms)
 	step("slow probe", 0, Sent{Now: now, Oldest: now, Probe: true}, reply(now, OK, 50*ms, true))
 	step("250 ms later", 250*ms)
 	step("500 ms later", 250*ms)
-	for range probesPassed {
+	for range minGoodProbes {
 		step("good probe", 20*ms, Sent{Now: now, Oldest: now, Probe: true}, reply(now, OK, 5*ms, true))
 	}
-	step("its reply: draining", 0, Sent{Now: now, Oldest: now}, reply(now, Draining, 0, false))
+	step("reply: draining", 0, Sent{Now: now, Oldest: now}, reply(now, Draining, 0, false))
 	step("the old record again", 0, announced(1, 1, backend.Serving))
 	step("a newer record", 0, announced(1, 2, backend.Serving))
 	step("record: draining", 0, announced(1, 3, backend.Draining))
 	step("new incarnation", 0, announced(2, 1, backend.Cold))
-	step("late old record", 0, announced(1, 9, backend.Draining))
+	step("delayed old record", 0, announced(1, 9, backend.Draining))
 	step("20 replies", 0, ok(20)...)
 	step("compared, still cold", 0, Compared{Now: now, MedianLatency: 5 * ms})
-	step("gone from the view", 0, Removed{Now: now})
-	checkGolden(c, "life.golden", sb.String())
+	step("removed from the view", 0, Removed{Now: now})
+	checkGolden(c, "states.golden", sb.String())
 }
 
 func checkGolden(c *qt.C, name, got string) {
@@ -104,10 +104,10 @@
 	c.Assert(got, qt.Equals, string(want))
 }
 
-// Several instances find no slot free at the same moment. If all came back
-// after the same time they would collide again, for ever. So the pause differs
-// between instances and grows with each shed in a row.
-func TestShedPauses(t *testing.T) {
+// Several instances find no free slot at the same time. If all retried after the
+// same delay, they would collide again and again. So the pause has jitter and
+// grows with each consecutive shed reply.
+func TestShedPauseHasJitterAndBackoff(t *testing.T) {
 	c := qt.New(t)
 	pause := func(sheds int, random float64) time.Duration {
 		se := warmServer(2, 2)
@@ -116,7 +116,7 @@
 			ev.Random = random
 			se = se.Step(Sent{Now: t0, Oldest: t0}).Step(ev)
 		}
-		return se.rest(t0)
+		return se.sendDelay(t0)
 	}
 	c.Assert(pause(1, 0), qt.Equals, 2500*time.Microsecond)
 	c.Assert(pause(1, 1), qt.Equals, 7500*time.Microsecond)
@@ -124,12 +124,12 @@
 	c.Assert(pause(9, 0), qt.Equals, 10*ms)
 	asked := warmServer(2, 2).Step(Sent{Now: t0, Oldest: t0}).
 		Step(Ended{Now: t0, Outcome: Outcome{Kind: Shed, RetryAfter: 40 * ms}})
-	c.Assert(asked.rest(t0), qt.Equals, 40*ms)
+	c.Assert(asked.sendDelay(t0), qt.Equals, 40*ms)
 }
 
-// TestLimitStaysEntitled brings sheds, slow and quick replies in any order: the
-// limit stays between the equal share and what slots and connections allow.
-func TestLimitStaysEntitled(t *testing.T) {
+// After any sequence of shed, slow and quick replies, the limit stays between
+// the equal share and what slots and connections allow.
+func TestLimitStaysWithinBounds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		se := warmServer(rapid.IntRange(1, 6).Draw(rt, "slots"), rapid.IntRange(1, 30).Draw(rt, "entries"))
 		now := t0
@@ -138,35 +138,37 @@
 			ki := rapid.SampledFrom([]OutcomeKind{OK, OK, Shed, TimedOut, NotSent}).Draw(rt, "kind")
 			la := time.Duration(rapid.IntRange(1, 100).Draw(rt, "ms")) * ms
 			se = se.Step(Sent{Now: now, Oldest: now}).Step(reply(now, ki, la, false))
-			if se.limit < se.least() || se.limit > se.most() {
-				rt.Fatalf("limit %v outside %v to %v", se.limit, se.least(), se.most())
+			if se.limit < se.minLimit() || se.limit > se.maxLimit() {
+				rt.Fatalf("limit %v outside %v to %v", se.limit, se.minLimit(), se.maxLimit())
 			}
 		}
 	})
 }
 
-// With 2 slots and 20 instances an instance's part is a tenth of a slot. If it
-// sent whenever it had none in flight, twenty would collide at two slots. It
-// keeps a pace below one request at a time, after a burst.
-func TestPaceBelowOne(t *testing.T) {
+// With 2 slots and 20 instances, an instance's share is a tenth of a slot. If
+// each instance sent whenever it has nothing in flight, twenty would collide at
+// two slots. After a burst, an instance keeps to a rate of less than one request
+// at a time.
+func TestPacingOfLimitBelowOne(t *testing.T) {
 	c := qt.New(t)
 	se := warmServer(2, 20)
-	se.limit = se.least()
+	se.limit = se.minLimit()
 	sent, now := 0, t0
 	for now.Before(t0.Add(time.Second)) {
-		if se.rest(now) == 0 {
+		if se.sendDelay(now) == 0 {
 			sent++
 			se = se.Step(Sent{Now: now, Oldest: now}).Step(reply(now.Add(5*ms), TimedOut, 5*ms, false))
 		}
 		now = now.Add(5 * ms)
 	}
-	pace := int(time.Second / (25 * ms)) // a fifth of a slot, with the overcommitment
-	c.Assert(sent, qt.Equals, pace+paceBurst)
+	pace := int(time.Second / (25 * ms)) // a fifth of a slot, because of the overcommit factor
+	c.Assert(sent, qt.Equals, pace+maxPaceBurst)
 }
 
-// A connection goes silent while the server answers on others. The one old
-// request must not make the server count as stuck; without any reply it must.
-func TestStuckNeedsSilence(t *testing.T) {
+// A connection goes silent while the server replies on others. The one old
+// request must not make the server count as stuck; if no reply comes at all, the
+// server must.
+func TestStuckOnlyWithoutReplies(t *testing.T) {
 	c := qt.New(t)
 	se := warmServer(4, 1).Step(Sent{Now: t0, Oldest: t0}).Step(Sent{Now: t0, Oldest: t0})
 	now := t0.Add(99 * ms)
@@ -177,20 +179,20 @@
 	c.Assert(se.Step(ev).stuck(now.Add(2*ms)), qt.IsFalse)
 }
 
-// A server is set aside while requests hold all of this instance's connections
-// to it. A probe would need one more than its share.
+// A server is ejected while requests occupy all of this instance's connections
+// to it. A probe would exceed this instance's share of the connections.
 func TestProbeNeedsConnection(t *testing.T) {
 	c := qt.New(t)
 	se := warmServer(4, 1)
-	se.connections = 1
+	se.maxConnections = 1
 	se = se.Step(Sent{Now: t0, Oldest: t0}).Step(Compared{Now: t0, Verdict: Eject, Reason: Stuck})
-	c.Assert(se.offer(t0.Add(time.Minute)), qt.Equals, full)
-	c.Assert(se.Step(reply(t0, TimedOut, 0, false)).offer(t0.Add(time.Minute)), qt.Equals, overdue)
+	c.Assert(se.availability(t0.Add(time.Minute)), qt.Equals, full)
+	c.Assert(se.Step(reply(t0, TimedOut, 0, false)).availability(t0.Add(time.Minute)), qt.Equals, probeDue)
 }
 
-// A backend server that queues sheds nothing until its queue is full; only its
-// latency shows that it has more than it can run. The limit must not grow on.
-func TestLimitHeedsLatency(t *testing.T) {
+// A backend server that queues requests sheds none until its queue is full, so
+// only its latency shows that it is overloaded. The limit must stop growing.
+func TestLimitStopsGrowingAtHighLatency(t *testing.T) {
 	c := qt.New(t)
 	grown := func(la time.Duration) float64 {
 		se, now := warmServer(4, 4), t0
@@ -205,9 +207,9 @@
 	c.Assert(grown(14*ms) < 2.5, qt.IsTrue, qt.Commentf("%v", grown(14*ms)))
 }
 
-// One reply in a hundred takes ten times as long, on every server. That must
-// not look like a server that has become slower.
-func TestLatencyShrugsOffStragglers(t *testing.T) {
+// On every server, one reply in a hundred takes ten times as long. Such replies
+// must not make the server look slower.
+func TestLatencyClipsOutliers(t *testing.T) {
 	c := qt.New(t)
 	se := warmServer(4, 1)
 	for ix := range 1000 {
--- a/limit/share.go
+++ b/limit/share.go
@@ -11,11 +11,11 @@
 	"balsamwinch.example/view"
 )
 
-// ConnectionShare returns how many connections to a server one instance may
-// hold. Control admits at most maxEntries instances at a time, so the shares of
-// all of them stay within the limit, also while one replaces another. It is
-// zero when there are more instances than connections: then no instance may
-// connect, until MaxEntries is lower or the tier hands out seats by service.
+// ConnectionsPerInstance returns how many connections to a server one instance
+// may hold. Control admits at most maxEntries instances at a time, so all shares
+// together stay within the limit even while one instance replaces another. It is
+// zero if there are more instances than connections. Then no instance may
+// connect until MaxEntries is lowered or the tier assigns instances by service.
 func ConnectionsPerInstance(limit, maxEntries int) int {
 	if maxEntries <= 0 {
 		maxEntries = operator.DefaultMaxEntries
@@ -24,96 +24,99 @@
 }
 
 const (
-	// leastEntries is how many entries a service has at least, so that one may fail.
-	leastEntries = 2
-	// mostEntries is up to how many are tried to divide the slots evenly.
-	mostEntries = 5
+	// minEntries is the minimum number of entry instances of a service, so that one
+	// may fail.
+	minEntries = 2
+	// maxDividingEntries is the highest number of entry instances tried in order to
+	// divide the slots evenly.
+	maxDividingEntries = 5
 )
 
-// Entries returns how many instances serve a service: the number that its
-// configuration gives, or the fewest that divide the slots of its scarcest
-// server without a rest. Entries with whole slots can't collide; those with
-// less than one each can only collide or coordinate for each request, and what
-// is left over is hardly used (BenchmarkSlots, BenchmarkSurge). It returns zero,
-// for all of them, if no server is known.
+// NumEntries returns how many instances serve a service: the number in its
+// configuration, or the lowest one that evenly divides the slots of the server
+// with the fewest. Entry instances with whole slots can't collide. With less
+// than one slot each, they can only collide or coordinate every request, and
+// slots left over by the division are hardly used (BenchmarkSlots,
+// BenchmarkSurge). If no server is known, it returns zero, which means all
+// instances.
 func NumEntries(se operator.Service, servers []backend.Record) int {
-	scarcest := 0
+	minSlots := 0
 	for ix := range servers {
 		re := &servers[ix]
-		if re.Slots > 0 && (scarcest == 0 || re.Slots < scarcest) && Selects(se, re) {
-			scarcest = re.Slots
+		if re.Slots > 0 && (minSlots == 0 || re.Slots < minSlots) && Selects(se, re) {
+			minSlots = re.Slots
 		}
 	}
-	return entriesOf(se, scarcest)
+	return numEntries(se, minSlots)
 }
 
-func entriesOf(se operator.Service, scarcest int) int {
-	if se.Entries > 0 || scarcest == 0 {
+func numEntries(se operator.Service, minSlots int) int {
+	if se.Entries > 0 || minSlots == 0 {
 		return se.Entries
 	}
-	for n := leastEntries; n <= mostEntries; n++ {
-		if scarcest%n == 0 {
+	for n := minEntries; n <= maxDividingEntries; n++ {
+		if minSlots%n == 0 {
 			return n
 		}
 	}
-	return leastEntries
+	return minEntries
 }
 
-// Subset returns the instances that serve a service of which only the given
-// number of entries may; zero or less means all. Draining instances and those
-// without the entry role are left out. The choice is by rendezvous hashing, in
-// turn over the data centres: when one instance comes or goes, at most one
-// other takes or loses a place.
+// Subset returns the instances that serve a service of which the given number of
+// entry instances may; zero or less means all. Draining instances and those
+// without the entry role are left out. The choice uses rendezvous hashing and
+// takes turns between the data centres: if one instance joins or leaves, at most
+// one other gains or loses its place.
 func Subset(service string, entries int, instances []view.Instance) []view.Instance {
-	ranked := rank(service, instances)
+	ranked := rankInstances(service, instances)
 	if entries <= 0 || entries >= len(ranked) {
 		return ranked
 	}
 	return ranked[:entries]
 }
 
-// rank orders the entry instances: the first of each data centre, then the
-// second of each, and so on.
-func rank(service string, instances []view.Instance) []view.Instance {
-	type place struct {
+// rankInstances orders the entry instances: the first of each data centre, then
+// the second of each, and so on.
+func rankInstances(service string, instances []view.Instance) []view.Instance {
+	type rankedInstance struct {
 		round   int
 		centre  uint64
 		weight  uint64
 		ordinal int
 	}
-	places := make([]place, 0, len(instances))
+	rankedInstances := make([]rankedInstance, 0, len(instances))
 	for ix, in := range instances {
 		if in.Entry && !in.Draining {
-			places = append(places, place{
-				centre: weigh(service, in.DataCentre), weight: weigh(service, in.Name), ordinal: ix,
+			rankedInstances = append(rankedInstances, rankedInstance{
+				centre: hash(service, in.DataCentre), weight: hash(service, in.Name), ordinal: ix,
 			})
 		}
 	}
-	slices.SortFunc(places, func(pl, ot place) int {
-		return cmp.Or(cmp.Compare(pl.centre, ot.centre), cmp.Compare(ot.weight, pl.weight),
-			cmp.Compare(instances[pl.ordinal].Name, instances[ot.ordinal].Name))
+	slices.SortFunc(rankedInstances, func(ri, ot rankedInstance) int {
+		return cmp.Or(cmp.Compare(ri.centre, ot.centre), cmp.Compare(ot.weight, ri.weight),
+			cmp.Compare(instances[ri.ordinal].Name, instances[ot.ordinal].Name))
 	})
-	for ix := 1; ix < len(places); ix++ {
-		if places[ix].centre == places[ix-1].centre {
-			places[ix].round = places[ix-1].round + 1
+	for ix := 1; ix < len(rankedInstances); ix++ {
+		if rankedInstances[ix].centre == rankedInstances[ix-1].centre {
+			rankedInstances[ix].round = rankedInstances[ix-1].round + 1
 		}
 	}
-	slices.SortStableFunc(places, func(pl, ot place) int {
-		return cmp.Or(cmp.Compare(pl.round, ot.round), cmp.Compare(pl.centre, ot.centre))
+	slices.SortStableFunc(rankedInstances, func(ri, ot rankedInstance) int {
+		return cmp.Or(cmp.Compare(ri.round, ot.round), cmp.Compare(ri.centre, ot.centre))
 	})
-	ranked := make([]view.Instance, len(places))
-	for ix, pl := range places {
-		ranked[ix] = instances[pl.ordinal]
+	ranked := make([]view.Instance, len(rankedInstances))
+	for ix, ri := range rankedInstances {
+		ranked[ix] = instances[ri.ordinal]
 	}
 	return ranked
 }
 
-func weigh(service, name string) uint64 {
+func hash(service, name string) uint64 {
 	return xxhash.Sum64String(service + "\x00" + name)
 }
 
-// Selects reports whether the operators gave the service the backend server,
-// whatever its state.
+// Selects reports whether the operators assigned the backend server to the
+// service, whatever its state.
 func Selects(se operator.Service, re *backend.Record) bool {
 	sl := se.Selector
 	if sl.Service != "" && sl.Service != re.Service {
--- a/limit/share_test.go
+++ b/limit/share_test.go
@@ -13,13 +13,13 @@
 	"balsamwinch.example/view"
 )
 
-// Control admits MaxEntries instances at a time, also while one replaces
-// another. Whatever the limit, their shares must fit, or the backend server
-// refuses connections that an instance counts on.
-func TestConnectionShares(t *testing.T) {
+// Control admits MaxEntries instances at a time, even while one replaces
+// another. For every limit their shares must fit, or the backend server refuses
+// connections that an instance relies on.
+func TestConnectionsPerInstanceWithinLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		limit, most := rapid.IntRange(0, 200).Draw(rt, "limit"), rapid.IntRange(1, 1000).Draw(rt, "entries")
-		if sum := most * ConnectionsPerInstance(limit, most); sum > limit {
+		limit, maxEntries := rapid.IntRange(0, 200).Draw(rt, "limit"), rapid.IntRange(1, 1000).Draw(rt, "entries")
+		if sum := maxEntries * ConnectionsPerInstance(limit, maxEntries); sum > limit {
 			rt.Fatalf("%d connections over a limit of %d", sum, limit)
 		}
 	})
@@ -31,9 +31,10 @@
 	c.Assert(ok, qt.IsFalse, qt.Commentf("110 connections for 111 instances are none for each"))
 }
 
-// An instance fails or joins. If that reshuffled who serves what, connections
-// everywhere would be opened anew; at most one place may change hands.
-func TestSubsetMovesLittle(t *testing.T) {
+// An instance fails or joins. If that reshuffled which instances serve which
+// services, connections would be reopened everywhere. At most one place may
+// move.
+func TestSubsetMovesAtMostOnePlace(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var ins []view.Instance
 		for ix := range rapid.IntRange(2, 30).Draw(rt, "instances") {
@@ -70,7 +71,7 @@
 	})
 }
 
-func TestEntries(t *testing.T) {
+func TestNumEntries(t *testing.T) {
 	c := qt.New(t)
 	for slots, want := range []int{0, 2, 2, 3, 2, 5, 2, 2, 2, 3} {
 		servers := []backend.Record{{Server: "a", Service: "s", Slots: 8}, {Server: "b", Service: "s", Slots: slots}, {Service: "x", Slots: 1}}
@@ -81,10 +82,10 @@
 	}
 }
 
-// A fault makes every request late. Hedges and retries of all of them would
-// double the load on servers that can't take it; over any span they stay within
-// the percentage and one burst.
-func TestBudget(t *testing.T) {
+// A fault makes every request late. Hedging and retrying all of them would
+// double the load on overloaded servers. In any period, the extra requests must
+// stay within the percentage plus one burst.
+func TestBudgetBoundsExtraRequests(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		percent, burst := rapid.IntRange(0, 100).Draw(rt, "percent"), rapid.IntRange(0, 10).Draw(rt, "burst")
 		bu := NewBudget(float64(percent), burst)
@@ -111,13 +112,13 @@
 	c := qt.New(t)
 	bu := NewBudget(5, 0)
 	bu.Earn(20)
-	c.Assert([]bool{bu.Spend(), bu.Spend()}, qt.DeepEquals, []bool{false, false}, qt.Commentf("no burst, nothing to save up"))
+	c.Assert([]bool{bu.Spend(), bu.Spend()}, qt.DeepEquals, []bool{false, false}, qt.Commentf("without a burst nothing accumulates"))
 }
 
-// One reply in a hundred is ten times slower. A delay learned from the mean
-// would hedge too much or too late; a high percentile stays just above what is
-// usual, and follows when the service becomes slower.
-func TestHedgeDelay(t *testing.T) {
+// One reply in a hundred is ten times slower. A hedge delay based on the mean
+// would hedge too often or too late. A high percentile stays just above the
+// usual latency and follows when the service becomes slower.
+func TestHedgeDelayFollowsHighPercentile(t *testing.T) {
 	c := qt.New(t)
 	ta := NewTable(nil, TableConfig{})
 	c.Assert(ta.HedgeDelay("s"), qt.Equals, DefaultHedgeDelay)
@@ -131,7 +132,7 @@
 		}
 		return ta.HedgeDelay("s").Round(ms)
 	}
-	c.Assert(observe(hedgeFirst, 5*ms), qt.Equals, 5*ms)
-	c.Assert(observe((hedgeWindows+1)*hedgeWindow, 8*ms), qt.Equals, 8*ms)
-	c.Assert(observe((hedgeWindows+1)*hedgeWindow, 4*ms), qt.Equals, 4*ms)
+	c.Assert(observe(minHedgeSamples, 5*ms), qt.Equals, 5*ms)
+	c.Assert(observe((numHedgeWindows+1)*hedgeWindowSize, 8*ms), qt.Equals, 8*ms)
+	c.Assert(observe((numHedgeWindows+1)*hedgeWindowSize, 4*ms), qt.Equals, 4*ms)
 }
--- a/limit/sim_test.go
+++ b/limit/sim_test.go
@@ -10,44 +10,44 @@
 	"balsamwinch.example/operator"
 )
 
-// trial is one run of the discrete-event simulation: entries that run the code
-// of this package on simulated time share the slots of a few leafs, one for
-// each shard of every query.
-type trial struct {
+// simConfig configures a run of the discrete-event simulation. Entry instances
+// run the code of this package on simulated time and share the slots of a few
+// leafs, one for each shard of every query.
+type simConfig struct {
 	entries, leafs, slots int
-	load                  func(at time.Duration) float64 // load is the arrivals against the slots' capacity.
+	load                  func(at time.Duration) float64 // arrival rate as a fraction of the slots' capacity
 	length, deadline      time.Duration
-	hop                   time.Duration // hop is the one-way latency between any two machines.
+	hop                   time.Duration // one-way latency between any two machines
 	scheme                scheme
 	tactics               operator.Tactics
-	admit                 *AdmissionConfig // admit is nil for no queue at the entry.
-	replicas              int              // replicas is how many servers each leaf has; zero is one.
-	sick                  float64          // sick is how many times slower the first server is for four seconds.
-	retry                 bool             // retry sends what was given up on again.
-	leafQueue             int              // leafQueue is how many requests wait at a leaf before others are shed.
-	slow                  float64          // slow is the share of leaf requests that take ten times as long.
-	giveUp                time.Duration    // giveUp is when a request is given up as late; zero for never.
-	stopLag               time.Duration    // stopLag is how long the leaf goes on with those.
+	admission             *AdmissionConfig // nil: no queue at the entry instance
+	replicas              int              // servers per leaf; zero means one
+	slowdown              float64          // how many times slower the first server is for four seconds
+	retry                 bool             // whether abandoned requests are sent again
+	leafQueue             int              // requests that wait at a leaf before others are shed
+	slowFraction          float64          // fraction of leaf requests that take ten times as long
+	requestTimeout        time.Duration    // when a late request is abandoned; zero means never
+	cancelDelay           time.Duration    // how long the leaf continues to work on abandoned requests
 	hold                  HoldPolicy
 	seed                  uint64
 }
 
-// scheme says who may send to a leaf.
+// scheme tells who may send to a leaf.
 type scheme uint8
 
 const (
-	direct scheme = iota // direct lets every entry send by its own table.
-	lent                 // lent makes an entry ask the leaf's owner for a slot.
-	relay                // relay sends through one entry that holds all connections.
+	direct scheme = iota // every entry instance sends according to its own table
+	lent                 // an entry instance borrows a slot from the leaf's owner
+	relay                // all requests go through one entry instance that holds all connections
 )
 
 const simService = 5 * time.Millisecond
 
-// tally is what a trial measured.
-type tally struct {
+// simResult is the result of a simulation.
+type simResult struct {
 	useful, sent, shed, messages int
 	latencies, refusals          []time.Duration
-	bySecond                     [16]int // bySecond counts the useful answers.
+	bySecond                     [16]int // useful answers
 }
 
 type simEvent struct {
@@ -56,38 +56,38 @@
 }
 
 type sim struct {
-	trial
-	tally
-	now     time.Time
-	events  []simEvent // events are in the order of time, the next one last.
-	rn      *rand.Rand
-	all     []*simLeaf
-	members []*simEntry
+	simConfig
+	simResult
+	now    time.Time
+	events []simEvent // by time in descending order, the next event last
+	rn     *rand.Rand
+	leafs  []*simLeaf
+	nodes  []*simEntry
 }
 
 type simLeaf struct {
-	sm      *sim
-	records []backend.Record
-	busy    map[string]int
-	waiting map[string][]func()
-	lent    int      // lent counts the slots that the owner has lent.
-	asking  []func() // asking are the entries that wait for the owner.
+	sm        *sim
+	records   []backend.Record
+	busy      map[string]int
+	waiting   map[string][]func()
+	numLent   int      // slots lent by the owner
+	lendQueue []func() // entry instances that wait for the owner
 }
 
 type simEntry struct {
 	sm      *sim
 	ta      *Table
 	qu      *queue
-	waiting [][]*simRequest // waiting is by leaf.
-	asleep  []bool
+	waiting [][]*simRequest // by leaf
+	paused  []bool
 }
 
 type simQuery struct {
-	at, from          *simEntry // from is where the query arrived, at where it fans out.
+	at, from          *simEntry // from is where the query arrived, at is where it fans out
 	arrived, deadline time.Time
-	left              int
-	over              bool
-	wa                *waiting
+	pendingShards     int
+	finished          bool
+	qy                *query
 }
 
 type simRequest struct {
@@ -96,31 +96,31 @@
 	ix   int
 }
 
-// run runs a trial.
-func (tr trial) run() tally {
-	sm := &sim{trial: tr, now: t0, rn: rand.New(rand.NewPCG(tr.seed, 1))}
-	entries := tr.entries
-	if tr.scheme == relay {
+// run runs the simulation.
+func (sc simConfig) run() simResult {
+	sm := &sim{simConfig: sc, now: t0, rn: rand.New(rand.NewPCG(sc.seed, 1))}
+	entries := sc.entries
+	if sc.scheme == relay {
 		entries = 1
 	}
-	vi := viewOf(tr.leafs*max(1, tr.replicas), tr.leafs, tr.slots, entries)
-	for ix := range tr.leafs {
+	vi := viewOf(sc.leafs*max(1, sc.replicas), sc.leafs, sc.slots, entries)
+	for ix := range sc.leafs {
 		le := &simLeaf{sm: sm, busy: make(map[string]int), waiting: make(map[string][]func())}
-		for at := ix; at < len(vi.Servers); at += tr.leafs {
+		for at := ix; at < len(vi.Servers); at += sc.leafs {
 			le.records = append(le.records, vi.Servers[at])
 		}
-		sm.all = append(sm.all, le)
+		sm.leafs = append(sm.leafs, le)
 	}
-	for ix := range tr.entries {
-		en := &simEntry{sm: sm, waiting: make([][]*simRequest, tr.leafs), asleep: make([]bool, tr.leafs)}
-		en.ta = NewTable(nil, TableConfig{Seed: tr.seed*1000 + uint64(ix), Hold: tr.hold, HoldTimeout: 20 * simService})
+	for ix := range sc.entries {
+		en := &simEntry{sm: sm, waiting: make([][]*simRequest, sc.leafs), paused: make([]bool, sc.leafs)}
+		en.ta = NewTable(nil, TableConfig{Seed: sc.seed*1000 + uint64(ix), Hold: sc.hold, HoldTimeout: 20 * simService})
 		en.ta.update(sm.now, vi)
-		if tr.admit != nil {
-			cf := *tr.admit
+		if sc.admission != nil {
+			cf := *sc.admission
 			cf.ServiceCapacity = en.ta.ServiceCapacity
 			en.qu = newQueue(cf.withDefaults())
 		}
-		sm.members = append(sm.members, en)
+		sm.nodes = append(sm.nodes, en)
 	}
 	sm.arrivals()
 	for len(sm.events) > 0 {
@@ -129,7 +129,7 @@
 		sm.now = ev.at
 		ev.do()
 	}
-	return sm.tally
+	return sm.simResult
 }
 
 func (sm *sim) after(delay time.Duration, do func()) {
@@ -140,7 +140,7 @@
 	sm.events = slices.Insert(sm.events, ix, ev)
 }
 
-// arrivals makes a Poisson process over all entries.
+// arrivals schedules a Poisson process over all entry instances.
 func (sm *sim) arrivals() {
 	elapsed := sm.now.Sub(t0)
 	if elapsed >= sm.length {
@@ -148,79 +148,80 @@
 	}
 	gap := sm.rn.ExpFloat64() * float64(simService) / float64(sm.slots*max(1, sm.replicas)) / sm.load(elapsed)
 	sm.after(time.Duration(gap), func() {
-		sm.arrive(sm.members[sm.rn.IntN(len(sm.members))])
+		sm.arrive(sm.nodes[sm.rn.IntN(len(sm.nodes))])
 		sm.arrivals()
 	})
 }
 
 func (sm *sim) arrive(en *simEntry) {
-	qu := &simQuery{at: en, from: en, arrived: sm.now, deadline: sm.now.Add(sm.deadline), left: len(sm.all)}
+	qu := &simQuery{at: en, from: en, arrived: sm.now, deadline: sm.now.Add(sm.deadline), pendingShards: len(sm.leafs)}
 	sm.after(sm.deadline, func() { sm.finish(qu, false) })
 	switch {
-	case sm.scheme == relay && en != sm.members[0]:
-		qu.at = sm.members[0]
+	case sm.scheme == relay && en != sm.nodes[0]:
+		qu.at = sm.nodes[0]
 		sm.messages += 2
-		sm.after(sm.hop, qu.fan)
+		sm.after(sm.hop, qu.fanOut)
 	case en.qu != nil:
 		en.admit(qu)
 	default:
-		qu.fan()
+		qu.fanOut()
 	}
 }
 
 func (en *simEntry) admit(qu *simQuery) {
 	sm := en.sm
 	refuse := func() {
-		qu.over = true
+		qu.finished = true
 		sm.refusals = append(sm.refusals, sm.now.Sub(qu.arrived))
 	}
-	qu.wa, _ = en.qu.arrive(sm.now, "s", 1, len(sm.all), qu.deadline)
+	qu.qy, _ = en.qu.enqueue(sm.now, "s", 1, len(sm.leafs), qu.deadline)
 	switch {
-	case qu.wa == nil:
+	case qu.qy == nil:
 		refuse()
-	case qu.wa.state == running:
-		qu.fan()
+	case qu.qy.state == running:
+		qu.fanOut()
 	default:
-		qu.wa.told = func() {
-			if qu.wa.state == expired {
+		qu.qy.onDecision = func() {
+			if qu.qy.state == expired {
 				refuse()
 				return
 			}
-			sm.after(0, qu.fan)
+			sm.after(0, qu.fanOut)
 		}
-		sm.after(qu.wa.latest.Sub(sm.now)+1, func() { en.qu.advance(sm.now) })
+		sm.after(qu.qy.latest.Sub(sm.now)+1, func() { en.qu.advance(sm.now) })
 	}
 }
 
-func (qu *simQuery) fan() {
-	for ix, le := range qu.at.sm.all {
+func (qu *simQuery) fanOut() {
+	for ix, le := range qu.at.sm.leafs {
 		rq := &simRequest{qu, le, ix}
 		if qu.at.sm.scheme == lent {
-			qu.at.ask(rq)
+			qu.at.borrowSlot(rq)
 			continue
 		}
 		qu.at.waiting[ix] = append(qu.at.waiting[ix], rq)
-		qu.at.pump(ix)
+		qu.at.sendWaiting(ix)
 	}
 }
 
-// late says that a request can't be answered in time any more.
-func (rq *simRequest) late(now time.Time) bool {
-	return rq.qu.over || now.Add(2*simService).After(rq.qu.deadline)
+// tooLate reports whether the request can no longer be answered in time.
+func (rq *simRequest) tooLate(now time.Time) bool {
+	return rq.qu.finished || now.Add(2*simService).After(rq.qu.deadline)
 }
 
-// pump sends what waits for a leaf as far as the table lets it.
-func (en *simEntry) pump(ix int) {
+// sendWaiting sends the requests that wait for a leaf, as far as the table
+// allows.
+func (en *simEntry) sendWaiting(ix int) {
 	sm := en.sm
 	for len(en.waiting[ix]) > 0 {
 		rq := en.waiting[ix][0]
-		if rq.late(sm.now) {
+		if rq.tooLate(sm.now) {
 			en.waiting[ix] = en.waiting[ix][1:]
 			continue
 		}
 		ch, ok := en.ta.Pick(sm.now, sm.tactics, rq.leaf.records, nil)
 		if !ok {
-			en.sleep(rq)
+			en.pause(rq)
 			return
 		}
 		en.waiting[ix] = en.waiting[ix][1:]
@@ -228,40 +229,40 @@
 	}
 }
 
-func (en *simEntry) sleep(rq *simRequest) {
-	if en.asleep[rq.ix] {
+func (en *simEntry) pause(rq *simRequest) {
+	if en.paused[rq.ix] {
 		return
 	}
-	en.asleep[rq.ix] = true
+	en.paused[rq.ix] = true
 	wait, _ := en.ta.RetryDelay(en.sm.now, rq.leaf.records, nil)
 	en.sm.after(wait, func() {
-		en.asleep[rq.ix] = false
-		en.pump(rq.ix)
+		en.paused[rq.ix] = false
+		en.sendWaiting(rq.ix)
 	})
 }
 
 func (en *simEntry) send(rq *simRequest, ch Choice) {
 	sm, sent := en.sm, en.sm.now
-	over, givenUp := false, false
+	ended, cancelled := false, false
 	end := func(ki OutcomeKind) {
-		over = true
-		if givenUp {
+		ended = true
+		if cancelled {
 			en.ta.ReleaseSlot(sm.now, ch)
 		} else {
 			en.ta.Done(sm.now, ch, Outcome{Kind: ki, Latency: sm.now.Sub(sent)})
 			en.replied(rq, ki)
 		}
-		en.pump(rq.ix)
+		en.sendWaiting(rq.ix)
 	}
 	service := sm.service(ch.Server)
-	if sm.giveUp > 0 && 2*sm.hop+service > sm.giveUp {
-		service = min(service, sm.giveUp+sm.stopLag)
-		sm.after(sm.giveUp, func() {
-			if !over {
-				givenUp = true
-				en.ta.Done(sm.now, ch, Outcome{Kind: Cancelled, Latency: sm.giveUp})
+	if sm.requestTimeout > 0 && 2*sm.hop+service > sm.requestTimeout {
+		service = min(service, sm.requestTimeout+sm.cancelDelay)
+		sm.after(sm.requestTimeout, func() {
+			if !ended {
+				cancelled = true
+				en.ta.Done(sm.now, ch, Outcome{Kind: Cancelled, Latency: sm.requestTimeout})
 				en.replied(rq, Cancelled)
-				en.pump(rq.ix)
+				en.sendWaiting(rq.ix)
 			}
 		})
 	}
@@ -273,25 +274,25 @@
 	})
 }
 
-// replied goes on with the query: a shed request is queued again, in front. One
-// that was given up on has been answered elsewhere unless it is retried.
+// replied continues the query: a shed request goes back to the front of the
+// queue. An abandoned one counts as answered elsewhere unless it is retried.
 func (en *simEntry) replied(rq *simRequest, ki OutcomeKind) {
 	sm := en.sm
 	if ki == Shed || ki == Cancelled && sm.retry {
-		again := func() { en.waiting[rq.ix] = slices.Insert(en.waiting[rq.ix], 0, rq) }
+		requeue := func() { en.waiting[rq.ix] = slices.Insert(en.waiting[rq.ix], 0, rq) }
 		if sm.tactics != operator.Baseline {
-			again()
+			requeue()
 			return
 		}
 		sm.after(time.Duration((0.5+sm.rn.Float64())*float64(simService)), func() {
-			again()
-			en.pump(rq.ix)
+			requeue()
+			en.sendWaiting(rq.ix)
 		})
 		return
 	}
-	rq.qu.left--
+	rq.qu.pendingShards--
 	switch {
-	case rq.qu.left > 0:
+	case rq.qu.pendingShards > 0:
 	case rq.qu.at != rq.qu.from:
 		sm.after(sm.hop, func() { sm.finish(rq.qu, true) })
 	default:
@@ -300,17 +301,17 @@
 }
 
 func (sm *sim) finish(qu *simQuery, useful bool) {
-	if qu.over {
+	if qu.finished {
 		return
 	}
-	qu.over = true
+	qu.finished = true
 	if useful {
 		sm.useful++
 		sm.bySecond[sm.now.Sub(t0)/time.Second]++
 		sm.latencies = append(sm.latencies, sm.now.Sub(qu.arrived))
 	}
-	if qu.wa != nil {
-		qu.at.qu.end(sm.now, qu.wa)
+	if qu.qy != nil {
+		qu.at.qu.end(sm.now, qu.qy)
 	}
 }
 
@@ -318,11 +319,11 @@
 func (sm *sim) service(server string) time.Duration {
 	const sigma = 0.4
 	se := float64(simService) * math.Exp(sigma*sm.rn.NormFloat64()-sigma*sigma/2)
-	if sm.rn.Float64() < sm.slow {
+	if sm.rn.Float64() < sm.slowFraction {
 		se *= 10
 	}
-	if at := sm.now.Sub(t0); sm.sick > 0 && server == "a" && at >= 2*time.Second && at < 6*time.Second {
-		se *= sm.sick
+	if at := sm.now.Sub(t0); sm.slowdown > 0 && server == "a" && at >= 2*time.Second && at < 6*time.Second {
+		se *= sm.slowdown
 	}
 	return time.Duration(se)
 }
@@ -350,13 +351,13 @@
 	}
 }
 
-// ask takes a slot from the leaf's owner and gives it back after the reply:
-// three messages between instances.
-func (en *simEntry) ask(rq *simRequest) {
+// borrowSlot borrows a slot from the leaf's owner and returns it after the
+// reply. This takes three messages between instances.
+func (en *simEntry) borrowSlot(rq *simRequest) {
 	sm, le := en.sm, rq.leaf
 	sm.messages += 3
 	granted := func() {
-		if rq.late(sm.now) {
+		if rq.tooLate(sm.now) {
 			sm.after(sm.hop, le.release)
 			return
 		}
@@ -371,27 +372,27 @@
 		})
 	}
 	sm.after(sm.hop, func() {
-		le.asking = append(le.asking, func() { sm.after(sm.hop, granted) })
-		le.lend()
+		le.lendQueue = append(le.lendQueue, func() { sm.after(sm.hop, granted) })
+		le.grantSlots()
 	})
 }
 
-func (le *simLeaf) lend() {
-	for le.lent < le.sm.slots && len(le.asking) > 0 {
-		next := le.asking[0]
-		le.asking = le.asking[1:]
-		le.lent++
+func (le *simLeaf) grantSlots() {
+	for le.numLent < le.sm.slots && len(le.lendQueue) > 0 {
+		next := le.lendQueue[0]
+		le.lendQueue = le.lendQueue[1:]
+		le.numLent++
 		next()
 	}
 }
 
 func (le *simLeaf) release() {
-	le.lent--
-	le.lend()
+	le.numLent--
+	le.grantSlots()
 }
 
-// millis returns a quantile in milliseconds.
-func millis(ds []time.Duration, qu float64) float64 {
+// quantileMillis returns a quantile in milliseconds.
+func quantileMillis(ds []time.Duration, qu float64) float64 {
 	if len(ds) == 0 {
 		return 0
 	}
@@ -403,7 +404,8 @@
 	return func(time.Duration) float64 { return load }
 }
 
-// surge is twice the capacity from the third second to the sixth.
+// surge is twice the capacity from the third to the sixth second, and half of it
+// otherwise.
 func surge(at time.Duration) float64 {
 	if at >= 2*time.Second && at < 6*time.Second {
 		return 2
--- a/limit/slots.go
+++ b/limit/slots.go
@@ -3,147 +3,155 @@
 import "time"
 
 const (
-	// shedCut is what a shed reply leaves of the limit.
-	shedCut = 0.85
-	// slowCut is what latency far above the server's own best leaves of it.
-	slowCut = 0.95
-	// growth is what a reply adds to a limit that binds, before patience.
-	growth = 0.1
-	// overcommit is how many times its equal part of the slots an instance may
-	// ask for while that is below one. Requests come at random, so with the bare
-	// part the slots stay half empty; BenchmarkSlots compares the factors.
-	overcommit = 2
-	// mostPerSlot is how many requests may be in flight for each slot: while one
+	// A shed reply multiplies the limit by shedCutFactor.
+	shedCutFactor = 0.85
+	// Latency far above the server's unloaded latency multiplies the limit by
+	// latencyCutFactor.
+	latencyCutFactor = 0.95
+	// limitGrowth divided by growthDivisor is what a reply adds to a limit that was
+	// reached.
+	limitGrowth = 0.1
+	// overcommitFactor multiplies an instance's equal share of the slots while that
+	// is below one. Requests come at random, so with the plain share the slots stay
+	// half empty; BenchmarkSlots compares the factors.
+	overcommitFactor = 2
+	// maxPerSlot is how many requests may be in flight for each slot: while one
 	// runs, another may be on its way.
-	mostPerSlot = 2
-	// mostDoublings bounds how often the pause after a shed reply doubles.
-	mostDoublings = 2
-	// paceBurst is how many requests may be ahead of the pace.
-	paceBurst = 8
-	// mostPatience bounds how much slower a limit grows after repeated sheds.
-	mostPatience = 128
-	// calmReplies is how many replies without a shed halve the patience.
-	calmReplies = 512
-	// slowGrowth and slowShrink are how many times its own best latency a server
-	// may show before its limit stops growing, and before it is cut.
-	slowGrowth = 2
-	slowShrink = 3
-	// bestDrift is the share by which the best latency follows the present one. A
-	// quick drift would take a queue that lasts for the server's own pace.
-	bestDrift = 1.0 / 8192
-	// leastPause and mostPause bound the pause after a shed reply.
-	leastPause = time.Millisecond
-	mostPause  = time.Second
+	maxPerSlot = 2
+	// maxPauseDoublings bounds how often the pause after a shed reply doubles.
+	maxPauseDoublings = 2
+	// maxPaceBurst is how many requests may be sent ahead of the constant rate.
+	maxPaceBurst = 8
+	// maxGrowthDivisor bounds how much slower the limit grows after repeated shed
+	// replies.
+	maxGrowthDivisor = 128
+	// growthRecoveryReplies is how many replies without a shed one halve the growth
+	// divisor.
+	growthRecoveryReplies = 512
+	// Above growthLatencyRatio times the server's unloaded latency the limit stops
+	// growing, and above cutLatencyRatio times it is lowered.
+	growthLatencyRatio = 2
+	cutLatencyRatio    = 3
+	// unloadedLatencyDrift is the fraction by which the unloaded latency moves
+	// towards the current one per reply. With a faster drift, the latency of a
+	// lasting queue would be taken for the server's unloaded latency.
+	unloadedLatencyDrift = 1.0 / 8192
+	// minPause and maxPause bound the pause after a shed reply.
+	minPause = time.Millisecond
+	maxPause = time.Second
 )
 
 func (se Server) sent(ev Sent) Server {
 	se.inFlight++
-	se.oldest = ev.Oldest
-	se.bound = se.bound || se.inFlight+se.held >= se.whole()
+	se.oldestSent = ev.Oldest
+	se.limitReached = se.limitReached || se.inFlight+se.held >= se.maxInFlight()
 	if se.limit < 1 {
-		se.paced = later(se.paced, ev.Now).Add(se.pace())
+		se.pacedUntil = later(se.pacedUntil, ev.Now).Add(se.sendInterval())
 	}
 	if ev.Probe {
 		se.probing = true
-		return se.moved(probe, ev.Now)
+		return se.transition(probe, ev.Now)
 	}
 	return se
 }
 
-// grown raises a limit that binds, unless latency shows that the server queues.
+// grown raises the limit if it was reached, unless the latency shows that
+// requests queue at the server.
 func (se Server) grown(now time.Time) Server {
-	se.calm++
-	if se.calm >= calmReplies {
-		se.calm, se.patience = 0, max(1, se.patience/2)
+	se.repliesSinceShed++
+	if se.repliesSinceShed >= growthRecoveryReplies {
+		se.repliesSinceShed, se.growthDivisor = 0, max(1, se.growthDivisor/2)
 	}
-	if !se.bound {
+	if !se.limitReached {
 		return se
 	}
-	se.bound = false
-	if se.latency.value > slowShrink*se.best {
-		if now.Sub(se.cutAt) >= se.latency.value {
-			se.cutAt = now
-			se.limit = max(min(se.limit, se.least()), se.limit*slowCut)
+	se.limitReached = false
+	if se.latency.value > cutLatencyRatio*se.unloadedLatency {
+		if now.Sub(se.lastCut) >= se.latency.value {
+			se.lastCut = now
+			se.limit = max(min(se.limit, se.minLimit()), se.limit*latencyCutFactor)
 		}
 		return se
 	}
-	if se.latency.value <= slowGrowth*se.best {
-		se.limit = max(se.limit, min(se.most(), se.limit+growth/se.patience))
+	if se.latency.value <= growthLatencyRatio*se.unloadedLatency {
+		se.limit = max(se.limit, min(se.maxLimit(), se.limit+limitGrowth/se.growthDivisor))
 	}
 	return se
 }
 
-// shed lowers the limit, at most once in a latency because the replies of one
-// moment say the same, and pauses. The pause is random and doubles with each
-// shed in a row: instances that collided at a slot must not come back together.
+// shed lowers the limit and pauses. It lowers the limit at most once per
+// latency, because replies that come together report the same overload. The
+// pause has jitter and doubles with each consecutive shed reply, so that
+// instances that collided at a slot don't retry together.
 func (se Server) shed(ev Ended) Server {
-	se.sheds++
-	se.calm = 0
-	wait := se.expected()
-	if ev.Now.Sub(se.cutAt) >= time.Duration(wait) {
-		se.cutAt = ev.Now
-		se.patience = min(mostPatience, 2*se.patience)
-		se.limit = max(min(se.limit, se.least()), se.limit*shedCut)
+	se.consecutiveSheds++
+	se.repliesSinceShed = 0
+	wait := se.expectedLatency()
+	if ev.Now.Sub(se.lastCut) >= time.Duration(wait) {
+		se.lastCut = ev.Now
+		se.growthDivisor = min(maxGrowthDivisor, 2*se.growthDivisor)
+		se.limit = max(min(se.limit, se.minLimit()), se.limit*shedCutFactor)
 	}
-	wait *= (0.5 + ev.Random) * float64(int(1)<<min(se.sheds-1, mostDoublings))
-	pause := min(mostPause, max(leastPause, time.Duration(wait)))
-	se.pause = later(se.pause, ev.Now.Add(max(pause, ev.Outcome.RetryAfter)))
+	wait *= (0.5 + ev.Random) * float64(int(1)<<min(se.consecutiveSheds-1, maxPauseDoublings))
+	pause := min(maxPause, max(minPause, time.Duration(wait)))
+	se.pauseUntil = later(se.pauseUntil, ev.Now.Add(max(pause, ev.Outcome.RetryAfter)))
 	return se
 }
 
-// most is the highest limit. A request that is on its way takes no slot yet, so
-// it is above the slots; it is never above the connections.
-func (se Server) most() float64 {
-	return float64(min(mostPerSlot*se.slots, max(1, se.connections)))
+// maxLimit returns the highest limit. It exceeds the number of slots, because a
+// request that is on its way takes no slot yet, but never the connections.
+func (se Server) maxLimit() float64 {
+	return float64(min(maxPerSlot*se.slots, max(1, se.maxConnections)))
 }
 
-// least is the lowest limit: this instance's equal part of the slots, which
-// nobody else is entitled to.
-func (se Server) least() float64 {
-	least := max(se.share, min(1, overcommit*se.share))
-	return min(least, se.most())
+// minLimit returns the lowest limit: this instance's equal share of the slots,
+// which no other instance may use.
+func (se Server) minLimit() float64 {
+	limit := max(se.slotShare, min(1, overcommitFactor*se.slotShare))
+	return min(limit, se.maxLimit())
 }
 
-// static returns the whole slots of this instance's equal part, at least one:
-// what the baseline may have in flight.
-func (se Server) static() int {
-	return min(max(1, int(se.share)), se.connections)
+// staticShare returns the whole slots of this instance's equal share, at least
+// one. This is the limit under the baseline tactics.
+func (se Server) staticShare() int {
+	return min(max(1, int(se.slotShare)), se.maxConnections)
 }
 
-// expected returns the latency in nanoseconds that the next request will show.
-func (se Server) expected() float64 {
+// expectedLatency returns the expected latency of the next request, in
+// nanoseconds.
+func (se Server) expectedLatency() float64 {
 	switch {
 	case se.latency.count > 0:
 		return float64(se.latency.value)
-	case se.typical > 0:
-		return float64(se.typical)
+	case se.medianLatency > 0:
+		return float64(se.medianLatency)
 	default:
-		return float64(leastPause)
+		return float64(minPause)
 	}
 }
 
-// whole returns how many requests may be in flight. A cold server gets one more
-// for every two replies.
-func (se Server) whole() int {
-	whole := max(1, int(se.limit))
+// maxInFlight returns how many requests may be in flight. For a cold server it
+// starts at one and grows by one with every two replies, up to the limit.
+func (se Server) maxInFlight() int {
+	limit := max(1, int(se.limit))
 	if se.state == StateCold {
-		whole = min(whole, 1+se.replies/2)
+		limit = min(limit, 1+se.repliesSinceCold/2)
 	}
-	return whole
+	return limit
 }
 
-// pace returns the time between requests of a limit below one.
-func (se Server) pace() time.Duration {
-	return time.Duration(se.expected() / se.limit)
+// sendInterval returns the time between requests for a limit below one.
+func (se Server) sendInterval() time.Duration {
+	return time.Duration(se.expectedLatency() / se.limit)
 }
 
-// rest returns how long nothing may be sent: after a shed reply, or to keep the
-// pace of a limit below one. The pace allows a burst, since requests come at
-// random and an even pace would make most of them wait.
-func (se Server) rest(now time.Time) time.Duration {
-	wait := se.pause.Sub(now)
+// sendDelay returns how long nothing may be sent, after a shed reply or to keep
+// the rate of a limit below one. The rate allows a burst: requests come at
+// random, and with a constant rate most of them would wait.
+func (se Server) sendDelay(now time.Time) time.Duration {
+	wait := se.pauseUntil.Sub(now)
 	if se.limit < 1 {
-		wait = max(wait, se.paced.Add(-paceBurst*se.pace()).Sub(now))
+		wait = max(wait, se.pacedUntil.Add(-maxPaceBurst*se.sendInterval()).Sub(now))
 	}
 	return max(0, wait)
 }
--- a/limit/table.go
+++ b/limit/table.go
@@ -1,6 +1,6 @@
-// Package limit decides what one instance may send: which backend server takes
-// a leaf request, how many may be in flight at each, how many extra ones hedges
-// and retries may add, and which queries are admitted at all. It holds no
+// Package limit decides what one instance may send: which backend server takes a
+// leaf request, how many requests may be in flight to each, how many extra ones
+// hedges and retries may add, and which queries are admitted at all. It holds no
 // connections and sends nothing.
 package limit
 
@@ -18,56 +18,58 @@
 	"balsamwinch.example/view"
 )
 
-// HoldPolicy says when the slot of a request that was given up on is free again.
+// HoldPolicy tells when the slot of an abandoned request becomes free.
 type HoldPolicy uint8
 
 // The hold policies.
 const (
-	// UntilProof keeps the slot taken until the server proves that the request
-	// has ended, or until HoldBound.
+	// HoldUntilReleased keeps the slot taken until the server confirms that the
+	// request has ended, or until HoldTimeout.
 	HoldUntilReleased HoldPolicy = iota
-	// FreeAtOnce frees the slot when the request is given up on.
+	// ReleaseImmediately frees the slot when the request is abandoned.
 	ReleaseImmediately
 )
 
-// DefaultHoldBound is how long a slot is held without proof.
+// DefaultHoldTimeout is how long a slot is held without confirmation.
 const DefaultHoldTimeout = 2 * time.Second
 
 const (
-	// fewCandidates is up to how many candidates are all looked at.
-	fewCandidates = 4
-	// betterBy is how much better a server must be rated than one that was looked
-	// at before it. The order is random, so nearly equal servers share the work.
-	betterBy = 1.3
-	// pickAttempts bounds how often a choice that another goroutine took from
-	// under this one is made again.
-	pickAttempts = 4
+	// maxFullScan is the number of candidates up to which all are evaluated.
+	maxFullScan = 4
+	// minScoreRatio is by how much a server's score must be better than that of one
+	// evaluated before it. The order is random, so nearly equal servers share the
+	// load.
+	minScoreRatio = 1.3
+	// maxPickAttempts bounds how often Pick retries when another goroutine has taken
+	// the chosen slot.
+	maxPickAttempts = 4
 )
 
-// TableConfig is what a Table is made with. The zero TableConfig is usable.
+// TableConfig configures a Table. The zero value is usable.
 type TableConfig struct {
-	Seed        uint64 // Seed is the seed of the random choices.
+	Seed        uint64 // seed of the random choices
 	Hold        HoldPolicy
-	HoldTimeout time.Duration // HoldBound is zero for the default.
+	HoldTimeout time.Duration // zero means DefaultHoldTimeout
 }
 
-// Table holds what is known of each backend server. It is safe for many
-// goroutines, and no lock is shared by all of them on the way of a request.
+// Table holds this instance's view of each backend server. It is safe for
+// concurrent use, and on the path of a request goroutines share no lock of the
+// whole table.
 type Table struct {
-	ts     *timer.Service
-	cf     TableConfig
-	draws  atomic.Uint64
-	sn     atomic.Pointer[servings]
-	mu     sync.Mutex // mu guards the replacement of sn.
-	hedges sync.Map   // hedges maps a service's name to its *hedge.
+	ts         *timer.Service
+	cf         TableConfig
+	numPicks   atomic.Uint64
+	st         atomic.Pointer[tableState]
+	mu         sync.Mutex // guards the replacement of st
+	estimators sync.Map   // *delayEstimator by service name
 }
 
-// servings is what one view makes of the table. It is never changed.
-type servings struct {
-	entries   map[string]*entry
-	groups    map[string]*group // groups are by service.
-	instances int               // instances is how many have the entry role.
-	divisor   int               // divisor is what connection limits are divided by.
+// tableState is the state derived from one view. It is immutable.
+type tableState struct {
+	servers           map[string]*serverEntry
+	groups            map[string]*group // by service
+	numInstances      int               // instances that have the entry role
+	connectionDivisor int               // connection limits are divided by this
 }
 
 // NewTable returns an empty table.
@@ -76,12 +78,12 @@
 		cf.HoldTimeout = DefaultHoldTimeout
 	}
 	ta := &Table{ts: ts, cf: cf}
-	ta.sn.Store(&servings{entries: make(map[string]*entry), instances: 1})
+	ta.st.Store(&tableState{servers: make(map[string]*serverEntry), numInstances: 1})
 	return ta
 }
 
-// Update takes over the servers of a newer view: new ones start cold, those
-// that restarted are cold again, those that left are forgotten.
+// Update applies the servers of a newer view: new and restarted servers start
+// cold, and those that left are removed.
 func (ta *Table) Update(vi *view.View) {
 	ta.update(ta.ts.Now(), vi)
 }
@@ -89,265 +91,269 @@
 func (ta *Table) update(now time.Time, vi *view.View) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
-	old := ta.sn.Load()
-	sn := &servings{
-		entries:   make(map[string]*entry, len(vi.Servers)),
-		groups:    make(map[string]*group, len(vi.Configuration.Services)),
-		instances: max(1, len(rank("", vi.Instances))),
-		divisor:   vi.Divisor(),
+	old := ta.st.Load()
+	st := &tableState{
+		servers:           make(map[string]*serverEntry, len(vi.Servers)),
+		groups:            make(map[string]*group, len(vi.Configuration.Services)),
+		numInstances:      max(1, len(rankInstances("", vi.Instances))),
+		connectionDivisor: vi.Divisor(),
 	}
-	wanted := newWanted(vi.Configuration.Services)
+	selectors := newSelectorIndex(vi.Configuration.Services)
 	for name, se := range vi.Configuration.Services {
-		sn.groups[name] = newGroup(se, old.groups[name])
+		st.groups[name] = newGroup(se, old.groups[name])
 	}
 	for ix := range vi.Servers {
 		re := &vi.Servers[ix]
-		en := ta.entryOf(old, re)
-		for se := range wanted.of(re) {
-			sn.groups[se.Name].add(en, re)
+		en := ta.entryFor(old, re)
+		for se := range selectors.servicesOf(re) {
+			st.groups[se.Name].add(en, re)
 		}
-		sn.entries[re.Server] = en
+		st.servers[re.Server] = en
 	}
 	for ix := range vi.Servers {
 		re := &vi.Servers[ix]
-		sn.announce(now, sn.entries[re.Server], re, wanted)
+		st.announce(now, st.servers[re.Server], re, selectors)
 	}
-	for name, en := range old.entries {
-		if sn.entries[name] == nil {
+	for name, en := range old.servers {
+		if st.servers[name] == nil {
 			en.step(Removed{Now: now})
 		}
 	}
-	ta.sn.Store(sn)
-	for _, gr := range sn.groups {
-		if gr.due(now) {
+	ta.st.Store(st)
+	for _, gr := range st.groups {
+		if gr.claimReview(now) {
 			gr.review(now)
 		}
 	}
 }
 
-func (ta *Table) entryOf(sn *servings, re *backend.Record) *entry {
-	if en := sn.entries[re.Server]; en != nil {
+func (ta *Table) entryFor(st *tableState, re *backend.Record) *serverEntry {
+	if en := st.servers[re.Server]; en != nil {
 		return en
 	}
-	return &entry{rn: rand.New(rand.NewPCG(ta.cf.Seed, weigh("", re.Server)))}
+	return &serverEntry{rn: rand.New(rand.NewPCG(ta.cf.Seed, hash("", re.Server)))}
 }
 
-// announce steps the entry of a record with it and with the shares that its
-// services leave this instance.
-func (sn *servings) announce(now time.Time, en *entry, re *backend.Record, wa wanted) {
+// announce updates the entry of a record with the record and with this
+// instance's shares under the services that select it.
+func (st *tableState) announce(now time.Time, en *serverEntry, re *backend.Record, si selectorIndex) {
 	var groups []*group
-	sharers := 0
-	for se := range wa.of(re) {
-		gr := sn.groups[se.Name]
+	numSharers := 0
+	for se := range si.servicesOf(re) {
+		gr := st.groups[se.Name]
 		groups = append(groups, gr)
-		sharers = max(sharers, gr.sharers(sn.instances))
+		numSharers = max(numSharers, gr.numSharers(st.numInstances))
 	}
 	if len(groups) == 0 {
-		sharers = sn.instances
+		numSharers = st.numInstances
 	}
-	en.join(groups)
+	en.setGroups(groups)
 	en.step(Announced{
-		Now: now, Record: *re, MaxConnections: connections(re, sn.divisor), NumSharers: sharers,
+		Now: now, Record: *re, MaxConnections: connectionShare(re, st.connectionDivisor), NumSharers: numSharers,
 	})
 }
 
-// connections returns the share of a record that states its limit, and one for
-// each slot of one that does not.
-func connections(re *backend.Record, divisor int) int {
+// connectionShare returns this instance's share of the record's connection
+// limit. A record without a limit counts as one connection for each slot.
+func connectionShare(re *backend.Record, divisor int) int {
 	if re.ConnectionLimit <= 0 {
 		return max(1, re.Slots)
 	}
 	return ConnectionsPerInstance(re.ConnectionLimit, divisor)
 }
 
-// adopt adds a candidate that came with a newer view than the table's.
-func (ta *Table) adopt(now time.Time, re *backend.Record) *entry {
+// addServer adds a candidate from a view that is newer than the table's.
+func (ta *Table) addServer(now time.Time, re *backend.Record) *serverEntry {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
-	old := ta.sn.Load()
-	if en := old.entries[re.Server]; en != nil {
+	old := ta.st.Load()
+	if en := old.servers[re.Server]; en != nil {
 		return en
 	}
-	sn := *old
-	sn.entries = maps.Clone(old.entries)
-	en := ta.entryOf(old, re)
-	sn.entries[re.Server] = en
-	sn.announce(now, en, re, wanted{})
-	ta.sn.Store(&sn)
+	st := *old
+	st.servers = maps.Clone(old.servers)
+	en := ta.entryFor(old, re)
+	st.servers[re.Server] = en
+	st.announce(now, en, re, selectorIndex{})
+	ta.st.Store(&st)
 	return en
 }
 
-// Pick chooses one of the candidates that is not excluded and takes a slot of
-// it: of a few the best, of many the better of two random ones, by what is in
-// flight against the limit and by seen latency. A server that is set aside is
-// chosen when it is due for a probe; one at a time if it is slow and the others
-// are full; and otherwise only when no other candidate is left. Pick returns
-// false when none may be sent a request now; Pause says when to ask again.
+// Pick chooses one of the candidates that are not excluded and takes one of its
+// slots. Of a few candidates it chooses the best, of many the better of two
+// random ones, by requests in flight relative to the limit and by observed
+// latency. An ejected server is chosen if it is due for a probe; if it is slow
+// and the others are full, one request at a time; and otherwise only if no other
+// candidate is left. Pick returns false if no candidate can take a request now;
+// RetryDelay returns when to try again.
 func (ta *Table) Pick(now time.Time, tactics operator.Tactics, candidates []backend.Record, exclude []string) (Choice, bool) {
-	for range pickAttempts {
-		ix, en, of := ta.choose(now, tactics, candidates, exclude)
+	for range maxPickAttempts {
+		ix, en, av := ta.choose(now, tactics, candidates, exclude)
 		if ix < 0 {
 			return Choice{}, false
 		}
-		ticket, connections, ok := en.take(now, tactics, of)
+		id, connections, ok := en.reserve(now, tactics, av)
 		if ok {
 			re := candidates[ix]
 			return Choice{
-				Server: re.Server, Record: re, MaxConnections: connections, Probe: of == overdue, en: en, ticket: ticket,
+				Server: re.Server, Record: re, MaxConnections: connections, Probe: av == probeDue, en: en, id: id,
 			}, true
 		}
 	}
 	return Choice{}, false
 }
 
-// choose returns the index of the candidate to take, its entry and how it was
-// on offer; a negative index if there is none.
-func (ta *Table) choose(now time.Time, tactics operator.Tactics, candidates []backend.Record, exclude []string) (int, *entry, offer) {
+// choose returns the index, entry and availability of the best candidate. The
+// index is negative if there is none.
+func (ta *Table) choose(now time.Time, tactics operator.Tactics, candidates []backend.Record, exclude []string) (int, *serverEntry, availability) {
 	if len(candidates) == 0 {
-		return -1, nil, closed
+		return -1, nil, unavailable
 	}
-	pc := rand.NewPCG(ta.cf.Seed, ta.draws.Add(1))
+	pc := rand.NewPCG(ta.cf.Seed, ta.numPicks.Add(1))
 	first := int(pc.Uint64() % uint64(len(candidates)))
-	se := search{ta: ta, now: now, tactics: tactics, candidates: candidates, exclude: exclude, best: -1}
-	if len(candidates) <= fewCandidates {
-		se.scan(first, len(candidates))
-		return se.result()
+	cs := candidateSearch{ta: ta, now: now, tactics: tactics, candidates: candidates, exclude: exclude, bestIndex: -1}
+	if len(candidates) <= maxFullScan {
+		cs.scan(first, len(candidates))
+		return cs.result()
 	}
-	se.scan(first, 1)
-	if se.found != overdue {
+	cs.scan(first, 1)
+	if cs.bestAvailability != probeDue {
 		second := int(pc.Uint64() % uint64(len(candidates)-1))
-		se.scan((first+1+second)%len(candidates), 1)
+		cs.scan((first+1+second)%len(candidates), 1)
 	}
-	return se.result()
+	return cs.result()
 }
 
-// search is one look through the candidates.
-type search struct {
+// candidateSearch is one search through the candidates.
+type candidateSearch struct {
 	ta         *Table
 	now        time.Time
 	tactics    operator.Tactics
 	candidates []backend.Record
 	exclude    []string
 
-	best  int
-	en    *entry
-	found offer
-	score float64
-	full  bool // full says that a candidate is busy now and would take the request later.
+	bestIndex        int
+	en               *serverEntry
+	bestAvailability availability
+	score            float64
+	anyFull          bool // whether a candidate is full now but would take the request later
 }
 
-// scan looks at the candidates in a circle from the given one, until enough of
-// them have room.
-func (se *search) scan(from, enough int) {
-	for step := range se.candidates {
-		ix := (from + step) % len(se.candidates)
-		re := &se.candidates[ix]
-		if slices.Contains(se.exclude, re.Server) {
+// scan evaluates the candidates in order, starting at the given index and
+// wrapping around, until it has found maxAvailable ones that are available, or
+// one that is due for a probe.
+func (cs *candidateSearch) scan(from, maxAvailable int) {
+	for step := range cs.candidates {
+		ix := (from + step) % len(cs.candidates)
+		re := &cs.candidates[ix]
+		if slices.Contains(cs.exclude, re.Server) {
 			continue
 		}
-		en := se.ta.entry(se.now, re)
-		of, score := en.rate(se.now, se.tactics)
-		se.full = se.full || of == full
-		if of >= spare && (of > se.found || of == se.found && score*betterBy < se.score) {
-			se.best, se.en, se.found, se.score = ix, en, of, score
+		en := cs.ta.lookUp(cs.now, re)
+		av, score := en.evaluate(cs.now, cs.tactics)
+		cs.anyFull = cs.anyFull || av == full
+		if av >= lastResort && (av > cs.bestAvailability || av == cs.bestAvailability && score*minScoreRatio < cs.score) {
+			cs.bestIndex, cs.en, cs.bestAvailability, cs.score = ix, en, av, score
 		}
-		if of == overdue {
+		if av == probeDue {
 			return
 		}
-		if of == open {
-			if enough--; enough == 0 {
+		if av == available {
+			if maxAvailable--; maxAvailable == 0 {
 				return
 			}
 		}
 	}
 }
 
-// result returns what was found. A spare server is left alone while another is
-// only busy: waiting for a slot is better than a server that may not answer.
-func (se *search) result() (int, *entry, offer) {
-	if se.found == spare && se.full {
+// result returns the best candidate. A last-resort server is not used while
+// another one is merely full: waiting for a slot is better than a server that
+// may not answer.
+func (cs *candidateSearch) result() (int, *serverEntry, availability) {
+	if cs.bestAvailability == lastResort && cs.anyFull {
 		return -1, nil, full
 	}
-	return se.best, se.en, se.found
+	return cs.bestIndex, cs.en, cs.bestAvailability
 }
 
-func (ta *Table) entry(now time.Time, re *backend.Record) *entry {
-	if en := ta.sn.Load().entries[re.Server]; en != nil {
+func (ta *Table) lookUp(now time.Time, re *backend.Record) *serverEntry {
+	if en := ta.st.Load().servers[re.Server]; en != nil {
 		return en
 	}
-	return ta.adopt(now, re)
+	return ta.addServer(now, re)
 }
 
-// Done ends the request of a choice. It frees the slot, or holds it until proof
-// when the server may still be at work.
+// Done ends the request of a choice. It frees the slot, or holds it until
+// confirmation if the server may still be working on the request.
 func (ta *Table) Done(now time.Time, ch Choice, oc Outcome) {
 	if ch.en == nil {
 		return
 	}
-	var until time.Time
-	if oc.Kind.unproven() && !oc.SlotReleased && ta.cf.Hold == HoldUntilReleased {
-		until = now.Add(ta.cf.HoldTimeout)
+	var heldUntil time.Time
+	if oc.Kind.mayHoldSlot() && !oc.SlotReleased && ta.cf.Hold == HoldUntilReleased {
+		heldUntil = now.Add(ta.cf.HoldTimeout)
 	}
-	se, ok := ch.en.done(now, ch.ticket, oc, until)
+	se, ok := ch.en.finish(now, ch.id, oc, heldUntil)
 	if !ok {
 		return
 	}
-	urgent := oc.Kind == Draining || se.failures == failuresSuspected
-	for _, gr := range ch.en.memberOf() {
-		if urgent || gr.due(now) {
+	urgent := oc.Kind == Draining || se.consecutiveFailures == failureThreshold
+	for _, gr := range ch.en.loadGroups() {
+		if urgent || gr.claimReview(now) {
 			gr.review(now)
 		}
 	}
 }
 
-// Stopped says that the server has proved that the request of a choice, given
-// up on before, holds no slot any more: its late reply came, or the reply to
-// its cancellation said so.
+// ReleaseSlot records that the server has confirmed that an abandoned request
+// holds no slot any more: its late reply came, or the reply to its cancellation
+// said so.
 func (ta *Table) ReleaseSlot(_ time.Time, ch Choice) {
 	if ch.en != nil {
-		ch.en.stopped(ch.ticket)
+		ch.en.releaseSlot(ch.id)
 	}
 }
 
-// Pause returns how long to wait until one of the candidates may have room, and
-// whether any of them may have it at all. A Waiter hears of room earlier.
+// RetryDelay returns how long to wait until one of the candidates may have
+// capacity, and whether any of them may have it at all. A Waiter is notified of
+// capacity earlier.
 func (ta *Table) RetryDelay(now time.Time, candidates []backend.Record, exclude []string) (time.Duration, bool) {
-	least := mostPause
-	able := false
+	minDelay := maxPause
+	possible := false
 	for ix := range candidates {
 		re := &candidates[ix]
 		if slices.Contains(exclude, re.Server) {
 			continue
 		}
-		se := ta.entry(now, re).look(now)
-		if se.offer(now) == closed {
+		se := ta.lookUp(now, re).current(now)
+		if se.availability(now) == unavailable {
 			continue
 		}
-		able = true
-		wait := time.Duration(se.expected()) / time.Duration(1+se.inFlight)
-		if rest := se.rest(now); rest > 0 {
-			wait = rest
+		possible = true
+		wait := time.Duration(se.expectedLatency()) / time.Duration(1+se.inFlight)
+		if delay := se.sendDelay(now); delay > 0 {
+			wait = delay
 		}
-		least = min(least, max(wait, leastPause))
+		minDelay = min(minDelay, max(wait, minPause))
 	}
-	return least, able
+	return minDelay, possible
 }
 
-// Server returns what is known of a server, and whether it is in the table.
+// Server returns the view of a server, and whether the table contains it.
 func (ta *Table) Server(now time.Time, name string) (Server, bool) {
-	en := ta.sn.Load().entries[name]
+	en := ta.st.Load().servers[name]
 	if en == nil {
 		return Server{}, false
 	}
-	return en.look(now), true
+	return en.current(now), true
 }
 
-// Room returns what the backend servers of a service can take from this
-// instance; the zero Room if nothing is known of it.
+// ServiceCapacity returns what the backend servers of a service can take from
+// this instance; the zero value if unknown.
 func (ta *Table) ServiceCapacity(service string) ServiceCapacity {
-	gr := ta.sn.Load().groups[service]
+	gr := ta.st.Load().groups[service]
 	if gr == nil {
 		return ServiceCapacity{}
 	}
-	return *gr.room.Load()
+	return *gr.capacity.Load()
 }
--- a/limit/table_test.go
+++ b/limit/table_test.go
@@ -15,8 +15,8 @@
 	"balsamwinch.example/view"
 )
 
-// viewOf returns a view in which service s has the given entries, and servers
-// a, b and so on hold its shards in turn.
+// viewOf returns a view in which service s has the given entry instances, and
+// servers a, b and so on hold its shards in turn.
 func viewOf(servers, shards, slots, entries int) *view.View {
 	vi := &view.View{}
 	pa := operator.Partition{Number: 1}
@@ -46,15 +46,16 @@
 	return ta, vi.Servers
 }
 
-// warmTable makes each server of a table serving with replies of 5 ms.
+// warmTable brings each server of a table into the serving state, with replies
+// of 5 ms.
 func warmTable(ta *Table, res []backend.Record, now time.Time) {
 	for _, re := range res {
-		for range 2 * coldReplies {
+		for range 2 * warmupReplies {
 			ch, _ := ta.Pick(now, operator.Adaptive, []backend.Record{re}, nil)
 			ta.Done(now, ch, Outcome{Kind: OK, Latency: 5 * ms})
 		}
 	}
-	for _, gr := range ta.sn.Load().groups {
+	for _, gr := range ta.st.Load().groups {
 		gr.review(now)
 	}
 }
@@ -73,10 +74,11 @@
 	return counts
 }
 
-// A hedge has won and the slow request was cancelled. The server goes on with
-// it for a while; a request sent into that slot would be shed. The slot stays
-// taken until the server's word or the bound, and no longer.
-func TestHoldUntilProof(t *testing.T) {
+// A hedge has won and the slow request was cancelled, but the server continues
+// to work on it for a while. A request sent to that slot would be shed. The slot
+// stays taken until the server confirms the end or the timeout passes, and no
+// longer.
+func TestSlotHeldUntilReleased(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		hold    HoldPolicy
@@ -86,11 +88,11 @@
 		held    int
 	}{
 		{"held", HoldUntilReleased, Outcome{Kind: Cancelled}, nil, 0, 1},
-		{"held to the bound", HoldUntilReleased, Outcome{Kind: TimedOut}, nil, DefaultHoldTimeout - 1, 1},
-		{"bound", HoldUntilReleased, Outcome{Kind: ConnectionLost}, nil, DefaultHoldTimeout, 0},
+		{"held until the timeout", HoldUntilReleased, Outcome{Kind: TimedOut}, nil, DefaultHoldTimeout - 1, 1},
+		{"timeout", HoldUntilReleased, Outcome{Kind: ConnectionLost}, nil, DefaultHoldTimeout, 0},
 		{"late reply", HoldUntilReleased, Outcome{Kind: Cancelled}, func(ta *Table, ch Choice) { ta.ReleaseSlot(t0, ch) }, 0, 0},
-		{"stopped at once", HoldUntilReleased, Outcome{Kind: Cancelled, SlotReleased: true}, nil, 0, 0},
-		{"not running", HoldUntilReleased, Outcome{Kind: Shed}, nil, 0, 0},
+		{"released at once", HoldUntilReleased, Outcome{Kind: Cancelled, SlotReleased: true}, nil, 0, 0},
+		{"not run", HoldUntilReleased, Outcome{Kind: Shed}, nil, 0, 0},
 		{"freed", ReleaseImmediately, Outcome{Kind: Cancelled}, nil, 0, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -99,7 +101,7 @@
 			ch, ok := ta.Pick(t0, operator.Adaptive, res, nil)
 			c.Assert(ok, qt.IsTrue)
 			ta.Done(t0, ch, tc.outcome)
-			ta.Done(t0, ch, tc.outcome) // a second end of the same request counts for nothing
+			ta.Done(t0, ch, tc.outcome) // a second end of the same request must be ignored
 			if tc.then != nil {
 				tc.then(ta, ch)
 			}
@@ -113,9 +115,9 @@
 	}
 }
 
-// A server restarts while a request is in flight. The slot went with the old
-// process; the late end of the request must not free one of the new process.
-func TestRestartVoidsFlights(t *testing.T) {
+// A server restarts while a request is in flight. The slot is gone with the old
+// process, so the late end of the request must not free a slot of the new one.
+func TestRestartDiscardsRequestsInFlight(t *testing.T) {
 	c := qt.New(t)
 	ta, res := tableOf(TableConfig{}, 1)
 	old, _ := ta.Pick(t0, operator.Adaptive, res, nil)
@@ -129,9 +131,10 @@
 	c.Assert(running, qt.Equals, 1)
 }
 
-// A server drains and this instance has not heard of it. The first reply that
-// says so must be the last request sent, though the view still says Serving.
-func TestDrainingCountsAtOnce(t *testing.T) {
+// A server drains, but this instance's view doesn't show it yet. After the first
+// draining reply no more requests may be sent, although the view still says
+// Serving.
+func TestDrainingReplyTakesEffectAtOnce(t *testing.T) {
 	c := qt.New(t)
 	ta, res := tableOf(TableConfig{}, 2)
 	warmTable(ta, res, t0)
@@ -143,10 +146,10 @@
 	c.Assert(able, qt.IsFalse)
 }
 
-// A replica stops answering. Requests to it pile up until their deadlines,
-// unless it is passed over once nothing came back for a while, gets a single
-// probe now and then, and returns slowly after good ones.
-func TestStuckReplica(t *testing.T) {
+// A replica stops replying. Requests to it would pile up until their deadlines.
+// So it is ejected after a while without replies, gets single probes, and
+// returns to full load slowly after successful ones.
+func TestStuckReplicaIsEjectedAndProbed(t *testing.T) {
 	c := qt.New(t)
 	ta, res := tableOf(TableConfig{}, 2)
 	warmTable(ta, res, t0)
@@ -156,30 +159,31 @@
 	se, _ := ta.Server(now, "a")
 	c.Assert(se.Reason(), qt.Equals, Stuck)
 	ta.Done(now, stuck, Outcome{Kind: OK, Latency: 200 * ms})
-	c.Assert(picks(ta, now, res[:1], 1), qt.DeepEquals, map[string]int{"a": 1}, qt.Commentf("it is all there is"))
+	c.Assert(picks(ta, now, res[:1], 1), qt.DeepEquals, map[string]int{"a": 1}, qt.Commentf("no other candidate"))
 
 	now = now.Add(time.Second)
-	for range probesPassed {
+	for range minGoodProbes {
 		ch, _ := ta.Pick(now, operator.Adaptive, res, nil)
 		c.Assert([]any{ch.Server, ch.Probe}, qt.DeepEquals, []any{"a", true})
 		other, _ := ta.Pick(now, operator.Adaptive, res, nil)
 		c.Assert(other.Server, qt.Equals, "b", qt.Commentf("one probe at a time"))
 		ta.Done(now, other, Outcome{Kind: OK, Latency: 5 * ms})
 		ta.Done(now, ch, Outcome{Kind: OK, Latency: 5 * ms})
-		now = now.Add(probeGap)
+		now = now.Add(probeInterval)
 	}
 	se, _ = ta.Server(now, "a")
-	c.Assert([]any{se.State(), se.whole()}, qt.DeepEquals, []any{StateCold, 1})
+	c.Assert([]any{se.State(), se.maxInFlight()}, qt.DeepEquals, []any{StateCold, 1})
 }
 
-// A replica is slow and set aside, and the other has as much as it may. Waiting
-// for the other alone would lose the slow one's slots when they are needed most.
-func TestSlowReplicaHelps(t *testing.T) {
+// A slow replica is ejected, and the other one is full. If requests waited only
+// for the other, the slow replica's slots would be lost when they are needed
+// most.
+func TestSlowReplicaServesWhenOthersAreFull(t *testing.T) {
 	c := qt.New(t)
 	ta, res := tableOf(TableConfig{}, 2)
 	warmTable(ta, res, t0)
-	en := ta.sn.Load().entries["a"]
-	en.judge(Compared{Now: t0, MedianLatency: 5 * ms, Verdict: Eject, Reason: Slow})
+	en := ta.st.Load().servers["a"]
+	en.applyComparison(Compared{Now: t0, MedianLatency: 5 * ms, Verdict: Eject, Reason: Slow})
 	c.Assert(picks(ta, t0, res, 10), qt.DeepEquals, map[string]int{"b": 10})
 	chosen := map[string]int{}
 	for ok := true; ok; {
@@ -188,12 +192,12 @@
 		chosen[ch.Server]++
 	}
 	se, _ := ta.Server(t0, "b")
-	c.Assert(chosen, qt.DeepEquals, map[string]int{"a": 1, "b": se.whole(), "": 1})
+	c.Assert(chosen, qt.DeepEquals, map[string]int{"a": 1, "b": se.maxInFlight(), "": 1})
 }
 
-// A replica has died and refuses connections. It answers quicker than any other
-// and never has anything in flight, so by load alone it would get all requests.
-func TestDeadReplica(t *testing.T) {
+// A replica has failed and refuses connections. It answers faster than any other
+// and never has requests in flight, so by load alone it would get all requests.
+func TestFailingReplicaGetsFewRequests(t *testing.T) {
 	c := qt.New(t)
 	ta, res := tableOf(TableConfig{}, 2)
 	warmTable(ta, res, t0)
@@ -212,12 +216,12 @@
 		ta.Done(t0, ch, Outcome{Kind: OK, Latency: 5 * ms})
 	}
 	c.Assert(dead <= 2, qt.IsTrue, qt.Commentf("%d of 8 sent to it", dead))
-	c.Assert(picks(ta, t0.Add(2*staleAfter), res, 30)["a"] > 0, qt.IsTrue, qt.Commentf("it may live again"))
+	c.Assert(picks(ta, t0.Add(2*staleAfter), res, 30)["a"] > 0, qt.IsTrue, qt.Commentf("it may have recovered"))
 }
 
-// A new replica with empty caches joins busy ones. If it got its full part at
-// once, that many queries would be slow; it starts with a little.
-func TestColdStart(t *testing.T) {
+// A new replica with empty caches joins busy ones. If it got its full share at
+// once, that many queries would be slow; it starts with a small one.
+func TestColdReplicaGetsLittleLoad(t *testing.T) {
 	c := qt.New(t)
 	ta, res := tableOf(TableConfig{}, 3)
 	warmTable(ta, res[:2], t0)
@@ -236,14 +240,14 @@
 		ta.Done(t0, ch, Outcome{Kind: OK, Latency: 5 * ms})
 	}
 	c.Assert(picks(ta, t0, res, 50)["c"], qt.Equals, 0)
-	c.Assert(picks(ta, t0.Add(coldRamp), res, 30)["c"] > 0, qt.IsTrue, qt.Commentf("nor is it left cold for ever"))
-	picks(ta, t0, res[2:], coldReplies)
-	counts := picks(ta, t0.Add(coldRamp), res, 300)
+	c.Assert(picks(ta, t0.Add(warmupRamp), res, 30)["c"] > 0, qt.IsTrue, qt.Commentf("it must not stay cold for ever"))
+	picks(ta, t0, res[2:], warmupReplies)
+	counts := picks(ta, t0.Add(warmupRamp), res, 300)
 	c.Assert(counts["c"] > 60, qt.IsTrue, qt.Commentf("%v", counts))
 }
 
-// Many goroutines use one table. Each server's connection share bounds what is
-// in flight at every moment, and all of it has come back at the end.
+// Many goroutines use one table. The connection share of each server always
+// bounds its requests in flight, and at the end none is in flight or held.
 func TestTableConcurrent(t *testing.T) {
 	c := qt.New(t)
 	ta, res := tableOf(TableConfig{}, 6)
@@ -276,9 +280,9 @@
 	}
 }
 
-// Two queries wait for the same full server. The slot that frees goes to the
-// one that came first; if that has its answer from elsewhere, to the next.
-func TestWaitersInOrder(t *testing.T) {
+// Two queries wait for the same full server. The freed slot goes to the one that
+// came first or, if that has been answered from elsewhere, to the next.
+func TestWaitersNotifiedInOrder(t *testing.T) {
 	c := qt.New(t)
 	ta, res := tableOf(TableConfig{}, 1)
 	ch, _ := ta.Pick(t0, operator.Adaptive, res, nil)
--- a/limit/wait.go
+++ b/limit/wait.go
@@ -7,22 +7,22 @@
 	"balsamwinch.example/backend"
 )
 
-// Waiter waits for room at one of several servers. It must be closed.
+// Waiter waits until one of several servers has capacity. It must be closed.
 type Waiter struct {
-	room chan struct{}
-	ens  []*entry
+	available chan struct{}
+	servers   []*serverEntry
 }
 
-// Await returns a Waiter for the candidates that are not excluded. Requests
-// that wait for the same server are told in the order in which they came.
+// NewWaiter returns a Waiter for the candidates that are not excluded. Requests
+// that wait for the same server are notified in order of arrival.
 func (ta *Table) NewWaiter(now time.Time, candidates []backend.Record, exclude []string) *Waiter {
-	wa := &Waiter{room: make(chan struct{}, 1)}
+	wa := &Waiter{available: make(chan struct{}, 1)}
 	for ix := range candidates {
 		if slices.Contains(exclude, candidates[ix].Server) {
 			continue
 		}
-		en := ta.entry(now, &candidates[ix])
-		wa.ens = append(wa.ens, en)
+		en := ta.lookUp(now, &candidates[ix])
+		wa.servers = append(wa.servers, en)
 		en.mu.Lock()
 		en.waiters = append(en.waiters, wa)
 		en.mu.Unlock()
@@ -30,14 +30,16 @@
 	return wa
 }
 
-// Room returns a channel that receives once when a server may have room.
+// Available returns a channel that receives once when a server may have
+// capacity.
 func (wa *Waiter) Available() <-chan struct{} {
-	return wa.room
+	return wa.available
 }
 
-// Close ends the wait. Word of room that was not taken goes to the next waiter.
+// Close ends the wait. A notification that was not received is passed to the
+// next waiter.
 func (wa *Waiter) Close() {
-	for _, en := range wa.ens {
+	for _, en := range wa.servers {
 		en.mu.Lock()
 		if ix := slices.Index(en.waiters, wa); ix >= 0 {
 			en.waiters = slices.Delete(en.waiters, ix, ix+1)
@@ -45,25 +47,25 @@
 		en.mu.Unlock()
 	}
 	select {
-	case <-wa.room:
-		for _, en := range wa.ens {
+	case <-wa.available:
+		for _, en := range wa.servers {
 			en.mu.Lock()
-			en.tell()
+			en.notifyWaiter()
 			en.mu.Unlock()
 		}
 	default:
 	}
 }
 
-// tell tells the first waiter that the server may have room.
-func (en *entry) tell() {
+// notifyWaiter notifies the first waiter that the server may have capacity.
+func (en *serverEntry) notifyWaiter() {
 	for len(en.waiters) > 0 {
 		wa := en.waiters[0]
 		en.waiters = en.waiters[1:]
 		select {
-		case wa.room <- struct{}{}:
+		case wa.available <- struct{}{}:
 			return
-		default: // told by another server already
+		default: // already notified by another server
 		}
 	}
 }
