--- a/route/picker.go
+++ b/route/picker.go
@@ -7,39 +7,40 @@
 )
 
 const (
-	// mostNames bounds the route names that a picker remembers, in each of its two
+	// maxNames bounds the route names that a picker remembers in each of its two
 	// generations.
-	mostNames = 4096
-	// mostVariants bounds the sets of targets remembered for one route name. While
-	// a configuration changes, requests of the old one and the new one alternate.
-	mostVariants = 4
-	// mostPhase bounds the steps that a new split is moved on. The shares in so
-	// many steps are those of the weights to within a thousandth.
-	mostPhase = 1024
+	maxNames = 4096
+	// maxVariants bounds the sets of targets remembered for one route name. While a
+	// configuration is being replaced, requests under the old and the new one
+	// alternate.
+	maxVariants = 4
+	// maxPhase bounds the number of steps by which a new split is advanced. Over
+	// that many steps, the shares match the weights to within a thousandth.
+	maxPhase = 1024
 )
 
-// Picker divides the requests of split routes by smooth weighted round robin.
-// Each service gets its exact share of each run of requests as long as the sum
-// of the weights, divided by their greatest common divisor. It is safe for
-// concurrent use and needs no word of a new configuration: a route with the
-// same name and targets goes on where it was.
+// Picker divides the requests of split routes by smooth weighted round robin. In
+// every run of requests as long as the sum of the weights, divided by their
+// greatest common divisor, each service gets its exact share. A Picker is safe
+// for concurrent use. It need not be notified of a new configuration: a route
+// with the same name and targets continues its sequence.
 type Picker struct {
-	phase func(n int) int // phase returns a number from 0 to n-1.
+	randomPhase func(n int) int // returns a number from 0 to n-1
 
-	mu      sync.Mutex
-	splits  map[string][]*split // splits holds the variants of a route's name, the last used first.
-	earlier map[string][]*split // earlier is the generation before.
+	mu       sync.Mutex
+	splits   map[string][]*split // variants by route name, most recently used first
+	previous map[string][]*split // the previous generation
 }
 
-// NewPicker returns a picker that has divided nothing yet.
+// NewPicker returns a picker without state.
 func NewPicker() *Picker {
-	return &Picker{phase: rand.IntN, splits: make(map[string][]*split)}
+	return &Picker{randomPhase: rand.IntN, splits: make(map[string][]*split)}
 }
 
-// Pick returns the service that gets the next request of the route. A route
-// without targets gives an empty name. The route is meant to come from a Table;
-// in any other, negative weights count as 0, and without a weight above 0 the
-// first target gets everything.
+// Pick returns the service that gets the next request of the route, or "" for a
+// route without targets. The route should come from a Table. In any other route,
+// negative weights count as 0, and if no weight is above 0 the first target gets
+// all requests.
 func (pk *Picker) Pick(ro *Route) string {
 	switch len(ro.Targets) {
 	case 0:
@@ -53,11 +54,11 @@
 	return sp.targets[sp.next()].Service
 }
 
-// find returns the split of a route, and a new one if none is remembered.
+// find returns the split of a route, or a new one if none is remembered.
 func (pk *Picker) find(ro *Route) *split {
 	sps, ok := pk.splits[ro.Name]
 	if !ok {
-		sps = pk.recall(ro.Name)
+		sps = pk.promote(ro.Name)
 	}
 	ix := slices.IndexFunc(sps, func(sp *split) bool { return slices.Equal(sp.targets, ro.Targets) })
 	if ix == 0 {
@@ -69,41 +70,42 @@
 		sps = slices.Delete(sps, ix, ix+1)
 	} else {
 		sp = pk.newSplit(ro.Targets)
-		sps = sps[:min(len(sps), mostVariants-1)]
+		sps = sps[:min(len(sps), maxVariants-1)]
 	}
 	pk.splits[ro.Name] = slices.Insert(sps, 0, sp)
 	return sp
 }
 
-// recall brings the splits of a name from the earlier generation to this one.
-// A full generation becomes the earlier one; names that haven't been asked for
-// since then are forgotten.
-func (pk *Picker) recall(name string) []*split {
-	if len(pk.splits) >= mostNames {
-		pk.earlier = pk.splits
+// promote moves the splits of a name from the previous generation to the current
+// one. A full generation becomes the previous one; names that haven't been used
+// since the last such change are evicted.
+func (pk *Picker) promote(name string) []*split {
+	if len(pk.splits) >= maxNames {
+		pk.previous = pk.splits
 		pk.splits = make(map[string][]*split)
 	}
-	sps := pk.earlier[name]
-	delete(pk.earlier, name)
+	sps := pk.previous[name]
+	delete(pk.previous, name)
 	pk.splits[name] = sps
 	return sps
 }
 
-// split is the state of smooth weighted round robin: at each step each service
-// gains its weight, and the one that has most gets the request and pays the sum.
+// split is the state of smooth weighted round robin: in each step every service
+// gains its weight as credit, and the one with the most credit gets the request
+// and pays the sum.
 type split struct {
 	targets []Target
 	weights []int
-	gains   []int
+	credits []int
 	sum     int
 }
 
-// newSplit returns a split at a random place of its sequence. If each began at
-// the same place, many instances with a few requests each would all send them
-// to the service of the greatest weight, and its share over all instances would
-// be too great after each start and each change of weights.
+// newSplit returns a split at a random position of its sequence. If each began
+// at the same position, many instances with a few requests each would all send
+// them to the service with the greatest weight. Its share over all instances
+// would be too large after each start and each change of weights.
 func (pk *Picker) newSplit(ts []Target) *split {
-	sp := &split{targets: slices.Clone(ts), weights: make([]int, len(ts)), gains: make([]int, len(ts))}
+	sp := &split{targets: slices.Clone(ts), weights: make([]int, len(ts)), credits: make([]int, len(ts))}
 	divisor := 0
 	for ix, ta := range ts {
 		sp.weights[ix] = max(0, ta.Weight)
@@ -113,22 +115,22 @@
 	if sp.sum == 0 {
 		return sp
 	}
-	for range pk.phase(min(sp.sum/divisor, mostPhase)) {
+	for range pk.randomPhase(min(sp.sum/divisor, maxPhase)) {
 		sp.next()
 	}
 	return sp
 }
 
-// next returns the place of the service that gets the next request.
+// next returns the index of the service that gets the next request.
 func (sp *split) next() int {
 	best := 0
 	for ix, we := range sp.weights {
-		sp.gains[ix] += we
-		if sp.gains[ix] > sp.gains[best] {
+		sp.credits[ix] += we
+		if sp.credits[ix] > sp.credits[best] {
 			best = ix
 		}
 	}
-	sp.gains[best] -= sp.sum
+	sp.credits[best] -= sp.sum
 	return best
 }
 
--- a/route/picker_test.go
+++ b/route/picker_test.go
@@ -13,7 +13,7 @@
 // newPicker returns a picker whose splits begin at the given step.
 func newPicker(phase int) *Picker {
 	pk := NewPicker()
-	pk.phase = func(n int) int { return phase % n }
+	pk.randomPhase = func(n int) int { return phase % n }
 	return pk
 }
 
@@ -31,19 +31,19 @@
 		ts   []Target
 		want string
 	}{
-		{"one", []Target{{"a", 1}}, "aaaa"},
-		{"one without weight", []Target{{"a", 0}}, "aa"},
+		{"single", []Target{{"a", 1}}, "aaaa"},
+		{"single without weight", []Target{{"a", 0}}, "aa"},
 		{"halves", []Target{{"a", 1}, {"b", 1}}, "abababab"},
 		{"halves, greater", []Target{{"a", 50}, {"b", 50}}, "abababab"},
 		{"thirds", []Target{{"a", 2}, {"b", 1}}, "abaabaaba"},
 		{"spread", []Target{{"a", 5}, {"b", 1}, {"c", 1}}, "aabacaaaabacaa"},
-		{"none to the first", []Target{{"a", 0}, {"b", 1}, {"c", 1}}, "bcbcbc"},
-		{"none to the last", []Target{{"a", 1}, {"b", 1}, {"c", 0}}, "ababab"},
+		{"first without weight", []Target{{"a", 0}, {"b", 1}, {"c", 1}}, "bcbcbc"},
+		{"last without weight", []Target{{"a", 1}, {"b", 1}, {"c", 0}}, "ababab"},
 		{"all to one", []Target{{"a", 0}, {"b", 9}}, "bbbb"},
-		{"below 0", []Target{{"a", -5}, {"b", 1}}, "bbbb"},
-		{"below 0, two more", []Target{{"a", -5}, {"b", 2}, {"c", 1}}, "bcbbcb"},
-		{"no weight", []Target{{"a", 0}, {"b", 0}}, "aaaa"},
-		{"greatest", []Target{{"a", mostWeight / 2}, {"b", mostWeight / 2}}, "abab"},
+		{"negative", []Target{{"a", -5}, {"b", 1}}, "bbbb"},
+		{"negative, two others", []Target{{"a", -5}, {"b", 2}, {"c", 1}}, "bcbbcb"},
+		{"all without weight", []Target{{"a", 0}, {"b", 0}}, "aaaa"},
+		{"greatest weights", []Target{{"a", maxWeightSum / 2}, {"b", maxWeightSum / 2}}, "abab"},
 		{"same service twice", []Target{{"a", 1}, {"a", 1}, {"b", 1}}, "aabaab"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -53,15 +53,15 @@
 	}
 }
 
-func TestPickNone(t *testing.T) {
-	ro := sharded("r", "a", "b")
+func TestPickWithoutTargets(t *testing.T) {
+	ro := shardedRoute("r", "a", "b")
 	qt.Assert(t, newPicker(0).Pick(&ro), qt.Equals, "")
 }
 
-func drawTargets(t *rapid.T, mostWeight int) ([]Target, int) {
+func drawTargets(t *rapid.T, maxWeight int) ([]Target, int) {
 	var ts []Target
 	sum := 0
-	for ix, we := range rapid.SliceOfN(rapid.IntRange(0, mostWeight), 2, 6).Draw(t, "weights") {
+	for ix, we := range rapid.SliceOfN(rapid.IntRange(0, maxWeight), 2, 6).Draw(t, "weights") {
 		ts = append(ts, Target{Service: fmt.Sprint(ix), Weight: we})
 		sum += we
 	}
@@ -71,9 +71,9 @@
 	return ts, sum
 }
 
-// TestPickExact counts in every run of requests as long as the sum of the
-// weights, from any step of the sequence on.
-func TestPickExact(t *testing.T) {
+// Every run of requests as long as the sum of the weights has the exact shares,
+// from any step of the sequence on.
+func TestPickSharesAreExactInEveryPeriod(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ts, sum := drawTargets(t, 12)
 		ro := splitRoute("r", ts...)
@@ -95,10 +95,9 @@
 	})
 }
 
-// TestPickEven bounds how far a service may be from its share after any number
-// of requests: behind by less than the number of other services, ahead by less
-// than one request.
-func TestPickEven(t *testing.T) {
+// After any number of requests, a service is behind its share by less than the
+// number of other services, and ahead by less than one request.
+func TestPickStaysCloseToShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ts, sum := drawTargets(t, 1000)
 		ro := splitRoute("r", ts...)
@@ -117,10 +116,10 @@
 }
 
 // Many entry instances start, or the weights change, and each gets only a few
-// requests of the route. If each sent its first ones to the service with the
-// greatest weight, that would get far more than its share of all. Each begins
-// at another step, so over all steps the first requests have the exact shares.
-func TestPickFirst(t *testing.T) {
+// requests of the route. If all sent their first requests to the service with
+// the greatest weight, it would get far more than its share. The starting steps
+// differ, so over all of them the first requests have the exact shares.
+func TestPickFirstRequestsOverAllPhases(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		ts     []Target
@@ -136,7 +135,7 @@
 			first, second := map[string]int{}, map[string]int{}
 			for step := range tc.period {
 				pk := NewPicker()
-				pk.phase = func(n int) int {
+				pk.randomPhase = func(n int) int {
 					c.Assert(n, qt.Equals, tc.period)
 					return step
 				}
@@ -156,20 +155,20 @@
 	}
 }
 
-// TestPhaseBound has weights whose sequence is too long to go through.
-func TestPhaseBound(t *testing.T) {
+// The sequence of these weights is too long to step through.
+func TestPhaseIsBounded(t *testing.T) {
 	pk := NewPicker()
-	pk.phase = func(n int) int {
-		qt.Assert(t, n, qt.Equals, mostPhase)
+	pk.randomPhase = func(n int) int {
+		qt.Assert(t, n, qt.Equals, maxPhase)
 		return n - 1
 	}
-	ro := splitRoute("r", Target{"a", mostWeight - 1}, Target{"b", 1})
+	ro := splitRoute("r", Target{"a", maxWeightSum - 1}, Target{"b", 1})
 	qt.Assert(t, pk.Pick(&ro), qt.Equals, "a")
 }
 
-// TestPhaseRandom starts many pickers as the program does. The probability that
-// 200 of them begin with the same half is 2^-199.
-func TestPhaseRandom(t *testing.T) {
+// Uses the random phase of NewPicker. The probability that 200 pickers all begin
+// with the same half is 2^-199.
+func TestPhaseIsRandom(t *testing.T) {
 	ro := splitRoute("r", Target{"a", 1}, Target{"b", 1})
 	counts := map[string]int{}
 	for range 200 {
@@ -178,10 +177,9 @@
 	qt.Assert(t, counts, qt.HasLen, 2)
 }
 
-// TestPickKeyed shows that routes are divided on their own, that a new version
-// of the configuration with the same targets goes on where the old one was, and
-// that requests of two versions may alternate.
-func TestPickKeyed(t *testing.T) {
+// Routes are divided independently, a new configuration with the same targets
+// continues the sequence, and requests of two configurations may alternate.
+func TestPickKeepsStatePerNameAndTargets(t *testing.T) {
 	c := qt.New(t)
 	one, two := splitRoute("one", Target{"a", 2}, Target{"b", 1}), splitRoute("two", Target{"a", 2}, Target{"b", 1})
 	pk := newPicker(0)
@@ -200,27 +198,27 @@
 	c.Assert(all, qt.Equals, "bb"+"ca"+"ba"+"bb"+"ca"+"ba")
 }
 
-// TestPickVariants changes a route's targets more often than is remembered.
-func TestPickVariants(t *testing.T) {
+// The targets of a route change more often than variants are remembered.
+func TestPickVariantsAreBounded(t *testing.T) {
 	c := qt.New(t)
 	pk := newPicker(0)
-	for ix := range 3 * mostVariants {
+	for ix := range 3 * maxVariants {
 		ro := splitRoute("r", Target{"a", 1}, Target{fmt.Sprint(ix), 1})
 		c.Assert(pickString(pk, &ro, 3), qt.Equals, fmt.Sprintf("a%da", ix))
 	}
-	c.Assert(pk.splits["r"], qt.HasLen, mostVariants)
-	last := splitRoute("r", Target{"a", 1}, Target{fmt.Sprint(3*mostVariants - mostVariants), 1})
+	c.Assert(pk.splits["r"], qt.HasLen, maxVariants)
+	last := splitRoute("r", Target{"a", 1}, Target{fmt.Sprint(3*maxVariants - maxVariants), 1})
 	c.Assert(pk.Pick(&last), qt.Equals, "8", qt.Commentf("the last variants are remembered"))
 }
 
-// Over a long time many routes come and go. What is remembered of them stays
-// bounded, and those in use go on where they were.
-func TestPickForgets(t *testing.T) {
+// Over a long time, many routes come and go. The memory for them must stay
+// bounded, and those in use must continue their sequence.
+func TestPickForgetsUnusedNames(t *testing.T) {
 	c := qt.New(t)
 	pk := newPicker(0)
 	kept := splitRoute("kept", Target{"a", 1}, Target{"b", 1})
 	want := "a"
-	for ix := range 3 * mostNames {
+	for ix := range 3 * maxNames {
 		ro := splitRoute(fmt.Sprint(ix), Target{"a", 1}, Target{"b", 1})
 		pk.Pick(&ro)
 		if ix%1000 == 0 {
@@ -228,11 +226,11 @@
 			want = map[string]string{"a": "b", "b": "a"}[want]
 		}
 	}
-	c.Assert(len(pk.splits) <= mostNames, qt.IsTrue)
-	c.Assert(len(pk.earlier) <= mostNames, qt.IsTrue)
+	c.Assert(len(pk.splits) <= maxNames, qt.IsTrue)
+	c.Assert(len(pk.previous) <= maxNames, qt.IsTrue)
 }
 
-// TestPickConcurrent has many goroutines share a picker: the counts are exact.
+// Many goroutines share a picker; the counts must be exact.
 func TestPickConcurrent(t *testing.T) {
 	const goroutines, rounds = 8, 500
 	ro := splitRoute("r", Target{"a", 7}, Target{"b", 2}, Target{"c", 1})
--- a/route/table.go
+++ b/route/table.go
@@ -9,39 +9,39 @@
 // Table is one version of the configuration. It is immutable and safe for
 // concurrent use.
 type Table struct {
-	version  uint64
-	routes   []Route
-	list     []Service
-	services map[string]Service
-	limits   Limits
-	hosts    map[string][]node
-	places   map[place]struct{}
-	merged   []*Route
+	version      uint64
+	routes       []Route
+	serviceList  []Service
+	services     map[string]Service
+	limits       Limits
+	hosts        map[string][]node
+	hostPrefixes map[hostPrefix]struct{}
+	sharded      []*Route
 }
 
-// place is what no two routes may have in common.
-type place struct{ host, prefix string }
+// hostPrefix is unique among routes.
+type hostPrefix struct{ host, prefix string }
 
 // node is a route in the list of its host, which is sorted by prefix. Parent is
-// the place of the route with the next shorter prefix that begins this one's;
-// -1 if there is none.
+// the index of the route with the longest other prefix that this route's prefix
+// begins with; -1 if there is none.
 type node struct {
 	route  *Route
 	parent int
 }
 
-// New returns the table of a configuration. It keeps copies of what it is
-// given. In its routes, MaxAttempts is at least 1. If the configuration is
-// invalid it returns a *Fault: the first that it finds.
+// New returns the table of a configuration. It copies its arguments and raises
+// each route's MaxAttempts to at least 1. If the configuration is invalid, it
+// returns a *ConfigError for the first error found.
 func New(version uint64, rs []Route, ss []Service, li Limits) (*Table, error) {
 	tb := &Table{
-		version:  version,
-		routes:   cloneRoutes(rs),
-		list:     slices.Clone(ss),
-		services: make(map[string]Service, len(ss)),
-		limits:   li,
-		hosts:    make(map[string][]node),
-		places:   make(map[place]struct{}, len(rs)),
+		version:      version,
+		routes:       cloneRoutes(rs),
+		serviceList:  slices.Clone(ss),
+		services:     make(map[string]Service, len(ss)),
+		limits:       li,
+		hosts:        make(map[string][]node),
+		hostPrefixes: make(map[hostPrefix]struct{}, len(rs)),
 	}
 	for _, se := range ss {
 		if _, ok := tb.services[se.Name]; ok {
@@ -50,37 +50,37 @@
 		tb.services[se.Name] = se
 	}
 	for ix := range tb.routes {
-		if err := tb.add(&tb.routes[ix]); err != nil {
+		if err := tb.addRoute(&tb.routes[ix]); err != nil {
 			return nil, err
 		}
 	}
 	for _, nos := range tb.hosts {
-		arrange(nos)
+		sortNodes(nos)
 	}
 	return tb, nil
 }
 
-// add checks a route and puts it under its host.
-func (tb *Table) add(ro *Route) error {
+// addRoute validates a route and adds it to those of its host.
+func (tb *Table) addRoute(ro *Route) error {
 	if err := tb.checkRoute(ro); err != nil {
 		return err
 	}
 	ro.MaxAttempts = max(1, ro.MaxAttempts)
 	ho := hostKey(ro.Host)
-	pl := place{host: ho, prefix: ro.Prefix}
-	if _, ok := tb.places[pl]; ok {
-		return ro.fault("Prefix", "want one route for host %q and prefix %q, got two", ro.Host, ro.Prefix)
+	hp := hostPrefix{host: ho, prefix: ro.Prefix}
+	if _, ok := tb.hostPrefixes[hp]; ok {
+		return ro.configError("Prefix", "want one route for host %q and prefix %q, got two", ro.Host, ro.Prefix)
 	}
-	tb.places[pl] = struct{}{}
+	tb.hostPrefixes[hp] = struct{}{}
 	if len(ro.Shards) > 0 {
-		tb.merged = append(tb.merged, ro)
+		tb.sharded = append(tb.sharded, ro)
 	}
 	tb.hosts[ho] = append(tb.hosts[ho], node{route: ro})
 	return nil
 }
 
-// arrange sorts the routes of one host and sets their parents.
-func arrange(nos []node) {
+// sortNodes sorts the routes of one host and sets their parents.
+func sortNodes(nos []node) {
 	slices.SortFunc(nos, func(a, b node) int {
 		return strings.Compare(a.route.Prefix, b.route.Prefix)
 	})
@@ -89,8 +89,8 @@
 	}
 }
 
-// ancestor returns the first place, from ix along the parents, whose prefix
-// begins path; -1 if there is none.
+// ancestor returns the first index, from ix along the parents, whose prefix the
+// path begins with; -1 if there is none.
 func ancestor(nos []node, ix int, path string) int {
 	for ix >= 0 && !strings.HasPrefix(path, nos[ix].route.Prefix) {
 		ix = nos[ix].parent
@@ -98,14 +98,15 @@
 	return ix
 }
 
-// Match returns the route with the longest prefix that begins the path, among
-// those of the host, and whether there is one. A port and a final dot of the
-// host don't count, nor does its case. The path is compared byte by byte, as
-// the caller sent it and without the query. The route must not be changed.
+// Match returns the route of the host with the longest prefix that the path
+// begins with, and whether there is one. The host is compared without port,
+// final dot and case. The path is compared byte by byte, as the caller sent it
+// and without the query. The route must not be modified.
 func (tb *Table) Match(host, path string) (*Route, bool) {
 	nos := tb.hosts[hostKey(host)]
-	// Whatever begins the path is, in the order of the prefixes, at or before the
-	// last prefix that isn't greater than the path, and begins that one as well.
+	// In the order of prefixes, all that the path begins with are at or before the
+	// last prefix not greater than the path, and that prefix begins with each of
+	// them too.
 	after, found := slices.BinarySearchFunc(nos, path, func(no node, path string) int {
 		return strings.Compare(no.route.Prefix, path)
 	})
@@ -119,8 +120,8 @@
 	return nos[ix].route, true
 }
 
-// Of returns the routes of a host, whose port, final dot and case don't count. They must
-// not be changed.
+// HostRoutes returns the routes of a host, which is compared without port, final
+// dot and case. They must not be modified.
 func (tb *Table) HostRoutes(host string) []*Route {
 	nos := tb.hosts[hostKey(host)]
 	out := make([]*Route, len(nos))
@@ -130,10 +131,10 @@
 	return out
 }
 
-// Merged returns the routes that have shards, in the order of the configuration. They
-// must not be changed.
+// ShardedRoutes returns the routes that have shards, in the order of the
+// configuration. They must not be modified.
 func (tb *Table) ShardedRoutes() []*Route {
-	return tb.merged
+	return tb.sharded
 }
 
 // Version returns the version of the configuration.
@@ -148,7 +149,7 @@
 
 // Services returns the services in the order of the configuration.
 func (tb *Table) Services() []Service {
-	return slices.Clone(tb.list)
+	return slices.Clone(tb.serviceList)
 }
 
 // Limits returns the limits on callers.
@@ -156,7 +157,7 @@
 	return tb.limits
 }
 
-// Service returns the service of a name and whether there is one.
+// Service returns the service with the given name, and whether there is one.
 func (tb *Table) Service(name string) (Service, bool) {
 	se, ok := tb.services[name]
 	return se, ok
--- a/route/table_test.go
+++ b/route/table_test.go
@@ -12,28 +12,28 @@
 	"pgregory.net/rapid"
 )
 
-// plain returns a route that a table of services a, b and c takes.
-func plain(name, host, prefix string) Route {
+// plainRoute returns a route that is valid with the services a, b and c.
+func plainRoute(name, host, prefix string) Route {
 	return Route{Name: name, Host: host, Prefix: prefix, Timeout: time.Second, Targets: []Target{{Service: "a", Weight: 1}}}
 }
 
-func sharded(name string, shards ...string) Route {
-	ro := plain(name, "h", "/")
+func shardedRoute(name string, shards ...string) Route {
+	ro := plainRoute(name, "h", "/")
 	ro.Targets, ro.Shards, ro.Merge = nil, shards, Merge{TopK: 5, RecordBytes: 16, LeastShare: 0.75}
 	return ro
 }
 
 func splitRoute(name string, ts ...Target) Route {
-	ro := plain(name, "h", "/")
+	ro := plainRoute(name, "h", "/")
 	ro.Targets = ts
 	return ro
 }
 
-var abc = []Service{{Name: "a", HealthPath: "/health", MaxConnections: 26}, {Name: "b"}, {Name: "c"}}
+var testServices = []Service{{Name: "a", HealthPath: "/health", MaxConnections: 26}, {Name: "b"}, {Name: "c"}}
 
 func newTable(t testing.TB, rs ...Route) *Table {
 	t.Helper()
-	tb, err := New(7, rs, abc, Limits{})
+	tb, err := New(7, rs, testServices, Limits{})
 	qt.Assert(t, err, qt.IsNil)
 	return tb
 }
@@ -41,16 +41,16 @@
 func TestMatch(t *testing.T) {
 	tb := newTable(
 		t,
-		plain("root", "one.example", "/"),
-		plain("x", "one.example", "/x/"),
-		plain("xy", "one.example", "/x/y/"),
-		plain("xyz", "one.example", "/x/y/z/"),
-		plain("xa", "one.example", "/x/a/"),
-		plain("x-b", "one.example", "/x-b/"),
-		plain("high", "one.example", "/\xff/"),
-		plain("double", "one.example", "//"),
-		plain("two", "Two.Example:8080", "/x/"),
-		plain("six", "[2001:db8::1]", "/"),
+		plainRoute("root", "one.example", "/"),
+		plainRoute("x", "one.example", "/x/"),
+		plainRoute("xy", "one.example", "/x/y/"),
+		plainRoute("xyz", "one.example", "/x/y/z/"),
+		plainRoute("xa", "one.example", "/x/a/"),
+		plainRoute("x-b", "one.example", "/x-b/"),
+		plainRoute("high", "one.example", "/\xff/"),
+		plainRoute("double", "one.example", "//"),
+		plainRoute("two", "Two.Example:8080", "/x/"),
+		plainRoute("six", "[2001:db8::1]", "/"),
 	)
 	for _, tc := range []struct{ host, path, want string }{
 		{"one.example", "/", "root"},
@@ -102,26 +102,26 @@
 	}
 }
 
-func TestMatchEmpty(t *testing.T) {
+func TestMatchInEmptyTable(t *testing.T) {
 	_, ok := newTable(t).Match("h", "/")
 	qt.Assert(t, ok, qt.IsFalse)
 }
 
-// TestMatchLongest compares Match with a search of all routes.
-func TestMatchLongest(t *testing.T) {
+// Compares Match with a search through all routes.
+func TestMatchFindsLongestPrefix(t *testing.T) {
 	paths := rapid.StringMatching(`(/[ab-]{0,2}){0,5}/?`)
 	hosts := rapid.SampledFrom([]string{"h", "i"})
 	rapid.Check(t, func(t *rapid.T) {
 		seen := map[string]bool{}
 		var rs []Route
 		for range rapid.IntRange(0, 30).Draw(t, "routes") {
-			ro := plain(fmt.Sprint(len(rs)), hosts.Draw(t, "host"), strings.TrimSuffix(paths.Draw(t, "prefix"), "/")+"/")
+			ro := plainRoute(fmt.Sprint(len(rs)), hosts.Draw(t, "host"), strings.TrimSuffix(paths.Draw(t, "prefix"), "/")+"/")
 			if !seen[ro.Host+ro.Prefix] {
 				seen[ro.Host+ro.Prefix] = true
 				rs = append(rs, ro)
 			}
 		}
-		tb, err := New(1, rs, abc, Limits{})
+		tb, err := New(1, rs, testServices, Limits{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -142,80 +142,80 @@
 	})
 }
 
-func TestFaults(t *testing.T) {
+func TestNewRejectsInvalidRoutes(t *testing.T) {
 	with := func(ro Route, change func(*Route)) []Route {
 		ro = ro.clone()
 		change(&ro)
-		return []Route{plain("good", "good", "/"), ro}
+		return []Route{plainRoute("good", "good", "/"), ro}
 	}
-	pl, sh := plain("r", "h", "/"), sharded("r", "a", "b")
+	plain, sharded := plainRoute("r", "h", "/"), shardedRoute("r", "a", "b")
 	for _, tc := range []struct {
 		name  string
 		rs    []Route
 		field string
 	}{
-		{"unknown target", with(pl, func(ro *Route) { ro.Targets[0].Service = "d" }), "Targets"},
-		{"no name of a target", with(pl, func(ro *Route) { ro.Targets[0].Service = "" }), "Targets"},
+		{"unknown target", with(plain, func(ro *Route) { ro.Targets[0].Service = "d" }), "Targets"},
+		{"empty target name", with(plain, func(ro *Route) { ro.Targets[0].Service = "" }), "Targets"},
 		{"unknown target without weight", []Route{splitRoute("r", Target{"a", 1}, Target{"d", 0})}, "Targets"},
-		{"unknown shard", []Route{sharded("r", "a", "d")}, "Shards"},
-		{"shard twice", []Route{sharded("r", "a", "b", "a")}, "Shards"},
-		{"same place", with(pl, func(ro *Route) { ro.Host = "good" }), "Prefix"},
-		{"same place, other case", with(pl, func(ro *Route) { ro.Host = "GOOD:80" }), "Prefix"},
+		{"unknown shard", []Route{shardedRoute("r", "a", "d")}, "Shards"},
+		{"shard twice", []Route{shardedRoute("r", "a", "b", "a")}, "Shards"},
+		{"same host and prefix", with(plain, func(ro *Route) { ro.Host = "good" }), "Prefix"},
+		{"same host and prefix, other case", with(plain, func(ro *Route) { ro.Host = "GOOD:80" }), "Prefix"},
 		{"weight 0", []Route{splitRoute("r", Target{"a", 0})}, "Targets"},
 		{"weights 0", []Route{splitRoute("r", Target{"a", 0}, Target{"b", 0})}, "Targets"},
 		{"weight below 0", []Route{splitRoute("r", Target{"a", 2}, Target{"b", -1})}, "Targets"},
 		{"weights cancel", []Route{splitRoute("r", Target{"a", 1}, Target{"b", -1})}, "Targets"},
 		{"weight too great", []Route{splitRoute("r", Target{"a", math.MaxInt})}, "Targets"},
-		{"weights too great", []Route{splitRoute("r", Target{"a", mostWeight}, Target{"b", 1})}, "Targets"},
-		{"no timeout", with(pl, func(ro *Route) { ro.Timeout = 0 }), "Timeout"},
-		{"timeout below 0", with(pl, func(ro *Route) { ro.Timeout = -1 }), "Timeout"},
-		{"neither", with(pl, func(ro *Route) { ro.Targets = nil }), "Targets"},
-		{"neither, but empty", with(pl, func(ro *Route) { ro.Targets, ro.Shards = []Target{}, []string{} }), "Targets"},
-		{"both", with(sh, func(ro *Route) { ro.Targets = pl.Targets }), "Targets"},
-		{"no prefix", with(pl, func(ro *Route) { ro.Prefix = "" }), "Prefix"},
-		{"no slash before", with(pl, func(ro *Route) { ro.Prefix = "x/" }), "Prefix"},
-		{"no slash behind", with(pl, func(ro *Route) { ro.Prefix = "/x" }), "Prefix"},
-		{"no host", with(pl, func(ro *Route) { ro.Host = "" }), "Host"},
-		{"only a port", with(pl, func(ro *Route) { ro.Host = ":80" }), "Host"},
-		{"share below 0", with(sh, func(ro *Route) { ro.Merge.LeastShare = -0.01 }), "LeastShare"},
-		{"share above 1", with(sh, func(ro *Route) { ro.Merge.LeastShare = 1.01 }), "LeastShare"},
-		{"share no number", with(sh, func(ro *Route) { ro.Merge.LeastShare = math.NaN() }), "LeastShare"},
-		{"record of 0", with(sh, func(ro *Route) { ro.Merge.RecordBytes = 0 }), "RecordBytes"},
-		{"record below 0", with(sh, func(ro *Route) { ro.Merge.RecordBytes = -16 }), "RecordBytes"},
-		{"records below 0", with(sh, func(ro *Route) { ro.Merge.TopK = -1 }), "TopK"},
+		{"weights too great", []Route{splitRoute("r", Target{"a", maxWeightSum}, Target{"b", 1})}, "Targets"},
+		{"no timeout", with(plain, func(ro *Route) { ro.Timeout = 0 }), "Timeout"},
+		{"timeout below 0", with(plain, func(ro *Route) { ro.Timeout = -1 }), "Timeout"},
+		{"neither targets nor shards", with(plain, func(ro *Route) { ro.Targets = nil }), "Targets"},
+		{"neither, with empty slices", with(plain, func(ro *Route) { ro.Targets, ro.Shards = []Target{}, []string{} }), "Targets"},
+		{"targets and shards", with(sharded, func(ro *Route) { ro.Targets = plain.Targets }), "Targets"},
+		{"no prefix", with(plain, func(ro *Route) { ro.Prefix = "" }), "Prefix"},
+		{"no leading slash", with(plain, func(ro *Route) { ro.Prefix = "x/" }), "Prefix"},
+		{"no trailing slash", with(plain, func(ro *Route) { ro.Prefix = "/x" }), "Prefix"},
+		{"no host", with(plain, func(ro *Route) { ro.Host = "" }), "Host"},
+		{"only a port", with(plain, func(ro *Route) { ro.Host = ":80" }), "Host"},
+		{"share below 0", with(sharded, func(ro *Route) { ro.Merge.LeastShare = -0.01 }), "LeastShare"},
+		{"share above 1", with(sharded, func(ro *Route) { ro.Merge.LeastShare = 1.01 }), "LeastShare"},
+		{"share not a number", with(sharded, func(ro *Route) { ro.Merge.LeastShare = math.NaN() }), "LeastShare"},
+		{"record size 0", with(sharded, func(ro *Route) { ro.Merge.RecordBytes = 0 }), "RecordBytes"},
+		{"record size below 0", with(sharded, func(ro *Route) { ro.Merge.RecordBytes = -16 }), "RecordBytes"},
+		{"top k below 0", with(sharded, func(ro *Route) { ro.Merge.TopK = -1 }), "TopK"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := qt.New(t)
-			tb, err := New(7, tc.rs, abc, Limits{})
+			tb, err := New(7, tc.rs, testServices, Limits{})
 			c.Assert(tb, qt.IsNil)
-			var fa *ConfigError
-			c.Assert(errors.As(err, &fa), qt.IsTrue, qt.Commentf("%v", err))
-			c.Assert([]string{fa.Route, fa.Field}, qt.DeepEquals, []string{"r", tc.field})
+			var ce *ConfigError
+			c.Assert(errors.As(err, &ce), qt.IsTrue, qt.Commentf("%v", err))
+			c.Assert([]string{ce.Route, ce.Field}, qt.DeepEquals, []string{"r", tc.field})
 			c.Assert(err, qt.ErrorMatches, `route "r": `+tc.field+`: want .+`)
 		})
 	}
 }
 
-func TestFaultService(t *testing.T) {
+func TestNewRejectsDuplicateServices(t *testing.T) {
 	c := qt.New(t)
 	_, err := New(7, nil, []Service{{Name: "a"}, {Name: "b"}, {Name: "a"}}, Limits{})
-	var fa *ConfigError
-	c.Assert(errors.As(err, &fa), qt.IsTrue)
-	c.Assert([]string{fa.Route, fa.Field}, qt.DeepEquals, []string{"", "Name"})
+	var ce *ConfigError
+	c.Assert(errors.As(err, &ce), qt.IsTrue)
+	c.Assert([]string{ce.Route, ce.Field}, qt.DeepEquals, []string{"", "Name"})
 	c.Assert(err, qt.ErrorMatches, `service: Name: want each service once, got "a" twice`)
 }
 
-// TestFaultFirst shows that the fault does not depend on the order of a map.
-func TestFaultFirst(t *testing.T) {
+// The error must not depend on the iteration order of a map.
+func TestFirstErrorIsDeterministic(t *testing.T) {
 	for range 50 {
 		_, err := New(7, []Route{
-			plain("1", "h", "/"), plain("2", "i", "/"), plain("3", "i", "/"), plain("4", "h", "/"),
-		}, abc, Limits{})
+			plainRoute("1", "h", "/"), plainRoute("2", "i", "/"), plainRoute("3", "i", "/"), plainRoute("4", "h", "/"),
+		}, testServices, Limits{})
 		qt.Assert(t, err, qt.ErrorMatches, `route "3".*`)
 	}
 }
 
-func TestTaken(t *testing.T) {
+func TestNewAcceptsValidRoutes(t *testing.T) {
 	with := func(ro Route, change func(*Route)) Route {
 		change(&ro)
 		return ro
@@ -224,41 +224,41 @@
 		name string
 		rs   []Route
 	}{
-		{"nothing", nil},
-		{"same prefix, other host", []Route{plain("r", "h", "/"), plain("s", "i", "/")}},
-		{"same name", []Route{plain("r", "h", "/"), plain("r", "h", "/x/")}},
+		{"empty", nil},
+		{"same prefix, other host", []Route{plainRoute("r", "h", "/"), plainRoute("s", "i", "/")}},
+		{"same name", []Route{plainRoute("r", "h", "/"), plainRoute("r", "h", "/x/")}},
 		{"same service twice", []Route{splitRoute("r", Target{"a", 1}, Target{"a", 2})}},
 		{"one weight of 0", []Route{splitRoute("r", Target{"a", 0}, Target{"b", 1})}},
-		{"greatest weight", []Route{splitRoute("r", Target{"a", mostWeight})}},
-		{"one shard", []Route{sharded("r", "a")}},
-		{"no record", []Route{with(sharded("r", "a"), func(ro *Route) { ro.Merge.TopK = 0 })}},
-		{"share 0", []Route{with(sharded("r", "a"), func(ro *Route) { ro.Merge.LeastShare = 0 })}},
-		{"share 1", []Route{with(sharded("r", "a"), func(ro *Route) { ro.Merge.LeastShare = 1 })}},
-		{"no aim", []Route{with(plain("r", "h", "/"), func(ro *Route) { ro.TargetLatency = 0 })}},
+		{"greatest weight", []Route{splitRoute("r", Target{"a", maxWeightSum})}},
+		{"one shard", []Route{shardedRoute("r", "a")}},
+		{"top k 0", []Route{with(shardedRoute("r", "a"), func(ro *Route) { ro.Merge.TopK = 0 })}},
+		{"share 0", []Route{with(shardedRoute("r", "a"), func(ro *Route) { ro.Merge.LeastShare = 0 })}},
+		{"share 1", []Route{with(shardedRoute("r", "a"), func(ro *Route) { ro.Merge.LeastShare = 1 })}},
+		{"no target latency", []Route{with(plainRoute("r", "h", "/"), func(ro *Route) { ro.TargetLatency = 0 })}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			_, err := New(0, tc.rs, abc, Limits{})
+			_, err := New(0, tc.rs, testServices, Limits{})
 			qt.Assert(t, err, qt.IsNil)
 		})
 	}
 }
 
-func TestParts(t *testing.T) {
+func TestAccessors(t *testing.T) {
 	c := qt.New(t)
 	li := Limits{HeaderBytes: 16384, BodyBytes: 262144, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
-	rs := []Route{sharded("one", "a", "b"), plain("two", "i", "/")}
+	rs := []Route{shardedRoute("one", "a", "b"), plainRoute("two", "i", "/")}
 	rs[0].MaxAttempts = 2
 	rs[1].MaxAttempts = -1
-	tb, err := New(7, rs, abc, li)
+	tb, err := New(7, rs, testServices, li)
 	c.Assert(err, qt.IsNil)
 	c.Assert(tb.Version(), qt.Equals, uint64(7))
 	c.Assert(tb.Limits(), qt.Equals, li)
-	c.Assert(tb.Services(), qt.DeepEquals, abc)
-	want := []Route{sharded("one", "a", "b"), plain("two", "i", "/")}
+	c.Assert(tb.Services(), qt.DeepEquals, testServices)
+	want := []Route{shardedRoute("one", "a", "b"), plainRoute("two", "i", "/")}
 	want[0].MaxAttempts = 2
 	want[1].MaxAttempts = 1
 	c.Assert(tb.Routes(), qt.DeepEquals, want)
-	for _, se := range abc {
+	for _, se := range testServices {
 		got, ok := tb.Service(se.Name)
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(got, qt.Equals, se)
@@ -267,19 +267,20 @@
 	c.Assert(ok, qt.IsFalse)
 }
 
-// A caller of New or Routes goes on to use the slices. Requests would be sent
-// to services that no configuration names, if the table shared them.
-func TestImmutable(t *testing.T) {
+// The caller of New or Routes modifies the slices afterwards. If the table
+// shared them, requests would be sent to services that are not in the
+// configuration.
+func TestTableDoesNotShareSlices(t *testing.T) {
 	c := qt.New(t)
-	rs, ss := []Route{sharded("one", "a", "b"), plain("two", "i", "/")}, []Service{{Name: "a"}, {Name: "b"}}
+	rs, ss := []Route{shardedRoute("one", "a", "b"), plainRoute("two", "i", "/")}, []Service{{Name: "a"}, {Name: "b"}}
 	tb, err := New(7, rs, ss, Limits{})
 	c.Assert(err, qt.IsNil)
 	want, services := tb.Routes(), tb.Services()
-	spoil := func(rs []Route, ss []Service) {
+	modify := func(rs []Route, ss []Service) {
 		rs[0].Shards[0], rs[1].Targets[0].Service, rs[1].Host, ss[0].Name = "x", "x", "x", "x"
 	}
-	spoil(rs, ss)
-	spoil(tb.Routes(), tb.Services())
+	modify(rs, ss)
+	modify(tb.Routes(), tb.Services())
 	c.Assert(tb.Routes(), qt.DeepEquals, want)
 	c.Assert(tb.Services(), qt.DeepEquals, services)
 	ro, ok := tb.Match("i", "/")
@@ -296,7 +297,7 @@
 func BenchmarkMatch(b *testing.B) {
 	var rs []Route
 	for ix := range 300 {
-		rs = append(rs, plain(fmt.Sprint(ix), fmt.Sprintf("h%d.example", ix%6), fmt.Sprintf("/p%d/x%d/", ix%20, ix)))
+		rs = append(rs, plainRoute(fmt.Sprint(ix), fmt.Sprintf("h%d.example", ix%6), fmt.Sprintf("/p%d/x%d/", ix%20, ix)))
 	}
 	tb := newTable(b, rs...)
 	b.ReportAllocs()
