--- a/caller/addresses.go
+++ b/caller/addresses.go
@@ -10,13 +10,14 @@
 	"balsamwinch.example/view"
 )
 
-// Choose returns the instances that a caller in the given data centre may use
-// for a service, nearest first: those of its data centre, those of its region,
-// the others. Equals are ordered by a hash with the salt, so that callers which
-// all use the first address still spread. An empty service means any; a named one
-// gives the few that share the slots of its backend servers.
+// RankInstances returns the instances that a caller in the given data centre may
+// use for a service, nearest first: those in the same data centre, those in the
+// same region, then the others. Equally near ones are ordered by a hash with the
+// salt, so that callers spread even if each uses the first address. An empty
+// service means any; for a named one, only the few instances are returned that
+// share the slots of its backend servers.
 func RankInstances(vi *view.View, service, dataCentre string, salt uint64) []view.Instance {
-	ins := entries(vi)
+	ins := entryInstances(vi)
 	if se, ok := vi.Configuration.Services[service]; ok {
 		ins = limit.Subset(service, limit.NumEntries(se, vi.Servers), ins)
 	}
@@ -25,15 +26,15 @@
 		if co := cmp.Compare(distance(aa, dataCentre, region), distance(bb, dataCentre, region)); co != 0 {
 			return co
 		}
-		return cmp.Compare(spread(aa, salt), spread(bb, salt))
+		return cmp.Compare(saltedHash(aa, salt), saltedHash(bb, salt))
 	})
 	return ins
 }
 
-// entries returns the instances that take callers. An instance that sees none,
-// because its own view is wrong, still names itself if it may serve: an empty
-// list would cut off every caller that asks it.
-func entries(vi *view.View) []view.Instance {
+// entryInstances returns the instances that accept callers. An instance that
+// sees none, because its own view is wrong, still returns itself if it may
+// serve: an empty list would cut off every caller that asks it.
+func entryInstances(vi *view.View) []view.Instance {
 	var ins []view.Instance
 	for _, in := range vi.Instances {
 		if in.Entry && !in.Draining && in.CallerAddress != "" {
@@ -66,7 +67,7 @@
 	}
 }
 
-func spread(in view.Instance, salt uint64) uint64 {
+func saltedHash(in view.Instance, salt uint64) uint64 {
 	var di xxhash.Digest
 	di.ResetWithSeed(salt)
 	_, _ = di.WriteString(in.Name)
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -33,15 +33,15 @@
 	return out
 }
 
-func TestChooseNearestFirst(t *testing.T) {
+func TestRankInstancesNearestFirst(t *testing.T) {
 	far := instance("far", "bayern", "giesing")
 	near := instance("near", "lima", "surquillo")
 	here := instance("here", "lima", "miraflores")
-	gone := instance("gone", "lima", "miraflores")
-	gone.Draining = true
+	draining := instance("draining", "lima", "miraflores")
+	draining.Draining = true
 	disk := instance("disk", "lima", "miraflores")
 	disk.Entry = false
-	vi := &view.View{Self: far, Instances: []view.Instance{far, near, here, gone, disk}}
+	vi := &view.View{Self: far, Instances: []view.Instance{far, near, here, draining, disk}}
 	for _, tc := range []struct {
 		dataCentre string
 		want       []string
@@ -58,10 +58,10 @@
 	}
 }
 
-// Callers that all ask one instance would all use its first address.
-// Each asks and goes to the front of the list it was given.
-// The order among equals must differ from call to call.
-func TestChooseSpreadsEquals(t *testing.T) {
+// Each caller asks one instance for addresses and uses the first one. If the
+// order were fixed, all callers would use the same instance, so the order of
+// equally near ones must vary between calls.
+func TestRankInstancesSpreadsEquallyNear(t *testing.T) {
 	vi := &view.View{Instances: []view.Instance{
 		instance("i1", "lima", "a"), instance("i2", "lima", "a"), instance("i3", "lima", "a"),
 	}}
@@ -74,14 +74,15 @@
 	}
 }
 
-// A caller asks an instance whose view of the others is wrong and empty.
-// It must still be told of that instance, or nobody could use the tier.
-func TestChooseNeverEmpty(t *testing.T) {
+// A caller asks an instance whose view wrongly contains no other instances. It
+// must get at least the address of that instance, or no caller could use the
+// tier.
+func TestRankInstancesIsNeverEmpty(t *testing.T) {
 	self := instance("self", "lima", "a")
 	qt.Check(t, names(caller.RankInstances(&view.View{Self: self}, "", "b", 0)), qt.DeepEquals, []string{"self"})
 }
 
-// runner records the query that it is given.
+// runner records the query that it receives.
 type runner struct{ got fanout.Query }
 
 func (ru *runner) Run(_ context.Context, qu fanout.Query) fanout.Answer {
@@ -114,7 +115,7 @@
 	c.Check(left <= 700*time.Millisecond, qt.IsTrue)
 }
 
-func TestQueryRefusesMalformed(t *testing.T) {
+func TestQueryRejectsInvalid(t *testing.T) {
 	for _, tc := range []struct{ body, want string }{
 		{`{`, "body: unexpected EOF"},
 		{`{"Repeatble":false}`, `body: json: unknown field "Repeatble"`},
--- a/caller/message.go
+++ b/caller/message.go
@@ -1,5 +1,5 @@
-// Package caller serves callers over HTTP: it tells them which instances to
-// use, takes their queries and gives their answers.
+// Package caller serves callers over HTTP: it tells them which instances to use,
+// accepts their queries and returns the answers.
 package caller
 
 import (
@@ -10,29 +10,30 @@
 
 // The paths of the endpoints for callers.
 const (
-	// AddressesPath gives Addresses by GET. The parameters Service and
-	// DataCentre are optional.
+	// AddressesPath returns Addresses to GET. The parameters Service and DataCentre
+	// are optional.
 	AddressesPath = "/addresses"
-	// QueryPath takes a Query by POST and gives a fanout.Answer.
+	// QueryPath accepts a Query by POST and returns a fanout.Answer.
 	QueryPath = "/services/{Service}/query"
 )
 
-// Addresses tells a caller which instances to use.
+// Addresses lists the instances that a caller may use.
 type Addresses struct {
-	Addresses []string // Addresses are IP numbers and ports, the one to try first at the front.
-	TTLMillis int64    // TTLMillis is how long the caller may keep the list.
+	Addresses []string // IP addresses with ports, in the order in which to try them
+	TTLMillis int64    // how long the caller may cache the list
 }
 
 // Query is a caller's request.
 type Query struct {
-	RequestID      string `json:",omitempty"` // RequestID comes back in the answer; one is made if empty.
-	DeadlineMillis int64  `json:",omitempty"` // DeadlineMillis counts from arrival; 0 means the service's own.
-	Repeatable     *bool  `json:",omitempty"` // Repeatable is true if absent.
-	Key            string `json:",omitempty"` // Key is required if the request is not repeatable.
-	// Resend says that the Key was sent before and its outcome is not known. Such
-	// a request is refused with "not run" only if the record of the first says so.
+	RequestID      string `json:",omitempty"` // returned in the answer; generated if empty
+	DeadlineMillis int64  `json:",omitempty"` // counts from arrival; 0 means the service's default
+	Repeatable     *bool  `json:",omitempty"` // true if absent
+	Key            string `json:",omitempty"` // required if the request is not repeatable
+	// Resend says that the Key was sent before and that the outcome is unknown. Such
+	// a request is rejected with a "not run" code only if the record of the first
+	// one says so.
 	Resend bool            `json:",omitempty"`
-	Policy operator.Policy `json:",omitempty"` // Policy replaces the service's.
-	Shards []string        `json:",omitempty"` // Shards limits the query to some shards.
-	Query  json.RawMessage // Query is passed to the backend servers as it is.
+	Policy operator.Policy `json:",omitempty"` // overrides the service's policy
+	Shards []string        `json:",omitempty"` // if set, limits the query to these shards
+	Query  json.RawMessage // passed to the backend servers unchanged
 }
--- a/caller/server.go
+++ b/caller/server.go
@@ -25,12 +25,12 @@
 
 // Bounds of a query.
 const (
-	maxBody     = 1 << 20
-	maxDeadline = 10 * time.Minute
-	maxID       = 200
+	maxBodyBytes = 1 << 20
+	maxDeadline  = 10 * time.Minute
+	maxIDBytes   = 200
 )
 
-// Runner answers queries; fanout.Engine is the one in use.
+// Runner answers queries; the implementation in use is fanout.Engine.
 type Runner interface {
 	Run(ctx context.Context, qu fanout.Query) fanout.Answer
 }
@@ -69,22 +69,22 @@
 	for _, in := range ins {
 		ad.Addresses = append(ad.Addresses, in.CallerAddress)
 	}
-	write(rw, http.StatusOK, ad)
+	writeJSON(rw, http.StatusOK, ad)
 }
 
 func (se *Server) query(rw http.ResponseWriter, rq *http.Request) {
 	arrived := se.ts.Now()
 	qu, err := decode(rq)
 	if err != nil {
-		se.refuse(rw, qu.RequestID, err)
+		se.reject(rw, qu.RequestID, err)
 		return
 	}
 	an := se.ru.Run(rq.Context(), se.toFanout(rq.PathValue("Service"), qu, arrived))
 	se.answer(rw, an)
 }
 
-// toFanout fills in what the caller left out. A deadline of zero is left to the
-// service's configuration.
+// toFanout converts a query and fills in defaults. A deadline of zero is
+// replaced by the one in the service's configuration.
 func (se *Server) toFanout(service string, qu Query, arrived time.Time) fanout.Query {
 	fq := fanout.Query{
 		RequestID:  qu.RequestID,
@@ -106,12 +106,12 @@
 
 func decode(rq *http.Request) (Query, error) {
 	var qu Query
-	body, err := io.ReadAll(io.LimitReader(rq.Body, maxBody+1))
+	body, err := io.ReadAll(io.LimitReader(rq.Body, maxBodyBytes+1))
 	if err != nil {
-		return qu, fmt.Errorf("body was cut: %w", err)
+		return qu, fmt.Errorf("reading the body: %w", err)
 	}
-	if len(body) > maxBody {
-		return qu, fmt.Errorf("body: want at most %d bytes", maxBody)
+	if len(body) > maxBodyBytes {
+		return qu, fmt.Errorf("body: want at most %d bytes", maxBodyBytes)
 	}
 	if err := unmarshal(body, &qu); err != nil {
 		return qu, fmt.Errorf("body: %w", err)
@@ -119,11 +119,11 @@
 	if qu.RequestID == "" {
 		qu.RequestID = rand.Text()
 	}
-	return qu, check(qu)
+	return qu, validate(qu)
 }
 
-// unmarshal refuses fields that it does not know: a misspelt Repeatable would
-// make a request that must run once one that may run often.
+// unmarshal rejects unknown fields: if a misspelt Repeatable were ignored, a
+// request that must run at most once could run repeatedly.
 func unmarshal(body []byte, qu *Query) error {
 	de := json.NewDecoder(bytes.NewReader(body))
 	de.DisallowUnknownFields()
@@ -136,12 +136,12 @@
 	return nil
 }
 
-func check(qu Query) error {
+func validate(qu Query) error {
 	switch {
-	case len(qu.RequestID) > maxID:
-		return fmt.Errorf("RequestID: want at most %d bytes", maxID)
-	case len(qu.Key) > maxID:
-		return fmt.Errorf("Key: want at most %d bytes", maxID)
+	case len(qu.RequestID) > maxIDBytes:
+		return fmt.Errorf("RequestID: want at most %d bytes", maxIDBytes)
+	case len(qu.Key) > maxIDBytes:
+		return fmt.Errorf("Key: want at most %d bytes", maxIDBytes)
 	case qu.DeadlineMillis < 0 || qu.DeadlineMillis > maxDeadline.Milliseconds():
 		return fmt.Errorf("DeadlineMillis: want 0 to %d", maxDeadline.Milliseconds())
 	case qu.Policy != "" && qu.Policy != operator.Complete && qu.Policy != operator.Best:
@@ -153,7 +153,7 @@
 	}
 }
 
-func (se *Server) refuse(rw http.ResponseWriter, id string, err error) {
+func (se *Server) reject(rw http.ResponseWriter, id string, err error) {
 	se.answer(rw, fanout.Answer{
 		RequestID: id,
 		Instance:  se.ce.Load().Self.Name,
@@ -163,8 +163,8 @@
 }
 
 // answer writes an answer. While the instance drains, it asks the caller to
-// close the connection after it, so that no caller is left on one that the stop
-// would cut.
+// close the connection, so that no caller still uses one that is cut when the
+// instance stops.
 func (se *Server) answer(rw http.ResponseWriter, an fanout.Answer) {
 	if se.ce.Load().Draining {
 		rw.Header().Set("Connection", "close")
@@ -173,10 +173,10 @@
 		secs := math.Ceil(float64(an.RetryAfterMillis) / 1000)
 		rw.Header().Set("Retry-After", strconv.Itoa(int(secs)))
 	}
-	write(rw, an.Code.Status(), an)
+	writeJSON(rw, an.Code.Status(), an)
 }
 
-func write(rw http.ResponseWriter, status int, body any) {
+func writeJSON(rw http.ResponseWriter, status int, body any) {
 	rw.Header().Set("Content-Type", "application/json")
 	rw.WriteHeader(status)
 	_ = json.NewEncoder(rw).Encode(body)
