--- a/control/audit.go
+++ b/control/audit.go
@@ -7,36 +7,38 @@
 	"balsamwinch.example/result"
 )
 
-// The bounds of the audit trail. All voters must have the same ones, since what
-// is no longer kept can't answer a resend.
+// The bounds of the audit trail. All voters must use the same values, because a
+// change that is no longer kept can't answer a retry.
 const (
-	// MaxAuditEntries is how many changes are kept with their outcome: at 670
-	// changes a day, 12 days. A resend gets the first outcome for as long.
+	// MaxAuditEntries is the number of changes that are kept with their
+	// outcome: 12 days at 670 changes a day. For that long, a retry gets the
+	// first outcome.
 	MaxAuditEntries = 8192
-	// MaxAuditBytes bounds the kept entries without contents; large entries
-	// make fewer of them fit.
+	// MaxAuditBytes bounds the memory of the kept entries without contents. If
+	// entries are large, fewer than MaxAuditEntries are kept.
 	MaxAuditBytes = 8 << 20
-	// MaxAuditContent bounds the contents that are kept before and after.
-	// Entries beyond it keep the hashes.
+	// MaxAuditContentBytes bounds the kept contents of files before and after
+	// the changes. Beyond it the oldest entries keep only the hashes.
 	MaxAuditContentBytes = 4 << 20
 )
 
-// AuditEntry is one accepted or refused change.
+// AuditEntry is one accepted or rejected change.
 type AuditEntry struct {
 	Number   uint64 // Number counts changes from 1.
 	When     time.Time
 	Author   string
 	ChangeID string
 	Code     result.Code
-	Revision uint64 // Revision is the one that the change made; 0 if refused.
-	Detail   string // Detail says why the change was refused.
+	Revision uint64 // Revision is the one that the change created; 0 if rejected.
+	Detail   string // Detail says why the change was rejected.
 	Files    []AuditFile
-	Previous string // Previous is the Hash of the entry before, in hexadecimal.
+	Previous string // Previous is the Hash of the preceding entry.
 	Hash     string // Hash is the SHA-256 over all fields above, in hexadecimal.
 }
 
 // AuditFile is what an audited change did, or would have done, to one file. The
-// entry's Hash covers the hashes, so that it still holds without the contents.
+// entry's Hash covers the hashes of the contents, so that it can be verified
+// without the contents.
 type AuditFile struct {
 	Name       string
 	BeforeHash string // BeforeHash is the SHA-256 in hexadecimal; empty if the file did not exist.
@@ -45,30 +47,31 @@
 	After      []byte // After is nil also when the content is no longer kept.
 }
 
-// AuditHead names the end of a chain of audit entries.
+// AuditHead identifies the last entry of a chain of audit entries.
 type AuditHead struct {
 	Number uint64
 	Hash   string
 }
 
-// AuditError says which audit entry does not fit the chain.
+// AuditError reports an audit entry that doesn't match its hashes or its
+// predecessor.
 type AuditError struct {
-	Number uint64 // Number is that of the entry.
+	Number uint64 // Number is the number of the entry.
 	Field  string
 	Want   string
 	Got    string
 }
 
-// Error returns the entry, the field and what was expected.
+// Error names the entry, the field, and the expected and actual values.
 func (ae *AuditError) Error() string {
 	return fmt.Sprintf("audit entry %d: %s: want %s, got %s", ae.Number, ae.Field, ae.Want, ae.Got)
 }
 
-// Verify returns an *AuditError if an entry was changed, or if entries were
-// removed, added or moved between the first and the last. It can't tell that
-// entries are missing at either end, or that the whole chain was made anew:
-// compare the last Hash with the AuditHead of other control instances, and the
-// first Previous with a Hash noted earlier.
+// Verify returns an *AuditError if an entry was modified, or if entries were
+// removed, added or reordered between the first and the last. It can't detect that
+// entries are missing at either end or that the whole chain was recomputed. To
+// detect these, compare the last Hash with the AuditHead of other control
+// instances, and the first Previous with a Hash saved earlier.
 func Verify(entries []AuditEntry) error {
 	for i, en := range entries {
 		if i > 0 {
@@ -89,11 +92,11 @@
 
 func (en AuditEntry) verify() error {
 	for _, af := range en.Files {
-		if af.Before != nil && hashOf(af.Before) != af.BeforeHash {
-			return &AuditError{Number: en.Number, Field: af.Name + ": Before", Want: af.BeforeHash, Got: hashOf(af.Before)}
+		if af.Before != nil && sha256Hex(af.Before) != af.BeforeHash {
+			return &AuditError{Number: en.Number, Field: af.Name + ": Before", Want: af.BeforeHash, Got: sha256Hex(af.Before)}
 		}
-		if af.After != nil && hashOf(af.After) != af.AfterHash {
-			return &AuditError{Number: en.Number, Field: af.Name + ": After", Want: af.AfterHash, Got: hashOf(af.After)}
+		if af.After != nil && sha256Hex(af.After) != af.AfterHash {
+			return &AuditError{Number: en.Number, Field: af.Name + ": After", Want: af.AfterHash, Got: sha256Hex(af.After)}
 		}
 	}
 	if ha := en.hash(); ha != en.Hash {
@@ -115,11 +118,11 @@
 	if err != nil {
 		panic(err) // these types always encode
 	}
-	return hashOf(data)
+	return sha256Hex(data)
 }
 
-// bytes returns about how much memory the entry takes without contents.
-func (en AuditEntry) bytes() int {
+// memoryBytes estimates the memory that the entry uses without contents.
+func (en AuditEntry) memoryBytes() int {
 	by := 400 + len(en.Author) + len(en.ChangeID) + len(en.Detail)
 	for _, af := range en.Files {
 		by += 200 + len(af.Name)
@@ -127,9 +130,9 @@
 	return by
 }
 
-// content returns how many bytes of contents the entry holds, and one for each
-// content so that an entry with empty contents has some.
-func (en AuditEntry) content() int {
+// contentBytes returns the size of the contents in the entry. Each content counts
+// one byte more, so that an entry with empty contents is counted too.
+func (en AuditEntry) contentBytes() int {
 	by := 0
 	for _, af := range en.Files {
 		if af.Before != nil {
@@ -142,7 +145,7 @@
 	return by
 }
 
-// withoutContent returns the entry with its hashes alone.
+// withoutContent returns the entry with the hashes but without the contents.
 func (en AuditEntry) withoutContent() AuditEntry {
 	fs := make([]AuditFile, len(en.Files))
 	for i, af := range en.Files {
@@ -153,101 +156,102 @@
 	return en
 }
 
-// record is an audit entry with what answers a resend of its change.
-type record struct {
+// auditRecord is an audit entry with the data needed to answer a retry of its
+// change.
+type auditRecord struct {
 	Entry AuditEntry
-	// Digest is that of the change; empty if the entry answers no resend.
+	// Digest is the digest of the change; empty if the entry answers no retry.
 	Digest  string
 	Outcome ChangeOutcome
 }
 
-func (re record) bytes() int {
-	by := re.Entry.bytes() + len(re.Digest)
+func (re auditRecord) memoryBytes() int {
+	by := re.Entry.memoryBytes() + len(re.Digest)
 	for _, fa := range re.Outcome.Faults {
 		by += 100 + len(fa.File) + len(fa.Field) + len(fa.Want) + len(fa.Got)
 	}
 	return by
 }
 
-// trail is the kept part of the audit trail. It is immutable. What is no longer
-// kept is summed up by base, the head of the chain at that point.
-type trail struct {
-	base, head AuditHead
-	records    tree[uint64, record]
-	ids        tree[string, uint64] // ids gives the number of the first change with an id.
-	bytes      int
-	contents   tree[uint64, int] // contents gives the size of those entries that have contents.
-	content    int               // content is the sum of contents.
+// auditTrail is the kept part of the audit trail. It is immutable. base identifies
+// the newest entry that is no longer kept, and head the newest entry.
+type auditTrail struct {
+	base, head       AuditHead
+	records          tree[uint64, auditRecord]
+	numberByChangeID tree[string, uint64] // numberByChangeID maps a change id to the entry number of the first change with it.
+	memoryBytes      int
+	contentSizes     tree[uint64, int] // contentSizes maps the number of each entry that has contents to their size.
+	contentBytes     int               // contentBytes is the sum of contentSizes.
 }
 
-// with returns the trail with one more change, numbered and chained, and without
-// the oldest that are beyond the bounds.
-func (tr trail) with(en AuditEntry, dg string, oc ChangeOutcome) trail {
+// with returns the trail with a new entry, numbered and chained, and without the
+// oldest entries and contents beyond the bounds.
+func (tr auditTrail) with(en AuditEntry, dg string, oc ChangeOutcome) auditTrail {
 	en.Number = tr.head.Number + 1
 	en.Previous = tr.head.Hash
 	en.Hash = en.hash()
-	return tr.withRecord(record{Entry: en, Digest: dg, Outcome: oc}).bounded()
+	return tr.withRecord(auditRecord{Entry: en, Digest: dg, Outcome: oc}).trimmed()
 }
 
-func (tr trail) withRecord(re record) trail {
+func (tr auditTrail) withRecord(re auditRecord) auditTrail {
 	en := re.Entry
 	tr.head = AuditHead{Number: en.Number, Hash: en.Hash}
 	tr.records = tr.records.with(en.Number, re)
-	tr.bytes += re.bytes()
+	tr.memoryBytes += re.memoryBytes()
 	if re.Digest != "" {
-		tr.ids = tr.ids.with(en.ChangeID, en.Number)
+		tr.numberByChangeID = tr.numberByChangeID.with(en.ChangeID, en.Number)
 	}
-	if by := en.content(); by > 0 {
-		tr.contents = tr.contents.with(en.Number, by)
-		tr.content += by
+	if by := en.contentBytes(); by > 0 {
+		tr.contentSizes = tr.contentSizes.with(en.Number, by)
+		tr.contentBytes += by
 	}
 	return tr
 }
 
-func (tr trail) bounded() trail {
-	for tr.content > MaxAuditContentBytes {
+func (tr auditTrail) trimmed() auditTrail {
+	for tr.contentBytes > MaxAuditContentBytes {
 		tr = tr.withoutOldestContent()
 	}
-	for tr.records.len() > MaxAuditEntries || tr.bytes > MaxAuditBytes {
+	for tr.records.len() > MaxAuditEntries || tr.memoryBytes > MaxAuditBytes {
 		tr = tr.withoutOldest()
 	}
 	return tr
 }
 
-func (tr trail) withoutOldestContent() trail {
-	nu, by, _ := tr.contents.first()
+func (tr auditTrail) withoutOldestContent() auditTrail {
+	nu, by, _ := tr.contentSizes.first()
 	re, _ := tr.records.get(nu)
 	re.Entry = re.Entry.withoutContent()
 	tr.records = tr.records.with(nu, re)
-	tr.contents = tr.contents.without(nu)
-	tr.content -= by
+	tr.contentSizes = tr.contentSizes.without(nu)
+	tr.contentBytes -= by
 	return tr
 }
 
-func (tr trail) withoutOldest() trail {
+func (tr auditTrail) withoutOldest() auditTrail {
 	nu, re, _ := tr.records.first()
-	if by, ok := tr.contents.get(nu); ok {
-		tr.contents = tr.contents.without(nu)
-		tr.content -= by
+	if by, ok := tr.contentSizes.get(nu); ok {
+		tr.contentSizes = tr.contentSizes.without(nu)
+		tr.contentBytes -= by
 	}
 	if re.Digest != "" {
-		tr.ids = tr.ids.without(re.Entry.ChangeID)
+		tr.numberByChangeID = tr.numberByChangeID.without(re.Entry.ChangeID)
 	}
 	tr.records = tr.records.without(nu)
-	tr.bytes -= re.bytes()
+	tr.memoryBytes -= re.memoryBytes()
 	tr.base = AuditHead{Number: nu, Hash: re.Entry.Hash}
 	return tr
 }
 
-func (tr trail) find(changeID string) (record, bool) {
-	nu, ok := tr.ids.get(changeID)
+func (tr auditTrail) find(changeID string) (auditRecord, bool) {
+	nu, ok := tr.numberByChangeID.get(changeID)
 	if !ok {
-		return record{}, false
+		return auditRecord{}, false
 	}
 	return tr.records.get(nu)
 }
 
-// Audit returns the kept entries whose number is from or above.
+// Audit returns the kept entries numbered from and above.
 func (st State) Audit(from uint64) []AuditEntry {
 	var ens []AuditEntry
 	for _, re := range st.trail.records.from(from) {
@@ -256,12 +260,13 @@
 	return ens
 }
 
-// AuditBase names the newest entry that is no longer kept; zero if all are.
+// AuditBase identifies the newest entry that is no longer kept. It is zero if all
+// are kept.
 func (st State) AuditBase() AuditHead {
 	return st.trail.base
 }
 
-// AuditHead names the newest entry; zero if there is none.
+// AuditHead identifies the newest entry. It is zero if there is none.
 func (st State) AuditHead() AuditHead {
 	return st.trail.head
 }
--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -17,16 +17,17 @@
 
 var start = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
-// folderFiles is the size of the operators' folder of Huamán: a file a service.
-const folderFiles = 27
+// numFiles is the number of operator files in the Huamán deployment, one for each
+// service.
+const numFiles = 27
 
 func serviceFile(service, deadline int) []byte {
 	return fmt.Appendf(nil, "Services:\n  service-%d:\n    DeadlineMillis: %d\n    Policy: Best\n    Selector: {Service: service-%d}\n"+
 		"    Partitions: [{Number: 1, Shards: 13}]\n", service, deadline, service)
 }
 
-// folder is the first change: all files.
-func folder(files int) control.Change {
+// initialChange returns the first change, which adds all files.
+func initialChange(files int) control.Change {
 	ch := control.Change{ChangeID: "folder", Author: "ana", When: start}
 	for i := range files {
 		ch.Files = append(ch.Files, control.FileChange{Name: fmt.Sprintf("%03d.yaml", i), Content: serviceFile(i, 100)})
@@ -34,8 +35,9 @@
 	return ch
 }
 
-// edit is the change of the given number after it: one file.
-func edit(number, files int) control.Change {
+// fileEdit returns the change with the given number after the first. It changes one
+// file.
+func fileEdit(number, files int) control.Change {
 	base := uint64(1)
 	if number >= files {
 		base = uint64(number - files + 2)
@@ -63,7 +65,7 @@
 	return data
 }
 
-func heap() float64 {
+func heapBytes() float64 {
 	var ms runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -76,7 +78,7 @@
 	b.Logf("%s: %.4g %s at %v; slope %.4g each, base %.4g, R2 %.3f", sl.Kind, sl.Values, sl.Unit, sl.Sizes, fi.PerItem, fi.Base, fi.R2)
 }
 
-// reportMemory prints the slopes below a bound and beyond it.
+// reportMemory prints the slopes up to a bound and beyond it.
 func reportMemory(b *testing.B, kind string, bound float64, sizes, values []float64) {
 	below := load.Slope{Kind: kind + " up to the bound", Unit: "bytes"}
 	beyond := load.Slope{Kind: kind + " beyond the bound", Unit: "bytes"}
@@ -92,13 +94,14 @@
 	report(b, beyond)
 }
 
-// BenchmarkApplyChange is what a committed change of one file costs each voter.
+// BenchmarkApplyChange measures the cost of a committed change of one file at each
+// voter.
 func BenchmarkApplyChange(b *testing.B) {
-	for _, files := range []int{9, folderFiles, 90} {
+	for _, files := range []int{9, numFiles, 90} {
 		b.Run(fmt.Sprintf("files=%d", files), func(b *testing.B) {
-			st := mustAccept(b, control.NewState(), folder(files))
+			st := mustAccept(b, control.NewState(), initialChange(files))
 			for i := 0; b.Loop(); i++ {
-				st = mustAccept(b, st, edit(i, files))
+				st = mustAccept(b, st, fileEdit(i, files))
 			}
 		})
 	}
@@ -112,8 +115,8 @@
 	return bi, control.FinishIntent{Key: key, Digest: digest, Attempt: attempt, Answer: make([]byte, 100), When: bi.When}
 }
 
-// BenchmarkApplyIntent is what a begun and finished intent costs each voter when
-// the table is full.
+// BenchmarkApplyIntent measures the cost of beginning and finishing an intent at
+// each voter when the table is full.
 func BenchmarkApplyIntent(b *testing.B) {
 	st := control.NewState()
 	for i := range control.MaxIntents {
@@ -129,41 +132,42 @@
 	b.ReportMetric(float64(len(mustEncode(b, fi))), "log-bytes/finish")
 }
 
-// BenchmarkRenewal is what a renewal costs the leader of 890 entry instances.
+// BenchmarkRenewal measures the cost of a renewal at the leader of 890 entry
+// instances.
 func BenchmarkRenewal(b *testing.B) {
 	const instances = 890
-	bo := control.NewLeaseTable(start.Add(-time.Hour), time.Hour)
+	lt := control.NewLeaseTable(start.Add(-time.Hour), time.Hour)
 	for i := 0; b.Loop(); i++ {
 		rn := control.Renewal{Instance: view.Instance{Name: fmt.Sprintf("instance-%03d", i%instances), Entry: true}}
-		bo, _, _ = bo.WithRenewal(start, rn, instances)
+		lt, _, _ = lt.WithRenewal(start, rn, instances)
 	}
 }
 
-// BenchmarkMemory prints how the memory of a state grows with the changes and
-// intents that it has seen, up to their bounds and beyond, where it must not
-// grow any more, and what its snapshot costs then.
+// BenchmarkMemory prints how the memory of a state grows with the number of applied
+// changes and intents, up to their bounds and beyond, where it must not grow
+// further, and the cost of its snapshot.
 func BenchmarkMemory(b *testing.B) {
 	const files = 9
 	for b.Loop() {
 		var sizes, values []float64
-		st := mustAccept(b, control.NewState(), folder(files))
-		before := heap()
+		st := mustAccept(b, control.NewState(), initialChange(files))
+		baseline := heapBytes()
 		for i := range 3 * control.MaxAuditEntries {
-			st = mustAccept(b, st, edit(i, files))
+			st = mustAccept(b, st, fileEdit(i, files))
 			if at := i + 1; at == 2048 || at == 4096 || at%control.MaxAuditEntries == 0 {
-				sizes, values = append(sizes, float64(at)), append(values, heap()-before)
+				sizes, values = append(sizes, float64(at)), append(values, heapBytes()-baseline)
 			}
 		}
 		reportMemory(b, "changes", control.MaxAuditEntries, sizes, values)
 		reportSnapshot(b, st)
 
 		sizes, values = nil, nil
-		before = heap()
+		baseline = heapBytes()
 		for i := range 3 * control.MaxIntents {
 			bi, fi := intentPair(i)
 			st = mustAccept(b, mustAccept(b, st, bi), fi)
 			if at := i + 1; at == 8192 || at == 16384 || at%control.MaxIntents == 0 {
-				sizes, values = append(sizes, float64(at)), append(values, heap()-before)
+				sizes, values = append(sizes, float64(at)), append(values, heapBytes()-baseline)
 			}
 		}
 		reportMemory(b, "intents", control.MaxIntents, sizes, values)
@@ -185,16 +189,16 @@
 		len(st.Audit(0)), st.Intents(), len(data), encoded.Sub(began), time.Since(encoded))
 }
 
-// BenchmarkRecovery prints the time from opening the data folder to the state
-// before the stop, against the number of changes: without a snapshot, and with
-// one taken after nine tenths of them.
+// BenchmarkRecovery prints the time from opening the data folder to the recovered
+// state, by number of changes: without a snapshot, and with one taken after nine
+// tenths of the changes.
 func BenchmarkRecovery(b *testing.B) {
 	for _, snapshot := range []bool{false, true} {
 		sl := load.Slope{Kind: fmt.Sprintf("recovery, snapshot %t", snapshot), Unit: "seconds"}
 		for _, changes := range []int{100, 1000, 10000} {
 			b.Run(fmt.Sprintf("snapshot=%t/changes=%d", snapshot, changes), func(b *testing.B) {
 				dir := b.TempDir()
-				want := fillFolder(b, dir, changes, snapshot)
+				want := writeLog(b, dir, changes, snapshot)
 				for b.Loop() {
 					if got := recoverState(b, dir); got.AuditHead() != want.AuditHead() || got.Revision() != want.Revision() {
 						b.Fatalf("want %v, got %v", want.AuditHead(), got.AuditHead())
@@ -212,7 +216,7 @@
 	}
 }
 
-func fillFolder(b *testing.B, dir string, changes int, snapshot bool) control.State {
+func writeLog(b *testing.B, dir string, changes int, snapshot bool) control.State {
 	jo, _, err := wal.Open(dir, zap.NewNop())
 	if err != nil {
 		b.Fatal(err)
@@ -220,24 +224,24 @@
 	defer jo.Close()
 	st := control.NewState()
 	var ens []quorum.Entry
-	save := func() {
+	flush := func() {
 		if err := jo.Save(quorum.Save{Hard: &quorum.HardState{Term: 1}, Entries: ens}); err != nil {
 			b.Fatal(err)
 		}
 		ens = nil
 	}
 	for i := range changes {
-		cm := edit(i-1, folderFiles)
+		cm := fileEdit(i-1, numFiles)
 		if i == 0 {
-			cm = folder(folderFiles)
+			cm = initialChange(numFiles)
 		}
 		st = mustAccept(b, st, cm)
 		ens = append(ens, quorum.Entry{Index: st.Index(), Term: 1, Data: mustEncode(b, cm)})
 		if len(ens) == 64 {
-			save()
+			flush()
 		}
 		if snapshot && i == changes*9/10 {
-			save()
+			flush()
 			data, err := st.Encode()
 			if err != nil {
 				b.Fatal(err)
@@ -247,7 +251,7 @@
 			}
 		}
 	}
-	save()
+	flush()
 	return st
 }
 
--- a/control/change.go
+++ b/control/change.go
@@ -11,22 +11,22 @@
 	"balsamwinch.example/settings"
 )
 
-// The bounds of changes. All voters must have the same ones.
+// The bounds of changes. All voters must use the same values.
 const (
-	MaxFaults         = 100     // MaxFaults is how many faults an outcome names.
+	MaxFaults         = 100     // MaxFaults is the maximum number of faults in an outcome.
 	MaxChangeBytes    = 1 << 20 // MaxChangeBytes bounds the contents of one change.
-	MaxTotalFileBytes = 4 << 20 // MaxFolderBytes bounds the contents of all accepted files.
-	MaxNameBytes      = 200     // MaxNameBytes bounds names of files and authors and change ids.
-	MaxDeletedFiles   = 1000    // MaxDeleted is of how many deleted files it is kept who deleted them.
+	MaxTotalFileBytes = 4 << 20 // MaxTotalFileBytes bounds the contents of all accepted files together.
+	MaxNameBytes      = 200     // MaxNameBytes bounds file names, author names and change ids.
+	MaxDeletedFiles   = 1000    // MaxDeletedFiles is for how many deleted files the deleting change is recorded.
 )
 
-// change decides a change and records it in the audit trail.
+// change accepts or rejects a change and records it in the audit trail.
 func (st State) change(ch Change) (State, Outcome) {
-	ch = ch.normal()
+	ch = ch.normalized()
 	dg := digest(ch)
 	if re, ok := st.trail.find(ch.ChangeID); ok {
-		// An operator who lost the answer sends the change again. Judged anew,
-		// it would conflict with its own first arrival.
+		// An operator who got no response retries the change. Evaluated again,
+		// it would conflict with its own first attempt.
 		if re.Digest == dg {
 			return st, re.Outcome
 		}
@@ -35,33 +35,34 @@
 			ChangeID: re.Entry.ChangeID,
 			Revision: re.Entry.Revision,
 		}}
-		return st.refuse(ch, "", oc)
+		return st.reject(ch, "", oc)
 	}
-	if fs := st.shapeFaults(ch); len(fs) > 0 {
-		return st.refuse(ch, dg, invalid(fs))
+	if fs := st.validateShape(ch); len(fs) > 0 {
+		return st.reject(ch, dg, invalidOutcome(fs))
 	}
 	if cw := st.conflict(ch); cw != nil {
-		return st.refuse(ch, dg, ChangeOutcome{Code: result.Conflict, Conflict: cw})
+		return st.reject(ch, dg, ChangeOutcome{Code: result.Conflict, Conflict: cw})
 	}
 	next := st.withFiles(ch)
 	if next.fileBytes > MaxTotalFileBytes {
 		fa := settings.Fault{Field: "Files", Want: fmt.Sprintf("at most %d bytes in all", MaxTotalFileBytes), Got: fmt.Sprint(next.fileBytes)}
-		return st.refuse(ch, dg, invalid(settings.Faults{fa}))
+		return st.reject(ch, dg, invalidOutcome(settings.Faults{fa}))
 	}
 	cfg, fs := operator.Merge(next.operatorFiles())
 	if len(fs) > 0 {
-		return st.refuse(ch, dg, invalid(fs))
+		return st.reject(ch, dg, invalidOutcome(fs))
 	}
 	cfg.Revision = st.cfg.Revision + 1
 	next.cfg = cfg
 	oc := ChangeOutcome{Code: result.Accepted, Revision: cfg.Revision}
-	next.trail = st.trail.with(st.entry(ch, oc), dg, oc)
+	next.trail = st.trail.with(st.newAuditEntry(ch, oc), dg, oc)
 	return next, oc
 }
 
-// normal returns the change with a content for each file that isn't deleted and
-// none for those that are. In the audit trail no content means no file.
-func (ch Change) normal() Change {
+// normalized returns the change with non-nil content for each file that is written
+// and nil content for each file that is deleted. In the audit trail, nil content
+// means that the file doesn't exist.
+func (ch Change) normalized() Change {
 	ch.Files = slices.Clone(ch.Files)
 	for i, fc := range ch.Files {
 		switch {
@@ -74,29 +75,31 @@
 	return ch
 }
 
-// refuse records a refusal and changes nothing else.
-func (st State) refuse(ch Change, dg string, oc ChangeOutcome) (State, Outcome) {
-	st.trail = st.trail.with(st.entry(ch, oc), dg, oc)
+// reject records a rejected change in the audit trail and changes nothing else.
+func (st State) reject(ch Change, dg string, oc ChangeOutcome) (State, Outcome) {
+	st.trail = st.trail.with(st.newAuditEntry(ch, oc), dg, oc)
 	return st, oc
 }
 
-func invalid(fs settings.Faults) ChangeOutcome {
+func invalidOutcome(fs settings.Faults) ChangeOutcome {
 	return ChangeOutcome{Code: result.Invalid, Faults: fs[:min(len(fs), MaxFaults)]}
 }
 
-// digest tells whether two changes with one id are the same change. The time is
-// left out: it is the leader's and differs between resends.
+// digest returns a hash that is equal for two changes with the same id if they are
+// the same change. It omits the time, which comes from the leader and differs
+// between retries.
 func digest(ch Change) string {
 	var sb strings.Builder
 	fmt.Fprintf(&sb, "%q\n", ch.Author)
 	for _, fc := range ch.Files {
-		fmt.Fprintf(&sb, "%q %d %t %s\n", fc.Name, fc.Base, fc.Delete, hashOf(fc.Content))
+		fmt.Fprintf(&sb, "%q %d %t %s\n", fc.Name, fc.Base, fc.Delete, sha256Hex(fc.Content))
 	}
-	return hashOf([]byte(sb.String()))
+	return sha256Hex([]byte(sb.String()))
 }
 
-// shapeFaults lists what is wrong with a change before any file is read.
-func (st State) shapeFaults(ch Change) settings.Faults {
+// validateShape returns the faults of a change that can be found without parsing
+// its files.
+func (st State) validateShape(ch Change) settings.Faults {
 	var fs settings.Faults
 	fault := func(file, field, want, got string) {
 		fs = append(fs, settings.Fault{File: file, Field: field, Want: want, Got: got})
@@ -110,12 +113,12 @@
 	if len(ch.Files) == 0 {
 		fault("", "Files", "at least one file", "none")
 	}
-	if by := ch.bytes(); by > MaxChangeBytes {
+	if by := ch.contentBytes(); by > MaxChangeBytes {
 		fault("", "Files", fmt.Sprintf("at most %d bytes", MaxChangeBytes), fmt.Sprint(by))
 	}
 	seen := make(map[string]bool)
 	for _, fc := range ch.Files {
-		if !plainName(fc.Name) {
+		if !isPlainName(fc.Name) {
 			fault(fc.Name, "Name", "a plain file name", fmt.Sprintf("%q", fc.Name))
 		}
 		if seen[fc.Name] {
@@ -129,12 +132,13 @@
 	return fs
 }
 
-// plainName reports whether a name stays inside the folder it is written to.
-func plainName(na string) bool {
+// isPlainName reports whether a file with this name stays inside the folder that it
+// is written to.
+func isPlainName(na string) bool {
 	return na != "" && len(na) <= MaxNameBytes && na == path.Base(na) && na != "." && na != ".." && !strings.ContainsAny(na, "\\\x00")
 }
 
-func (ch Change) bytes() int {
+func (ch Change) contentBytes() int {
 	by := 0
 	for _, fc := range ch.Files {
 		by += len(fc.Content)
@@ -142,9 +146,9 @@
 	return by
 }
 
-// conflict names the change that came between what the operator knew and now;
-// nil if none did. Without it the slower of two racing operators would undo the
-// other's change without either being told.
+// conflict returns the change of the same file that was committed after the
+// revision that the operator knew, or nil if there is none. Without this check, the
+// slower of two concurrent operators would silently undo the other's change.
 func (st State) conflict(ch Change) *ConflictingChange {
 	for _, fc := range ch.Files {
 		fi, ok := st.files.get(fc.Name)
@@ -161,7 +165,8 @@
 	return nil
 }
 
-// withFiles returns the state with the files changed and not yet merged.
+// withFiles returns the state with the files changed but the configuration not yet
+// merged.
 func (st State) withFiles(ch Change) State {
 	rev := st.cfg.Revision + 1
 	for _, fc := range ch.Files {
@@ -186,7 +191,8 @@
 	return st
 }
 
-// withDeleted remembers who deleted a file, and forgets the oldest beyond the bound.
+// withDeleted records which change deleted a file, and drops the oldest record
+// beyond MaxDeletedFiles.
 func (st State) withDeleted(cw ConflictingChange) State {
 	st.deleted = st.deleted.with(cw.File, cw)
 	if st.deleted.len() <= MaxDeletedFiles {
@@ -210,8 +216,9 @@
 	return fs
 }
 
-// entry returns the audit entry of a change that this state is about to judge.
-func (st State) entry(ch Change, oc ChangeOutcome) AuditEntry {
+// newAuditEntry returns the audit entry of a change with the given outcome. The
+// receiver is the state before the change.
+func (st State) newAuditEntry(ch Change, oc ChangeOutcome) AuditEntry {
 	en := AuditEntry{
 		When:     ch.When.UTC().Round(0),
 		Author:   ch.Author,
@@ -220,21 +227,21 @@
 		Revision: oc.Revision,
 		Detail:   oc.detail(),
 	}
-	keep := ch.bytes() <= MaxChangeBytes
+	keep := ch.contentBytes() <= MaxChangeBytes
 	for _, fc := range ch.Files {
-		en.Files = append(en.Files, st.auditFile(fc, keep))
+		en.Files = append(en.Files, st.newAuditFile(fc, keep))
 	}
 	return en
 }
 
-func (st State) auditFile(fc FileChange, keep bool) AuditFile {
+func (st State) newAuditFile(fc FileChange, keep bool) AuditFile {
 	af := AuditFile{Name: fc.Name}
 	if fi, ok := st.files.get(fc.Name); ok {
-		af.BeforeHash = hashOf(fi.Content)
+		af.BeforeHash = sha256Hex(fi.Content)
 		af.Before = fi.Content
 	}
 	if !fc.Delete {
-		af.AfterHash = hashOf(fc.Content)
+		af.AfterHash = sha256Hex(fc.Content)
 		af.After = fc.Content
 	}
 	if !keep {
@@ -243,10 +250,10 @@
 	return af
 }
 
-// maxDetailBytes bounds the text that says why a change was refused.
+// maxDetailBytes bounds the text that says why a change was rejected.
 const maxDetailBytes = 2000
 
-// detail says in one line why a change was refused.
+// detail returns one line that says why a change was rejected.
 func (oc ChangeOutcome) detail() string {
 	var de string
 	switch {
--- a/control/change_test.go
+++ b/control/change_test.go
@@ -31,31 +31,32 @@
 // start is the time of the first command in tests.
 var start = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
-// yaml is a file for a service whose deadline tells contents apart.
+// yaml returns a file that configures one service. The deadline distinguishes
+// contents.
 func yaml(service string, deadline int) []byte {
 	return fmt.Appendf(nil, "Services: {%s: {DeadlineMillis: %d, Partitions: [{Number: 1, Shards: 2}]}}\n", service, deadline)
 }
 
-// machine applies commands one after the other.
-type machine struct {
+// stateMachine applies commands at consecutive indices.
+type stateMachine struct {
 	State
 }
 
-func (ma *machine) apply(cm Command) Outcome {
+func (ma *stateMachine) apply(cm Command) Outcome {
 	var oc Outcome
 	ma.State, oc = ma.Apply(ma.Index()+1, cm)
 	return oc
 }
 
-func (ma *machine) change(id, author string, files ...FileChange) ChangeOutcome {
+func (ma *stateMachine) change(id, author string, files ...FileChange) ChangeOutcome {
 	when := start.Add(time.Duration(ma.Index()) * time.Second)
 	return ma.apply(Change{ChangeID: id, Author: author, When: when, Files: files}).(ChangeOutcome)
 }
 
-// The verdicts and the audit trail of a working day. The golden file also pins
-// the hashes: with others, a stored trail would no longer verify.
-func TestChanges(t *testing.T) {
-	var ma machine
+// Checks the outcomes and the audit trail of a series of changes. The golden file
+// also pins the hashes: if they changed, stored trails would no longer verify.
+func TestChangeOutcomesAndAuditTrail(t *testing.T) {
+	var ma stateMachine
 	var sb strings.Builder
 	for _, tc := range []struct {
 		id, author string
@@ -63,13 +64,13 @@
 	}{
 		{"c1", "ana", []FileChange{{Name: "10-a.yaml", Content: yaml("a", 100)}, {Name: "20-b.yaml", Content: yaml("b", 100)}}},
 		{"c2", "ben", []FileChange{{Name: "10-a.yaml", Base: 1, Content: yaml("a", 200)}}},
-		{"c3", "ana", []FileChange{{Name: "10-a.yaml", Base: 1, Content: yaml("a", 300)}}}, // raced by c2
-		{"c2", "ben", []FileChange{{Name: "10-a.yaml", Base: 1, Content: yaml("a", 200)}}}, // resent
-		{"c3", "ana", []FileChange{{Name: "10-a.yaml", Base: 1, Content: yaml("a", 300)}}}, // resent
-		{"c2", "ana", []FileChange{{Name: "10-a.yaml", Base: 2, Content: yaml("a", 400)}}}, // the id of another
+		{"c3", "ana", []FileChange{{Name: "10-a.yaml", Base: 1, Content: yaml("a", 300)}}}, // conflicts with c2
+		{"c2", "ben", []FileChange{{Name: "10-a.yaml", Base: 1, Content: yaml("a", 200)}}}, // retried
+		{"c3", "ana", []FileChange{{Name: "10-a.yaml", Base: 1, Content: yaml("a", 300)}}}, // retried
+		{"c2", "ana", []FileChange{{Name: "10-a.yaml", Base: 2, Content: yaml("a", 400)}}}, // reused id of another change
 		{"c4", "ana", []FileChange{{Name: "10-a.yaml", Base: 2, Content: []byte("Services: {a: {Policy: Soon}}\n")}}},
 		{"c5", "ana", []FileChange{{Name: "20-b.yaml", Base: 1, Delete: true}}},
-		{"c6", "ben", []FileChange{{Name: "20-b.yaml", Base: 1, Content: yaml("b", 500)}}}, // raced by a deletion
+		{"c6", "ben", []FileChange{{Name: "20-b.yaml", Base: 1, Content: yaml("b", 500)}}}, // conflicts with the deletion
 		{"c7", "ben", []FileChange{{Name: "30-c.yaml", Base: 2, Content: yaml("c", 100)}}}, // never existed
 		{"c8", "ben", []FileChange{{Name: "20-b.yaml", Content: yaml("b", 600)}}},
 		{"", "", []FileChange{{Name: "../x.yaml"}, {Name: "../x.yaml"}, {Name: "y.yaml", Delete: true}}},
@@ -93,13 +94,13 @@
 	qt.Check(t, ma.Configuration().Services["a"].DeadlineMillis, qt.Equals, int64(200))
 }
 
-// An operator sends a change, the leader dies after it was committed, and the
-// operator, who got no answer, sends it again; meanwhile another operator has
-// changed the file once more. Judged anew, the resend would be told of a
-// conflict, though it was accepted, or would undo the other's change.
-func TestResendGetsFirstOutcome(t *testing.T) {
+// The leader fails after it committed a change. The operator, who got no response,
+// retries it after another operator has changed the file again. Evaluated again,
+// the retry would be rejected as a conflict although the change was accepted, or
+// would undo the other operator's change.
+func TestRetryGetsFirstOutcome(t *testing.T) {
 	c := qt.New(t)
-	var ma machine
+	var ma stateMachine
 	fc := FileChange{Name: "a.yaml", Content: yaml("a", 100)}
 	first := ma.change("one", "ana", fc)
 	ma.change("two", "ben", FileChange{Name: "a.yaml", Base: 1, Content: yaml("a", 200)})
@@ -108,12 +109,12 @@
 	c.Check(ma.Configuration().Services["a"].DeadlineMillis, qt.Equals, int64(200))
 }
 
-// Two operators edit the same file at the same time. If the second simply won,
-// the first's change would be gone and neither would know. The loser must learn
-// who was faster and with which change.
-func TestRaceIsConflict(t *testing.T) {
+// Two operators edit the same file concurrently. If the second change won, it would
+// silently undo the first. The rejected operator must learn the author and id of
+// the conflicting change.
+func TestConcurrentChangeIsConflict(t *testing.T) {
 	c := qt.New(t)
-	var ma machine
+	var ma stateMachine
 	ma.change("one", "ana", FileChange{Name: "a.yaml", Content: yaml("a", 100)})
 	ma.change("two", "ana", FileChange{Name: "a.yaml", Base: 1, Content: yaml("a", 200)})
 	oc := ma.change("three", "ben", FileChange{Name: "a.yaml", Base: 1, Content: yaml("a", 300)})
@@ -124,9 +125,9 @@
 	c.Check(ma.Revision(), qt.Equals, uint64(2))
 }
 
-// Someone edits the audit trail to hide or invent a change.
-func TestVerifyFindsTampering(t *testing.T) {
-	var ma machine
+// An attacker edits the audit trail to hide or forge a change.
+func TestVerifyDetectsTampering(t *testing.T) {
+	var ma stateMachine
 	for i := range 4 {
 		ma.change(fmt.Sprint("c", i), "ana", FileChange{Name: "a.yaml", Base: uint64(i), Content: yaml("a", 100+i)})
 	}
@@ -141,7 +142,7 @@
 		{"time", func(ens []AuditEntry) []AuditEntry { ens[3].When = start; return ens }, `audit entry 4: Hash: .*`},
 		{"content", func(ens []AuditEntry) []AuditEntry { ens[1].Files[0].After = yaml("a", 9); return ens }, `audit entry 2: a.yaml: After: .*`},
 		{"hash of a content", func(ens []AuditEntry) []AuditEntry {
-			ens[1].Files[0].Before, ens[1].Files[0].BeforeHash = nil, hashOf(nil)
+			ens[1].Files[0].Before, ens[1].Files[0].BeforeHash = nil, sha256Hex(nil)
 			return ens
 		}, `audit entry 2: Hash: .*`},
 		{"removed", func(ens []AuditEntry) []AuditEntry { return append(ens[:1], ens[2:]...) }, `audit entry 3: Number: .*`},
@@ -161,12 +162,12 @@
 	}
 }
 
-// The trail must not grow without end: contents go first, then whole entries,
-// which the base of the chain then stands for.
-func TestTrailIsBounded(t *testing.T) {
+// The audit trail must not grow without bound. Contents are dropped first, then
+// whole entries; base then identifies the last dropped entry.
+func TestAuditTrailIsBounded(t *testing.T) {
 	c := qt.New(t)
-	var tr trail
-	large := AuditFile{Name: "a.yaml", After: make([]byte, MaxAuditContentBytes/4), AfterHash: hashOf(make([]byte, MaxAuditContentBytes/4))}
+	var tr auditTrail
+	large := AuditFile{Name: "a.yaml", After: make([]byte, MaxAuditContentBytes/4), AfterHash: sha256Hex(make([]byte, MaxAuditContentBytes/4))}
 	for i := range MaxAuditEntries + 10 {
 		en := AuditEntry{ChangeID: fmt.Sprint(i)}
 		if i%100 == 0 {
@@ -175,7 +176,7 @@
 		tr = tr.with(en, "digest", ChangeOutcome{})
 	}
 	c.Check(tr.records.len(), qt.Equals, MaxAuditEntries)
-	c.Check(tr.content <= MaxAuditContentBytes, qt.IsTrue)
+	c.Check(tr.contentBytes <= MaxAuditContentBytes, qt.IsTrue)
 	c.Check(tr.base.Number, qt.Equals, uint64(10))
 	_, kept := tr.find("9")
 	c.Check(kept, qt.IsFalse)
@@ -188,7 +189,7 @@
 	for range 10 {
 		tr = tr.with(AuditEntry{Detail: strings.Repeat("x", MaxAuditBytes/8)}, "", ChangeOutcome{})
 	}
-	c.Check(tr.bytes <= MaxAuditBytes, qt.IsTrue)
+	c.Check(tr.memoryBytes <= MaxAuditBytes, qt.IsTrue)
 }
 
 func TestProgress(t *testing.T) {
--- a/control/codec.go
+++ b/control/codec.go
@@ -12,8 +12,8 @@
 // codecVersion is the version of encoded commands, outcomes and states.
 const codecVersion = 1
 
-// The numbers of commands and outcomes in their envelope. A number is never
-// used again for another type.
+// The type numbers of commands and outcomes in an envelope. A number is never
+// reused for another type.
 const (
 	numberChange        = 1
 	numberBeginIntent   = 2
@@ -36,8 +36,8 @@
 	decoding = mustDecoding()
 )
 
-// mustEncoding returns the deterministic encoding: all voters must write the
-// same bytes for the same state, since the audit chain hashes them.
+// mustEncoding returns the deterministic encoding mode: all voters must write the
+// same bytes for the same state, because the audit chain hashes them.
 func mustEncoding() cbor.EncMode {
 	op := cbor.CoreDetEncOptions()
 	op.Time = cbor.TimeRFC3339NanoUTC
@@ -48,17 +48,17 @@
 	return em
 }
 
-// mustDecoding returns the strict decoding. A voter of an older version that
-// skipped a field it doesn't know would reach another state than the others
-// without anyone noticing; refused, it stops instead.
+// mustDecoding returns the strict decoding mode. If a voter of an older version
+// ignored an unknown field, its state would silently diverge from that of the other
+// voters. With an error it stops instead.
 func mustDecoding() cbor.DecMode {
 	dm, err := cbor.DecOptions{
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
 		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
 		MaxArrayElements:  maxElements,
 		MaxMapPairs:       maxElements,
-		// A fault may quote a file that isn't UTF-8. Refused when read back, it
-		// would keep every voter from starting.
+		// A fault may quote a file that isn't UTF-8. If that failed to decode,
+		// no voter could start again.
 		UTF8: cbor.UTF8DecodeInvalid,
 	}.DecMode()
 	if err != nil {
@@ -67,75 +67,75 @@
 	return dm
 }
 
-// maxElements bounds arrays and maps of what is decoded.
+// maxElements bounds the length of each decoded array and map.
 const maxElements = 1 << 20
 
-// Encode returns a command as it stands in the replicated log.
+// Encode encodes a command for the replicated log.
 func Encode(cm Command) ([]byte, error) {
 	switch cm := cm.(type) {
 	case Change:
-		return seal(numberChange, cm)
+		return encodeEnvelope(numberChange, cm)
 	case BeginIntent:
-		return seal(numberBeginIntent, cm)
+		return encodeEnvelope(numberBeginIntent, cm)
 	case FinishIntent:
-		return seal(numberFinishIntent, cm)
+		return encodeEnvelope(numberFinishIntent, cm)
 	default:
 		return nil, codecError("encode a command", fmt.Errorf("unknown type %T", cm))
 	}
 }
 
-// Decode returns the command that Encode gave. Its error is a *result.Error
-// with the code DamagedState: the voter must stop, since it can't follow the log.
+// Decode decodes what Encode returned. Its error is a *result.Error with the code
+// DamagedState: the voter must stop, because it can't apply the log.
 func Decode(data []byte) (Command, error) {
-	en, err := unseal(data)
+	en, err := decodeEnvelope(data)
 	if err != nil {
 		return nil, err
 	}
 	switch en.Number {
 	case numberChange:
-		return open[Change](en)
+		return decodeBody[Change](en)
 	case numberBeginIntent:
-		return open[BeginIntent](en)
+		return decodeBody[BeginIntent](en)
 	case numberFinishIntent:
-		return open[FinishIntent](en)
+		return decodeBody[FinishIntent](en)
 	default:
 		return nil, codecError("decode a command", fmt.Errorf("unknown number %d", en.Number))
 	}
 }
 
-// EncodeOutcome returns an outcome as it travels in a ProposalReply.
+// EncodeOutcome encodes an outcome for a ProposalReply.
 func EncodeOutcome(oc Outcome) ([]byte, error) {
 	switch oc := oc.(type) {
 	case ChangeOutcome:
-		return seal(numberChangeOutcome, oc)
+		return encodeEnvelope(numberChangeOutcome, oc)
 	case IntentOutcome:
-		return seal(numberIntentOutcome, oc)
+		return encodeEnvelope(numberIntentOutcome, oc)
 	case Skipped:
-		return seal(numberSkipped, oc)
+		return encodeEnvelope(numberSkipped, oc)
 	default:
 		return nil, codecError("encode an outcome", fmt.Errorf("unknown type %T", oc))
 	}
 }
 
-// DecodeOutcome returns the outcome that EncodeOutcome gave.
+// DecodeOutcome decodes what EncodeOutcome returned.
 func DecodeOutcome(data []byte) (Outcome, error) {
-	en, err := unseal(data)
+	en, err := decodeEnvelope(data)
 	if err != nil {
 		return nil, err
 	}
 	switch en.Number {
 	case numberChangeOutcome:
-		return open[ChangeOutcome](en)
+		return decodeBody[ChangeOutcome](en)
 	case numberIntentOutcome:
-		return open[IntentOutcome](en)
+		return decodeBody[IntentOutcome](en)
 	case numberSkipped:
-		return open[Skipped](en)
+		return decodeBody[Skipped](en)
 	default:
 		return nil, codecError("decode an outcome", fmt.Errorf("unknown number %d", en.Number))
 	}
 }
 
-func seal(number uint64, val any) ([]byte, error) {
+func encodeEnvelope(number uint64, val any) ([]byte, error) {
 	body, err := encoding.Marshal(val)
 	if err != nil {
 		return nil, codecError("encode", err)
@@ -143,7 +143,7 @@
 	return encoding.Marshal(envelope{Version: codecVersion, Number: number, Body: body})
 }
 
-func unseal(data []byte) (envelope, error) {
+func decodeEnvelope(data []byte) (envelope, error) {
 	var en envelope
 	if err := decoding.Unmarshal(data, &en); err != nil {
 		return en, codecError("decode", err)
@@ -154,7 +154,7 @@
 	return en, nil
 }
 
-func open[T any](en envelope) (T, error) {
+func decodeBody[T any](en envelope) (T, error) {
 	var val T
 	if err := decoding.Unmarshal(en.Body, &val); err != nil {
 		return val, codecError("decode "+reflect.TypeFor[T]().Name(), err)
--- a/control/command.go
+++ b/control/command.go
@@ -1,8 +1,8 @@
-// Package control decides what the replicated log means: which changes of the
-// configuration are accepted, which not-repeatable requests may run, and which
-// instances hold a lease. It is pure: no sockets, disks or clocks; time comes
-// with each command or call. Package quorum agrees on the log and package
-// instance performs what is decided here.
+// Package control implements the replicated state machine of the control instances:
+// it decides which configuration changes are accepted, which non-repeatable
+// requests may run, and which instances hold a lease. It is pure: it uses no
+// sockets, disks or clocks, and takes the time from each command or call. Package
+// quorum replicates the log, and package instance carries out the decisions.
 package control
 
 import (
@@ -19,13 +19,13 @@
 	isCommand()
 }
 
-// Outcome is what a command led to: ChangeOutcome, IntentOutcome or Skipped.
+// Outcome is the result of a command: ChangeOutcome, IntentOutcome or Skipped.
 type Outcome interface {
 	isOutcome()
 }
 
-// Change asks for a change of the operators' files. A resend carries the same
-// ChangeID and gets the outcome of the first.
+// Change asks for a change of the operators' files. A retry carries the same
+// ChangeID and gets the outcome of the first attempt.
 type Change struct {
 	ChangeID string
 	Author   string
@@ -36,24 +36,24 @@
 // FileChange is what a change does to one file.
 type FileChange struct {
 	Name string
-	// Base is the revision at which the file last changed, as the operator
-	// knew it; 0 means that the file was not known to exist.
+	// Base is the revision at which the file last changed in the operator's
+	// view; 0 means that the file did not exist.
 	Base    uint64
 	Content []byte
 	Delete  bool
 }
 
-// ChangeOutcome is the verdict on a Change. Code is Accepted, Conflict or
-// Invalid. Accepted here means committed: At turns it into Pending until every
-// serving instance has the revision in force.
+// ChangeOutcome is the outcome of a Change. Code is Accepted, Conflict or Invalid.
+// Accepted here means committed: WithProgress turns it into Pending until every
+// serving instance uses the revision.
 type ChangeOutcome struct {
 	Code     result.Code
-	Revision uint64 // Revision is the one that the change made; 0 if refused.
+	Revision uint64 // Revision is the one that the change created; 0 if rejected.
 	Conflict *ConflictingChange
-	Faults   []settings.Fault // Faults are at most MaxFaults.
+	Faults   []settings.Fault // Faults has at most MaxFaults elements.
 }
 
-// ConflictWith names the change that went first.
+// ConflictingChange names the earlier change that a Change conflicts with.
 type ConflictingChange struct {
 	File     string
 	Author   string
@@ -61,24 +61,24 @@
 	Revision uint64
 }
 
-// BeginIntent records that a not-repeatable request is about to be sent.
+// BeginIntent records that a non-repeatable request is about to be sent.
 type BeginIntent struct {
-	Key      string // Key is the caller's key. A UUID of version 7 states its age; see TooOld.
+	Key      string // Key is the caller's idempotency key. A UUIDv7 includes its creation time; see TooOld.
 	Digest   string // Digest is the SHA-256 of the request, in hexadecimal.
 	Service  string
 	Instance string
-	// Attempt names this arrival of the request, unique among all arrivals at
-	// all instances. A resent command with the same Attempt is Fresh again, and
-	// only the Attempt that was Fresh can finish the intent. Empty means that a
-	// resent command finds the intent Running.
+	// Attempt identifies one arrival of the request, unique among all arrivals
+	// at all instances. A retried command with the same Attempt is Fresh again,
+	// and only the Attempt that was Fresh can finish the intent. If it is
+	// empty, a retried command finds the intent Running.
 	Attempt string
 	When    time.Time // When is the leader's clock at the proposal.
 }
 
-// IntentStatus says what an earlier arrival of the key left behind.
+// IntentStatus is the status of a key: what earlier arrivals of it recorded.
 type IntentStatus = once.Status
 
-// The statuses of an intent.
+// The statuses of a key.
 const (
 	Fresh     = once.Fresh
 	Running   = once.Running
@@ -86,27 +86,28 @@
 	KeyReused = once.KeyReused
 	TooOld    = once.TooOld
 	Full      = once.Full
-	// Malformed says that the key is empty or too long, or a UUID of version 7
-	// from the future.
+	// Malformed means that the key is empty or too long, or is a UUIDv7 from
+	// the future.
 	Malformed IntentStatus = "Malformed"
-	// Lost says that a FinishIntent found no running intent of its attempt, so
-	// it changed nothing.
+	// AttemptNotFound means that a FinishIntent found no running intent of its
+	// attempt and changed nothing.
 	AttemptNotFound IntentStatus = "Lost"
 )
 
-// IntentOutcome is the verdict on a BeginIntent or FinishIntent.
+// IntentOutcome is the outcome of a BeginIntent or FinishIntent.
 type IntentOutcome struct {
 	Status IntentStatus
-	// Code is the recorded outcome when Finished, and otherwise the code that
-	// a request which isn't sent is answered with.
+	// Code is the recorded result if Status is Finished. Otherwise it is the
+	// result to answer with if the request isn't sent.
 	Code   result.Code
 	Answer []byte
-	// AnswerDropped says that the answer was too large or too old to keep.
+	// AnswerDropped reports whether the answer was too large or too old to
+	// keep.
 	AnswerDropped bool
 }
 
-// FinishIntent records the outcome of a request. A code that says "not run"
-// frees the key.
+// FinishIntent records the result of a request. A code that means "not run" frees
+// the key.
 type FinishIntent struct {
 	Key     string
 	Digest  string
--- a/control/intent.go
+++ b/control/intent.go
@@ -8,93 +8,95 @@
 	"balsamwinch.example/result"
 )
 
-// The bounds of the intents. All voters must have the same ones.
+// The bounds of the intents. All voters must use the same values.
 //
-// A request runs at most once as long as its key is known. Keys carry no time
-// in general, so one that was forgotten can't be told from a new one. Hence:
-//   - An intent is never forgotten within IntentRetention. If there is no room,
-//     new requests are refused (Full) and do not run.
-//   - After that it is forgotten only when its room is needed, the oldest first.
-//   - A key that is a UUID of version 7 states when it was made. If it may
-//     belong to a forgotten intent it is TooOld for good: such requests run at
-//     most once however late a resend comes.
-//   - Any other key runs at most once if the last resend comes within
-//     IntentRetention of the first arrival.
+// A request runs at most once as long as its key is recorded. In general a key
+// includes no time, so an evicted key can't be told from a new one. Hence:
+//   - An intent is never evicted within IntentRetention. If the table is full, new
+//     requests are rejected (Full) and don't run.
+//   - Later it is evicted only when its place is needed, the oldest first.
+//   - A UUIDv7 key includes its creation time. If it may belong to an evicted
+//     intent, it is TooOld permanently: such requests run at most once however late
+//     a retry arrives.
+//   - A request with any other key runs at most once if its last retry arrives
+//     within IntentRetention of the first attempt.
 const (
 	IntentRetention = time.Hour
-	// MaxIntents is how many intents are kept: 9 a second within the retention.
+	// MaxIntents is the maximum number of recorded intents: 9 per second over
+	// the retention.
 	MaxIntents = 32768
-	// ServiceIntents is how many places each service of the configuration has
-	// even when the others have used up MaxIntents.
+	// ReservedIntentsPerService is the number of intents that each service of
+	// the configuration may have even if MaxIntents is used up by others.
 	ReservedIntentsPerService = 64
-	// MaxAnswerBytes bounds one recorded answer; a larger one is dropped and
-	// only its code is kept.
+	// MaxAnswerBytes bounds one recorded answer. Of a larger answer only the
+	// code is kept.
 	MaxAnswerBytes = 16 << 10
-	// MaxAnswersBytes bounds all recorded answers; the oldest are dropped and
-	// their codes kept.
+	// MaxTotalAnswerBytes bounds all recorded answers together. Beyond it the
+	// oldest answers are dropped and their codes kept.
 	MaxTotalAnswerBytes = 4 << 20
 	// MaxKeyBytes bounds keys, digests and the names of services and attempts.
 	MaxKeyBytes = 200
-	// KeySkew is how far the clock that made a UUID of version 7 may be ahead.
+	// MaxKeyClockSkew is how far the clock that created a UUIDv7 may be ahead.
 	MaxKeyClockSkew = 5 * time.Minute
 )
 
-// intent is one kept intent. While it runs it has an Attempt.
+// intent is one recorded intent. Attempt and Instance are set only while it runs.
 type intent struct {
-	_        struct{} `cbor:",toarray"`
-	Key      string
-	Digest   string
-	Service  string
-	Instance string
-	Attempt  string
-	Begun    uint64 // Begun is the index of the command.
-	When     int64  // When is the state's clock then.
-	Finished bool
-	Code     result.Code
-	Answer   []byte
-	Dropped  bool
+	_             struct{} `cbor:",toarray"`
+	Key           string
+	Digest        string
+	Service       string
+	Instance      string
+	Attempt       string
+	BeginIndex    uint64 // BeginIndex is the log index of the BeginIntent.
+	BeginTime     int64  // BeginTime is the state's clock at the BeginIntent, in nanoseconds since 1970.
+	Finished      bool
+	Code          result.Code
+	Answer        []byte
+	AnswerDropped bool
 }
 
 // intents is the table of intents. It is immutable.
 type intents struct {
-	byKey    tree[string, intent]
-	order    tree[uint64, string] // order gives the keys by Begun.
-	services tree[string, int]    // services counts the intents of each service.
-	answers  tree[uint64, int]    // answers gives the sizes of the kept answers by Begun.
-	bytes    int                  // bytes is the sum of answers.
-	// horizon is the time of the newest intent that was forgotten.
-	horizon int64
+	byKey        tree[string, intent]
+	keysByIndex  tree[uint64, string] // keysByIndex maps BeginIndex to the key.
+	numByService tree[string, int]    // numByService is the number of intents of each service.
+	answerSizes  tree[uint64, int]    // answerSizes maps BeginIndex to the size of the recorded answer.
+	answerBytes  int                  // answerBytes is the sum of answerSizes.
+	// newestEvicted is the highest BeginTime of any evicted intent; 0 if none
+	// was evicted.
+	newestEvicted int64
 }
 
-// begin decides whether a request may run. The service is known if the
-// configuration names it.
+// begin decides whether a request may run. known says whether the configuration has
+// the service.
 func (it intents) begin(index uint64, clock int64, bi BeginIntent, known bool) (intents, IntentOutcome) {
 	if in, ok := it.byKey.get(bi.Key); ok {
-		return it, in.repeated(bi)
+		return it, in.duplicateOutcome(bi)
 	}
-	if bi.malformed() || keyTime(bi.Key) > clock+int64(MaxKeyClockSkew) {
+	if bi.malformed() || uuidTime(bi.Key) > clock+int64(MaxKeyClockSkew) {
 		return it, IntentOutcome{Status: Malformed, Code: result.NotRunBadRequest}
 	}
-	// The intent of this key, if there was one, began at its stated time or
-	// later, give or take the skew. If all that began then are still kept, the
-	// key is new; if some were forgotten, this may be one of them.
-	if ti := keyTime(bi.Key); ti != 0 && it.horizon != 0 && ti <= it.horizon+int64(MaxKeyClockSkew) {
+	// If there was an intent of this key, it began no earlier than the time in
+	// the key, apart from clock skew. If no intent from that time on was
+	// evicted, the key is new. Otherwise its intent may be among those evicted.
+	if ti := uuidTime(bi.Key); ti != 0 && it.newestEvicted != 0 && ti <= it.newestEvicted+int64(MaxKeyClockSkew) {
 		return it, IntentOutcome{Status: TooOld, Code: result.OutcomeUnknown}
 	}
-	it = it.forget(clock)
+	it = it.evict(clock)
 	if it.byKey.len() >= MaxIntents {
-		if used, _ := it.services.get(bi.Service); !known || used >= ReservedIntentsPerService {
+		if used, _ := it.numByService.get(bi.Service); !known || used >= ReservedIntentsPerService {
 			return it, IntentOutcome{Status: Full, Code: result.NotRunNoControl}
 		}
 	}
 	it = it.with(intent{
-		Key:      bi.Key,
-		Digest:   bi.Digest,
-		Service:  bi.Service,
-		Instance: bi.Instance,
-		Attempt:  bi.Attempt,
-		Begun:    index,
-		When:     clock,
+		Key:        bi.Key,
+		Digest:     bi.Digest,
+		Service:    bi.Service,
+		Instance:   bi.Instance,
+		Attempt:    bi.Attempt,
+		BeginIndex: index,
+		BeginTime:  clock,
 	})
 	return it, IntentOutcome{Status: Fresh}
 }
@@ -104,12 +106,13 @@
 		len(bi.Service) > MaxKeyBytes || len(bi.Instance) > MaxKeyBytes || len(bi.Attempt) > MaxKeyBytes
 }
 
-// repeated decides a second arrival of a key.
-func (in intent) repeated(bi BeginIntent) IntentOutcome {
+// duplicateOutcome returns the outcome of a BeginIntent for a key that is already
+// recorded.
+func (in intent) duplicateOutcome(bi BeginIntent) IntentOutcome {
 	switch {
 	case in.Digest != bi.Digest:
 		// Answering with the recorded outcome would give a caller the answer to
-		// another request.
+		// a different request.
 		return IntentOutcome{Status: KeyReused, Code: result.NotRunKeyReused}
 	case in.Finished:
 		return in.outcome()
@@ -121,10 +124,10 @@
 }
 
 func (in intent) outcome() IntentOutcome {
-	return IntentOutcome{Status: Finished, Code: in.Code, Answer: in.Answer, AnswerDropped: in.Dropped}
+	return IntentOutcome{Status: Finished, Code: in.Code, Answer: in.Answer, AnswerDropped: in.AnswerDropped}
 }
 
-// finish records an outcome.
+// finish records the result of a running intent.
 func (it intents) finish(fi FinishIntent) (intents, IntentOutcome) {
 	in, ok := it.byKey.get(fi.Key)
 	switch {
@@ -135,9 +138,9 @@
 	case in.Finished:
 		return it, in.outcome()
 	case in.Attempt != fi.Attempt:
-		// A "not run" that was sent twice may arrive after a resend of the
-		// request has begun at another instance. It would free the key while
-		// that one runs, and a further resend would run it again.
+		// A duplicated "not run" may arrive after a retry of the request has
+		// begun at another instance. It would free the key while that attempt
+		// runs, and a further retry would run the request again.
 		return it, IntentOutcome{Status: AttemptNotFound, Code: result.OutcomeUnknown}
 	case fi.Code.NotRun():
 		return it.without(in), IntentOutcome{Status: Finished, Code: fi.Code}
@@ -147,78 +150,80 @@
 	in.Code = fi.Code
 	in.Answer = fi.Answer
 	if len(in.Answer) > MaxAnswerBytes {
-		in.Answer, in.Dropped = nil, true
+		in.Answer, in.AnswerDropped = nil, true
 	}
-	return it.with(in).bounded(), in.outcome()
+	return it.with(in).trimAnswers(), in.outcome()
 }
 
 // with returns the table with the intent added or replaced.
 func (it intents) with(in intent) intents {
 	if _, ok := it.byKey.get(in.Key); !ok {
-		used, _ := it.services.get(in.Service)
-		it.services = it.services.with(in.Service, used+1)
-		it.order = it.order.with(in.Begun, in.Key)
+		used, _ := it.numByService.get(in.Service)
+		it.numByService = it.numByService.with(in.Service, used+1)
+		it.keysByIndex = it.keysByIndex.with(in.BeginIndex, in.Key)
 	}
 	it.byKey = it.byKey.with(in.Key, in)
 	if by := len(in.Answer); by > 0 {
-		it.answers = it.answers.with(in.Begun, by)
-		it.bytes += by
+		it.answerSizes = it.answerSizes.with(in.BeginIndex, by)
+		it.answerBytes += by
 	}
 	return it
 }
 
 func (it intents) without(in intent) intents {
 	it.byKey = it.byKey.without(in.Key)
-	it.order = it.order.without(in.Begun)
-	if used, _ := it.services.get(in.Service); used > 1 {
-		it.services = it.services.with(in.Service, used-1)
+	it.keysByIndex = it.keysByIndex.without(in.BeginIndex)
+	if used, _ := it.numByService.get(in.Service); used > 1 {
+		it.numByService = it.numByService.with(in.Service, used-1)
 	} else {
-		it.services = it.services.without(in.Service)
+		it.numByService = it.numByService.without(in.Service)
 	}
-	if by, ok := it.answers.get(in.Begun); ok {
-		it.answers = it.answers.without(in.Begun)
-		it.bytes -= by
+	if by, ok := it.answerSizes.get(in.BeginIndex); ok {
+		it.answerSizes = it.answerSizes.without(in.BeginIndex)
+		it.answerBytes -= by
 	}
 	return it
 }
 
-// forget makes room for one intent among those whose retention has passed.
-func (it intents) forget(clock int64) intents {
+// evict makes room for one intent by removing the oldest whose retention has
+// passed.
+func (it intents) evict(clock int64) intents {
 	for it.byKey.len() >= MaxIntents {
-		_, key, _ := it.order.first()
+		_, key, _ := it.keysByIndex.first()
 		in, _ := it.byKey.get(key)
-		if clock-in.When < int64(IntentRetention) {
+		if clock-in.BeginTime < int64(IntentRetention) {
 			return it
 		}
 		it = it.without(in)
-		it.horizon = max(it.horizon, in.When)
+		it.newestEvicted = max(it.newestEvicted, in.BeginTime)
 	}
 	return it
 }
 
-// bounded drops the oldest answers beyond the bound; their codes stay.
-func (it intents) bounded() intents {
-	for it.bytes > MaxTotalAnswerBytes {
-		begun, by, _ := it.answers.first()
-		key, _ := it.order.get(begun)
+// trimAnswers drops the oldest answers beyond MaxTotalAnswerBytes and keeps their
+// codes.
+func (it intents) trimAnswers() intents {
+	for it.answerBytes > MaxTotalAnswerBytes {
+		begun, by, _ := it.answerSizes.first()
+		key, _ := it.keysByIndex.get(begun)
 		in, _ := it.byKey.get(key)
-		in.Answer, in.Dropped = nil, true
+		in.Answer, in.AnswerDropped = nil, true
 		it.byKey = it.byKey.with(key, in)
-		it.answers = it.answers.without(begun)
-		it.bytes -= by
+		it.answerSizes = it.answerSizes.without(begun)
+		it.answerBytes -= by
 	}
 	return it
 }
 
-// keyTime returns the time that a UUID of version 7 states, in nanoseconds since
-// 1970, and 0 for any other key.
-func keyTime(key string) int64 {
-	const dashes = "________-____-7___-____-____________"
-	if len(key) != len(dashes) {
+// uuidTime returns the time in a UUIDv7 in nanoseconds since 1970, or 0 for any
+// other key.
+func uuidTime(key string) int64 {
+	const layout = "________-____-7___-____-____________"
+	if len(key) != len(layout) {
 		return 0
 	}
-	for i := range dashes {
-		if dashes[i] != '_' && key[i] != dashes[i] {
+	for i := range layout {
+		if layout[i] != '_' && key[i] != layout[i] {
 			return 0
 		}
 	}
--- a/control/intent_test.go
+++ b/control/intent_test.go
@@ -10,22 +10,22 @@
 	"balsamwinch.example/result"
 )
 
-func (ma *machine) begin(key, digest, attempt string, when time.Time) IntentOutcome {
+func (ma *stateMachine) begin(key, digest, attempt string, when time.Time) IntentOutcome {
 	return ma.apply(BeginIntent{Key: key, Digest: digest, Service: "a", Instance: "i1", Attempt: attempt, When: when}).(IntentOutcome)
 }
 
-func (ma *machine) finish(key, digest, attempt string, code result.Code, answer string) IntentOutcome {
+func (ma *stateMachine) finish(key, digest, attempt string, code result.Code, answer string) IntentOutcome {
 	return ma.apply(FinishIntent{Key: key, Digest: digest, Attempt: attempt, Code: code, Answer: []byte(answer)}).(IntentOutcome)
 }
 
-// A desk books a studio and loses the answer. The resend arrives at another
-// instance while the first is still running, and again after it finished. It
-// must not book twice, and gets the first answer once there is one.
+// A caller loses the answer to a non-repeatable request. Its retries arrive at
+// other instances while the first attempt is running and after it finished. The
+// request must not run twice, and later retries get the first answer.
 func TestIntentRunsOnce(t *testing.T) {
 	c := qt.New(t)
-	var ma machine
+	var ma stateMachine
 	c.Check(ma.begin("k", "d", "1", start).Status, qt.Equals, Fresh)
-	c.Check(ma.begin("k", "d", "1", start).Status, qt.Equals, Fresh) // the same arrival, proposed again
+	c.Check(ma.begin("k", "d", "1", start).Status, qt.Equals, Fresh) // the same attempt, proposed again
 	c.Check(ma.begin("k", "d", "2", start), qt.DeepEquals, IntentOutcome{Status: Running, Code: result.OutcomeUnknown})
 	done := IntentOutcome{Status: Finished, Code: result.Complete, Answer: []byte("booked")}
 	c.Check(ma.finish("k", "d", "1", result.Complete, "booked"), qt.DeepEquals, done)
@@ -33,12 +33,12 @@
 	c.Check(ma.begin("k", "d", "3", start), qt.DeepEquals, done)
 }
 
-// Two requests come under one key because a caller's counter was reset. Given
-// the recorded outcome, the second caller would hold the answer to another
-// request; given Fresh, the key would no longer protect the first.
-func TestKeyOfAnotherRequest(t *testing.T) {
+// Two different requests have the same key because a caller's counter was reset.
+// With the recorded outcome, the second would get the answer to another request;
+// with Fresh, the key would no longer protect the first.
+func TestReusedKeyIsRejected(t *testing.T) {
 	c := qt.New(t)
-	var ma machine
+	var ma stateMachine
 	ma.begin("k", "d", "1", start)
 	reused := IntentOutcome{Status: KeyReused, Code: result.NotRunKeyReused}
 	c.Check(ma.begin("k", "other", "2", start), qt.DeepEquals, reused)
@@ -47,13 +47,13 @@
 	c.Check(ma.begin("k", "other", "2", start), qt.DeepEquals, reused)
 }
 
-// An instance could not send the request and says "not run", twice because the
-// first reply was lost. In between, the caller's resend began at another
-// instance. If the late "not run" freed the key, a further resend would run the
-// request a second time.
-func TestLateNotRunFreesNothing(t *testing.T) {
+// An instance could not send a request and reports "not run" twice because the
+// first reply was lost. In between, the caller's retry began at another instance.
+// If the late "not run" freed the key, a further retry would run the request a
+// second time.
+func TestLateNotRunDoesNotFreeKey(t *testing.T) {
 	c := qt.New(t)
-	var ma machine
+	var ma stateMachine
 	ma.begin("k", "d", "1", start)
 	ma.finish("k", "d", "1", result.NotRunOverloaded, "")
 	c.Check(ma.begin("k", "d", "2", start).Status, qt.Equals, Fresh)
@@ -61,12 +61,12 @@
 	c.Check(ma.begin("k", "d", "3", start).Status, qt.Equals, Running)
 }
 
-// The table of intents is full. An intent that is forgotten too early would let
-// a resend run the request again; so new requests are refused, each service
-// keeps a few places, and only after the retention the oldest make room.
-func TestFullTable(t *testing.T) {
+// The table of intents is full. If an intent were evicted too early, a retry would
+// run its request again. So new requests are rejected, each service keeps its
+// reserved intents, and the oldest are evicted only after the retention.
+func TestFullIntentTableRejectsNewKeys(t *testing.T) {
 	c := qt.New(t)
-	var ma machine
+	var ma stateMachine
 	ma.change("c", "ana", FileChange{Name: "a.yaml", Content: yaml("a", 100)})
 	ma.change("d", "ana", FileChange{Name: "b.yaml", Content: yaml("b", 100)})
 	began := start.Add(time.Minute)
@@ -84,14 +84,15 @@
 	c.Check(ma.begin("new", "d", "", began.Add(IntentRetention-1)), qt.DeepEquals, refused)
 	c.Check(ma.begin("new", "d", "", began.Add(IntentRetention)).Status, qt.Equals, Fresh)
 	c.Check(ma.Intents(), qt.Equals, MaxIntents)
-	c.Check(ma.begin("1", "d", "", began.Add(IntentRetention)).Status, qt.Equals, Fresh) // forgotten, as stated for keys without a time
+	c.Check(ma.begin("1", "d", "", began.Add(IntentRetention)).Status, qt.Equals, Fresh) // evicted; a key without a time can't be told from a new one
 	checkRoundTrip(t, ma.State)
 }
 
-// A leader's clock is two hours behind the one before. What begins under it must
-// not look two hours old, and be forgotten at once, when the clock is right again.
+// The clock of a new leader is two hours behind. Otherwise, an intent that begins
+// under it would look two hours old, and be evicted at once, when a later clock is
+// right.
 func TestClockNeverGoesBack(t *testing.T) {
-	var ma machine
+	var ma stateMachine
 	ma.change("c", "ana", FileChange{Name: "a.yaml", Content: yaml("a", 100)})
 	ma.begin("slow", "d", "", start.Add(-2*IntentRetention))
 	for i := range MaxIntents {
@@ -100,17 +101,17 @@
 	qt.Check(t, ma.begin("slow", "d", "", start.Add(IntentRetention/2)).Status, qt.Equals, Running)
 }
 
-// A caller comes back a day later with a key whose intent was forgotten. A UUID
-// of version 7 tells its age, so the request is not run a second time.
-func TestOldKeyIsRefused(t *testing.T) {
+// A caller retries long after its intent was evicted. The UUIDv7 key includes its
+// creation time, so the request is not run a second time.
+func TestEvictedUUIDKeyIsTooOld(t *testing.T) {
 	c := qt.New(t)
 	key := func(when time.Time) string {
 		ms := fmt.Sprintf("%012x", when.UnixMilli())
 		return ms[:8] + "-" + ms[8:] + "-7abc-8def-0123456789ab"
 	}
-	var ma machine
+	var ma stateMachine
 	c.Check(ma.begin(key(start), "d", "", start).Status, qt.Equals, Fresh)
-	c.Check(ma.begin(key(start.Add(-time.Hour)), "d", "", start).Status, qt.Equals, Fresh) // nothing was forgotten yet
+	c.Check(ma.begin(key(start.Add(-time.Hour)), "d", "", start).Status, qt.Equals, Fresh) // nothing was evicted yet
 	c.Check(ma.begin(key(start.Add(2*MaxKeyClockSkew)), "d", "", start).Status, qt.Equals, Malformed)
 	for i := range MaxIntents {
 		ma.apply(BeginIntent{Key: fmt.Sprint(i), When: start.Add(2 * IntentRetention)})
@@ -120,9 +121,9 @@
 	c.Check(ma.begin(key(later), "d", "", later).Status, qt.Equals, Fresh)
 }
 
-func TestAnswersAreBounded(t *testing.T) {
+func TestRecordedAnswersAreBounded(t *testing.T) {
 	c := qt.New(t)
-	var ma machine
+	var ma stateMachine
 	large := string(make([]byte, MaxAnswerBytes))
 	count := MaxTotalAnswerBytes/MaxAnswerBytes + 1
 	for i := range count {
--- a/control/message.go
+++ b/control/message.go
@@ -18,71 +18,73 @@
 	kindAuditReply
 )
 
-// Renewal asks the leader for a lease or for its extension.
+// Renewal asks the leader to grant or extend a lease.
 type Renewal struct {
 	Instance  view.Instance
-	InForce   uint64 // InForce is the revision that the instance uses; 0 if none.
-	Releasing bool   // Releasing says that the instance has stopped serving and closed its connections.
-	// Leased says that the instance holds a lease that has not run out when it
-	// sends the renewal. A new leader grants only those until the leases of the
-	// earlier leader have run out.
+	InForce   uint64 // InForce is the revision in use at the instance; 0 if none.
+	Releasing bool   // Releasing means that the instance has stopped serving and closed its connections.
+	// Leased means that the instance holds an unexpired lease when it sends the
+	// renewal. Until the leases of the previous leader have expired, a new
+	// leader grants entry instances only renewals with Leased set.
 	Leased bool
-	// Entries is by how many entry instances it divides the connection limits
-	// now: the Grant.Entries that it last followed. Zero means the last granted.
+	// Entries is the divisor that the instance applies to connection limits:
+	// the Grant.Entries that it last applied. Zero means the one last granted.
 	Entries int
-	// Roster is the Grant.Roster of the list of instances that the instance holds.
+	// Roster is the Grant.Roster of the instance's list of lease holders.
 	Roster uint64
 }
 
-// Grant answers a Renewal. The holder counts LeaseMillis from when it sent the
-// renewal, and closes its connections to backend servers when the lease ends.
+// Grant is the response to a Renewal. The holder counts LeaseMillis from when it
+// sent the renewal, and closes its connections to backend servers when the lease
+// expires.
 type Grant struct {
 	Granted     bool
 	LeaseMillis int64
-	Reason      string // Reason says why the lease is not granted.
+	Reason      string // Reason is why the lease is not granted.
 	Term        uint64
 	Revision    uint64
-	// Newer says that Revision is above Renewal.InForce. Then Names are all accepted
-	// files and Files those of them that changed since; an instance keeps the files
-	// that Names lists and Files does not.
+	// Newer means that Revision is above Renewal.InForce. Names then lists all
+	// accepted files, and Files has those that changed since. The instance
+	// keeps its files that are in Names but not in Files.
 	Newer bool
 	Names []string
 	Files []File
-	// Roster is the digest of the list of lease holders, and Instances the list,
-	// only if the digest is not that of the renewal.
+	// Roster is the digest of the list of lease holders. Instances is the list
+	// itself, sent only if the digest differs from that in the renewal.
 	Roster    uint64
 	Instances []view.Instance
 	Leader    string
-	// Entries is by how many entry instances to divide the connection limits.
+	// Entries is the divisor to apply to connection limits: a number of entry
+	// instances.
 	Entries int
 }
 
 // Proposal asks the leader to append a command to the log.
 type Proposal struct {
-	Command []byte // Command is what Encode gave.
+	Command []byte // Command is a command encoded by Encode.
 }
 
-// ProposalReply answers a Proposal.
+// ProposalReply is the response to a Proposal.
 type ProposalReply struct {
 	Code    result.Code
-	Outcome []byte // Outcome is what EncodeOutcome gave; empty if the command was not applied.
+	Outcome []byte // Outcome is encoded by EncodeOutcome; empty if the command was not applied.
 	Leader  string // Leader is whom to ask instead.
 }
 
-// StatusRequest asks an instance for its view of control.
+// StatusRequest asks an instance for its view of the control group.
 type StatusRequest struct{}
 
-// StatusReply is an instance's view of control.
+// StatusReply is an instance's view of the control group.
 type StatusReply struct {
 	Instance          string
 	Role              string
 	Leader            string
 	Term              uint64
-	LeaderSinceMillis int64 // LeaderSinceMillis is how long ago the leader was first heard.
+	LeaderSinceMillis int64 // LeaderSinceMillis is how long ago the instance first heard from the leader.
 	Commit            uint64
 	Applied           uint64
 	Revision          uint64
-	WaitingFor        []string // WaitingFor names instances that may serve without the revision.
+	WaitingFor        []string // WaitingFor names the instances that may serve without using the revision.
 	Voters            []string
 	Learners          []string
 	Holders           []Holder
@@ -93,13 +95,14 @@
 // AuditRequest asks for audit entries.
 type AuditRequest struct {
 	From  uint64
-	Limit int // Limit is how many entries to give at most.
+	Limit int // Limit is the maximum number of entries to return.
 }
 
-// AuditReply gives audit entries. Base names the entry before the oldest kept
-// one, and Head the newest, so that a reader can tell what is missing.
+// AuditReply returns audit entries. Base identifies the entry before the oldest
+// kept one, and Head the newest, so that a reader can tell which entries are
+// missing.
 type AuditReply struct {
-	OK      bool   // OK says that the one who answers leads, so that nothing is missing at the end.
+	OK      bool   // OK means that the responder is the leader, so that no entries are missing at the end.
 	Leader  string // Leader is whom to ask instead.
 	Entries []AuditEntry
 	Base    AuditHead
--- a/control/progress.go
+++ b/control/progress.go
@@ -8,13 +8,13 @@
 )
 
 //go:embed change.yaml
-var changeYAML []byte
+var changeChartYAML []byte
 
 // The events of a change.
 const (
-	EventCommit  chart.Event = "Commit"  // EventCommit says that Apply gave Accepted.
-	EventRefuse  chart.Event = "Refuse"  // EventRefuse says that Apply gave another code.
-	EventInForce chart.Event = "InForce" // EventInForce says that Book.InForce became true.
+	EventCommit  chart.Event = "Commit"  // EventCommit means that Apply returned Accepted.
+	EventRefuse  chart.Event = "Refuse"  // EventRefuse means that Apply returned another code.
+	EventInForce chart.Event = "InForce" // EventInForce means that LeaseTable.InForce became true.
 )
 
 // The states of a change.
@@ -25,9 +25,10 @@
 	StateRefused   chart.State = "Refused"
 )
 
-var changeChart = chart.MustLoad(changeYAML, EventCommit, EventRefuse, EventInForce)
+var changeChart = chart.MustLoad(changeChartYAML, EventCommit, EventRefuse, EventInForce)
 
-// Progress is where a change stands by the chart in change.yaml. It is immutable.
+// Progress is the state of a change in the state chart change.yaml. It is
+// immutable.
 type Progress struct {
 	state chart.State
 }
@@ -37,15 +38,15 @@
 	return Progress{state: changeChart.Initial()}
 }
 
-// With returns the progress after an event, and false if the event has no
-// meaning in the present state, which then stays.
+// With returns the progress after an event. If the state has no transition for the
+// event, it returns the unchanged progress and false.
 func (pr Progress) With(ev chart.Event) (Progress, bool) {
 	to, ok := changeChart.Next(pr.state, ev)
 	return Progress{state: to}, ok
 }
 
-// WithOutcome returns the progress after Apply gave the outcome. A resend finds
-// its change committed already; that changes nothing.
+// WithOutcome returns the progress after Apply returned the outcome. It stays
+// unchanged for a retry whose change is already committed.
 func (pr Progress) WithOutcome(oc ChangeOutcome) Progress {
 	ev := EventRefuse
 	if oc.Code == result.Accepted {
@@ -60,13 +61,13 @@
 	return pr.state
 }
 
-// Done reports whether the operator can be given the final answer.
+// Done reports whether the change has reached a final state.
 func (pr Progress) Done() bool {
 	return changeChart.Final(pr.state)
 }
 
-// At returns the outcome as the operator is told it: a committed change is
-// Pending until it is in force everywhere.
+// WithProgress returns the outcome to report to the operator: a committed change is
+// Pending until every serving instance uses it.
 func (oc ChangeOutcome) WithProgress(pr Progress) ChangeOutcome {
 	if pr.state == StateCommitted {
 		oc.Code = result.Pending
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -8,9 +8,9 @@
 	"balsamwinch.example/operator"
 )
 
-// stateFile is a State in a snapshot. Contents that stand in several places are
-// written once and named by their hash.
-type stateFile struct {
+// stateSnapshot is the encoded form of a State. A file content that occurs more
+// than once is stored once in Contents and referenced by its hash.
+type stateSnapshot struct {
 	Index         uint64
 	Clock         int64
 	Configuration operator.Configuration
@@ -29,33 +29,34 @@
 }
 
 type recordEntry struct {
-	Record record
-	Kept   bool // Kept says that the contents of the audit entry are among Contents.
+	Record auditRecord
+	Kept   bool // Kept reports whether the contents of the audit entry are in Contents.
 }
 
 const numberState = 201
 
-// contents collects contents by their hash.
-type contents map[string][]byte
+// contentsByHash maps the SHA-256 in hexadecimal to the content of a file.
+type contentsByHash map[string][]byte
 
-func (co contents) add(data []byte) string {
-	ha := hashOf(data)
+func (co contentsByHash) add(data []byte) string {
+	ha := sha256Hex(data)
 	co[ha] = data
 	return ha
 }
 
-// Encode returns the state for a snapshot. Equal states give equal bytes. The
-// merged configuration is among them: a newer version of the program whose
-// checks are stricter must not refuse at its start what was accepted before.
+// Encode encodes the state for a snapshot. Equal states give equal bytes. The
+// merged configuration is included instead of being rebuilt from the files: a newer
+// version of the program with stricter checks must not reject at startup what was
+// accepted before.
 func (st State) Encode() ([]byte, error) {
-	sf := stateFile{
+	sf := stateSnapshot{
 		Index:         st.index,
 		Clock:         st.clock,
 		Configuration: st.cfg,
 		Base:          st.trail.base,
-		Horizon:       st.intents.horizon,
+		Horizon:       st.intents.newestEvicted,
 	}
-	co := make(contents)
+	co := make(contentsByHash)
 	for _, fi := range st.files.all() {
 		sf.Files = append(sf.Files, fileEntry{Name: fi.Name, Author: fi.Author, ChangeID: fi.ChangeID, Hash: co.add(fi.Content), Revision: fi.Revision})
 	}
@@ -63,54 +64,54 @@
 		sf.Deleted = append(sf.Deleted, cw)
 	}
 	for nu, re := range st.trail.records.all() {
-		_, kept := st.trail.contents.get(nu)
+		_, kept := st.trail.contentSizes.get(nu)
 		for _, af := range re.Entry.Files {
-			co.addKept(af.BeforeHash, af.Before)
-			co.addKept(af.AfterHash, af.After)
+			co.addIfPresent(af.BeforeHash, af.Before)
+			co.addIfPresent(af.AfterHash, af.After)
 		}
 		re.Entry = re.Entry.withoutContent()
 		sf.Records = append(sf.Records, recordEntry{Record: re, Kept: kept})
 	}
-	for _, key := range st.intents.order.all() {
+	for _, key := range st.intents.keysByIndex.all() {
 		in, _ := st.intents.byKey.get(key)
 		sf.Intents = append(sf.Intents, in)
 	}
 	for _, ha := range slices.Sorted(maps.Keys(co)) {
 		sf.Contents = append(sf.Contents, co[ha])
 	}
-	return seal(numberState, sf)
+	return encodeEnvelope(numberState, sf)
 }
 
-func (co contents) addKept(ha string, data []byte) {
+func (co contentsByHash) addIfPresent(ha string, data []byte) {
 	if data != nil {
 		co[ha] = data
 	}
 }
 
-// DecodeState returns the state that Encode gave. Its error is a *result.Error
-// with the code DamagedState.
+// DecodeState decodes what State.Encode returned. Its error is a *result.Error with
+// the code DamagedState.
 func DecodeState(data []byte) (State, error) {
-	en, err := unseal(data)
+	en, err := decodeEnvelope(data)
 	if err != nil {
 		return State{}, err
 	}
 	if en.Number != numberState {
 		return State{}, codecError("decode a state", fmt.Errorf("unknown number %d", en.Number))
 	}
-	sf, err := open[stateFile](en)
+	sf, err := decodeBody[stateSnapshot](en)
 	if err != nil {
 		return State{}, err
 	}
-	st, err := sf.state()
+	st, err := sf.decode()
 	if err != nil {
 		return State{}, codecError("decode a state", err)
 	}
 	return st, nil
 }
 
-func (sf stateFile) state() (State, error) {
+func (sf stateSnapshot) decode() (State, error) {
 	st := State{index: sf.Index, clock: sf.Clock, cfg: sf.Configuration}
-	co := make(contents)
+	co := make(contentsByHash)
 	for _, data := range sf.Contents {
 		co.add(data)
 	}
@@ -128,20 +129,20 @@
 	for _, in := range sf.Intents {
 		st.intents = st.intents.with(in)
 	}
-	st.intents.horizon = sf.Horizon
-	tr, err := sf.trail(co)
+	st.intents.newestEvicted = sf.Horizon
+	tr, err := sf.decodeTrail(co)
 	st.trail = tr
 	return st, err
 }
 
-func (sf stateFile) trail(co contents) (trail, error) {
-	tr := trail{base: sf.Base, head: sf.Base}
+func (sf stateSnapshot) decodeTrail(co contentsByHash) (auditTrail, error) {
+	tr := auditTrail{base: sf.Base, head: sf.Base}
 	for _, re := range sf.Records {
 		if en := re.Record.Entry; en.Number != tr.head.Number+1 || en.Previous != tr.head.Hash {
 			return tr, fmt.Errorf("audit entry %d does not follow entry %d", en.Number, tr.head.Number)
 		}
 		if re.Kept {
-			re.Record.Entry.Files = co.restore(re.Record.Entry.Files)
+			re.Record.Entry.Files = co.restoreFiles(re.Record.Entry.Files)
 		}
 		if err := re.Record.Entry.verify(); err != nil {
 			return tr, err
@@ -151,7 +152,7 @@
 	return tr, nil
 }
 
-func (co contents) restore(fs []AuditFile) []AuditFile {
+func (co contentsByHash) restoreFiles(fs []AuditFile) []AuditFile {
 	for i, af := range fs {
 		fs[i].Before = co[af.BeforeHash]
 		fs[i].After = co[af.AfterHash]
--- a/control/state.go
+++ b/control/state.go
@@ -11,22 +11,22 @@
 // File is one accepted file.
 type File struct {
 	Name     string
-	Revision uint64 // Revision is the one at which the file last changed.
+	Revision uint64 // Revision is the configuration revision at which the file last changed.
 	Author   string
 	ChangeID string
 	Content  []byte
 }
 
-// State is the replicated state machine. It is immutable: Apply returns another
-// one that shares what did not change.
+// State is the state of the replicated state machine. It is immutable: Apply
+// returns a new State that shares the unchanged parts.
 type State struct {
-	index     uint64 // index is the one of the last applied command.
+	index     uint64 // index is the log index of the last applied command.
 	clock     int64  // clock is the highest time of any command, in nanoseconds since 1970.
 	cfg       operator.Configuration
 	files     tree[string, File]
 	fileBytes int
-	deleted   tree[string, ConflictingChange] // deleted tells who deleted a file.
-	trail     trail
+	deleted   tree[string, ConflictingChange] // deleted maps the name of a deleted file to the change that deleted it.
+	trail     auditTrail
 	intents   intents
 }
 
@@ -35,12 +35,12 @@
 	return State{}
 }
 
-// Apply returns the state after the command at the index of the log, and its
-// outcome. It is deterministic: voters that apply the same commands reach the
-// same state. A command whose index was applied before is Skipped.
+// Apply returns the state after the command at the given log index, and the outcome
+// of the command. It is deterministic: voters that apply the same commands reach
+// the same state. A command whose index was already applied is Skipped.
 func (st State) Apply(index uint64, cm Command) (State, Outcome) {
-	// A replay after a crash overlaps the snapshot when the journal still holds
-	// older entries; applied twice, a change would conflict with itself.
+	// A replay after a crash overlaps the snapshot if the write-ahead log still
+	// holds older entries. Applied twice, a change would conflict with itself.
 	if index <= st.index {
 		return st, Skipped{}
 	}
@@ -57,8 +57,9 @@
 	}
 }
 
-// withTime moves the clock, which never goes back: a new leader whose clock is
-// behind must not make intents look younger than others that came before.
+// withTime advances the clock, which never goes back: a new leader whose clock is
+// behind must not date new intents before earlier ones, or they would be evicted
+// too early.
 func (st State) withTime(when time.Time) State {
 	st.clock = max(st.clock, when.UnixNano())
 	return st
@@ -82,18 +83,19 @@
 	return st.index
 }
 
-// Configuration returns the accepted configuration.
+// Configuration returns the accepted configuration: the merged accepted files.
 func (st State) Configuration() operator.Configuration {
 	return st.cfg
 }
 
-// Revision returns the revision of the accepted configuration; 0 if none is.
+// Revision returns the revision of the accepted configuration, or 0 if none was
+// accepted.
 func (st State) Revision() uint64 {
 	return st.cfg.Revision
 }
 
-// Files returns the accepted files in the order of their names. Their contents
-// must not be changed.
+// Files returns the accepted files sorted by name. Their contents must not be
+// modified.
 func (st State) Files() []File {
 	fs := make([]File, 0, st.files.len())
 	for _, fi := range st.files.all() {
@@ -102,19 +104,19 @@
 	return fs
 }
 
-// Intents returns how many intents are kept.
+// Intents returns the number of recorded intents.
 func (st State) Intents() int {
 	return st.intents.byKey.len()
 }
 
-// Outcome returns the recorded outcome of a change, if it is still kept.
+// Outcome returns the recorded outcome of a change, or false if none is kept.
 func (st State) Outcome(changeID string) (ChangeOutcome, bool) {
 	re, ok := st.trail.find(changeID)
 	return re.Outcome, ok
 }
 
-// hashOf returns the SHA-256 in hexadecimal.
-func hashOf(data []byte) string {
+// sha256Hex returns the SHA-256 of data in hexadecimal.
+func sha256Hex(data []byte) string {
 	su := sha256.Sum256(data)
 	return hex.EncodeToString(su[:])
 }
--- a/control/state_test.go
+++ b/control/state_test.go
@@ -13,7 +13,7 @@
 	"balsamwinch.example/result"
 )
 
-// drawCommand draws among few names, so that commands meet each other.
+// drawCommand draws from a few names, so that commands interact.
 func drawCommand(rt *rapid.T, st State) Command {
 	when := start.Add(time.Duration(rapid.IntRange(0, 7200).Draw(rt, "when")) * time.Second)
 	key := fmt.Sprint("k", rapid.IntRange(0, 3).Draw(rt, "key"))
@@ -41,8 +41,8 @@
 	return ch
 }
 
-// encoded gives the bytes of a state, by which two states are compared.
-func encoded(rt *rapid.T, st State) []byte {
+// encodeState returns the encoded state, by which two states are compared.
+func encodeState(rt *rapid.T, st State) []byte {
 	data, err := st.Encode()
 	if err != nil {
 		rt.Fatal(err)
@@ -50,7 +50,7 @@
 	return data
 }
 
-func said(rt *rapid.T, oc Outcome) string {
+func encodeOutcome(rt *rapid.T, oc Outcome) string {
 	data, err := EncodeOutcome(oc)
 	if err != nil {
 		rt.Fatal(err)
@@ -58,7 +58,7 @@
 	return string(data)
 }
 
-func decoded(rt *rapid.T, data []byte) State {
+func decodeState(rt *rapid.T, data []byte) State {
 	st, err := DecodeState(data)
 	if err != nil {
 		rt.Fatal(err)
@@ -66,9 +66,9 @@
 	return st
 }
 
-// Instances restart, come back from a snapshot and replay entries that overlap
-// it. All must reach the same state; revisions only rise; what was accepted as a
-// revision stays what it is; each change keeps its first outcome.
+// Voters restart, recover from a snapshot and replay log entries that overlap it.
+// All must reach the same state. Revisions only rise, each revision keeps its
+// configuration, and each change keeps its first outcome.
 func TestReplicasAgree(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var st, restored State
@@ -87,32 +87,32 @@
 				rt.Fatal(err)
 			}
 			before := st
-			kept := encoded(rt, before)
+			kept := encodeState(rt, before)
 			var oc, other Outcome
 			st, oc = st.Apply(uint64(len(log)), cm)
 			restored, other = restored.Apply(uint64(len(log)), cm)
-			if said(rt, oc) != said(rt, other) || !bytes.Equal(kept, encoded(rt, before)) {
-				rt.Fatalf("replicas differ, or an older state changed: %v and %v", oc, other)
+			if encodeOutcome(rt, oc) != encodeOutcome(rt, other) || !bytes.Equal(kept, encodeState(rt, before)) {
+				rt.Fatalf("outcomes of replicas differ, or an older state changed: %v and %v", oc, other)
 			}
 			checkRevision(rt, before, st, revisions)
 			if ch, ok := cm.(Change); ok {
 				id := ch.ChangeID + digest(ch)
-				if first, seen := outcomes[id]; seen && st.isFirst(ch) && first != said(rt, oc) {
-					rt.Fatalf("the resent change %s got %v after %s", ch.ChangeID, oc, first)
+				if first, seen := outcomes[id]; seen && st.answersRetry(ch) && first != encodeOutcome(rt, oc) {
+					rt.Fatalf("retry of change %s got %v, want the first outcome %s", ch.ChangeID, oc, first)
 				}
-				outcomes[id] = said(rt, oc)
+				outcomes[id] = encodeOutcome(rt, oc)
 			}
 			switch rapid.IntRange(0, 5).Draw(rt, "event") {
 			case 0:
-				snapshot = encoded(rt, st)
+				snapshot = encodeState(rt, st)
 			case 1:
-				restored = decoded(rt, encoded(rt, st))
+				restored = decodeState(rt, encodeState(rt, st))
 			case 2:
 				restored = replay(rt, snapshot, log)
 			}
 		}
-		if !bytes.Equal(encoded(rt, st), encoded(rt, restored)) {
-			rt.Fatalf("the restored state differs")
+		if !bytes.Equal(encodeState(rt, st), encodeState(rt, restored)) {
+			rt.Fatalf("the recovered state differs")
 		}
 		if err := Verify(st.Audit(0)); err != nil {
 			rt.Fatal(err)
@@ -120,17 +120,17 @@
 	})
 }
 
-// isFirst reports whether the trail answers resends of this very change.
-func (st State) isFirst(ch Change) bool {
+// answersRetry reports whether the audit trail answers retries of this change.
+func (st State) answersRetry(ch Change) bool {
 	re, ok := st.trail.find(ch.ChangeID)
 	return ok && re.Digest == digest(ch)
 }
 
-// replay restores a snapshot, if there is one, and applies the whole log.
+// replay recovers from a snapshot, if there is one, and applies the whole log.
 func replay(rt *rapid.T, snapshot []byte, log [][]byte) State {
 	var st State
 	if snapshot != nil {
-		st = decoded(rt, snapshot)
+		st = decodeState(rt, snapshot)
 	}
 	for i, data := range log {
 		cm, err := Decode(data)
@@ -142,8 +142,8 @@
 	return st
 }
 
-// checkRevision asserts that the revision rises by at most one, and that each
-// revision means one configuration for ever.
+// checkRevision asserts that the revision rises by at most one, and that the
+// configuration of each revision never changes.
 func checkRevision(rt *rapid.T, before, after State, revisions map[uint64]operator.Configuration) {
 	if re := after.Revision(); re < before.Revision() || re > before.Revision()+1 {
 		rt.Fatalf("revision %d after %d", re, before.Revision())
@@ -156,7 +156,7 @@
 	}
 }
 
-// checkRoundTrip asserts that a snapshot gives the same state again.
+// checkRoundTrip asserts that a state survives encoding and decoding.
 func checkRoundTrip(tb testing.TB, st State) {
 	tb.Helper()
 	data, err := st.Encode()
@@ -166,17 +166,17 @@
 	again, err := got.Encode()
 	qt.Assert(tb, err, qt.IsNil)
 	qt.Assert(tb, bytes.Equal(again, data), qt.IsTrue)
-	qt.Assert(tb, got.intents.bytes, qt.Equals, st.intents.bytes)
-	qt.Assert(tb, got.trail.bytes, qt.Equals, st.trail.bytes)
-	qt.Assert(tb, got.trail.content, qt.Equals, st.trail.content)
+	qt.Assert(tb, got.intents.answerBytes, qt.Equals, st.intents.answerBytes)
+	qt.Assert(tb, got.trail.memoryBytes, qt.Equals, st.trail.memoryBytes)
+	qt.Assert(tb, got.trail.contentBytes, qt.Equals, st.trail.contentBytes)
 }
 
-// A voter of an older version meets a command with a field that it doesn't know.
-// If it skipped the field, it would reach another state than the others, and
-// nobody would notice. It must stop.
-func TestUnknownFieldIsRefused(t *testing.T) {
+// A voter of an older version applies a command with a field that it doesn't know.
+// If it ignored the field, its state would silently diverge from that of the other
+// voters. It must stop.
+func TestUnknownFieldIsRejected(t *testing.T) {
 	c := qt.New(t)
-	data, err := seal(numberBeginIntent, map[string]any{"Key": "k", "Priority": 1})
+	data, err := encodeEnvelope(numberBeginIntent, map[string]any{"Key": "k", "Priority": 1})
 	c.Assert(err, qt.IsNil)
 	_, err = Decode(data)
 	c.Check(err, qt.ErrorMatches, `control: decode BeginIntent: DamagedState .*unknown field.*`)
@@ -203,19 +203,19 @@
 	qt.Check(t, kinds, qt.HasLen, len(Messages()))
 }
 
-// An operator sends a file whose name isn't UTF-8, and the refusal quotes it. If
-// the snapshot could not be read back, no voter would ever start again.
-func TestRefusalOfOddBytesIsRestored(t *testing.T) {
-	var ma machine
+// An operator sends a file whose name isn't UTF-8, and the recorded rejection
+// quotes it. If the snapshot failed to decode, no voter could start again.
+func TestInvalidUTF8SurvivesSnapshot(t *testing.T) {
+	var ma stateMachine
 	oc := ma.change("one", "ana", FileChange{Name: "\xff.yaml", Content: []byte("\xff")})
 	qt.Assert(t, oc.Code, qt.Equals, result.Invalid)
 	checkRoundTrip(t, ma.State)
 }
 
-// A snapshot was changed on the way or on the disk in a way that its checksum
-// doesn't show. It must be refused, not loaded.
-func TestDamagedStateIsRefused(t *testing.T) {
-	var ma machine
+// A snapshot was damaged in transit or on disk in a way that its checksum doesn't
+// detect. It must be rejected, not loaded.
+func TestDamagedSnapshotIsRejected(t *testing.T) {
+	var ma stateMachine
 	ma.change("one", "ana", FileChange{Name: "a.yaml", Content: yaml("a", 100)})
 	data, err := ma.Encode()
 	qt.Assert(t, err, qt.IsNil)
--- a/control/tree.go
+++ b/control/tree.go
@@ -6,8 +6,8 @@
 	"iter"
 )
 
-// tree is an immutable map in the order of its keys: a treap whose changes copy
-// only the path to the changed node. The zero tree is empty.
+// tree is an immutable sorted map: a treap whose updates copy only the path to the
+// changed node. The zero value is an empty map.
 type tree[K cmp.Ordered, V any] struct {
 	root *node[K, V]
 	size int
@@ -19,8 +19,9 @@
 	left, right *node[K, V]
 }
 
-// prioritySeed keeps the shape of trees unknown to whoever chooses the keys. The
-// shape differs between processes, the content and its order do not.
+// prioritySeed makes node priorities unpredictable, so that nobody can choose keys
+// that unbalance a tree. The shape of a tree differs between processes; its content
+// and order don't.
 var prioritySeed = maphash.MakeSeed()
 
 func (no *node[K, V]) priority() uint64 {
@@ -52,17 +53,17 @@
 	if _, ok := tr.get(key); !ok {
 		size++
 	}
-	return tree[K, V]{root: put(tr.root, key, val), size: size}
+	return tree[K, V]{root: insert(tr.root, key, val), size: size}
 }
 
-func put[K cmp.Ordered, V any](no *node[K, V], key K, val V) *node[K, V] {
+func insert[K cmp.Ordered, V any](no *node[K, V], key K, val V) *node[K, V] {
 	if no == nil {
 		return &node[K, V]{key: key, val: val}
 	}
 	cp := *no
 	switch co := cmp.Compare(key, no.key); {
 	case co < 0:
-		le := put(no.left, key, val)
+		le := insert(no.left, key, val)
 		if le.priority() <= cp.priority() {
 			cp.left = le
 			return &cp
@@ -71,7 +72,7 @@
 		le.right = &cp
 		return le
 	case co > 0:
-		ri := put(no.right, key, val)
+		ri := insert(no.right, key, val)
 		if ri.priority() <= cp.priority() {
 			cp.right = ri
 			return &cp
@@ -106,7 +107,7 @@
 	}
 }
 
-// join returns one tree of two, of which all keys of the first are lower.
+// join merges two trees. Every key of le must be lower than every key of ri.
 func join[K cmp.Ordered, V any](le, ri *node[K, V]) *node[K, V] {
 	switch {
 	case le == nil:
@@ -124,7 +125,7 @@
 	}
 }
 
-// first returns the lowest key and its value, and false if the tree is empty.
+// first returns the lowest key and its value, or false if the tree is empty.
 func (tr tree[K, V]) first() (key K, val V, ok bool) {
 	for key, val := range tr.all() {
 		return key, val, true
@@ -132,14 +133,14 @@
 	return key, val, false
 }
 
-// all yields keys and values in ascending order.
+// all yields all keys and values in ascending order of keys.
 func (tr tree[K, V]) all() iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) {
 		walk(tr.root, func(K) bool { return false }, yield)
 	}
 }
 
-// from yields those whose key is the given one or above, in ascending order.
+// from yields the keys not below key and their values in ascending order of keys.
 func (tr tree[K, V]) from(key K) iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) {
 		walk(tr.root, func(ot K) bool { return ot < key }, yield)
--- a/control/tree_test.go
+++ b/control/tree_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestTreeIsLikeMap(t *testing.T) {
+func TestTreeMatchesMap(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var tr, old tree[int, int]
 		want, oldWant := map[int]int{}, map[int]int{}
