--- a/member/bench_test.go
+++ b/member/bench_test.go
@@ -12,49 +12,49 @@
 	"balsamwinch.example/snapshot"
 )
 
-// meter is a cluster whose messages go through the codec and are counted.
-type meter struct {
+// meteredCluster is a cluster whose messages are encoded, decoded and counted.
+type meteredCluster struct {
 	*cluster
 	co              *peer.Codec
 	records         []backend.Record
 	messages, bytes int
 }
 
-// newMeter returns instances that hold the given number of records, each owned
-// by one of them in turn.
-func newMeter(instances, records int) *meter {
-	me := &meter{cluster: newCluster(instances, 1), co: peer.NewCodec(Messages())}
+// newMeteredCluster returns a cluster that holds the given number of records, with
+// owners assigned in turn.
+func newMeteredCluster(instances, records int) *meteredCluster {
+	mc := &meteredCluster{cluster: newCluster(instances, 1), co: peer.NewCodec(Messages())}
 	for ix := range records {
-		me.records = append(me.records, benchRecord(ix))
+		mc.records = append(mc.records, typicalRecord(ix))
 	}
-	for _, name := range me.names {
-		sp := &step{State: me.states[name]}
-		sp.at(me.now)
-		for ix, re := range me.records {
-			owner := me.names[ix%len(me.names)]
-			sp.merge(newServerEntry(&re, version{claim: 1, owner: owner, ownerIncarnation: 1}), 0)
+	for _, name := range mc.names {
+		sp := &step{State: mc.states[name]}
+		sp.setNow(mc.now)
+		for ix, re := range mc.records {
+			owner := mc.names[ix%len(mc.names)]
+			sp.merge(newServerEntry(&re, version{epoch: 1, owner: owner, ownerIncarnation: 1}), 0)
 		}
-		sp.rumours = nil
-		me.states[name] = sp.State
+		sp.pushQueue = nil
+		mc.states[name] = sp.State
 	}
-	me.announceAll()
-	me.lose = func(pk packet) bool {
-		frame, err := me.co.Encode(pk.ms)
+	mc.announceAll()
+	mc.drop = func(pk packet) bool {
+		frame, err := mc.co.Encode(pk.ms)
 		if err != nil {
 			panic(err)
 		}
-		if _, err := me.co.Decode(frame); err != nil {
+		if _, err := mc.co.Decode(frame); err != nil {
 			panic(err)
 		}
-		me.messages++
-		me.bytes += len(frame)
+		mc.messages++
+		mc.bytes += len(frame)
 		return false
 	}
-	return me
+	return mc
 }
 
-// benchRecord is a record of ordinary size: one shard in two versions.
-func benchRecord(ix int) backend.Record {
+// typicalRecord returns a record of typical size: one shard in two versions.
+func typicalRecord(ix int) backend.Record {
 	re := backend.Record{
 		Server: fmt.Sprintf("leaf-%05d", ix), Service: "archivo", Address: fmt.Sprintf("10.%d.%d.7:8080", ix/250, ix%250),
 		DataCentre: "san-isidro", State: backend.Serving, Slots: 6, ConnectionLimit: 110,
@@ -66,34 +66,34 @@
 	return re
 }
 
-// announceAll lets every server repeat itself where its owner is.
-func (me *meter) announceAll() {
-	for ix, re := range me.records {
-		me.step(me.names[ix%len(me.names)], Announced{Now: me.now, Record: re})
+// announceAll lets every server repeat its announcement to its owner.
+func (mc *meteredCluster) announceAll() {
+	for ix, re := range mc.records {
+		mc.step(mc.names[ix%len(mc.names)], Announced{Now: mc.now, Record: re})
 	}
-	me.deliver()
+	mc.deliver()
 }
 
-// change lets a server announce something new.
-func (me *meter) change(ix int) {
-	me.records[ix].Sequence++
-	me.step(me.names[ix%len(me.names)], Announced{Now: me.now, Record: me.records[ix]})
+// announceChange lets a server announce a change.
+func (mc *meteredCluster) announceChange(ix int) {
+	mc.records[ix].Sequence++
+	mc.step(mc.names[ix%len(mc.names)], Announced{Now: mc.now, Record: mc.records[ix]})
 }
 
-// second lets a second pass in which every server repeats itself and some say
-// something new.
-func (me *meter) second(changes int) {
-	me.announceAll()
+// simulateSecond advances the time by one second in which every server repeats its
+// announcement and some announce a change.
+func (mc *meteredCluster) simulateSecond(changes int) {
+	mc.announceAll()
 	for half := range 2 {
 		for ix := half; ix < changes; ix += 2 {
-			me.change(me.random.IntN(len(me.records)))
+			mc.announceChange(mc.random.IntN(len(mc.records)))
 		}
-		me.deliver()
-		me.ticks(1)
+		mc.deliver()
+		mc.ticks(1)
 	}
 }
 
-// processorTime returns the processor time that the process has used.
+// processorTime returns the CPU time used by the process.
 func processorTime() time.Duration {
 	var ru syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &ru); err != nil {
@@ -102,34 +102,34 @@
 	return time.Duration(ru.Utime.Nano() + ru.Stime.Nano())
 }
 
-// cost is what one instance spends in a second.
+// cost is the cost of one instance per second.
 type cost struct {
 	instances, records, changes int
 	messages, bytes, micros     float64
 }
 
-// measure returns the cost of the spread: encoding, decoding and the decisions,
-// without what the transport adds.
+// measure returns the cost of gossip: encoding, decoding and Step, without the cost
+// of the transport.
 func measure(b *testing.B, instances, records, changes int) cost {
-	me := newMeter(instances, records)
+	mc := newMeteredCluster(instances, records)
 	const warmUp, seconds = 5, 20
 	for range warmUp {
-		me.second(changes)
+		mc.simulateSecond(changes)
 	}
-	me.messages, me.bytes = 0, 0
+	mc.messages, mc.bytes = 0, 0
 	runtime.GC()
 	start := processorTime()
 	rounds := 0
 	for b.Loop() {
 		for range seconds {
-			me.second(changes)
+			mc.simulateSecond(changes)
 		}
 		rounds++
 	}
 	per := float64(instances * seconds * rounds)
 	co := cost{
 		instances: instances, records: records, changes: changes,
-		messages: float64(me.messages) / per, bytes: float64(me.bytes) / per,
+		messages: float64(mc.messages) / per, bytes: float64(mc.bytes) / per,
 		micros: float64((processorTime() - start).Microseconds()) / per,
 	}
 	b.ReportMetric(co.messages, "messages/instance/s")
@@ -139,15 +139,16 @@
 	return co
 }
 
-// BenchmarkSpread gives what each instance spends on the spread in a second, by
-// instances, records and changes a second in the whole tier, and the slopes.
+// BenchmarkSpread reports the cost of gossip per instance and second, by the
+// numbers of instances, records and changes per second in the whole tier, and
+// prints the slopes.
 func BenchmarkSpread(b *testing.B) {
 	var cs []cost
 	for _, instances := range []int{3, 9, 30, 100, 300} {
 		for _, records := range []int{60, 600, 6900} {
 			for _, changes := range []int{0, 1, 10, 100} {
 				if instances*records*(changes+1) > 15_000_000 {
-					continue // These take minutes and no new slope comes of them.
+					continue // These take minutes and add no new slope.
 				}
 				b.Run(fmt.Sprintf("instances=%d/records=%d/changes=%d", instances, records, changes), func(b *testing.B) {
 					cs = append(cs, measure(b, instances, records, changes))
@@ -171,8 +172,8 @@
 	}
 }
 
-// printSlope prints the least-squares slopes of the costs over what by gives for
-// those that it selects.
+// printSlope prints the least-squares slopes of the costs over the value that by
+// returns, for the costs that by selects.
 func printSlope(cs []cost, per string, by func(co cost) (float64, bool)) {
 	var xs, messages, bytes, micros []float64
 	for _, co := range cs {
@@ -196,32 +197,33 @@
 	return (n*sxy - sx*sy) / (n*sxx - sx*sx)
 }
 
-// BenchmarkMassAnnouncement lets every server say something new within a tick,
-// and gives what that costs an instance and how long it takes to reach all.
+// BenchmarkMassAnnouncement lets every server announce a change within one tick,
+// and reports the cost per instance and the time until all instances have all
+// changes.
 func BenchmarkMassAnnouncement(b *testing.B) {
 	for _, instances := range []int{3, 9, 30, 100} {
 		for _, records := range []int{600, 6900} {
 			b.Run(fmt.Sprintf("instances=%d/records=%d", instances, records), func(b *testing.B) {
-				me := newMeter(instances, records)
-				me.second(0)
+				mc := newMeteredCluster(instances, records)
+				mc.simulateSecond(0)
 				runtime.GC()
-				me.messages, me.bytes = 0, 0
+				mc.messages, mc.bytes = 0, 0
 				start, rounds, seconds := processorTime(), 0, 0.0
 				for b.Loop() {
-					for ix := range me.records {
-						me.change(ix)
+					for ix := range mc.records {
+						mc.announceChange(ix)
 					}
-					me.deliver()
-					for !me.alike() {
-						me.ticks(1)
-						seconds += tickTime.Seconds()
+					mc.deliver()
+					for !mc.converged() {
+						mc.ticks(1)
+						seconds += tickInterval.Seconds()
 					}
 					rounds++
 				}
 				per := float64(instances * rounds)
-				b.ReportMetric(float64(me.messages)/per, "messages/instance")
-				b.ReportMetric(float64(me.bytes)/per, "B/instance")
-				b.ReportMetric(float64(me.bytes)/per/float64(records), "B/instance/record")
+				b.ReportMetric(float64(mc.messages)/per, "messages/instance")
+				b.ReportMetric(float64(mc.bytes)/per, "B/instance")
+				b.ReportMetric(float64(mc.bytes)/per/float64(records), "B/instance/record")
 				b.ReportMetric(float64((processorTime()-start).Microseconds())/per, "cpu-µs/instance")
 				b.ReportMetric(seconds/float64(rounds), "s-until-alike")
 				b.ReportMetric(0, "ns/op")
@@ -230,15 +232,15 @@
 	}
 }
 
-// BenchmarkDraining gives how long it takes until no instance would send work to
-// a server that drains, at worst of many tries, without loss and with a fifth
-// of all messages lost.
+// BenchmarkDraining reports the longest time of many tries until no instance would
+// send requests to a draining server, without loss and with a fifth of all messages
+// lost.
 func BenchmarkDraining(b *testing.B) {
 	for _, instances := range []int{9, 30, 100, 300} {
 		for _, lost := range []int{0, 20} {
 			b.Run(fmt.Sprintf("instances=%d/lost=%d%%", instances, lost), func(b *testing.B) {
 				cl := newCluster(instances, 1)
-				cl.lose = func(packet) bool { return cl.random.IntN(100) < lost }
+				cl.drop = func(packet) bool { return cl.random.IntN(100) < lost }
 				const tries = 30
 				worst := 0
 				for b.Loop() {
@@ -248,21 +250,21 @@
 						cl.ticks(6)
 						cl.announce(cl.names[(try+1)%instances], record(server, uint64(try+1), 2, backend.Draining))
 						ticks := 0
-						for ; len(cl.everywhere(server)) != 1; ticks++ {
+						for ; len(cl.listedStates(server)) != 1; ticks++ {
 							cl.ticks(1)
 						}
 						worst = max(worst, ticks)
 					}
 				}
-				b.ReportMetric(float64(worst)*tickTime.Seconds(), "s-at-worst")
+				b.ReportMetric(float64(worst)*tickInterval.Seconds(), "s-at-worst")
 				b.ReportMetric(0, "ns/op")
 			})
 		}
 	}
 }
 
-// BenchmarkMemory gives the memory that an instance needs for each record that
-// came to it over the wire.
+// BenchmarkMemory reports the memory that an instance needs for each record that it
+// received in a message.
 func BenchmarkMemory(b *testing.B) {
 	for _, records := range []int{600, 6900, 27600} {
 		b.Run(fmt.Sprintf("records=%d", records), func(b *testing.B) {
@@ -274,8 +276,8 @@
 				runtime.ReadMemStats(&before)
 				st := New(instance("b", 1), 1, time.Unix(0, 0))
 				for ix := range records {
-					re := benchRecord(ix)
-					it := item{entry: newServerEntry(&re, version{claim: 1, owner: "a", ownerIncarnation: 1})}
+					re := typicalRecord(ix)
+					it := item{entry: newServerEntry(&re, version{epoch: 1, owner: "a", ownerIncarnation: 1})}
 					frame, _ := co.Encode(Transfer{Entries: []Entry{source.pack(it)}})
 					ms, _ := co.Decode(frame)
 					st, _ = Step(st, Received{Now: st.origin, From: "a", Message: ms})
--- a/member/cluster_test.go
+++ b/member/cluster_test.go
@@ -11,32 +11,32 @@
 	"balsamwinch.example/view"
 )
 
-const tickTime = 500 * time.Millisecond
+const tickInterval = 500 * time.Millisecond
 
-func isRumour(ms peer.Message) bool {
+func isPush(ms peer.Message) bool {
 	tr, ok := ms.(Transfer)
 	return ok && tr.Forward
 }
 
-// packet is a message under way.
+// packet is a message in flight.
 type packet struct {
 	from, to string
 	ms       peer.Message
 }
 
-// cluster drives states in memory, with a clock and a network of its own.
+// cluster runs states in memory with a simulated clock and network.
 type cluster struct {
-	now    time.Time
-	random *rand.Rand
-	names  []string
-	states map[string]State
-	ways   []packet
-	// lose says whether a message is lost; nil loses none.
-	lose func(pk packet) bool
+	now      time.Time
+	random   *rand.Rand
+	names    []string
+	states   map[string]State
+	inFlight []packet
+	// drop reports whether a message is lost; nil loses none.
+	drop func(pk packet) bool
 }
 
-// newCluster returns instances "a", "b" and so on that control has told of each
-// other and that have had time to meet.
+// newCluster returns n instances, "a0", "b0" and so on, that control has granted
+// and that have exchanged their entries.
 func newCluster(n int, seed uint64) *cluster {
 	cl := &cluster{
 		now:    time.Unix(1_000_000, 0),
@@ -66,13 +66,13 @@
 	cl.states[name] = New(instance(name, incarnation), cl.random.Uint64(), cl.now)
 }
 
-// kill ends an instance without a word.
+// kill stops an instance without a Leave event.
 func (cl *cluster) kill(name string) {
 	delete(cl.states, name)
 	cl.names = slices.DeleteFunc(cl.names, func(na string) bool { return na == name })
 }
 
-// grantAll is a grant of control to every instance.
+// grantAll gives every instance a grant that names all instances.
 func (cl *cluster) grantAll() {
 	var ins []view.Instance
 	for _, name := range cl.names {
@@ -89,27 +89,27 @@
 	for _, ac := range acs {
 		se := ac.(Send)
 		pk := packet{from: name, to: se.To, ms: se.Message}
-		if cl.lose == nil || !cl.lose(pk) {
-			cl.ways = append(cl.ways, pk)
+		if cl.drop == nil || !cl.drop(pk) {
+			cl.inFlight = append(cl.inFlight, pk)
 		}
 	}
 }
 
-// deliver carries messages until none is under way.
+// deliver delivers messages until none is in flight.
 func (cl *cluster) deliver() {
-	for len(cl.ways) > 0 {
-		pk := cl.ways[0]
-		cl.ways = cl.ways[1:]
+	for len(cl.inFlight) > 0 {
+		pk := cl.inFlight[0]
+		cl.inFlight = cl.inFlight[1:]
 		if _, ok := cl.states[pk.to]; ok {
 			cl.step(pk.to, Received{Now: cl.now, From: pk.from, Message: pk.ms})
 		}
 	}
 }
 
-// ticks lets time pass.
+// ticks advances the time by n ticks and delivers the messages.
 func (cl *cluster) ticks(n int) {
 	for range n {
-		cl.now = cl.now.Add(tickTime)
+		cl.now = cl.now.Add(tickInterval)
 		for _, ix := range cl.random.Perm(len(cl.names)) {
 			cl.step(cl.names[ix], Tick{Now: cl.now})
 		}
@@ -122,8 +122,8 @@
 	cl.deliver()
 }
 
-// listed returns the state in which an instance lists a server, or "".
-func (cl *cluster) listed(at, server string) backend.State {
+// listedState returns the state in which an instance lists a server, or "".
+func (cl *cluster) listedState(at, server string) backend.State {
 	for _, re := range cl.states[at].Servers() {
 		if re.Server == server {
 			return re.State
@@ -132,18 +132,18 @@
 	return ""
 }
 
-// everywhere returns the states in which instances list a server.
-func (cl *cluster) everywhere(server string) []backend.State {
+// listedStates returns the distinct states in which all instances list a server.
+func (cl *cluster) listedStates(server string) []backend.State {
 	var sts []backend.State
 	for _, name := range cl.names {
-		if st := cl.listed(name, server); !slices.Contains(sts, st) {
+		if st := cl.listedState(name, server); !slices.Contains(sts, st) {
 			sts = append(sts, st)
 		}
 	}
 	return sts
 }
 
-func (cl *cluster) sees(at string) []string {
+func (cl *cluster) instanceNames(at string) []string {
 	var names []string
 	for _, in := range cl.states[at].Instances() {
 		names = append(names, in.Name)
@@ -151,8 +151,8 @@
 	return names
 }
 
-// alike reports whether all tables hold the same versions.
-func (cl *cluster) alike() bool {
+// converged reports whether all tables hold the same versions.
+func (cl *cluster) converged() bool {
 	return !slices.ContainsFunc(cl.names, func(name string) bool {
 		return cl.states[name].table.sum != cl.states[cl.names[0]].table.sum
 	})
--- a/member/entry.go
+++ b/member/entry.go
@@ -12,42 +12,44 @@
 	"balsamwinch.example/view"
 )
 
-// status says what is held of a subject within one claim.
+// status is the status of a subject within one epoch.
 type status uint8
 
 const (
-	// statusVouched says that the owner hears the server, or that the instance
-	// itself says that it is there.
-	statusVouched status = iota
-	// statusDoubted says that the owner no longer hears the server, or that
-	// somebody could not reach the instance. A new claim may refute it in time.
-	statusDoubted
-	// statusLeft is the last word of an incarnation.
+	// statusAlive means that the owner receives the server's announcements, or
+	// that the instance itself reports that it is running.
+	statusAlive status = iota
+	// statusSuspected means that the owner no longer receives the server's
+	// announcements, or that another instance could not reach the instance. A
+	// higher epoch may refute it in time.
+	statusSuspected
+	// statusLeft is the final status of an incarnation that announced that it
+	// left.
 	statusLeft
 )
 
-// version orders the entries of one subject. Of two entries the one with the
-// higher version wins everywhere.
+// version orders the entries of one subject. All instances keep the entry with the
+// highest version.
 type version struct {
 	incarnation      uint64
 	sequence         uint64
-	claim            uint64 // claim rises when another owner takes over or a doubt is refuted.
+	epoch            uint64 // epoch increases when another owner takes over or a suspicion is refuted.
 	status           status
-	owner            string // owner is the instance that vouches.
+	owner            string // owner is the instance that vouches for the subject.
 	ownerIncarnation uint64
 }
 
 // compare orders versions from older to newer.
 //
-// It guards against a server that has left and gets work again because an old
-// announcement arrives late or comes back from an instance that was cut off: an
-// incarnation that has left stays left, whatever else is said of it.
+// An incarnation that has left stays left, whatever other entries say. Otherwise a
+// server that has left would get requests again when an old announcement arrives
+// late or comes from an instance that was partitioned.
 func (ve version) compare(ot version) int {
 	return cmp.Or(
 		cmp.Compare(ve.incarnation, ot.incarnation),
 		cmp.Compare(ve.left(), ot.left()),
 		cmp.Compare(ve.sequence, ot.sequence),
-		cmp.Compare(ve.claim, ot.claim),
+		cmp.Compare(ve.epoch, ot.epoch),
 		cmp.Compare(ve.owner, ot.owner),
 		cmp.Compare(ve.ownerIncarnation, ot.ownerIncarnation),
 		cmp.Compare(ve.status, ot.status),
@@ -61,18 +63,18 @@
 	return 0
 }
 
-// Keys of the table: a backend server and an instance may bear the same name.
+// Key prefixes, because a backend server and an instance may have the same name.
 const (
 	serverPrefix   = "s/"
 	instancePrefix = "i/"
 )
 
-// entry is what all instances hold alike of a subject: a backend server's record
-// or an instance. It is immutable.
+// entry is the replicated state of a subject: a backend server's record or an
+// instance. It is immutable.
 type entry struct {
 	key      string
-	hash     uint64 // hash is the place of the key in the table.
-	sum      uint64 // sum stands for key and version in sums over the table.
+	hash     uint64 // hash is the hash of key and orders the table.
+	sum      uint64 // sum is the checksum of key and version.
 	version  version
 	record   *backend.Record // record is nil for an instance.
 	instance *view.Instance  // instance is nil for a backend server.
@@ -99,7 +101,7 @@
 	data = append(data, en.key...)
 	data = binary.AppendUvarint(data, ve.incarnation)
 	data = binary.AppendUvarint(data, ve.sequence)
-	data = binary.AppendUvarint(data, ve.claim)
+	data = binary.AppendUvarint(data, ve.epoch)
 	data = append(data, byte(ve.status))
 	data = binary.AppendUvarint(data, ve.ownerIncarnation)
 	data = append(data, ve.owner...)
@@ -107,19 +109,19 @@
 	return en
 }
 
-// with returns the entry under another version.
-func (en *entry) with(ve version) *entry {
+// withVersion returns the entry with another version.
+func (en *entry) withVersion(ve version) *entry {
 	return newEntry(&entry{key: en.key, version: ve, record: en.record, instance: en.instance})
 }
 
-// Times to live of records are kept between these bounds.
+// The TTL of records without one, and the bounds of the others.
 const (
 	defaultTTL = 10 * time.Second
 	minTTL     = time.Second
 	maxTTL     = 10 * time.Minute
 )
 
-// ttl returns how long the server may be silent.
+// ttl returns for how long the server stays listed after its last announcement.
 func (en *entry) ttl() time.Duration {
 	ttl := en.record.TTL()
 	if ttl <= 0 {
@@ -128,27 +130,28 @@
 	return min(max(ttl, minTTL), maxTTL)
 }
 
-// patience returns for how long the owner vouches without hearing the server.
-// The rest of the time to live is left for another instance to claim it.
-func (en *entry) patience() time.Duration {
+// silenceTimeout returns for how long the owner vouches for the server without an
+// announcement. The rest of the TTL is left for another instance to take ownership.
+func (en *entry) silenceTimeout() time.Duration {
 	return en.ttl() * 2 / 3
 }
 
-// item is what one instance holds of a subject. Times are since the origin of
-// the State; zero means that a time is not set.
+// item is an entry with the local state of one instance about it. Times are as in
+// step.now; zero means unset.
 type item struct {
 	*entry
-	// heard is when the server last announced itself here, or when the instance
-	// last sent a message.
-	heard time.Duration
-	// mark is since when the entry is doubted or left, or its owner gone.
-	mark  time.Duration
-	shown bool
-	ours  bool        // ours says that this instance vouches for the server.
-	phase chart.State // phase is set for instances.
+	// lastHeard is when the server last announced itself to this instance, or
+	// when the instance last sent a message.
+	lastHeard time.Duration
+	// unavailableSince is since when the entry is suspected or left, or its
+	// owner gone.
+	unavailableSince time.Duration
+	listed           bool
+	ownedHere        bool        // ownedHere reports whether this instance vouches for the server.
+	phase            chart.State // phase is the state in the chart; set only for instances.
 }
 
-// timed reports whether the item may change as time passes.
+// timed reports whether the item may change by the passing of time alone.
 func (it *item) timed() bool {
-	return it.ours || it.mark != 0
+	return it.ownedHere || it.unavailableSince != 0
 }
--- a/member/list.go
+++ b/member/list.go
@@ -13,66 +13,67 @@
 	"balsamwinch.example/view"
 )
 
-// instanceList is the list of instances shown, computed when first asked for.
+// instanceList is the list of listed instances, computed at the first use.
 type instanceList struct {
 	once         sync.Once
 	list         []view.Instance
 	incarnations map[string]uint64
 }
 
-// serverList is the list of servers shown, computed when first asked for.
+// serverList is the list of listed servers, computed at the first use.
 type serverList struct {
 	once      sync.Once
 	list      []backend.Record
 	conflicts []AddressConflict
 }
 
-// Conflict is an address that two backend servers claim. The later incarnation
-// is listed; the other one is not.
+// AddressConflict is an address that two backend servers claim. Only the server
+// with the later incarnation is listed.
 type AddressConflict struct {
 	Address string
 	Winner  string
 	Loser   string
 }
 
-// Standing says why a backend server is listed or not.
+// ServerStatus says why a backend server is listed or not.
 type ServerStatus string
 
-// The standings of a backend server.
+// The statuses of a backend server.
 const (
 	Listed        ServerStatus = "Listed"
-	Silent        ServerStatus = "Silent"       // Silent is no longer heard by its owner; listed until its time to live ends.
-	Expired       ServerStatus = "Gone"         // Gone was silent for its time to live.
-	Departed      ServerStatus = "Departed"     // Departed said that it left.
-	Orphaned      ServerStatus = "Unclaimed"    // Unclaimed lost its owner; listed until its time to live ends.
-	OrphanExpired ServerStatus = "Forsaken"     // Forsaken lost its owner and no other instance heard it in time.
-	AddressTaken  ServerStatus = "AddressTaken" // AddressTaken lost its address to a later server.
+	Silent        ServerStatus = "Silent"       // Silent means that the owner no longer receives announcements; listed until the TTL expires.
+	Expired       ServerStatus = "Gone"         // Expired means that no announcement arrived within the TTL.
+	Departed      ServerStatus = "Departed"     // Departed means that the server announced that it left.
+	Orphaned      ServerStatus = "Unclaimed"    // Orphaned means that the owner is gone; listed until the TTL expires.
+	OrphanExpired ServerStatus = "Forsaken"     // OrphanExpired means that the owner is gone and no other instance took ownership within the TTL.
+	AddressTaken  ServerStatus = "AddressTaken" // AddressTaken means that a later server has the same address.
 )
 
-// Explanation says what is held of a backend server and why.
+// Explanation is what an instance knows of a backend server and why it is listed or
+// not.
 type Explanation struct {
 	Record           backend.Record
 	Status           ServerStatus
-	Owner            string // Owner is the instance that vouches or vouched for it.
+	Owner            string // Owner is the instance that vouches for the server or did so last.
 	OwnerIncarnation uint64
-	Winner           string // Winner is the server that holds the address now, if another does.
+	Winner           string // Winner is the server that has the address if Status is AddressTaken.
 }
 
-// Member is an instance with its state in the chart.
+// Member is an instance with its state in the state chart.
 type Member struct {
 	Instance view.Instance
 	Phase    chart.State
 }
 
-// Servers returns the records of backend servers that are live or draining,
-// sorted by name. The list is shared and must not be changed; as long as
-// nothing in it changes, the same one is returned.
+// Servers returns the records of the listed backend servers, live or draining,
+// sorted by name. The slice is shared and must not be modified; while no record in
+// it changes, the same slice is returned.
 func (st State) Servers() []backend.Record {
 	return st.serverList().list
 }
 
-// Conflicts returns the addresses that more than one live server claims, sorted
-// by address and loser.
+// AddressConflicts returns the addresses that more than one live server claims,
+// sorted by address and loser.
 func (st State) AddressConflicts() []AddressConflict {
 	return st.serverList().conflicts
 }
@@ -82,7 +83,7 @@
 	sl.once.Do(func() {
 		records := make([]*backend.Record, 0, st.table.count)
 		st.table.each(func(it *item) {
-			if it.record != nil && it.shown {
+			if it.record != nil && it.listed {
 				records = append(records, it.record)
 			}
 		})
@@ -98,18 +99,19 @@
 	return sl
 }
 
-// findConflicts decides which server holds an address that several claim. All
-// instances decide alike, since it depends on the records alone.
+// findConflicts decides which server keeps an address that several claim, and
+// returns the names of the others. All instances decide the same way, because the
+// result depends only on the records.
 //
-// It guards against answers of the wrong server: when a server takes over the
-// address of another whose record still lives, requests for both would arrive
-// at the one that listens there now, and that is the one started last.
+// It prevents answers from the wrong server: when a server starts at the address of
+// another whose record has not expired, requests for both would reach the one that
+// listens there, which is the one started last.
 func (sl *serverList) findConflicts(records []*backend.Record) map[string]bool {
 	losers := make(map[string]bool)
 	holders := make(map[string]*backend.Record, len(records))
 	for _, re := range records {
 		ho, ok := holders[re.Address]
-		if !ok || laterRecord(re, ho) {
+		if !ok || newerRecord(re, ho) {
 			holders[re.Address] = re
 		}
 	}
@@ -123,7 +125,7 @@
 	return losers
 }
 
-func laterRecord(re, ot *backend.Record) bool {
+func newerRecord(re, ot *backend.Record) bool {
 	return cmp.Or(
 		cmp.Compare(re.Incarnation, ot.Incarnation),
 		cmp.Compare(re.Sequence, ot.Sequence),
@@ -131,8 +133,9 @@
 	) > 0
 }
 
-// Instances returns the instances believed to be there, sorted by name, this
-// one included unless it left. The list is shared and must not be changed.
+// Instances returns the instances in this instance's view, sorted by name. It
+// includes this instance unless it left. The slice is shared and must not be
+// modified.
 func (st State) Instances() []view.Instance {
 	return st.instanceList().list
 }
@@ -140,17 +143,17 @@
 func (st State) instanceList() *instanceList {
 	il := st.instances
 	il.once.Do(func() {
-		shown := make(map[string]view.Instance)
+		listed := make(map[string]view.Instance)
 		st.table.each(func(it *item) {
-			if it.instance != nil && it.shown {
-				shown[it.instance.Name] = *it.instance
+			if it.instance != nil && it.listed {
+				listed[it.instance.Name] = *it.instance
 			}
 		})
-		if st.fresh {
-			st.addGranted(shown)
+		if st.grantValid {
+			st.addGranted(listed)
 		}
-		il.incarnations = make(map[string]uint64, len(shown))
-		for name, in := range shown {
+		il.incarnations = make(map[string]uint64, len(listed))
+		for name, in := range listed {
 			il.list = append(il.list, in)
 			il.incarnations[name] = in.Incarnation
 		}
@@ -159,22 +162,22 @@
 	return il
 }
 
-// addGranted adds the instances that control names, unless they say otherwise
-// themselves.
-func (st State) addGranted(shown map[string]view.Instance) {
+// addGranted adds the instances that control names, except those that the table has
+// as left or with a later incarnation.
+func (st State) addGranted(listed map[string]view.Instance) {
 	for _, in := range st.granted {
 		it, ok := st.instanceItem(in.Name)
 		switch {
 		case !ok || it.version.incarnation < in.Incarnation:
-			shown[in.Name] = in
+			listed[in.Name] = in
 		case it.version.incarnation == in.Incarnation && it.version.status != statusLeft:
-			shown[in.Name] = *it.instance
+			listed[in.Name] = *it.instance
 		}
 	}
 }
 
-// Members returns every instance that is known, sorted by name, with its state
-// in the chart. An instance that only control has named is Joining.
+// Members returns every known instance, sorted by name, with its state in the state
+// chart. An instance that is known only from control is Joining.
 func (st State) Members() []Member {
 	var ms []Member
 	st.table.each(func(it *item) {
@@ -191,15 +194,15 @@
 	return ms
 }
 
-// Explain says what is held of a backend server and why it is listed or not. It
-// returns false if nothing is known of it.
+// Explain returns what is known of a backend server and why it is listed or not, or
+// false if nothing is known of it.
 func (st State) Explain(server string) (Explanation, bool) {
 	it, ok := st.table.get(xxhash.Sum64String(serverPrefix + server))
 	if !ok || it.record == nil {
 		return Explanation{}, false
 	}
 	ex := Explanation{
-		Record: *it.record, Status: st.standing(&it),
+		Record: *it.record, Status: st.serverStatus(&it),
 		Owner: it.version.owner, OwnerIncarnation: it.version.ownerIncarnation,
 	}
 	for _, co := range st.AddressConflicts() {
@@ -210,39 +213,39 @@
 	return ex, true
 }
 
-func (st State) standing(it *item) ServerStatus {
-	doubted := it.version.status == statusDoubted
+func (st State) serverStatus(it *item) ServerStatus {
+	suspected := it.version.status == statusSuspected
 	switch {
 	case it.version.status == statusLeft:
 		return Departed
-	case it.shown && it.mark == 0:
+	case it.listed && it.unavailableSince == 0:
 		return Listed
-	case it.shown && doubted:
+	case it.listed && suspected:
 		return Silent
-	case it.shown:
+	case it.listed:
 		return Orphaned
-	case doubted:
+	case suspected:
 		return Expired
 	default:
 		return OrphanExpired
 	}
 }
 
-// instanceItem returns what is held of an instance.
+// instanceItem returns the item of an instance.
 func (st *State) instanceItem(name string) (item, bool) {
 	it, ok := st.table.get(xxhash.Sum64String(instancePrefix + name))
 	return it, ok && it.instance != nil
 }
 
-// ownerAlive reports whether the instance that vouches for a server is listed
-// under the incarnation that vouched.
+// ownerAlive reports whether the owner of a server is listed with the incarnation
+// that vouched for the server.
 func (st *State) ownerAlive(it *item) bool {
 	in, ok := st.instanceList().incarnations[it.version.owner]
 	return ok && in == it.version.ownerIncarnation
 }
 
-// address returns where an instance is reached, or "".
-func (st *State) address(name string) string {
+// peerAddress returns the peer address of an instance, or "" if it is unknown.
+func (st *State) peerAddress(name string) string {
 	it, ok := st.instanceItem(name)
 	for _, in := range st.granted {
 		if in.Name == name && (!ok || in.Incarnation > it.version.incarnation) {
@@ -255,7 +258,7 @@
 	return it.instance.PeerAddress
 }
 
-func draining(en *entry) bool {
+func isDraining(en *entry) bool {
 	if en.instance != nil {
 		return en.instance.Draining
 	}
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -13,64 +13,63 @@
 	"balsamwinch.example/view"
 )
 
-// TestInstancesMeet lets instances that know only control's word find each
-// other, and a newcomer learn everything.
-func TestInstancesMeet(t *testing.T) {
+// Instances that know each other only from a grant must exchange their entries, and
+// a new instance must receive the whole table.
+func TestInstancesDiscoverEachOther(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster(9, 1)
 	cl.announce("a0", record("s", 1, 1, backend.Serving))
 	cl.ticks(2)
-	c.Assert(cl.alike(), qt.IsTrue)
-	c.Assert(cl.sees("c0"), qt.HasLen, 9)
+	c.Assert(cl.converged(), qt.IsTrue)
+	c.Assert(cl.instanceNames("c0"), qt.HasLen, 9)
 	cl.start("z0", 1)
-	c.Assert(cl.sees("z0"), qt.DeepEquals, []string{"z0"})
-	cl.lose = func(pk packet) bool { return isRumour(pk.ms) }
+	c.Assert(cl.instanceNames("z0"), qt.DeepEquals, []string{"z0"})
+	cl.drop = func(pk packet) bool { return isPush(pk.ms) }
 	cl.step("z0", InstancesGranted{Now: cl.now, Instances: cl.states["a0"].Instances()})
 	c.Assert(cl.states["z0"].Members()[0].Phase, qt.Equals, instanceChart.Initial())
 	cl.ticks(4)
-	c.Assert(cl.alike(), qt.IsTrue)
-	c.Assert(cl.listed("z0", "s"), qt.Equals, backend.Serving)
-	c.Assert(cl.sees("a0"), qt.HasLen, 10)
+	c.Assert(cl.converged(), qt.IsTrue)
+	c.Assert(cl.listedState("z0", "s"), qt.Equals, backend.Serving)
+	c.Assert(cl.instanceNames("a0"), qt.HasLen, 10)
 }
 
-// A backend server begins to drain. A fifth of all messages is lost, and one
-// instance gets none of those that push changes; it would send the server work
-// for as long as it hears nothing.
-func TestDrainingReachesAllIn3Seconds(t *testing.T) {
+// A backend server starts to drain while a fifth of all messages is lost and one
+// instance receives no pushed changes. That instance would send requests to the
+// server until it learns of the draining.
+func TestDrainingReachesAllWithin3Seconds(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(100) {
 		cl := newCluster(9, seed)
 		cl.announce("a0", record("s", 1, 1, backend.Serving))
 		cl.ticks(4)
-		c.Assert(cl.everywhere("s"), qt.DeepEquals, []backend.State{backend.Serving})
-		cl.lose = func(pk packet) bool {
-			return cl.random.IntN(5) == 0 || (isRumour(pk.ms) && pk.to == "d0")
+		c.Assert(cl.listedStates("s"), qt.DeepEquals, []backend.State{backend.Serving})
+		cl.drop = func(pk packet) bool {
+			return cl.random.IntN(5) == 0 || (isPush(pk.ms) && pk.to == "d0")
 		}
 		cl.announce("b0", record("s", 1, 2, backend.Draining))
-		cl.ticks(5) // 2.5 s, since a server may begin between two ticks.
-		c.Assert(cl.everywhere("s"), qt.DeepEquals, []backend.State{backend.Draining}, qt.Commentf("seed %d", seed))
+		cl.ticks(5) // 2.5 s, because a server may start draining between two ticks.
+		c.Assert(cl.listedStates("s"), qt.DeepEquals, []backend.State{backend.Draining}, qt.Commentf("seed %d", seed))
 	}
 }
 
-// A backend server leaves. Then an announcement that it made before arrives
-// late, at an instance that has heard of the leaving or not, and an instance
-// that was cut off comes back with its old record. Nobody may list it again
-// before it has started anew.
-func TestLeftStaysLeft(t *testing.T) {
+// A backend server leaves. Later, an old announcement arrives at an instance, which
+// may know of the leaving or not, and a partitioned instance returns with the old
+// record. No instance may list the server again before it restarts.
+func TestLeftServerIsNotListedAgain(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster(5, 1)
 	cl.announce("a0", record("s", 1, 1, backend.Serving))
 	cl.ticks(2)
-	cl.lose = func(pk packet) bool { return pk.from == "e0" || pk.to == "e0" }
+	cl.drop = func(pk packet) bool { return pk.from == "e0" || pk.to == "e0" }
 	cl.announce("b0", record("s", 1, 3, backend.Left))
 	cl.ticks(2)
 	cl.announce("c0", record("s", 1, 2, backend.Serving))
 	cl.announce("c0", record("s", 1, 4, backend.Serving))
-	c.Assert(cl.listed("c0", "s"), qt.Equals, backend.State(""))
+	c.Assert(cl.listedState("c0", "s"), qt.Equals, backend.State(""))
 	cl.announce("e0", record("s", 1, 5, backend.Serving))
-	cl.lose = nil
+	cl.drop = nil
 	cl.ticks(4)
-	c.Assert(cl.everywhere("s"), qt.DeepEquals, []backend.State{""})
+	c.Assert(cl.listedStates("s"), qt.DeepEquals, []backend.State{""})
 	ex, ok := cl.states["e0"].Explain("s")
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(ex.Status, qt.Equals, Departed)
@@ -78,37 +77,39 @@
 	cl.announce("d0", record("s", 2, 1, backend.Cold))
 	cl.announce("a0", record("s", 1, 9, backend.Left))
 	cl.ticks(2)
-	c.Assert(cl.everywhere("s"), qt.DeepEquals, []backend.State{backend.Cold})
+	c.Assert(cl.listedStates("s"), qt.DeepEquals, []backend.State{backend.Cold})
 }
 
-// A backend server is killed. Its owner alone can notice, since nobody else
-// hears it; without its word the others would list the server for good.
-func TestSilentServerIsDropped(t *testing.T) {
+// A backend server is killed. Only its owner can detect that, because no other
+// instance receives its announcements. Unless the owner reports it, the others
+// would list the server forever.
+func TestSilentServerExpires(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster(5, 1)
 	cl.announce("a0", record("s", 1, 1, backend.Serving))
 	for range 6 {
 		cl.announce("a0", record("s", 1, 1, backend.Serving))
 		cl.ticks(4)
-		c.Assert(cl.everywhere("s"), qt.DeepEquals, []backend.State{backend.Serving})
+		c.Assert(cl.listedStates("s"), qt.DeepEquals, []backend.State{backend.Serving})
 	}
 	cl.ticks(7)
-	c.Assert(cl.everywhere("s"), qt.DeepEquals, []backend.State{backend.Serving})
+	c.Assert(cl.listedStates("s"), qt.DeepEquals, []backend.State{backend.Serving})
 	ex, _ := cl.states["c0"].Explain("s")
 	c.Assert(ex.Status, qt.Equals, Silent)
 	cl.ticks(4)
-	c.Assert(cl.everywhere("s"), qt.DeepEquals, []backend.State{""})
+	c.Assert(cl.listedStates("s"), qt.DeepEquals, []backend.State{""})
 	ex, _ = cl.states["c0"].Explain("s")
 	c.Assert(ex.Status, qt.Equals, Expired)
 	cl.announce("b0", record("s", 1, 1, backend.Serving))
 	cl.ticks(1)
-	c.Assert(cl.everywhere("s"), qt.DeepEquals, []backend.State{backend.Serving})
+	c.Assert(cl.listedStates("s"), qt.DeepEquals, []backend.State{backend.Serving})
 }
 
-// A backend server turns to another instance while the one that vouched for it
-// goes on, stops, or is killed. It must stay listed all the while. If it turns
-// to nobody, it must go once its time to live has passed.
-func TestOwnerIsReplaced(t *testing.T) {
+// A backend server starts to announce itself to another instance while its owner
+// keeps running, stops, is killed or restarts. It must stay listed throughout.
+// Servers that announce themselves to no instance must be dropped once their TTL
+// has expired.
+func TestServerStaysListedWhenOwnerChanges(t *testing.T) {
 	c := qt.New(t)
 	for _, tt := range []struct {
 		name  string
@@ -133,7 +134,7 @@
 					cl.announce("b0", record("s", 1, 1, backend.Serving))
 				}
 				cl.ticks(1)
-				c.Assert(cl.everywhere("s"), qt.DeepEquals, []backend.State{backend.Serving})
+				c.Assert(cl.listedStates("s"), qt.DeepEquals, []backend.State{backend.Serving})
 			}
 			ex, _ := cl.states["c0"].Explain("s")
 			c.Assert(ex.Owner, qt.Equals, "b0")
@@ -148,10 +149,9 @@
 	}
 }
 
-// A new server starts at the address of one that was killed and whose record
-// still lives. Both would get requests, and the one that listens there would
-// answer for the other.
-func TestTwoServersClaimOneAddress(t *testing.T) {
+// A new server starts at the address of a killed one whose record has not expired.
+// If both were listed, the new server would answer requests for the other.
+func TestAddressConflictListsLaterServer(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster(3, 1)
 	newer := record("a", 2, 1, backend.Serving)
@@ -160,8 +160,8 @@
 	cl.announce("b0", record("s", 1, 7, backend.Serving))
 	cl.ticks(2)
 	for _, name := range cl.names {
-		c.Assert(cl.listed(name, "a"), qt.Equals, backend.Serving)
-		c.Assert(cl.listed(name, "s"), qt.Equals, backend.State(""))
+		c.Assert(cl.listedState(name, "a"), qt.Equals, backend.Serving)
+		c.Assert(cl.listedState(name, "s"), qt.Equals, backend.State(""))
 		c.Assert(cl.states[name].AddressConflicts(), qt.DeepEquals, []AddressConflict{{Address: "s:2", Winner: "a", Loser: "s"}})
 		ex, _ := cl.states[name].Explain("s")
 		c.Assert(ex.Status, qt.Equals, AddressTaken)
@@ -170,139 +170,143 @@
 	newer.Sequence, newer.State = 2, backend.Left
 	cl.announce("c0", newer)
 	cl.ticks(1)
-	c.Assert(cl.everywhere("s"), qt.DeepEquals, []backend.State{backend.Serving})
+	c.Assert(cl.listedStates("s"), qt.DeepEquals, []backend.State{backend.Serving})
 }
 
-// An instance is killed. Callers would be sent to it until the others notice.
+// An instance is killed. Callers would be directed to it until the others detect
+// that.
 func TestKilledInstanceIsDropped(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(20) {
 		cl := newCluster(9, seed)
-		cl.now = cl.now.Add(grantFresh)
+		cl.now = cl.now.Add(grantTTL)
 		cl.ticks(1)
 		cl.kill("d0")
 		cl.ticks(12)
 		for _, name := range cl.names {
-			c.Assert(cl.sees(name), qt.DeepEquals, []string{"a0", "b0", "c0", "e0", "f0", "g0", "h0", "i0"})
+			c.Assert(cl.instanceNames(name), qt.DeepEquals, []string{"a0", "b0", "c0", "e0", "f0", "g0", "h0", "i0"})
 		}
 		cl.start("d0", 2)
 		cl.grantAll()
 		cl.ticks(4)
-		c.Assert(cl.sees("a0"), qt.HasLen, 9)
+		c.Assert(cl.instanceNames("a0"), qt.HasLen, 9)
 		c.Assert(cl.states["a0"].Members()[3], qt.Equals, Member{instance("d0", 2), "Serving"})
 	}
 }
 
-// Two instances cannot reach each other, but all others reach both. Each would
-// tell callers and the others that the other one is gone, again and again.
-func TestCutBetweenTwo(t *testing.T) {
+// Two instances can't reach each other, but all others reach both. Without
+// refutation, each would repeatedly report the other as gone to callers and to the
+// other instances.
+func TestLinkFailureBetweenTwoInstances(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster(6, 1)
-	cl.now = cl.now.Add(grantFresh)
-	cl.lose = func(pk packet) bool { return pk.from+pk.to == "a0b0" || pk.from+pk.to == "b0a0" }
+	cl.now = cl.now.Add(grantTTL)
+	cl.drop = func(pk packet) bool { return pk.from+pk.to == "a0b0" || pk.from+pk.to == "b0a0" }
 	for range 200 {
 		cl.ticks(1)
 		for _, name := range cl.names {
-			c.Assert(cl.sees(name), qt.HasLen, 6)
+			c.Assert(cl.instanceNames(name), qt.HasLen, 6)
 		}
 	}
 	st := cl.states["c0"]
 	it, _ := st.instanceItem("b0")
-	c.Assert(it.version.claim <= 4, qt.IsTrue, qt.Commentf("doubted %d times in 100 s", it.version.claim-1))
+	c.Assert(it.version.epoch <= 4, qt.IsTrue, qt.Commentf("suspected %d times in 100 s", it.version.epoch-1))
 }
 
-// Control names nobody, or only one, after a restart; or an instance loses its
-// own network and finds everybody silent. Callers would be told that there are
-// no other instances.
-func TestOneWrongViewDropsNobody(t *testing.T) {
+// After a restart, control names no instance or only one; or an instance loses its
+// own network and finds all others silent. Callers would get a list without the
+// other instances.
+func TestIncompleteGrantOrIsolationDropsNoInstance(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster(5, 1)
 	for range 60 {
 		cl.step("b0", InstancesGranted{Now: cl.now})
 		cl.step("c0", InstancesGranted{Now: cl.now, Instances: []view.Instance{instance("c0", 1)}})
 		cl.ticks(1)
-		c.Assert(cl.sees("b0"), qt.HasLen, 5)
-		c.Assert(cl.sees("c0"), qt.HasLen, 5)
+		c.Assert(cl.instanceNames("b0"), qt.HasLen, 5)
+		c.Assert(cl.instanceNames("c0"), qt.HasLen, 5)
 	}
-	cl.lose = func(pk packet) bool { return pk.from == "d0" || pk.to == "d0" }
+	cl.drop = func(pk packet) bool { return pk.from == "d0" || pk.to == "d0" }
 	for range 60 {
 		cl.ticks(1)
-		c.Assert(cl.sees("d0"), qt.HasLen, 5)
+		c.Assert(cl.instanceNames("d0"), qt.HasLen, 5)
 	}
-	c.Assert(cl.sees("a0"), qt.HasLen, 4)
-	cl.lose = nil
+	c.Assert(cl.instanceNames("a0"), qt.HasLen, 4)
+	cl.drop = nil
 	cl.ticks(30)
-	c.Assert(cl.sees("a0"), qt.HasLen, 5)
-	c.Assert(cl.alike(), qt.IsTrue)
+	c.Assert(cl.instanceNames("a0"), qt.HasLen, 5)
+	c.Assert(cl.converged(), qt.IsTrue)
 }
 
-// Two regions lose each other for an hour. Each drops the instances and servers
-// of the other. When they find together, each brings its doubts about all of
-// the other's, and nobody may drop those that it has seen all along.
-func TestRegionsFindTogether(t *testing.T) {
+// Two regions are partitioned for an hour, and each drops the instances and servers
+// of the other. When they reconnect, each sends its suspicions about all instances
+// of the other. No instance may drop those that it has seen throughout.
+func TestPartitionedRegionsMerge(t *testing.T) {
 	c := qt.New(t)
 	for _, tt := range []struct{ instances, seconds int }{{6, 3600}, {40, 120}} {
 		c.Run(fmt.Sprint(tt.instances), func(c *qt.C) {
 			cl := newCluster(tt.instances, 1)
 			sides := [][]string{cl.names[:tt.instances/2], cl.names[tt.instances/2:]}
 			side := func(name string) bool { return slices.Contains(sides[0], name) }
-			cl.lose = func(pk packet) bool { return side(pk.from) != side(pk.to) }
+			cl.drop = func(pk packet) bool { return side(pk.from) != side(pk.to) }
 			for range tt.seconds {
-				cl.liveOn(sides)
+				cl.announceAndTick(sides)
 			}
 			for ix, names := range sides {
-				c.Assert(cl.sees(names[1]), qt.HasLen, tt.instances/2)
-				c.Assert(cl.listed(names[1], fmt.Sprint("s", ix)), qt.Equals, backend.Serving)
-				c.Assert(cl.listed(names[1], fmt.Sprint("s", 1-ix)), qt.Equals, backend.State(""))
+				c.Assert(cl.instanceNames(names[1]), qt.HasLen, tt.instances/2)
+				c.Assert(cl.listedState(names[1], fmt.Sprint("s", ix)), qt.Equals, backend.Serving)
+				c.Assert(cl.listedState(names[1], fmt.Sprint("s", 1-ix)), qt.Equals, backend.State(""))
 			}
-			cl.lose = nil
+			cl.drop = nil
 			for range 40 {
-				cl.liveOn(sides)
+				cl.announceAndTick(sides)
 				for ix, names := range sides {
 					for _, name := range names {
-						c.Assert(missing(cl.sees(name), names), qt.HasLen, 0)
-						c.Assert(cl.listed(name, fmt.Sprint("s", ix)), qt.Equals, backend.Serving)
+						c.Assert(missingNames(cl.instanceNames(name), names), qt.HasLen, 0)
+						c.Assert(cl.listedState(name, fmt.Sprint("s", ix)), qt.Equals, backend.Serving)
 					}
 				}
 			}
 			for _, name := range cl.names {
-				c.Assert(cl.sees(name), qt.HasLen, tt.instances)
+				c.Assert(cl.instanceNames(name), qt.HasLen, tt.instances)
 			}
-			c.Assert(cl.everywhere("s0"), qt.DeepEquals, []backend.State{backend.Serving})
-			c.Assert(cl.everywhere("s1"), qt.DeepEquals, []backend.State{backend.Serving})
-			c.Assert(cl.alike(), qt.IsTrue)
+			c.Assert(cl.listedStates("s0"), qt.DeepEquals, []backend.State{backend.Serving})
+			c.Assert(cl.listedStates("s1"), qt.DeepEquals, []backend.State{backend.Serving})
+			c.Assert(cl.converged(), qt.IsTrue)
 		})
 	}
 }
 
-// liveOn lets a second pass in which a server of each side announces itself.
-func (cl *cluster) liveOn(sides [][]string) {
+// announceAndTick advances the time by one second in which a server of each side
+// announces itself.
+func (cl *cluster) announceAndTick(sides [][]string) {
 	for ix, names := range sides {
 		cl.announce(names[0], record(fmt.Sprint("s", ix), 1, 1, backend.Serving))
 	}
 	cl.ticks(2)
 }
 
-// missing returns the names that a list lacks.
-func missing(list, names []string) []string {
+// missingNames returns the names that are not in list.
+func missingNames(list, names []string) []string {
 	return slices.DeleteFunc(slices.Clone(names), func(name string) bool { return slices.Contains(list, name) })
 }
 
-// What has left is remembered for a while and then forgotten by all, though
-// they do not forget at the same moment; if one taught the others again what
-// they have forgotten, the tables would only grow.
-func TestLeftIsForgotten(t *testing.T) {
+// Entries that have left are dropped by all instances after tombstoneTTL, though
+// not at the same time. If an instance reintroduced an entry that others have
+// dropped, the tables would grow without bound.
+func TestTombstonesExpire(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster(3, 1)
 	cl.announce("a0", record("s", 1, 1, backend.Left))
 	cl.ticks(2)
-	cl.ticks(int(retention/tickTime) + 60)
+	cl.ticks(int(tombstoneTTL/tickInterval) + 60)
 	for _, name := range cl.names {
 		c.Assert(cl.states[name].table.count, qt.Equals, 3)
 	}
 }
 
-// TestDrainAndLeave lets an instance drain and leave by its own word.
+// An instance drains and leaves. A later grant that still names it must not list it
+// again before it restarts.
 func TestDrainAndLeave(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster(4, 1)
@@ -315,10 +319,10 @@
 	cl.step("b0", Leave{Now: cl.now})
 	cl.deliver()
 	cl.kill("b0")
-	c.Assert(cl.sees("d0"), qt.DeepEquals, []string{"a0", "c0", "d0"})
+	c.Assert(cl.instanceNames("d0"), qt.DeepEquals, []string{"a0", "c0", "d0"})
 	cl.now = cl.now.Add(time.Second)
 	cl.step("d0", InstancesGranted{Now: cl.now, Instances: []view.Instance{self}})
-	c.Assert(cl.sees("d0"), qt.DeepEquals, []string{"a0", "c0", "d0"})
+	c.Assert(cl.instanceNames("d0"), qt.DeepEquals, []string{"a0", "c0", "d0"})
 	cl.start("b0", 2)
 	cl.grantAll()
 	cl.ticks(2)
--- a/member/merge.go
+++ b/member/merge.go
@@ -12,60 +12,62 @@
 )
 
 const (
-	// suspicion is how long an instance that was doubted has to refute it.
-	suspicion = 2 * time.Second
-	// retention is how long what has left or gone is remembered. It is longer
-	// than regions lose each other, so that nothing comes back with them.
-	retention = 2 * time.Hour
+	// suspicionTimeout is how long a suspected instance has to refute the
+	// suspicion.
+	suspicionTimeout = 2 * time.Second
+	// tombstoneTTL is for how long entries of servers and instances that have
+	// left or gone are kept. It is longer than partitions between regions last,
+	// so that no such entry comes back after one.
+	tombstoneTTL = 2 * time.Hour
 )
 
 // The events of the chart.
 const (
-	eventServes   chart.Event = "Serves"
-	eventDrains   chart.Event = "Drains"
-	eventAccused  chart.Event = "Accused"
-	eventTimedOut chart.Event = "TimedOut"
-	eventLeaves   chart.Event = "Leaves"
+	eventServes    chart.Event = "Serves"
+	eventDrains    chart.Event = "Drains"
+	eventSuspected chart.Event = "Accused"
+	eventTimedOut  chart.Event = "TimedOut"
+	eventLeaves    chart.Event = "Leaves"
 )
 
 //go:embed instance.yaml
-var instanceFile []byte
+var instanceChartYAML []byte
 
-var instanceChart = chart.MustLoad(instanceFile, eventServes, eventDrains, eventAccused, eventTimedOut, eventLeaves)
+var instanceChart = chart.MustLoad(instanceChartYAML, eventServes, eventDrains, eventSuspected, eventTimedOut, eventLeaves)
 
-// merge takes over an entry that arrived if it is newer than what is held, and
-// reports whether it was. age is how long the sender has held it for doubted,
-// left or orphaned: the time goes on here, or instances would teach each other
-// forever what each of them forgets.
+// merge stores a received entry if it is newer than the present one and reports
+// whether it was. age is for how long the entry has been suspected, left or
+// orphaned in the sender's view. The time continues to count from there; otherwise
+// instances would reintroduce to each other forever what each of them has dropped.
 func (sp *step) merge(en *entry, age time.Duration) bool {
 	old, known := sp.table.get(en.hash)
 	if known && (old.key != en.key || en.version.compare(old.version) <= 0) {
 		return false
 	}
 	it := item{entry: en}
-	same := known && old.version.incarnation == en.version.incarnation
-	if same {
-		it.heard, it.phase = old.heard, old.phase
+	sameIncarnation := known && old.version.incarnation == en.version.incarnation
+	if sameIncarnation {
+		it.lastHeard, it.phase = old.lastHeard, old.phase
 	}
-	if en.version.status != statusVouched || age > 0 {
-		it.mark = sp.now - min(age, startOffset-1)
+	if en.version.status != statusAlive || age > 0 {
+		it.unavailableSince = sp.now - min(age, startOffset-1)
 	}
 	if en.instance != nil {
-		sp.mergeInstance(&it, same && old.shown)
+		sp.mergeInstance(&it, sameIncarnation && old.listed)
 	}
-	sp.settle(it)
+	sp.resolveAndStore(it)
 	return true
 }
 
-// mergeInstance brings the chart of an instance up to its new entry.
+// mergeInstance applies the new entry of an instance to its state chart.
 //
-// A doubt that is old where it comes from may be news here: after two regions
-// lost each other, each comes back with its doubts about all instances of the
-// other. An instance that was shown here until now keeps its time to refute, so
-// that nobody drops every instance at once.
-func (sp *step) mergeInstance(it *item, shown bool) {
-	if it.version.status == statusDoubted && shown {
-		it.mark = sp.now
+// A suspicion that is old at the sender may be new here: after a partition between
+// two regions, each region sends its suspicions about all instances of the other.
+// An instance that was listed here until now gets the full suspicionTimeout, so
+// that not all instances are dropped at once.
+func (sp *step) mergeInstance(it *item, wasListed bool) {
+	if it.version.status == statusSuspected && wasListed {
+		it.unavailableSince = sp.now
 	}
 	if it.phase == "" {
 		it.phase = instanceChart.Initial()
@@ -77,8 +79,8 @@
 	switch {
 	case en.version.status == statusLeft:
 		return eventLeaves
-	case en.version.status == statusDoubted:
-		return eventAccused
+	case en.version.status == statusSuspected:
+		return eventSuspected
 	case en.instance.Draining:
 		return eventDrains
 	default:
@@ -86,9 +88,8 @@
 	}
 }
 
-// settle stores an item after working out whether it is shown and whether this
-// instance must speak up for it.
-func (sp *step) settle(it item) {
+// resolveAndStore stores an item after resolve.
+func (sp *step) resolveAndStore(it item) {
 	old, _ := sp.table.get(it.hash)
 	sp.resolve(&it)
 	sp.store(&old, &it)
@@ -96,20 +97,20 @@
 
 func (sp *step) resolve(it *item) {
 	if it.instance != nil {
-		sp.settleInstance(it)
+		sp.resolveInstance(it)
 	} else {
-		sp.settleServer(it)
-		it.ours = sp.owned(it) && it.version.status == statusVouched
+		sp.resolveServer(it)
+		it.ownedHere = sp.isOwner(it) && it.version.status == statusAlive
 	}
 }
 
-// store puts an item in the place of an old one.
+// store replaces an item and invalidates the lists that it is in.
 func (sp *step) store(old, it *item) {
 	if *it == *old {
 		return
 	}
 	sp.table = sp.table.with(*it)
-	if it.shown == old.shown && (!it.shown || it.entry == old.entry) {
+	if it.listed == old.listed && (!it.listed || it.entry == old.entry) {
 		return
 	}
 	if it.instance != nil {
@@ -119,94 +120,96 @@
 	}
 }
 
-func (sp *step) settleInstance(it *item) {
+func (sp *step) resolveInstance(it *item) {
 	if it.instance.Name == sp.self.Name {
 		sp.refute(it)
 		return
 	}
 	switch it.version.status {
-	case statusVouched:
-		it.shown = true
+	case statusAlive:
+		it.listed = true
 	case statusLeft:
-		it.shown = false
+		it.listed = false
 	default:
-		it.shown = sp.now-it.mark < suspicion || (it.shown && sp.isolated(sp.now))
-		if !it.shown {
+		it.listed = sp.now-it.unavailableSince < suspicionTimeout || (it.listed && sp.isolated(sp.now))
+		if !it.listed {
 			it.phase, _ = instanceChart.Next(it.phase, eventTimedOut)
 		}
 	}
 }
 
-// refute answers a doubt about this instance by a higher claim. An entry of a
-// later incarnation is of another process under the same name; it is left be.
+// refute answers a suspicion of this instance by a higher epoch. An entry with a
+// later incarnation belongs to another process with the same name and is left
+// unchanged.
 func (sp *step) refute(it *item) {
-	it.shown = it.version.status != statusLeft
-	if it.version.status != statusDoubted || it.version.incarnation != sp.self.Incarnation {
+	it.listed = it.version.status != statusLeft
+	if it.version.status != statusSuspected || it.version.incarnation != sp.self.Incarnation {
 		return
 	}
 	sp.sequence = max(sp.sequence, it.version.sequence)
-	it.entry = sp.ownEntry(statusVouched, it.version.claim+1)
-	it.mark = 0
+	it.entry = sp.ownEntry(statusAlive, it.version.epoch+1)
+	it.unavailableSince = 0
 	it.phase, _ = instanceChart.Next(it.phase, instanceEvent(it.entry))
-	sp.spread(it.hash, true)
+	sp.queuePush(it.hash, true)
 }
 
-// settleServer works out whether a server is shown: while its owner vouches for
-// it, and for its time to live after that, unless it has left.
-func (sp *step) settleServer(it *item) {
+// resolveServer decides whether a server is listed: while its owner vouches for it,
+// and for its TTL after that, unless it has left. It also suspects an owned server
+// that is silent, and takes ownership of a server that announces itself here while
+// no other instance vouches for it.
+func (sp *step) resolveServer(it *item) {
 	if it.version.status == statusLeft {
-		it.shown = false
+		it.listed = false
 		return
 	}
-	if sp.owned(it) && it.version.status == statusVouched && sp.now-it.heard >= it.patience() {
+	if sp.isOwner(it) && it.version.status == statusAlive && sp.now-it.lastHeard >= it.silenceTimeout() {
 		ve := it.version
-		ve.status = statusDoubted
-		it.entry, it.mark = it.with(ve), sp.now
-		sp.spread(it.hash, true)
+		ve.status = statusSuspected
+		it.entry, it.unavailableSince = it.withVersion(ve), sp.now
+		sp.queuePush(it.hash, true)
 	}
-	vouched := it.version.status == statusVouched && sp.ownerAlive(it)
-	if !vouched && sp.hears(it) {
-		sp.claim(it)
-		vouched = true
+	alive := it.version.status == statusAlive && sp.ownerAlive(it)
+	if !alive && sp.heardRecently(it) {
+		sp.takeOwnership(it)
+		alive = true
 	}
 	switch {
-	case vouched:
-		it.mark, it.shown = 0, true
-	case it.version.status == statusVouched:
-		if it.mark == 0 {
-			it.mark = sp.now
+	case alive:
+		it.unavailableSince, it.listed = 0, true
+	case it.version.status == statusAlive:
+		if it.unavailableSince == 0 {
+			it.unavailableSince = sp.now
 		}
-		it.shown = sp.now-it.mark < it.ttl()
+		it.listed = sp.now-it.unavailableSince < it.ttl()
 	default:
-		it.shown = sp.now-it.mark < it.ttl()-it.patience()
+		it.listed = sp.now-it.unavailableSince < it.ttl()-it.silenceTimeout()
 	}
 }
 
-// owned reports whether this instance vouches for the server.
-func (sp *step) owned(it *item) bool {
+// isOwner reports whether this instance is the owner of the server.
+func (sp *step) isOwner(it *item) bool {
 	return it.version.owner == sp.self.Name && it.version.ownerIncarnation == sp.self.Incarnation
 }
 
-// hears reports whether the server announced itself here lately.
-func (sp *step) hears(it *item) bool {
-	return it.heard != 0 && sp.now-it.heard < it.patience()
+// heardRecently reports whether the server announced itself to this instance within
+// its silenceTimeout.
+func (sp *step) heardRecently(it *item) bool {
+	return it.lastHeard != 0 && sp.now-it.lastHeard < it.silenceTimeout()
 }
 
-// claim makes this instance the owner of a server that it hears and that nobody
-// vouches for.
-func (sp *step) claim(it *item) {
+// takeOwnership makes this instance the owner of a server.
+func (sp *step) takeOwnership(it *item) {
 	ve := it.version
-	ve.claim++
-	ve.status = statusVouched
+	ve.epoch++
+	ve.status = statusAlive
 	ve.owner, ve.ownerIncarnation = sp.self.Name, sp.self.Incarnation
-	it.entry = it.with(ve)
-	sp.spread(it.hash, false)
+	it.entry = it.withVersion(ve)
+	sp.queuePush(it.hash, false)
 }
 
-// announced takes over what a server says of itself. A record that is older than
-// what is held changes nothing, and neither does any of an incarnation that has
-// left.
-func (sp *step) announced(re backend.Record) {
+// handleAnnouncement stores the record that a server announced. It ignores a record
+// that is older than the present one or of an incarnation that has left.
+func (sp *step) handleAnnouncement(re backend.Record) {
 	if re.Server == "" {
 		return
 	}
@@ -218,59 +221,59 @@
 		return
 	case known && it.version.incarnation == re.Incarnation && it.version.sequence == re.Sequence && !left:
 	default:
-		en := newServerEntry(&re, version{claim: 1, owner: sp.self.Name, ownerIncarnation: sp.self.Incarnation})
+		en := newServerEntry(&re, version{epoch: 1, owner: sp.self.Name, ownerIncarnation: sp.self.Incarnation})
 		it = item{entry: en}
-		sp.spread(en.hash, left || re.State == backend.Draining)
+		sp.queuePush(en.hash, left || re.State == backend.Draining)
 	}
-	it.heard = sp.now
+	it.lastHeard = sp.now
 	if left {
-		it.mark = sp.now
+		it.unavailableSince = sp.now
 	}
-	sp.settle(it)
-	sp.flushSoon()
+	sp.resolveAndStore(it)
+	sp.flushRateLimited()
 }
 
-// staleRecord reports whether a record is older than the version that is held
-// or of an incarnation that has left.
-func staleRecord(re *backend.Record, held version) bool {
-	if re.Incarnation != held.incarnation {
-		return re.Incarnation < held.incarnation
+// staleRecord reports whether a record is older than the present version or of an
+// incarnation that has left.
+func staleRecord(re *backend.Record, present version) bool {
+	if re.Incarnation != present.incarnation {
+		return re.Incarnation < present.incarnation
 	}
-	return held.status == statusLeft || (re.State != backend.Left && re.Sequence < held.sequence)
+	return present.status == statusLeft || (re.State != backend.Left && re.Sequence < present.sequence)
 }
 
 // ownEntry returns this instance's own entry.
-func (sp *step) ownEntry(st status, claim uint64) *entry {
+func (sp *step) ownEntry(st status, epoch uint64) *entry {
 	self := sp.self
-	return newInstanceEntry(&self, version{sequence: sp.sequence, claim: claim, status: st})
+	return newInstanceEntry(&self, version{sequence: sp.sequence, epoch: epoch, status: st})
 }
 
-// declare stores and spreads this instance's own entry.
-func (sp *step) declare(st status, claim uint64) {
-	it := item{entry: sp.ownEntry(st, claim)}
+// publishSelf stores this instance's own entry and queues it for pushing.
+func (sp *step) publishSelf(st status, epoch uint64) {
+	it := item{entry: sp.ownEntry(st, epoch)}
 	if old, ok := sp.table.get(it.hash); ok {
 		it.phase = old.phase
 	}
 	if st == statusLeft {
-		it.mark = sp.now
+		it.unavailableSince = sp.now
 	}
 	sp.mergeInstance(&it, false)
-	sp.settle(it)
-	sp.spread(it.hash, true)
+	sp.resolveAndStore(it)
+	sp.queuePush(it.hash, true)
 }
 
-func (sp *step) changed(self view.Instance) {
+func (sp *step) handleSelfChanged(self view.Instance) {
 	if self == sp.self {
 		return
 	}
 	sp.self = self
 	sp.sequence++
-	sp.declare(statusVouched, 1)
+	sp.publishSelf(statusAlive, 1)
 	sp.flush()
 }
 
 func (sp *step) leave() {
 	sp.sequence++
-	sp.declare(statusLeft, 1)
+	sp.publishSelf(statusLeft, 1)
 	sp.flush()
 }
--- a/member/message.go
+++ b/member/message.go
@@ -18,53 +18,54 @@
 	kindTransfer = peer.KindMember + 3
 )
 
-// Digest opens a comparison of tables and asks whether the other is there. It
-// has the same size however much the table holds.
+// Digest starts a comparison of tables and is also a probe of the receiver. Its
+// size is independent of the size of the table.
 type Digest struct {
 	Sum uint64 `cbor:"1,keyasint"`
 	// Self is the sender's own entry, for a receiver that may not know it.
 	Self *Entry `cbor:"2,keyasint,omitempty"`
 }
 
-// Compare goes on where tables differ. An empty one answers a Digest and says
-// that they are alike.
+// Compare continues a comparison where tables differ. An empty one answers a Digest
+// and means that the tables are equal.
 type Compare struct {
 	Branches []Branch `cbor:"1,keyasint,omitempty"`
 	Leaves   []Leaf   `cbor:"2,keyasint,omitempty"`
 }
 
-// Branch gives the sums of the sender's table under the children of a path.
+// Branch gives the checksums and entry counts of the sender's table under the
+// children of a path.
 type Branch struct {
 	Path   path     `cbor:"1,keyasint"`
 	Sums   []uint64 `cbor:"2,keyasint"`
 	Counts []int    `cbor:"3,keyasint"`
 }
 
-// Leaf gives the versions that the sender holds under a path.
+// Leaf gives the versions of the sender's entries under a path.
 type Leaf struct {
 	Path     path             `cbor:"1,keyasint"`
 	Versions []VersionSummary `cbor:"2,keyasint"`
 }
 
-// Stamp is the version of an entry in few bytes.
+// VersionSummary is the version of an entry in compact form.
 type VersionSummary struct {
 	_           struct{} `cbor:",toarray"`
 	Hash        uint64
-	Check       uint32 // Check tells apart what the numbers leave alike.
+	Check       uint32 // Check is a checksum that distinguishes versions with equal numbers.
 	Incarnation uint64
 	Left        int
 	Sequence    uint64
 	Epoch       uint64
 }
 
-// Transfer carries entries and asks for others by their hashes.
+// Transfer sends entries and requests others by their hashes.
 type Transfer struct {
 	Entries   []Entry  `cbor:"1,keyasint,omitempty"`
 	Requested []uint64 `cbor:"2,keyasint,omitempty"`
-	Forward   bool     `cbor:"3,keyasint,omitempty"` // Rumour says that the entries are news to be passed on.
+	Forward   bool     `cbor:"3,keyasint,omitempty"` // Forward means that the receiver pushes new entries on to others.
 }
 
-// Entry is an entry on the wire. Exactly one of Record and Instance is set.
+// Entry is the wire form of an entry. Exactly one of Record and Instance is set.
 type Entry struct {
 	Record           *Record        `cbor:"1,keyasint,omitempty"`
 	Instance         *view.Instance `cbor:"2,keyasint,omitempty"`
@@ -74,12 +75,13 @@
 	Status           uint8          `cbor:"6,keyasint,omitempty"`
 	Owner            string         `cbor:"7,keyasint,omitempty"`
 	OwnerIncarnation uint64         `cbor:"8,keyasint,omitempty"`
-	// AgeMillis is for how long the sender has held the entry for doubted or
-	// left, or its owner for gone.
+	// AgeMillis is for how long the entry has been suspected or left, or its
+	// owner gone, in the sender's view.
 	AgeMillis int64 `cbor:"9,keyasint,omitempty"`
 }
 
-// Record is a backend.Record on the wire, without what Entry says already.
+// Record is the wire form of a backend.Record, without the fields that are in
+// Entry.
 type Record struct {
 	Server          string            `cbor:"1,keyasint"`
 	Service         string            `cbor:"2,keyasint,omitempty"`
@@ -93,7 +95,7 @@
 	TTLMillis       int64             `cbor:"10,keyasint,omitempty"`
 }
 
-// Holding is a backend.Holding on the wire.
+// Holding is the wire form of a backend.Holding.
 type Holding struct {
 	_         struct{} `cbor:",toarray"`
 	Shard     string
@@ -115,34 +117,35 @@
 	return []peer.Message{Digest{}, Compare{}, Transfer{}}
 }
 
-// stamp returns the version of an item in few bytes.
-func (it *item) stamp() VersionSummary {
+// versionSummary returns the version of an item in compact form.
+func (it *item) versionSummary() VersionSummary {
 	ve := it.version
 	return VersionSummary{
 		Hash: it.hash, Check: uint32(it.sum), Incarnation: ve.incarnation,
-		Left: ve.left(), Sequence: ve.sequence, Epoch: ve.claim,
+		Left: ve.left(), Sequence: ve.sequence, Epoch: ve.epoch,
 	}
 }
 
-// compare orders stamps of one subject as far as their numbers tell.
-func (sm VersionSummary) compare(ot VersionSummary) int {
+// compare orders versions of one subject by their numbers. Versions that differ
+// only in Check compare equal.
+func (vs VersionSummary) compare(ot VersionSummary) int {
 	return cmp.Or(
-		cmp.Compare(sm.Incarnation, ot.Incarnation),
-		cmp.Compare(sm.Left, ot.Left),
-		cmp.Compare(sm.Sequence, ot.Sequence),
-		cmp.Compare(sm.Epoch, ot.Epoch),
+		cmp.Compare(vs.Incarnation, ot.Incarnation),
+		cmp.Compare(vs.Left, ot.Left),
+		cmp.Compare(vs.Sequence, ot.Sequence),
+		cmp.Compare(vs.Epoch, ot.Epoch),
 	)
 }
 
-// pack returns an item as it travels.
+// pack returns the wire form of an item.
 func (sp *step) pack(it item) Entry {
 	ve := it.version
 	we := Entry{
 		Instance: it.instance, Incarnation: ve.incarnation, Sequence: ve.sequence,
-		Epoch: ve.claim, Status: uint8(ve.status),
+		Epoch: ve.epoch, Status: uint8(ve.status),
 	}
-	if it.mark != 0 {
-		we.AgeMillis = max(sp.now-it.mark, 0).Milliseconds()
+	if it.unavailableSince != 0 {
+		we.AgeMillis = max(sp.now-it.unavailableSince, 0).Milliseconds()
 	}
 	if it.record != nil {
 		we.Record = packRecord(it.record)
@@ -151,16 +154,16 @@
 	return we
 }
 
-// unpack returns an entry that arrived. It returns an error if the entry has no
-// subject or an unknown status.
+// unpack returns the entry of its wire form, or an error if it has no subject or an
+// unknown status.
 func (we Entry) unpack() (*entry, error) {
 	ve := version{
-		incarnation: we.Incarnation, sequence: we.Sequence, claim: we.Epoch,
+		incarnation: we.Incarnation, sequence: we.Sequence, epoch: we.Epoch,
 		status: status(we.Status), owner: we.Owner, ownerIncarnation: we.OwnerIncarnation,
 	}
 	switch {
 	case ve.status > statusLeft:
-		return nil, fmt.Errorf("member: status %d is not known", we.Status)
+		return nil, fmt.Errorf("member: unknown entry status %d", we.Status)
 	case we.Record != nil && we.Record.Server != "":
 		re := we.Record.unpack()
 		re.Incarnation, re.Sequence = we.Incarnation, we.Sequence
@@ -168,7 +171,7 @@
 	case we.Instance != nil && we.Instance.Name != "" && we.Instance.Incarnation == we.Incarnation:
 		return newInstanceEntry(we.Instance, ve), nil
 	default:
-		return nil, fmt.Errorf("member: entry without a subject")
+		return nil, fmt.Errorf("member: entry has neither a valid record nor a valid instance")
 	}
 }
 
--- a/member/probe.go
+++ b/member/probe.go
@@ -8,54 +8,56 @@
 )
 
 const (
-	// maxPartners is how many instances this one pushes to and probes. It bounds
-	// the connections of an instance however many there are; the graph of
-	// random partners still reaches all within a few steps.
+	// maxPartners is the number of instances that this one pushes to and
+	// probes. It bounds the connections of an instance regardless of the number
+	// of instances. The graph of random partners still reaches all instances
+	// within a few steps.
 	maxPartners = 12
-	// rotation is after how many ticks one partner is exchanged for another.
-	rotation = 60
-	// reconnection is after how many ticks an instance that has gone is asked
-	// again, so that regions that lost each other find together.
-	reconnection = 10
-	// answerTime is how long an answer to a Digest may take.
-	answerTime = 300 * time.Millisecond
-	// maxMissed is how many Digests in a row go unanswered before an instance
-	// is doubted.
-	maxMissed = 3
-	// avoidance is for how long an instance that others can reach is not asked
-	// again by one that cannot.
-	avoidance = time.Minute
-	// recent is how long after the last message an instance is sure of its own
-	// network.
-	recent = 3 * time.Second
-	// grantFresh is how long the instances named by control are relied on.
-	grantFresh = 10 * time.Second
+	// partnerRotationTicks is the number of ticks after which one partner is
+	// replaced by another.
+	partnerRotationTicks = 60
+	// reconnectTicks is the number of ticks between probes of instances that
+	// have gone, by which regions reconnect after a partition.
+	reconnectTicks = 10
+	// probeTimeout is how long the answer to a Digest may take.
+	probeTimeout = 300 * time.Millisecond
+	// maxMissedProbes is the number of consecutive unanswered Digests after
+	// which an instance is suspected.
+	maxMissedProbes = 3
+	// unreachableTTL is for how long an instance that did not answer is not
+	// chosen as a partner again, even if others can reach it.
+	unreachableTTL = time.Minute
+	// isolationTimeout is the time without messages after which an instance no
+	// longer trusts its own network.
+	isolationTimeout = 3 * time.Second
+	// grantTTL is for how long the instances named in a grant count as present.
+	grantTTL = 10 * time.Second
 )
 
 // partner is an instance that this one pushes to and probes.
 type partner struct {
-	name   string
-	since  uint64        // since is the tick at which it was chosen.
-	probed time.Duration // probed is when it was asked; zero if it has answered.
-	missed int
+	name         string
+	sinceTick    uint64        // sinceTick is the tick at which the partner was chosen.
+	probedAt     time.Duration // probedAt is when the unanswered probe was sent; zero if there is none.
+	missedProbes int
 }
 
-// avoided is an instance that this one could not reach.
-type avoided struct {
+// unreachable is an instance that did not answer probes of this one.
+type unreachable struct {
 	name  string
 	until time.Duration
 }
 
-// grant takes over the instances that control names. They are added to those
-// that are known otherwise; nobody is dropped because a grant does not name it.
+// handleGrant stores the instances that control names. They are added to those
+// known from gossip; no instance is dropped because a grant omits it.
 //
-// It guards against one wrong view that empties the address list: control names
-// nobody, or a few, after a restart or a fault, and every caller is told that
-// there are no other instances. An instance drops out because it cannot be
-// reached or says so, never by not being mentioned.
-func (sp *step) grant(ins []view.Instance) {
+// Otherwise one wrong view would empty the address list: after a restart or a
+// fault, control may name no instances or only a few, and every caller would get a
+// list without the others. An instance is dropped only if it can't be reached or
+// has left.
+func (sp *step) handleGrant(ins []view.Instance) {
 	sp.grantAt = sp.now
-	sp.fresh = true
+	sp.grantValid = true
 	if slices.Equal(sp.granted, ins) {
 		return
 	}
@@ -63,85 +65,84 @@
 	sp.instances = &instanceList{}
 }
 
-func (sp *step) refreshGrant() {
-	fresh := sp.grantAt != 0 && sp.now-sp.grantAt < grantFresh
-	if fresh != sp.fresh {
-		sp.fresh = fresh
+func (sp *step) updateGrantValidity() {
+	valid := sp.grantAt != 0 && sp.now-sp.grantAt < grantTTL
+	if valid != sp.grantValid {
+		sp.grantValid = valid
 		sp.instances = &instanceList{}
 	}
 }
 
-// isolated reports whether nothing was heard lately, neither from instances nor
-// from control.
+// isolated reports whether no message arrived within isolationTimeout, neither from
+// instances nor from control.
 //
-// It guards against an instance that loses its own network, finds everybody
-// silent and answers callers that it is the only instance left. When all are
-// silent at once, it is this one that is cut off, and the list stays.
+// An instance that loses its own network finds all others silent and must not
+// answer callers that it is the only instance left. If all are silent at once, this
+// instance is the one that is partitioned, and the list stays as it is.
 func (st *State) isolated(now time.Duration) bool {
-	return now-st.lastHeard >= recent && (st.grantAt == 0 || now-st.grantAt >= recent)
+	return now-st.lastHeard >= isolationTimeout && (st.grantAt == 0 || now-st.grantAt >= isolationTimeout)
 }
 
-// probe sends the sum over the table to the next partner, and again to those
-// that owe an answer.
+// probe sends a Digest to the next partner and repeats unanswered ones.
 func (sp *step) probe() {
-	sp.recheck()
-	sp.refill()
+	sp.retryProbes()
+	sp.refreshPartners()
 	if n := len(sp.partners); n > 0 {
 		sp.cursor = (sp.cursor + 1) % n
-		if pa := sp.partners[sp.cursor]; pa.probed == 0 {
-			sp.askPartner(sp.cursor)
+		if pa := sp.partners[sp.cursor]; pa.probedAt == 0 {
+			sp.probePartner(sp.cursor)
 		}
 	}
-	if sp.ticks%reconnection == 0 {
+	if sp.ticks%reconnectTicks == 0 {
 		sp.reconnect()
 	}
 }
 
-// recheck asks those partners again that owe an answer, and doubts them when
-// they have owed it too often.
-func (sp *step) recheck() {
+// retryProbes repeats probes that timed out, and suspects partners that missed
+// maxMissedProbes in a row.
+func (sp *step) retryProbes() {
 	for ix := 0; ix < len(sp.partners); ix++ {
 		pa := sp.partners[ix]
-		if pa.probed == 0 || sp.now-pa.probed < answerTime {
+		if pa.probedAt == 0 || sp.now-pa.probedAt < probeTimeout {
 			continue
 		}
-		if pa.missed+1 < maxMissed {
-			sp.setPartner(ix, partner{name: pa.name, since: pa.since, missed: pa.missed + 1})
-			sp.askPartner(ix)
+		if pa.missedProbes+1 < maxMissedProbes {
+			sp.setPartner(ix, partner{name: pa.name, sinceTick: pa.sinceTick, missedProbes: pa.missedProbes + 1})
+			sp.probePartner(ix)
 			continue
 		}
-		sp.doubt(pa.name)
+		sp.suspect(pa.name)
 		sp.dropPartner(ix)
-		sp.avoided = append(slices.Clone(sp.avoided), avoided{name: pa.name, until: sp.now + avoidance})
+		sp.unreachable = append(slices.Clone(sp.unreachable), unreachable{name: pa.name, until: sp.now + unreachableTTL})
 		ix--
 	}
 }
 
-// doubt says of an instance that it could not be reached. It has the time of
-// suspicion to refute that through whoever can reach it.
-func (sp *step) doubt(name string) {
+// suspect marks an instance as unreachable. It can refute that within
+// suspicionTimeout through any instance that can reach it.
+func (sp *step) suspect(name string) {
 	it, ok := sp.instanceItem(name)
-	if !ok || it.version.status != statusVouched || !it.shown || sp.isolated(sp.now) {
+	if !ok || it.version.status != statusAlive || !it.listed || sp.isolated(sp.now) {
 		return
 	}
 	ve := it.version
-	ve.status = statusDoubted
-	sp.merge(it.with(ve), 0)
-	sp.spread(it.hash, true)
+	ve.status = statusSuspected
+	sp.merge(it.withVersion(ve), 0)
+	sp.queuePush(it.hash, true)
 }
 
-func (sp *step) askPartner(ix int) {
+func (sp *step) probePartner(ix int) {
 	pa := sp.partners[ix]
-	pa.probed = sp.now
+	pa.probedAt = sp.now
 	sp.setPartner(ix, pa)
-	sp.ask(pa.name)
+	sp.sendDigest(pa.name)
 }
 
-// ask sends the sum over the table to an instance, with the own entry if the
-// other may not know where to send the answer.
-func (sp *step) ask(name string) {
+// sendDigest sends a Digest to an instance. It includes this instance's own entry
+// if the receiver may not know where to send the answer.
+func (sp *step) sendDigest(name string) {
 	ms := Digest{Sum: sp.table.sum}
-	if it, ok := sp.instanceItem(name); !ok || it.heard == 0 || sp.now-it.heard > avoidance {
+	if it, ok := sp.instanceItem(name); !ok || it.lastHeard == 0 || sp.now-it.lastHeard > unreachableTTL {
 		if own, ok := sp.instanceItem(sp.self.Name); ok {
 			we := sp.pack(own)
 			ms.Self = &we
@@ -150,16 +151,16 @@
 	sp.send(name, ms)
 }
 
-// answered notes that an instance is there.
-func (sp *step) answered(name string) {
+// noteReachable records that an instance is reachable.
+func (sp *step) noteReachable(name string) {
 	sp.lastHeard = sp.now
-	isName := func(av avoided) bool { return av.name == name }
-	if slices.ContainsFunc(sp.avoided, isName) {
-		sp.avoided = slices.DeleteFunc(slices.Clone(sp.avoided), isName)
+	isName := func(av unreachable) bool { return av.name == name }
+	if slices.ContainsFunc(sp.unreachable, isName) {
+		sp.unreachable = slices.DeleteFunc(slices.Clone(sp.unreachable), isName)
 	}
 	for ix, pa := range sp.partners {
-		if pa.name == name && pa.probed != 0 {
-			sp.setPartner(ix, partner{name: pa.name, since: pa.since})
+		if pa.name == name && pa.probedAt != 0 {
+			sp.setPartner(ix, partner{name: pa.name, sinceTick: pa.sinceTick})
 		}
 	}
 }
@@ -173,20 +174,20 @@
 	sp.partners = slices.Delete(slices.Clone(sp.partners), ix, ix+1)
 }
 
-// refill drops partners that are no longer listed, exchanges one now and then,
-// and chooses new ones at random.
-func (sp *step) refill() {
-	sp.avoided = slices.DeleteFunc(slices.Clone(sp.avoided), func(av avoided) bool { return av.until <= sp.now })
+// refreshPartners drops partners that are no longer candidates, replaces the oldest
+// one every partnerRotationTicks, and chooses new ones at random.
+func (sp *step) refreshPartners() {
+	sp.unreachable = slices.DeleteFunc(slices.Clone(sp.unreachable), func(av unreachable) bool { return av.until <= sp.now })
 	names := sp.candidates()
 	sp.partners = slices.DeleteFunc(slices.Clone(sp.partners), func(pa partner) bool { return !slices.Contains(names, pa.name) })
 	names = slices.DeleteFunc(names, sp.isPartner)
-	if len(names) > 0 && len(sp.partners) == maxPartners && sp.ticks-sp.partners[0].since >= rotation {
+	if len(names) > 0 && len(sp.partners) == maxPartners && sp.ticks-sp.partners[0].sinceTick >= partnerRotationTicks {
 		sp.dropPartner(0)
-		sp.partners[len(sp.partners)-1].since = sp.ticks
+		sp.partners[len(sp.partners)-1].sinceTick = sp.ticks
 	}
 	for len(sp.partners) < maxPartners && len(names) > 0 {
 		ix := sp.intn(len(names))
-		sp.partners = append(sp.partners, partner{name: names[ix], since: sp.ticks})
+		sp.partners = append(sp.partners, partner{name: names[ix], sinceTick: sp.ticks})
 		names = slices.Delete(names, ix, ix+1)
 	}
 }
@@ -195,8 +196,8 @@
 func (sp *step) candidates() []string {
 	var names []string
 	for _, in := range sp.Instances() {
-		isName := func(av avoided) bool { return av.name == in.Name }
-		if in.Name != sp.self.Name && !slices.ContainsFunc(sp.avoided, isName) {
+		isName := func(av unreachable) bool { return av.name == in.Name }
+		if in.Name != sp.self.Name && !slices.ContainsFunc(sp.unreachable, isName) {
 			names = append(names, in.Name)
 		}
 	}
@@ -207,15 +208,15 @@
 	return slices.ContainsFunc(sp.partners, func(pa partner) bool { return pa.name == name })
 }
 
-// reconnect asks an instance that has gone, chosen at random.
+// reconnect probes a random instance that has gone.
 func (sp *step) reconnect() {
 	var names []string
 	sp.table.each(func(it *item) {
-		if it.instance != nil && !it.shown && it.version.status != statusLeft {
+		if it.instance != nil && !it.listed && it.version.status != statusLeft {
 			names = append(names, it.instance.Name)
 		}
 	})
 	if len(names) > 0 {
-		sp.ask(names[sp.intn(len(names))])
+		sp.sendDigest(names[sp.intn(len(names))])
 	}
 }
--- a/member/table.go
+++ b/member/table.go
@@ -3,44 +3,45 @@
 import "slices"
 
 const (
-	// tableBits is how many bits of a key's hash each level of the table takes.
-	tableBits = 4
-	tableFan  = 1 << tableBits
-	tableMask = tableFan - 1
-	// leafItems is how many items a leaf holds at most.
-	leafItems = 8
-	maxDepth  = 64 / tableBits
+	// tableBits is the number of bits of a key's hash per level of the table.
+	tableBits   = 4
+	tableFanout = 1 << tableBits
+	tableMask   = tableFanout - 1
+	// maxLeafItems is the maximum number of items in a leaf.
+	maxLeafItems = 8
+	maxDepth     = 64 / tableBits
 )
 
-// table is an immutable trie over the hashes of keys. Each node holds the sum
-// over its items, so two tables can be compared from the top. The shape depends
-// on the items alone: a node is a leaf exactly if it holds at most leafItems.
+// table is an immutable hash trie and Merkle tree: each node holds the sum of the
+// checksums of its items, so that two tables can be compared from the root. The
+// shape depends only on the items: a node above the maximum depth is a leaf exactly
+// if it holds at most maxLeafItems.
 type table struct {
-	count int
-	timed int // timed is how many items change as time passes.
-	sum   uint64
-	kids  *[tableFan]*table // kids is nil for a leaf.
-	items []item            // items are those of a leaf, sorted by hash.
+	count    int
+	timed    int // timed is the number of items that may change by the passing of time alone.
+	sum      uint64
+	children *[tableFanout]*table // children is nil for a leaf.
+	items    []item               // items are the items of a leaf, sorted by hash.
 }
 
-// emptyTable stands for a child that is not there.
+// emptyTable represents a missing child.
 var emptyTable = &table{}
 
 func slot(hash uint64, depth int) int {
 	return int(hash>>(64-tableBits*(depth+1))) & tableMask
 }
 
-func (ta *table) kid(ix int) *table {
-	if ki := ta.kids[ix]; ki != nil {
-		return ki
+func (ta *table) childAt(ix int) *table {
+	if ch := ta.children[ix]; ch != nil {
+		return ch
 	}
 	return emptyTable
 }
 
-// get returns the item of a hash.
+// get returns the item with the given hash.
 func (ta *table) get(hash uint64) (item, bool) {
-	for depth := 0; ta.kids != nil; depth++ {
-		ta = ta.kid(slot(hash, depth))
+	for depth := 0; ta.children != nil; depth++ {
+		ta = ta.childAt(slot(hash, depth))
 	}
 	ix, ok := ta.search(hash)
 	if !ok {
@@ -58,15 +59,15 @@
 	return len(ta.items), false
 }
 
-// with returns the table with an item added or replaced.
+// with returns the table with the item added or replaced.
 func (ta *table) with(it item) *table {
 	return ta.put(it, 0)
 }
 
 func (ta *table) put(it item, depth int) *table {
-	if ta.kids != nil {
+	if ta.children != nil {
 		ix := slot(it.hash, depth)
-		return ta.withKid(ix, ta.kid(ix).put(it, depth+1))
+		return ta.withChild(ix, ta.childAt(ix).put(it, depth+1))
 	}
 	ix, ok := ta.search(it.hash)
 	if ok {
@@ -80,13 +81,13 @@
 	return build(append(items, ta.items[ix:]...), depth)
 }
 
-// without returns the table without the item of a hash.
+// without returns the table without the item with the given hash.
 func (ta *table) without(hash uint64) *table {
 	return ta.remove(hash, 0)
 }
 
 func (ta *table) remove(hash uint64, depth int) *table {
-	if ta.kids == nil {
+	if ta.children == nil {
 		ix, ok := ta.search(hash)
 		if !ok {
 			return ta
@@ -94,8 +95,8 @@
 		return newLeaf(slices.Delete(slices.Clone(ta.items), ix, ix+1))
 	}
 	ix := slot(hash, depth)
-	ta = ta.withKid(ix, ta.kid(ix).remove(hash, depth+1))
-	if ta.count > leafItems {
+	ta = ta.withChild(ix, ta.childAt(ix).remove(hash, depth+1))
+	if ta.count > maxLeafItems {
 		return ta
 	}
 	var items []item
@@ -103,15 +104,15 @@
 	return newLeaf(items)
 }
 
-func (ta *table) withKid(ix int, ki *table) *table {
-	old := ta.kid(ix)
-	kids := *ta.kids
-	kids[ix] = ki
+func (ta *table) withChild(ix int, ch *table) *table {
+	old := ta.childAt(ix)
+	children := *ta.children
+	children[ix] = ch
 	return &table{
-		count: ta.count - old.count + ki.count,
-		timed: ta.timed - old.timed + ki.timed,
-		sum:   ta.sum - old.sum + ki.sum,
-		kids:  &kids,
+		count:    ta.count - old.count + ch.count,
+		timed:    ta.timed - old.timed + ch.timed,
+		sum:      ta.sum - old.sum + ch.sum,
+		children: &children,
 	}
 }
 
@@ -126,60 +127,60 @@
 	return ta
 }
 
-// build returns the table of sorted items at a depth.
+// build returns the subtable at a depth for items sorted by hash.
 func build(items []item, depth int) *table {
-	if len(items) <= leafItems || depth == maxDepth {
+	if len(items) <= maxLeafItems || depth == maxDepth {
 		return newLeaf(items)
 	}
-	ta := &table{count: len(items), kids: &[tableFan]*table{}}
+	ta := &table{count: len(items), children: &[tableFanout]*table{}}
 	for len(items) > 0 {
 		ix := slot(items[0].hash, depth)
 		end := 1
 		for end < len(items) && slot(items[end].hash, depth) == ix {
 			end++
 		}
-		ki := build(slices.Clone(items[:end]), depth+1)
-		ta.kids[ix] = ki
-		ta.sum += ki.sum
-		ta.timed += ki.timed
+		ch := build(slices.Clone(items[:end]), depth+1)
+		ta.children[ix] = ch
+		ta.sum += ch.sum
+		ta.timed += ch.timed
 		items = items[end:]
 	}
 	return ta
 }
 
-// each calls fn for every item in the order of the hashes.
+// each calls fn for every item in ascending order of hashes.
 func (ta *table) each(fn func(*item)) {
 	for ix := range ta.items {
 		fn(&ta.items[ix])
 	}
-	if ta.kids == nil {
+	if ta.children == nil {
 		return
 	}
-	for _, ki := range ta.kids {
-		if ki != nil {
-			ki.each(fn)
+	for _, ch := range ta.children {
+		if ch != nil {
+			ch.each(fn)
 		}
 	}
 }
 
-// eachTimed calls fn for every item near one that changes as time passes.
+// eachTimed calls fn for every item in a leaf that has a timed item.
 func (ta *table) eachTimed(fn func(*item)) {
 	if ta.timed == 0 {
 		return
 	}
-	if ta.kids == nil {
+	if ta.children == nil {
 		ta.each(fn)
 		return
 	}
-	for _, ki := range ta.kids {
-		if ki != nil {
-			ki.eachTimed(fn)
+	for _, ch := range ta.children {
+		if ch != nil {
+			ch.eachTimed(fn)
 		}
 	}
 }
 
-// path names the part of a table whose hashes begin with Prefix, which has
-// Depth levels of tableBits bits each; its other bits are zero.
+// path identifies the subtable of hashes that begin with the Depth*tableBits most
+// significant bits of Prefix. The other bits of Prefix are zero.
 type path struct {
 	Depth  int    `cbor:"1,keyasint"`
 	Prefix uint64 `cbor:"2,keyasint"`
@@ -189,25 +190,24 @@
 	return ^(^uint64(0) >> (tableBits * pa.Depth))
 }
 
-func (pa path) kid(ix int) path {
+func (pa path) child(ix int) path {
 	shift := 64 - tableBits*(pa.Depth+1)
 	return path{Depth: pa.Depth + 1, Prefix: pa.Prefix | uint64(ix)<<shift}
 }
 
-// part returns the part of the table under a path, as a table of its own whose
-// children are the next level.
-func (ta *table) part(pa path) *table {
+// subtable returns the subtable at a path.
+func (ta *table) subtable(pa path) *table {
 	for depth := range pa.Depth {
-		if ta.kids == nil {
-			return newLeaf(ta.within(pa))
+		if ta.children == nil {
+			return newLeaf(ta.itemsUnder(pa))
 		}
-		ta = ta.kid(slot(pa.Prefix, depth))
+		ta = ta.childAt(slot(pa.Prefix, depth))
 	}
 	return ta
 }
 
-// within returns the items of a leaf that belong to a path.
-func (ta *table) within(pa path) []item {
+// itemsUnder returns the items of a leaf that are under a path.
+func (ta *table) itemsUnder(pa path) []item {
 	var items []item
 	for ix := range ta.items {
 		if ta.items[ix].hash&pa.mask() == pa.Prefix {
@@ -217,11 +217,11 @@
 	return items
 }
 
-// child returns the part of the table under a child of a path, of which ta is
-// the part.
-func (ta *table) child(pa path, ix int) *table {
-	if ta.kids == nil {
-		return newLeaf(ta.within(pa.kid(ix)))
+// childSubtable returns the subtable at a child of the path pa, where ta is the
+// subtable at pa.
+func (ta *table) childSubtable(pa path, ix int) *table {
+	if ta.children == nil {
+		return newLeaf(ta.itemsUnder(pa.child(ix)))
 	}
-	return ta.kid(ix)
+	return ta.childAt(ix)
 }
