--- a/cmd/balsamctl/request.go
+++ b/cmd/balsamctl/request.go
@@ -51,7 +51,7 @@
 }
 
 // noLine says why a request may have no line.
-func noLine(st trail.Story, files int) error {
+func noLine(st trail.RequestReport, files int) error {
 	te := fmt.Sprintf("no line of request %s in %d files: either it was answered whole, in time and by the backend servers asked first, "+
 		"or it reached no instance of these logs", st.RequestID, files)
 	if len(st.LeftOut) > 0 {
@@ -60,7 +60,7 @@
 	return errors.New(te)
 }
 
-func leftOut(st trail.Story) string {
+func leftOut(st trail.RequestReport) string {
 	var te []string
 	for _, ev := range slices.Sorted(maps.Keys(st.LeftOut)) {
 		te = append(te, fmt.Sprintf("%d of %s", st.LeftOut[ev], ev))
@@ -68,7 +68,7 @@
 	return strings.Join(te, ", ")
 }
 
-func printStory(wr io.Writer, st trail.Story) {
+func printStory(wr io.Writer, st trail.RequestReport) {
 	fmt.Fprintf(wr, "request %s\n", st.RequestID)
 	ends := make(map[string]bool)
 	for _, li := range st.Lines {
--- a/trail/explain.go
+++ b/trail/explain.go
@@ -18,7 +18,7 @@
 }
 
 // Story is what logs say about one request.
-type Story struct {
+type RequestReport struct {
 	RequestID string
 	Lines     []Line         // Lines are those of the request, in the order of time.
 	Beliefs   []Belief       // Beliefs are those of the instances that wrote them.
@@ -92,19 +92,19 @@
 // Explain reads the logs, twice, and puts together what they say about the
 // request. If no log holds a line of it, the story has no lines and tells how
 // many lines about requests were left out.
-func Explain(requestID string, sos []Source) (Story, error) {
-	ex := &explainer{id: requestID, story: Story{RequestID: requestID, LeftOut: make(map[string]int)}}
+func Explain(requestID string, sos []Source) (RequestReport, error) {
+	ex := &explainer{id: requestID, story: RequestReport{RequestID: requestID, LeftOut: make(map[string]int)}}
 	sos, err := ex.sorted(sos)
 	if err != nil {
-		return Story{}, err
+		return RequestReport{}, err
 	}
 	if err := ex.scan(sos, ex.ownLine, ex.own); err != nil {
-		return Story{}, err
+		return RequestReport{}, err
 	}
 	ex.prepare()
 	ex.story.Unread = 0 // The second reading counts them all.
 	if err := ex.scan(sos, ex.otherLine, ex.other); err != nil {
-		return Story{}, err
+		return RequestReport{}, err
 	}
 	ex.finish()
 	return ex.story, nil
@@ -113,7 +113,7 @@
 // explainer puts a story together.
 type explainer struct {
 	id       string
-	story    Story
+	story    RequestReport
 	marks    [][]byte // marks are what lines have that name a backend server.
 	marked   bool     // marked says that all logs have times of one clock.
 	beliefs  map[string]*believer
--- a/trail/explain_test.go
+++ b/trail/explain_test.go
@@ -29,7 +29,7 @@
 // under returns a line with a prefix.
 func under(mark, line string) string { return "  " + mark + " entry-9 " + line }
 
-func explain(t *testing.T, id string, sos ...Source) Story {
+func explain(t *testing.T, id string, sos ...Source) RequestReport {
 	t.Helper()
 	st, err := Explain(id, sos)
 	qt.Assert(t, err, qt.IsNil)
