--- a/cmd/balsamctl/request.go
+++ b/cmd/balsamctl/request.go
@@ -186,7 +186,7 @@
 	}
 }
 
-func printBelief(wr io.Writer, be trail.Belief) {
+func printBelief(wr io.Writer, be trail.InstanceView) {
 	fmt.Fprintf(wr, "\n%s at its last line of the request\n", be.Instance)
 	state := "not known: the logs don't reach back to its start"
 	if be.State != "" {
--- a/trail/explain.go
+++ b/trail/explain.go
@@ -21,7 +21,7 @@
 type RequestReport struct {
 	RequestID string
 	Lines     []Line         // Lines are those of the request, in the order of time.
-	Beliefs   []Belief       // Beliefs are those of the instances that wrote them.
+	Beliefs   []InstanceView // Beliefs are those of the instances that wrote them.
 	Servers   []ServerStory  // Servers are the backend servers that the lines name.
 	LeftOut   map[string]int // LeftOut counts lines about requests, by event, that no log holds.
 	Unread    int            // Unread counts lines that could not be read.
@@ -29,7 +29,7 @@
 
 // Belief is what an instance took to be true when it wrote its last line of the
 // request.
-type Belief struct {
+type InstanceView struct {
 	Instance string
 	// State is Starting, Serving, Stopping or Stopped; empty if the log doesn't
 	// reach back to the start of the process.
@@ -378,9 +378,9 @@
 	ex.story.Lines = ex.merged(ex.story.Lines)
 	for _, be := range ex.beliefs {
 		be.finish()
-		ex.story.Beliefs = append(ex.story.Beliefs, be.Belief)
+		ex.story.Beliefs = append(ex.story.Beliefs, be.InstanceView)
 	}
-	slices.SortFunc(ex.story.Beliefs, func(aa, bb Belief) int { return strings.Compare(aa.Instance, bb.Instance) })
+	slices.SortFunc(ex.story.Beliefs, func(aa, bb InstanceView) int { return strings.Compare(aa.Instance, bb.Instance) })
 	for _, se := range ex.servers {
 		se.Instances = len(se.around)
 		for _, li := range se.last {
@@ -416,7 +416,7 @@
 
 // believer follows what an instance believes.
 type believer struct {
-	Belief
+	InstanceView
 	ex    *explainer
 	until int           // until is the place of its last line of the request.
 	from  time.Duration // from is when the request had arrived.
@@ -427,7 +427,7 @@
 func (be *believer) take(li Line) {
 	switch li.Event {
 	case "instance-starting":
-		*be = believer{ex: be.ex, until: be.until, from: be.from, links: make(map[string]*Link), Belief: Belief{
+		*be = believer{ex: be.ex, until: be.until, from: be.from, links: make(map[string]*Link), InstanceView: InstanceView{
 			Instance: be.Instance, State: StateStarting, Since: li.When(), During: be.During, Before: be.Before,
 		}}
 	case "configuration-in-force":
--- a/trail/explain_test.go
+++ b/trail/explain_test.go
@@ -122,7 +122,7 @@
 	be := st.Beliefs[0]
 	qt.Assert(t, told(be.During), qt.DeepEquals, []string{"2026-01-01T00:00:20.000Z entry-1 control-link-down"})
 	be.During = nil
-	qt.Assert(t, be, qt.DeepEquals, Belief{
+	qt.Assert(t, be, qt.DeepEquals, InstanceView{
 		Instance: "entry-1", State: StateServing, Since: "2026-01-01T00:00:04.000Z",
 		Version: 9, VersionSince: "2026-01-01T00:00:06.000Z", Entries: 3,
 		Links: []Link{
