--- a/cmd/balsamctl/request.go
+++ b/cmd/balsamctl/request.go
@@ -244,7 +244,7 @@
 	tw.Flush()
 }
 
-func printServer(wr io.Writer, se trail.ServerStory) {
+func printServer(wr io.Writer, se trail.ServerReport) {
 	fmt.Fprintf(wr, "\nbackend server %s of %s\n", se.ID, se.Service)
 	if len(se.Lines) == 0 {
 		fmt.Fprintln(wr, "  no line before the end of the request")
--- a/trail/explain.go
+++ b/trail/explain.go
@@ -22,7 +22,7 @@
 	RequestID string
 	Lines     []Line         // Lines are those of the request, in the order of time.
 	Beliefs   []InstanceView // Beliefs are those of the instances that wrote them.
-	Servers   []ServerStory  // Servers are the backend servers that the lines name.
+	Servers   []ServerReport // Servers are the backend servers that the lines name.
 	LeftOut   map[string]int // LeftOut counts lines about requests, by event, that no log holds.
 	Unread    int            // Unread counts lines that could not be read.
 }
@@ -55,7 +55,7 @@
 }
 
 // ServerStory is what was last said of a backend server before a request ended.
-type ServerStory struct {
+type ServerReport struct {
 	ID      string
 	Service string
 	Lines   []Line // Lines are the last of each kind from each instance, in the order of time.
@@ -387,9 +387,9 @@
 			se.Lines = append(se.Lines, li)
 		}
 		se.Lines = last(ex.merged(se.Lines))
-		ex.story.Servers = append(ex.story.Servers, se.ServerStory)
+		ex.story.Servers = append(ex.story.Servers, se.ServerReport)
 	}
-	slices.SortFunc(ex.story.Servers, func(aa, bb ServerStory) int {
+	slices.SortFunc(ex.story.Servers, func(aa, bb ServerReport) int {
 		return strings.Compare(aa.Service+" "+aa.ID, bb.Service+" "+bb.ID)
 	})
 }
@@ -409,7 +409,7 @@
 
 // server collects what is said of a backend server.
 type server struct {
-	ServerStory
+	ServerReport
 	last   map[string]Line // last is by instance and event.
 	around map[string]bool // around holds the instances of ServerStory.Around.
 }
