--- a/tier/control.go
+++ b/tier/control.go
@@ -97,7 +97,7 @@
 
 // stop hands over the leadership and goes on serving until resignTimeout has passed.
 func (co *control) stop() {
-	co.lg.Info("instance-stopping", trail.AtOnce())
+	co.lg.Info("instance-stopping", trail.Synchronous())
 	last, cancel := context.WithTimeout(context.Background(), resignTimeout)
 	defer cancel()
 	co.nd.Resign(last)
@@ -147,7 +147,7 @@
 	start := co.ts.Now()
 	err := co.nd.Propose(ctx, version, data)
 	co.lg.Info("configuration-asked", zap.Uint64("Version", version), zap.Int("Bytes", len(data)), zap.Bool("Accepted", err == nil),
-		zap.Int64("Millis", co.ts.Now().Sub(start).Milliseconds()), zap.Error(err), trail.AtOnce())
+		zap.Int64("Millis", co.ts.Now().Sub(start).Milliseconds()), zap.Error(err), trail.Synchronous())
 	return err
 }
 
@@ -159,7 +159,7 @@
 	if err == nil && version == 0 {
 		err = &result.Error{Code: result.ControlUnavailable, Op: "read configuration", Detail: "no configuration has been accepted yet"}
 	}
-	co.lg.Info("configuration-read", zap.Uint64("Version", version), zap.Error(err), trail.AtOnce())
+	co.lg.Info("configuration-read", zap.Uint64("Version", version), zap.Error(err), trail.Synchronous())
 	return version, data, err
 }
 
@@ -174,7 +174,7 @@
 	}
 	co.lg.Info("evacuation-asked", zap.String("DataCentre", dataCentre), zap.Bool("Evacuate", evacuate), zap.String("From", from),
 		zap.Bool("Accepted", err == nil), zap.Uint64("Revision", st.Revision), zap.Strings("Evacuated", st.DataCentres),
-		zap.Int64("Millis", co.ts.Now().Sub(start).Milliseconds()), zap.Error(err), trail.AtOnce())
+		zap.Int64("Millis", co.ts.Now().Sub(start).Milliseconds()), zap.Error(err), trail.Synchronous())
 	return err
 }
 
--- a/tier/entry.go
+++ b/tier/entry.go
@@ -125,7 +125,7 @@
 	start := ts.Now()
 	en.sr.drain()
 	en.gw.CloseAfterResponse()
-	en.lg.Info("instance-stopping", zap.Int("Active", en.gw.InFlight()), zap.Duration("Within", timeout), trail.AtOnce())
+	en.lg.Info("instance-stopping", zap.Int("Active", en.gw.InFlight()), zap.Duration("Within", timeout), trail.Synchronous())
 	ctx := context.Background()
 	_ = ts.Sleep(ctx, timeout-inFlightTimeout-exitMargin)
 	en.gw.RejectAll()
@@ -133,7 +133,7 @@
 	defer cancel()
 	err := en.gw.WaitIdle(ctx)
 	en.callers.Close(ctx)
-	en.lg.Info("callers-served", zap.Int("Active", en.gw.InFlight()), zap.Error(err), trail.AtOnce())
+	en.lg.Info("callers-served", zap.Int("Active", en.gw.InFlight()), zap.Error(err), trail.Synchronous())
 }
 
 // ConfigurationChanged parses a configuration and puts it in force.
@@ -168,7 +168,7 @@
 func (en *entry) EvacuationsChanged(st evacuation.Set) {
 	en.evacuations = st
 	en.gw.SetServers(drainEvacuated(en.servers, st))
-	en.lg.Info("evacuations-in-force", zap.Uint64("Revision", st.Revision), zap.Strings("Evacuated", st.DataCentres), trail.AtOnce())
+	en.lg.Info("evacuations-in-force", zap.Uint64("Revision", st.Revision), zap.Strings("Evacuated", st.DataCentres), trail.Synchronous())
 }
 
 // EntriesChanged updates the entry instances that share the backend servers.
--- a/tier/livesettings.go
+++ b/tier/livesettings.go
@@ -34,7 +34,7 @@
 			return
 		case se := <-changes:
 			was := ls.se.Swap(&se)
-			lg.Info("settings-reloaded", zap.Bool("SeedsChanged", !slices.Equal(was.Seeds, se.Seeds)), zap.Strings("Seeds", se.Seeds), trail.AtOnce())
+			lg.Info("settings-reloaded", zap.Bool("SeedsChanged", !slices.Equal(was.Seeds, se.Seeds)), zap.Strings("Seeds", se.Seeds), trail.Synchronous())
 		}
 	}
 }
--- a/tier/run.go
+++ b/tier/run.go
@@ -61,8 +61,8 @@
 	ls := newLiveSettings(se)
 	go ls.applyChanges(ctx, changes, lg)
 	lg.Info("instance-starting", zap.String("Name", se.Name), zap.String("DataCentre", se.DataCentre),
-		zap.Bool("Entry", se.Entry()), zap.Bool("Control", se.Control()), zap.Int("ProcessID", os.Getpid()), zap.Bool("FirstStart", se.FirstStart), trail.AtOnce())
-	defer lg.Info("instance-stopped", zap.String("Name", se.Name), trail.AtOnce())
+		zap.Bool("Entry", se.Entry()), zap.Bool("Control", se.Control()), zap.Int("ProcessID", os.Getpid()), zap.Bool("FirstStart", se.FirstStart), trail.Synchronous())
+	defer lg.Info("instance-stopped", zap.String("Name", se.Name), trail.Synchronous())
 	lc := linkConfig(se.Timing, ts)
 	mws = append(mws, writeProcessMetrics(ts.Now(), ts.Now))
 	if se.Control() {
--- a/tier/watch.go
+++ b/tier/watch.go
@@ -37,7 +37,7 @@
 		last = data
 		se, err := Parse(file, data)
 		if err != nil {
-			lg.Warn("settings-refused", zap.Error(err), trail.AtOnce())
+			lg.Warn("settings-refused", zap.Error(err), trail.Synchronous())
 			continue
 		}
 		select {
--- a/trail/atonce_test.go
+++ b/trail/atonce_test.go
@@ -37,7 +37,7 @@
 func writeAndDie() {
 	lg, _ := New(os.Stdout, Config{BatchDelay: time.Hour, AtOnceWithin: time.Minute}, timer.New())
 	lg.Info("before")
-	lg.Info("acknowledged", AtOnce())
+	lg.Info("acknowledged", Synchronous())
 	lg.Info("after")
 	_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
 	select {}
@@ -51,13 +51,13 @@
 		lg, wr := New(re, Config{}, timer.New())
 		start := time.Now()
 		lg.Info("before")
-		lg.Info("acknowledged", zap.Int("Version", 7), AtOnce())
+		lg.Info("acknowledged", zap.Int("Version", 7), Synchronous())
 		qt.Assert(t, string(bytes.Join(re.writes, nil)), qt.Equals,
 			`{"Level":"info","Time":"2000-01-01T00:00:00Z","Event":"before"}`+"\n"+
 				`{"Level":"info","Time":"2000-01-01T00:00:00Z","Event":"acknowledged","Version":7}`+"\n")
 		lg.Info("plain")
 		qt.Assert(t, re.lines(t), qt.HasLen, 2)
-		lg.Info("again", AtOnce())
+		lg.Info("again", Synchronous())
 		qt.Assert(t, re.lines(t), qt.DeepEquals, []string{"before", "acknowledged", "plain", "again"})
 		qt.Assert(t, time.Since(start), qt.Equals, time.Duration(0))
 
@@ -65,7 +65,7 @@
 		re.stall()
 		lg.Info("slow", zap.String("Text", strings.Repeat("x", defaultBatchBytes)))
 		time.AfterFunc(defaultAtOnceWithin/2, re.resume)
-		lg.Info("behind", AtOnce())
+		lg.Info("behind", Synchronous())
 		qt.Assert(t, re.lines(t)[4:], qt.DeepEquals, []string{"slow", "behind"})
 		qt.Assert(t, time.Since(start), qt.Equals, defaultAtOnceWithin/2)
 		qt.Assert(t, wr.Close(), qt.IsNil)
@@ -83,10 +83,10 @@
 		cf := Config{QueueBytes: 2000, Rate: Rate{PerSecond: 1e6, Burst: 1e6}}
 		lg, wr := New(re, cf, timer.New())
 		start := time.Now()
-		lg.Info("first", AtOnce())
+		lg.Info("first", Synchronous())
 		qt.Assert(t, time.Since(start), qt.Equals, defaultAtOnceWithin)
 		for range 1000 {
-			lg.Info("line", zap.String("Text", strings.Repeat("x", 100)), AtOnce())
+			lg.Info("line", zap.String("Text", strings.Repeat("x", 100)), Synchronous())
 		}
 		qt.Assert(t, time.Since(start), qt.Equals, defaultAtOnceWithin)
 		qt.Assert(t, re.count(), qt.Equals, 0)
@@ -96,7 +96,7 @@
 
 		re.resume()
 		synctest.Wait()
-		lg.Info("last", AtOnce())
+		lg.Info("last", Synchronous())
 		lines := re.lines(t, "Count")
 		qt.Assert(t, lines[len(lines)-2:], qt.DeepEquals, []string{"lines-dropped " + number(dropped), "last"})
 		qt.Assert(t, time.Since(start), qt.Equals, defaultAtOnceWithin)
@@ -104,7 +104,7 @@
 		// A second stall is waited for anew, once.
 		re.stall()
 		for range 3 {
-			lg.Info("line", AtOnce())
+			lg.Info("line", Synchronous())
 		}
 		qt.Assert(t, time.Since(start), qt.Equals, 2*defaultAtOnceWithin)
 		re.resume()
@@ -119,11 +119,11 @@
 		lg, wr := New(re, Config{Rate: Rate{PerSecond: 1, Burst: 2}}, timer.New())
 		start := time.Now()
 		for range 4 {
-			lg.Info("line", AtOnce())
+			lg.Info("line", Synchronous())
 		}
 		qt.Assert(t, wr.Stats(), qt.Equals, Stats{Written: 2, LeftOut: 2, Failed: 2})
 		qt.Assert(t, wr.Close(), qt.IsNil)
-		lg.Warn("after the end", AtOnce())
+		lg.Warn("after the end", Synchronous())
 		qt.Assert(t, time.Since(start), qt.Equals, time.Duration(0))
 	})
 }
@@ -134,7 +134,7 @@
 	lg, wr := New(fi, Config{Rate: Rate{PerSecond: 1e9, Burst: 1e9}}, timer.New())
 	b.ReportAllocs()
 	for b.Loop() {
-		lg.Info("configuration-asked", zap.Int("Version", 7), AtOnce())
+		lg.Info("configuration-asked", zap.Int("Version", 7), Synchronous())
 	}
 	_ = wr.Close()
 }
--- a/trail/trail.go
+++ b/trail/trail.go
@@ -106,7 +106,7 @@
 // after. The call waits for a reader that is slow, for Config.AtOnceWithin at most
 // and not again for one that has stalled. It is for lines that say what the process
 // has acknowledged and how it lives, not for lines of requests.
-func AtOnce() zap.Field { return atOnce }
+func Synchronous() zap.Field { return atOnce }
 
 var atOnce = zap.Field{Key: "AtOnce", Type: zapcore.SkipType}
 
