--- a/tier/log_test.go
+++ b/tier/log_test.go
@@ -53,7 +53,7 @@
 // the log here is so long that no line is written by it.
 func TestAcknowledgedChangeIsLogged(t *testing.T) {
 	ls := &logSink{}
-	cl, co := newSingleControlCluster(t, ls, trail.Config{BatchDelay: time.Hour, AtOnceWithin: awaitTimeout})
+	cl, co := newSingleControlCluster(t, ls, trail.Config{BatchDelay: time.Hour, SyncTimeout: awaitTimeout})
 	for _, version := range []int{3, 5} {
 		cl.configure(config(version, "s1", "/first/"), co)
 		qt.Assert(t, ls.take(), qt.Matches, fmt.Sprintf(`(?s).*"Event":"configuration-asked","Version":%d,"Bytes":\d+,"Accepted":true,.*`, version))
--- a/trail/atonce_test.go
+++ b/trail/atonce_test.go
@@ -35,7 +35,7 @@
 }
 
 func writeAndDie() {
-	lg, _ := New(os.Stdout, Config{BatchDelay: time.Hour, AtOnceWithin: time.Minute}, timer.New())
+	lg, _ := New(os.Stdout, Config{BatchDelay: time.Hour, SyncTimeout: time.Minute}, timer.New())
 	lg.Info("before")
 	lg.Info("acknowledged", Synchronous())
 	lg.Info("after")
--- a/trail/trail.go
+++ b/trail/trail.go
@@ -34,7 +34,7 @@
 	CloseWithin time.Duration
 	// AtOnceWithin bounds how long a line with the field AtOnce waits for the
 	// reader; default 20 ms.
-	AtOnceWithin time.Duration
+	SyncTimeout time.Duration
 	// Rate bounds the lines of each event up to the level info.
 	Rate Rate
 	// LoudRate bounds the lines of each event from the level warn on.
@@ -74,8 +74,8 @@
 	if cf.CloseWithin <= 0 {
 		cf.CloseWithin = defaultCloseWithin
 	}
-	if cf.AtOnceWithin <= 0 {
-		cf.AtOnceWithin = defaultAtOnceWithin
+	if cf.SyncTimeout <= 0 {
+		cf.SyncTimeout = defaultAtOnceWithin
 	}
 	cf.Rate = cf.Rate.or(defaultRate)
 	cf.LoudRate = cf.LoudRate.or(defaultLoudRate)
--- a/trail/writer.go
+++ b/trail/writer.go
@@ -265,7 +265,7 @@
 // up is being written nobody waits again.
 func (wr *Writer) await(written <-chan struct{}) {
 	late := make(chan struct{})
-	defer wr.ts.Timeout(wr.cf.AtOnceWithin, func() { close(late) }).Stop()
+	defer wr.ts.Timeout(wr.cf.SyncTimeout, func() { close(late) }).Stop()
 	select {
 	case <-written:
 	case <-late:
