--- a/trail/trail.go
+++ b/trail/trail.go
@@ -31,7 +31,7 @@
 	// BatchDelay is how long a line waits for others; default 50 ms.
 	BatchDelay time.Duration
 	// CloseWithin bounds how long Close waits for the reader; default 500 ms.
-	CloseWithin time.Duration
+	CloseTimeout time.Duration
 	// AtOnceWithin bounds how long a line with the field AtOnce waits for the
 	// reader; default 20 ms.
 	SyncTimeout time.Duration
@@ -71,8 +71,8 @@
 	if cf.BatchDelay <= 0 {
 		cf.BatchDelay = defaultBatchDelay
 	}
-	if cf.CloseWithin <= 0 {
-		cf.CloseWithin = defaultCloseWithin
+	if cf.CloseTimeout <= 0 {
+		cf.CloseTimeout = defaultCloseWithin
 	}
 	if cf.SyncTimeout <= 0 {
 		cf.SyncTimeout = defaultAtOnceWithin
--- a/trail/writer.go
+++ b/trail/writer.go
@@ -111,7 +111,7 @@
 	wr.start()
 	wr.mu.Unlock()
 	stalled := make(chan struct{})
-	defer wr.ts.Timeout(wr.cf.CloseWithin, func() { close(stalled) }).Stop()
+	defer wr.ts.Timeout(wr.cf.CloseTimeout, func() { close(stalled) }).Stop()
 	select {
 	case <-idle:
 		return nil
