--- a/trail/trail.go
+++ b/trail/trail.go
@@ -38,7 +38,7 @@
 	// Rate bounds the lines of each event up to the level info.
 	Rate Rate
 	// LoudRate bounds the lines of each event from the level warn on.
-	LoudRate Rate
+	WarnRate Rate
 }
 
 // Rate bounds lines. A zero field takes its default.
@@ -78,7 +78,7 @@
 		cf.SyncTimeout = defaultAtOnceWithin
 	}
 	cf.Rate = cf.Rate.or(defaultRate)
-	cf.LoudRate = cf.LoudRate.or(defaultLoudRate)
+	cf.WarnRate = cf.WarnRate.or(defaultLoudRate)
 	return cf
 }
 
--- a/trail/trail_test.go
+++ b/trail/trail_test.go
@@ -153,7 +153,7 @@
 func TestRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		re := &reader{}
-		lg, wr := New(re, Config{Rate: Rate{PerSecond: 2, Burst: 3}, LoudRate: Rate{PerSecond: 2, Burst: 5}}, timer.New())
+		lg, wr := New(re, Config{Rate: Rate{PerSecond: 2, Burst: 3}, WarnRate: Rate{PerSecond: 2, Burst: 5}}, timer.New())
 		for range 10 {
 			lg.Info("answered")
 			lg.Warn("failed")
--- a/trail/writer.go
+++ b/trail/writer.go
@@ -69,7 +69,7 @@
 func newWriter(out io.Writer, cf Config, ts *timer.Service, en zapcore.Encoder) *Writer {
 	return &Writer{
 		out: out, cf: cf, ts: ts, en: en,
-		quiet: newBuckets(cf.Rate), loud: newBuckets(cf.LoudRate),
+		quiet: newBuckets(cf.Rate), loud: newBuckets(cf.WarnRate),
 	}
 }
 
