--- a/cmd/balsamctl/request.go
+++ b/cmd/balsamctl/request.go
@@ -72,7 +72,7 @@
 	fmt.Fprintf(wr, "request %s\n", st.RequestID)
 	ends := make(map[string]bool)
 	for _, li := range st.Lines {
-		fmt.Fprintf(wr, "\n%s %s %s\n", li.When(), li.Instance, li.Event)
+		fmt.Fprintf(wr, "\n%s %s %s\n", li.FormatTime(), li.Instance, li.Event)
 		printRequest(wr, li)
 		printAttempts(wr, trail.Attempts(li), ends)
 	}
@@ -215,7 +215,7 @@
 		fmt.Fprintf(wr, "    %d lines before these\n", be.Before)
 	}
 	for _, li := range be.During {
-		fmt.Fprintf(wr, "    %s %s\n", li.When(), describeLine(li))
+		fmt.Fprintf(wr, "    %s %s\n", li.FormatTime(), describeLine(li))
 	}
 }
 
@@ -258,7 +258,7 @@
 			trail.AroundWindow, trail.AroundWindow, strings.Join(te, ", "), se.Instances)
 	}
 	for _, li := range se.Lines {
-		fmt.Fprintf(wr, "  %s %s %s\n", li.When(), li.Instance, describeLine(li))
+		fmt.Fprintf(wr, "  %s %s %s\n", li.FormatTime(), li.Instance, describeLine(li))
 	}
 }
 
--- a/trail/explain.go
+++ b/trail/explain.go
@@ -428,22 +428,22 @@
 	switch li.Event {
 	case "instance-starting":
 		*be = believer{ex: be.ex, until: be.until, from: be.from, links: make(map[string]*Link), InstanceView: InstanceView{
-			Instance: be.Instance, State: StateStarting, Since: li.When(), During: be.During, Before: be.Before,
+			Instance: be.Instance, State: StateStarting, Since: li.FormatTime(), During: be.During, Before: be.Before,
 		}}
 	case "configuration-in-force":
-		be.Version, be.VersionSince = li.Number("Version"), li.When()
+		be.Version, be.VersionSince = li.Number("Version"), li.FormatTime()
 		if be.State == StateStarting {
-			be.State, be.Since = StateServing, li.When()
+			be.State, be.Since = StateServing, li.FormatTime()
 		}
 	case "instance-stopping":
-		be.State, be.Since = StateStopping, li.When()
+		be.State, be.Since = StateStopping, li.FormatTime()
 	case "instance-stopped":
-		be.State, be.Since = StateStopped, li.When()
+		be.State, be.Since = StateStopped, li.FormatTime()
 	case "entries-known":
 		be.Entries = li.Number("Entries")
 	case "control-link-up", "control-link-down":
 		be.links[li.Text("Address")] = &Link{
-			Control: li.Text("Control"), Address: li.Text("Address"), Since: li.When(),
+			Control: li.Text("Control"), Address: li.Text("Address"), Since: li.FormatTime(),
 			Up: li.Event == "control-link-up", Error: li.Text("error"),
 		}
 	case "control-forgotten":
--- a/trail/explain_test.go
+++ b/trail/explain_test.go
@@ -40,7 +40,7 @@
 func told(lis []Line) []string {
 	out := []string{}
 	for _, li := range lis {
-		out = append(out, li.When()+" "+li.Instance+" "+li.Event)
+		out = append(out, li.FormatTime()+" "+li.Instance+" "+li.Event)
 	}
 	return out
 }
@@ -281,7 +281,7 @@
 	be := explain(t, "r-1", source("a", log...)).Beliefs[0]
 	qt.Assert(t, be.During, qt.HasLen, mostDuring)
 	qt.Assert(t, be.Before, qt.Equals, 45-mostDuring)
-	qt.Assert(t, be.During[0].When(), qt.Equals, "2026-01-01T00:00:20.000Z")
+	qt.Assert(t, be.During[0].FormatTime(), qt.Equals, "2026-01-01T00:00:20.000Z")
 }
 
 // The line of a request may have been left out. Whoever looks for it must learn
--- a/trail/scan.go
+++ b/trail/scan.go
@@ -209,7 +209,7 @@
 
 // When returns the time of the line: that of its prefix in seconds, if it has
 // one, and else that of the instance's clock.
-func (li *Line) When() string {
+func (li *Line) FormatTime() string {
 	if li.marked {
 		return strconv.FormatFloat(li.at.Seconds(), 'f', 3, 64)
 	}
@@ -220,7 +220,7 @@
 // have.
 func (li Line) MarshalJSON() ([]byte, error) {
 	fs := []Field{
-		{"When", quoted(li.When())},
+		{"When", quoted(li.FormatTime())},
 		{keyInstance, quoted(li.Instance)},
 		{keyLevel, quoted(li.Level)},
 		{keyEvent, quoted(li.Event)},
