--- a/keys/keys.go
+++ b/keys/keys.go
@@ -196,7 +196,7 @@
 }
 
 // Self returns the instance's own name in its TLS settings.
-func Self(tc *tls.Config) string {
+func OwnName(tc *tls.Config) string {
 	if len(tc.Certificates) == 0 || tc.Certificates[0].Leaf == nil {
 		return ""
 	}
--- a/keys/keys_test.go
+++ b/keys/keys_test.go
@@ -22,7 +22,7 @@
 	for _, name := range []string{"entry-1", "entry-2"} {
 		tc, err := Load(filepath.Join(dir, AuthorityFile), filepath.Join(dir, CertificateFile(name)), filepath.Join(dir, KeyFile(name)))
 		c.Assert(err, qt.IsNil)
-		c.Assert(Self(tc), qt.Equals, name)
+		c.Assert(OwnName(tc), qt.Equals, name)
 		c.Assert(tc.Certificates[0].Leaf.VerifyHostname("127.0.0.1"), qt.IsNil)
 		fi, err := os.Stat(filepath.Join(dir, KeyFile(name)))
 		c.Assert(err, qt.IsNil)
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -104,7 +104,7 @@
 // returns a *result.Error if the settings are wrong or the address is taken.
 func New(cf Config, co *Codec, ha Handler, ts *timer.Service, lg *zap.Logger) (*Peer, error) {
 	const op = "peer.New"
-	if name := keys.Self(cf.TLS); name != cf.Self {
+	if name := keys.OwnName(cf.TLS); name != cf.Self {
 		detail := fmt.Sprintf("the certificate is of %q, the settings name %q", name, cf.Self)
 		return nil, &result.Error{Code: result.BadKey, Op: op, Detail: detail}
 	}
