--- a/keys/keys.go
+++ b/keys/keys.go
@@ -188,7 +188,7 @@
 
 // Name returns the instance's name in the certificate that the other end of a
 // connection showed, or "" if it showed none.
-func Name(cs tls.ConnectionState) string {
+func PeerName(cs tls.ConnectionState) string {
 	if len(cs.PeerCertificates) == 0 {
 		return ""
 	}
--- a/peer/link.go
+++ b/peer/link.go
@@ -296,7 +296,7 @@
 	}
 	tc.ServerName = name
 	tc.VerifyConnection = func(cs tls.ConnectionState) error {
-		if got := keys.Name(cs); got != name {
+		if got := keys.PeerName(cs); got != name {
 			return fmt.Errorf("certificate is of %q, want %q", got, name)
 		}
 		return nil
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -270,7 +270,7 @@
 		pe.logRefusal(qc)
 		return
 	}
-	from := keys.Name(qc.ConnectionState().TLS)
+	from := keys.PeerName(qc.ConnectionState().TLS)
 	var ended credit
 	for {
 		st, err := qc.AcceptStream(pe.ctx)
