--- a/operator/client.go
+++ b/operator/client.go
@@ -19,7 +19,7 @@
 const (
 	// attemptTimeout bounds one attempt; it is longer than ChangeWait, so that
 	// the server says Pending before the client gives up.
-	attemptTimeout = ChangeWait + 5*time.Second
+	attemptTimeout = ChangeTimeout + 5*time.Second
 	// roundPause lies between two rounds over all addresses.
 	roundPause = 250 * time.Millisecond
 	// maxHints bounds how many hints at a leader are followed in a row, because
--- a/operator/server.go
+++ b/operator/server.go
@@ -21,7 +21,7 @@
 const MaxRequestBytes = 4 << 20
 
 // ChangeWait is how long the server lets a change wait until it is in force.
-const ChangeWait = 10 * time.Second
+const ChangeTimeout = 10 * time.Second
 
 const maxIDLength = 128
 
@@ -72,7 +72,7 @@
 		se.fail(rw, rq, err)
 		return
 	}
-	ctx, cancel := context.WithTimeout(rq.Context(), ChangeWait)
+	ctx, cancel := context.WithTimeout(rq.Context(), ChangeTimeout)
 	defer cancel()
 	re, err := se.be.Change(ctx, cr)
 	if err != nil {
