--- a/cmd/balsamctl/apply.go
+++ b/cmd/balsamctl/apply.go
@@ -127,7 +127,7 @@
 	}
 	ask := ap.cl.Change
 	if ap.wait {
-		ask = ap.cl.ChangeInForce
+		ask = ap.cl.ChangeAndWait
 	}
 	re, err := ask(ctx, cr)
 	if err == nil {
--- a/cmd/balsamwinch/script_test.go
+++ b/cmd/balsamwinch/script_test.go
@@ -488,7 +488,7 @@
 	}
 	for range count {
 		next := known.Revision + 1
-		rp, err := cl.ChangeInForce(ctx, operator.ChangeRequest{
+		rp, err := cl.ChangeAndWait(ctx, operator.ChangeRequest{
 			ChangeID: fmt.Sprintf("change-%d", next),
 			Author:   "ana",
 			Files: []operator.FileChange{{
--- a/load/local.go
+++ b/load/local.go
@@ -91,7 +91,7 @@
 	for _, fi := range files {
 		cr.Files = append(cr.Files, operator.FileChange{Name: fi.Name, Base: base[fi.Name], Content: fi.Content})
 	}
-	re, err := cl.ChangeInForce(ctx, cr)
+	re, err := cl.ChangeAndWait(ctx, cr)
 	if err != nil {
 		return err
 	}
--- a/operator/client.go
+++ b/operator/client.go
@@ -60,7 +60,7 @@
 // ChangeInForce sends a change and, while it is pending, asks again until it is
 // in force everywhere or refused. If the context ends before, the reply is the
 // pending one.
-func (cl *Client) ChangeInForce(ctx context.Context, cr ChangeRequest) (ChangeReply, error) {
+func (cl *Client) ChangeAndWait(ctx context.Context, cr ChangeRequest) (ChangeReply, error) {
 	var pending ChangeReply
 	for {
 		re, err := cl.Change(ctx, cr)
--- a/operator/server_test.go
+++ b/operator/server_test.go
@@ -203,7 +203,7 @@
 		cr := ChangeRequest{ChangeID: "c1", Author: "ana", Files: []FileChange{{Name: "a.yaml"}}}
 		for _, ne := range []network{{"a": sv}, {"a": lossy(sv, 1, 1000)}} {
 			ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
-			re, err := newClient([]string{"a"}, ne).ChangeInForce(ctx, cr)
+			re, err := newClient([]string{"a"}, ne).ChangeAndWait(ctx, cr)
 			cancel()
 			c.Assert(err, qt.IsNil)
 			c.Assert(re, qt.DeepEquals, fk.reply)
@@ -211,7 +211,7 @@
 		c.Assert(len(fk.changes) > 1, qt.IsTrue)
 		c.Assert(fk.changes[len(fk.changes)-1], qt.DeepEquals, cr)
 		fk.inForce = 2 * len(fk.changes)
-		re, err := cl.ChangeInForce(t.Context(), cr)
+		re, err := cl.ChangeAndWait(t.Context(), cr)
 		c.Assert(err, qt.IsNil)
 		c.Assert(re.Code, qt.Equals, result.Accepted)
 	})
