--- a/operator/message.go
+++ b/operator/message.go
@@ -226,12 +226,12 @@
 
 // NotLeader is the error of an instance that can't answer because another leads
 // control.
-type NotLeader struct {
+type NotLeaderError struct {
 	Leader string // Leader is the operators' address of the leader; empty if not known.
 }
 
 // Error names the leader.
-func (nl *NotLeader) Error() string {
+func (nl *NotLeaderError) Error() string {
 	if nl.Leader == "" {
 		return "not the leader; no leader is known"
 	}
@@ -239,7 +239,7 @@
 }
 
 // Unwrap returns the error with its result code.
-func (nl *NotLeader) Unwrap() error {
+func (nl *NotLeaderError) Unwrap() error {
 	return &result.Error{Code: result.NotLeader, Op: "operator", Detail: nl.Error()}
 }
 
--- a/operator/server.go
+++ b/operator/server.go
@@ -230,7 +230,7 @@
 func errorReply(err error) (int, ErrorReply) {
 	er := ErrorReply{Code: result.ControlUnavailable, Detail: err.Error()}
 	st := http.StatusInternalServerError
-	var nl *NotLeader
+	var nl *NotLeaderError
 	var re *result.Error
 	var rq *requestError
 	switch {
--- a/operator/server_test.go
+++ b/operator/server_test.go
@@ -72,7 +72,7 @@
 		err           error
 	}{
 		{"POST /changes", chg, nil},
-		{"POST /changes", chg, &NotLeader{Leader: "10.0.0.2:7003"}},
+		{"POST /changes", chg, &NotLeaderError{Leader: "10.0.0.2:7003"}},
 		{"POST /changes", chg, &result.Error{Code: result.NotRunOverloaded, Op: "op", RetryAfter: time.Second}},
 		{"POST /changes", chg, errors.New("disk on fire")},
 		{"POST /changes", `{"ChangeID": "c1", "Author": "ana"}`, nil},
@@ -162,7 +162,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		leader := &fake{reply: ChangeReply{Code: result.Conflict, Conflict: &Conflict{Author: "ben"}}}
-		follower := &fake{err: &NotLeader{Leader: "leader"}}
+		follower := &fake{err: &NotLeaderError{Leader: "leader"}}
 		cl := newClient([]string{"gone", "follower"}, network{
 			"follower": NewServer(follower, zap.NewNop()),
 			"leader":   lossy(NewServer(leader, zap.NewNop()), 0, 2),
@@ -182,8 +182,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		cl := newClient([]string{"a", "b", "c"}, network{
-			"a": NewServer(&fake{err: &NotLeader{Leader: "b"}}, zap.NewNop()),
-			"b": NewServer(&fake{err: &NotLeader{Leader: "a"}}, zap.NewNop()),
+			"a": NewServer(&fake{err: &NotLeaderError{Leader: "b"}}, zap.NewNop()),
+			"b": NewServer(&fake{err: &NotLeaderError{Leader: "a"}}, zap.NewNop()),
 			"c": NewServer(&fake{}, zap.NewNop()),
 		})
 		re, err := cl.Files(t.Context())
