--- a/instance/connections.go
+++ b/instance/connections.go
@@ -22,7 +22,7 @@
 	connected := vi.Leased(now) || servesWithoutControl(vi.Configuration)
 	la := in.last
 	if la != nil && now.Before(in.sweepAt) && in.connected == connected && same(la.Servers, vi.Servers) && same(la.Instances, vi.Instances) &&
-		la.Configuration.Revision == vi.Configuration.Revision && la.Entries == vi.Entries {
+		la.Configuration.Revision == vi.Configuration.Revision && la.GrantedDivisor == vi.GrantedDivisor {
 		return
 	}
 	in.last, in.connected, in.sweepAt = vi, connected, now.Add(sweepPeriod)
--- a/instance/lease.go
+++ b/instance/lease.go
@@ -126,7 +126,7 @@
 		InForce:   vi.Configuration.Revision,
 		Releasing: releasing,
 		Leased:    vi.Leased(now),
-		Entries:   vi.Entries,
+		Entries:   vi.GrantedDivisor,
 		Roster:    rn.th.roster.Load(),
 	}
 }
--- a/instance/thread.go
+++ b/instance/thread.go
@@ -241,14 +241,14 @@
 	th.dirty = false
 	th.sequence++
 	vi := &view.View{
-		Self:          th.self,
-		Configuration: th.cfg,
-		Instances:     th.instances,
-		Servers:       th.servers,
-		LeaseUntil:    th.lease,
-		Entries:       th.entries,
-		Draining:      th.draining,
-		Sequence:      th.sequence,
+		Self:           th.self,
+		Configuration:  th.cfg,
+		Instances:      th.instances,
+		Servers:        th.servers,
+		LeaseUntil:     th.lease,
+		GrantedDivisor: th.entries,
+		Draining:       th.draining,
+		Sequence:       th.sequence,
 	}
 	th.ce.Store(vi)
 	if th.applied != nil {
--- a/view/view.go
+++ b/view/view.go
@@ -33,9 +33,9 @@
 	LeaseUntil    time.Time        // LeaseUntil is when this instance must stop serving.
 	// Entries is by how many entry instances the connection limits of backend
 	// servers are divided, as control last granted; 0 means Limits.MaxEntries.
-	Entries  int
-	Draining bool   // Draining says that this instance is stopping.
-	Sequence uint64 // Sequence rises with each published view.
+	GrantedDivisor int
+	Draining       bool   // Draining says that this instance is stopping.
+	Sequence       uint64 // Sequence rises with each published view.
 }
 
 // Leased reports whether the instance may serve at the given time.
@@ -46,8 +46,8 @@
 // Divisor returns by how many entry instances this one must divide the
 // connection limit of a backend server.
 func (vi *View) Divisor() int {
-	if vi.Entries > 0 {
-		return vi.Entries
+	if vi.GrantedDivisor > 0 {
+		return vi.GrantedDivisor
 	}
 	return vi.Configuration.Limits.MaxEntries
 }
