--- a/fanout/answer.go
+++ b/fanout/answer.go
@@ -8,73 +8,77 @@
 	"balsamwinch.example/result"
 )
 
-// When to come back after a refusal or an answer that misses shards, if no
-// backend server said so itself.
+// Retry-after times of refusals and incomplete answers, used when no backend
+// server stated one.
 const (
-	retryBusy    = 100 * time.Millisecond
-	retryMissing = time.Second
+	retryAfterBusy    = 100 * time.Millisecond
+	retryAfterMissing = time.Second
 )
 
-// settle ends the query if it is over, and otherwise arms the moment of the next
-// decision.
-func (tu *turn) settle() {
-	if tu.st.plan.Shards == nil || tu.over() {
+// finishOrSchedule ends the query if it is over, and otherwise sets the timer
+// for the next decision.
+func (tr *transition) finishOrSchedule() {
+	if tr.st.plan.Shards == nil || tr.finishIfOver() {
 		return
 	}
-	next := min(tu.st.finish(), tu.st.wake, tu.cut())
-	if next != tu.st.armed {
-		tu.st.armed = next
-		tu.do(SetTimer{At: tu.st.ru.Start.Add(next)})
+	next := min(tr.st.answerDeadline(), tr.st.wakeAt, tr.cutoff())
+	if next != tr.st.timerAt {
+		tr.st.timerAt = next
+		tr.emit(SetTimer{At: tr.st.params.Start.Add(next)})
 	}
 }
 
-// over ends the query if its answer can get no better or not in time.
-func (tu *turn) over() bool {
-	if tu.unsent {
-		tu.st.latest = tu.st.lastSent()
+// finishIfOver ends the query if its answer cannot improve or the time is up,
+// and reports whether the query has ended.
+func (tr *transition) finishIfOver() bool {
+	if tr.unsent {
+		tr.st.latestSent = tr.st.latestAcrossShards()
 	}
 	switch {
-	case tu.st.done:
-	case tu.st.open == 0 || tu.now >= tu.st.finish():
-		tu.answer(Deadline)
-	case tu.now >= tu.cut():
-		tu.answer(Late)
+	case tr.st.done:
+	case tr.st.numOpen == 0 || tr.now >= tr.st.answerDeadline():
+		tr.finish(Deadline)
+	case tr.now >= tr.cutoff():
+		tr.finish(Late)
 	default:
 		return false
 	}
 	return true
 }
 
-// cut returns when the query is answered without the shards that are open.
+// cutoff returns when the query is answered without the shards that are still
+// open.
 //
-// Policy Complete waits for them until the deadline, as long as it can still
-// become complete. Policy Best, and Complete once a shard is surely missing,
-// first give the latest attempt its time, so that a hedge has had its chance.
-// Of the time that is then left they wait the share that is still open: one
-// shard of 100 is worth a hundredth of it, and a query with most of its shards
-// open waits nearly to the end. An answer without any shard is worth nothing,
-// so it is never cut. A request that must not be repeated is never cut either:
-// its outcome is what the caller needs.
-func (tu *turn) cut() time.Duration {
-	st := &tu.st
-	if st.ru.Tactics == operator.Baseline || !st.ru.Repeatable || st.covered() == 0 {
+// With policy Complete the query waits for open shards until the deadline as
+// long as it can still become complete. With policy Best, or with Complete once
+// a shard is certainly missing, it first gives the latest attempt its grace
+// period, so that a hedge has time to win. Of the time left after that it waits
+// a fraction equal to the fraction of shards still open: one shard of 100 is
+// worth a hundredth of the time, and a query with most of its shards open waits
+// nearly until the deadline. An answer without any shard is worthless, so it is
+// never cut short. Neither is a request that must not be repeated, because its
+// caller needs the outcome.
+func (tr *transition) cutoff() time.Duration {
+	st := &tr.st
+	if st.params.Tactics == operator.Baseline || !st.params.Repeatable || st.covered() == 0 {
 		return never
 	}
-	if st.ru.Policy != operator.Best && st.missing == 0 {
+	if st.params.Policy != operator.Best && st.numMissing == 0 {
 		return never
 	}
-	chance := st.latest + chanceDelays*st.ru.HedgeDelay
-	if tu.now < chance {
-		return chance
+	graceEnd := st.latestSent + attemptHedgeDelays*st.params.HedgeDelay
+	if tr.now < graceEnd {
+		return graceEnd
 	}
-	left := max(0, st.finish()-chance)
-	return chance + left*time.Duration(st.open)/time.Duration(len(st.plan.Shards))
+	left := max(0, st.answerDeadline()-graceEnd)
+	return graceEnd + left*time.Duration(st.numOpen)/time.Duration(len(st.plan.Shards))
 }
 
-// answer ends the query. The reason is that of the shards whose attempts run.
-func (tu *turn) answer(re Reason) {
-	st := &tu.st
-	st.begun = st.mayHaveBegun()
+// finish ends the query. Shards with attempts in flight are missing for the
+// given reason.
+func (tr *transition) finish(re Reason) {
+	st := &tr.st
+	st.possiblyRun = st.mayHaveRun()
 	an := Answer{Snapshot: st.plan.Snapshot, Covered: make([]string, 0, st.covered())}
 	an.Rows = make([]ShardRows, 0, st.covered())
 	asked := 0
@@ -87,28 +91,28 @@
 			an.Rows = append(an.Rows, *sh.rows)
 			continue
 		}
-		why := sh.why(re)
-		ou.add(why, sh.begun || sh.runs() > 0)
+		why := sh.missingReason(re)
+		ou.add(why, sh.possiblyRun || sh.numRunning() > 0)
 		an.Missing = append(an.Missing, MissingShard{Shard: name, Reason: why})
 	}
 	an.Code = st.code(&ou)
 	an.Cost = st.cost
 	an.Cost.Extra = st.cost.LeafRequests - asked
 	if len(an.Missing) > 0 {
-		an.RetryAfterMillis = st.comeBack(&ou).Milliseconds()
-		an.Detail = detail(len(st.plan.Shards), an.Missing)
+		an.RetryAfterMillis = st.retryDelay(&ou).Milliseconds()
+		an.Detail = missingDetail(len(st.plan.Shards), an.Missing)
 	}
 	st.done = true
-	tu.do(Finish{Answer: an})
+	tr.emit(Finish{Answer: an})
 }
 
-// why returns the reason for which a shard without rows is missing when the
-// query ends for the given one.
-func (sh *shard) why(re Reason) Reason {
+// missingReason returns why a shard without rows is missing. The given reason
+// applies if attempts for the shard are in flight.
+func (sh *shard) missingReason(re Reason) Reason {
 	switch {
 	case sh.status == shardMissing:
 		return sh.reason
-	case sh.runs() > 0:
+	case sh.numRunning() > 0:
 		return re
 	case sh.reason != "":
 		return sh.reason
@@ -117,19 +121,19 @@
 	}
 }
 
-// outcomes counts what became of the shards without rows.
+// outcomes counts the shards without rows by outcome.
 type outcomes struct {
 	missing   int
-	unknown   int // unknown counts those that may have run.
-	failed    int // failed counts those that ran and failed.
-	refused   int // refused counts those refused as malformed.
-	busy      int // busy counts those that found no room.
+	unknown   int // may have run
+	failed    int // ran and failed
+	refused   int // refused as malformed
+	busy      int // found no free slot or connection
 	cancelled int
 }
 
-func (ou *outcomes) add(re Reason, begun bool) {
+func (ou *outcomes) add(re Reason, possiblyRun bool) {
 	ou.missing++
-	if begun && re != Failed {
+	if possiblyRun && re != Failed {
 		ou.unknown++
 	}
 	switch re {
@@ -145,28 +149,29 @@
 	}
 }
 
-// code returns the result code of the answer. It says "not run" only if no
-// shard is covered and no attempt that left is without a backend server's word
-// that it did not begin; one shard that may have run forbids it for all.
+// code returns the result code of the answer. It is a "not run" code only if no
+// shard is covered and backend servers confirmed, for each attempt that was
+// sent, that it did not begin. A single shard that may have run rules it out
+// for the whole query.
 func (st *State) code(ou *outcomes) result.Code {
 	switch {
 	case ou.missing == 0:
 		return result.Complete
-	case !st.begun:
-		return ou.notRun()
-	case !st.ru.Repeatable && ou.unknown > 0:
+	case !st.possiblyRun:
+		return ou.notRunCode()
+	case !st.params.Repeatable && ou.unknown > 0:
 		return result.OutcomeUnknown
-	case !st.ru.Repeatable && ou.failed > 0, ou.failed == len(st.plan.Shards):
+	case !st.params.Repeatable && ou.failed > 0, ou.failed == len(st.plan.Shards):
 		return result.Failed
-	case st.ru.Policy == operator.Best && st.covered() > 0:
+	case st.params.Policy == operator.Best && st.covered() > 0:
 		return result.Partial
 	default:
 		return result.Incomplete
 	}
 }
 
-// notRun returns the code of a query that no backend server began.
-func (ou *outcomes) notRun() result.Code {
+// notRunCode returns the code of a query that no backend server began.
+func (ou *outcomes) notRunCode() result.Code {
 	switch {
 	case ou.refused > 0:
 		return result.NotRunBadRequest
@@ -179,21 +184,22 @@
 	}
 }
 
-// comeBack returns when a caller may ask again, or zero if that is no use.
-func (st *State) comeBack(ou *outcomes) time.Duration {
+// retryDelay returns when the caller may try again, or zero if that is
+// pointless.
+func (st *State) retryDelay(ou *outcomes) time.Duration {
 	switch {
 	case ou.refused > 0, ou.failed == ou.missing:
 		return 0
 	case st.retryAfter > 0:
 		return st.retryAfter
 	case ou.busy > 0:
-		return retryBusy
+		return retryAfterBusy
 	default:
-		return retryMissing
+		return retryAfterMissing
 	}
 }
 
-func detail(shards int, missing []MissingShard) string {
+func missingDetail(shards int, missing []MissingShard) string {
 	st := fmt.Sprintf("%d of %d shards missing: %s (%s)", len(missing), shards, missing[0].Shard, missing[0].Reason)
 	if len(missing) > 1 {
 		st += " and others"
--- a/fanout/attempt.go
+++ b/fanout/attempt.go
@@ -11,102 +11,104 @@
 	"balsamwinch.example/limit"
 )
 
-// sending is one attempt under way. It is passed by pointer so that the stack of
-// its goroutine, of which there is one for each leaf request, stays small.
-type sending struct {
-	ask  SendAttempt
-	sent time.Time
-	// since is since when an idle connection must have proved to work; zero if any
-	// will do.
-	since time.Time
-	ch    limit.Choice
-}
-
-// send sends one attempt, reports its end to the servers' table and to the run.
-func (rn *run) send(ctx context.Context, cancel context.CancelFunc, se *sending) {
-	defer rn.leave()
+// sendTask is one attempt in flight. It is passed by pointer to keep the stack
+// of its goroutine small, since each leaf request has one.
+type sendTask struct {
+	action SendAttempt
+	sent   time.Time
+	// An idle connection must have received a reply since then; zero if any
+	// connection will do.
+	replySince time.Time
+	ch         limit.Choice
+}
+
+// send sends one attempt and reports its end to the balancer and to the query
+// run.
+func (qr *queryRun) send(ctx context.Context, cancel context.CancelFunc, se *sendTask) {
+	defer qr.goroutineDone()
 	defer cancel()
-	rp, err := rn.en.cl.Do(ctx, rn.target(se), rn.request(se))
+	rp, err := qr.en.cl.Do(ctx, qr.target(se), qr.leafRequest(se))
 	if err != nil {
-		rn.reportFailure(se, failureOf(err))
+		qr.reportFailure(se, asBackendError(err))
 		return
 	}
-	rn.reportReply(se, rp)
+	qr.reportReply(se, rp)
 }
 
-func (rn *run) request(se *sending) backend.Request {
+func (qr *queryRun) leafRequest(se *sendTask) backend.Request {
 	return backend.Request{
-		RequestID:     se.ask.RequestID,
-		Service:       rn.qu.Service,
-		Shard:         se.ask.Shard,
-		Snapshot:      se.ask.Snapshot,
-		TimeoutMillis: max(1, rn.leafBy.Sub(se.sent).Milliseconds()),
-		Repeatable:    rn.qu.Repeatable,
-		Key:           rn.qu.Key,
-		Query:         rn.qu.Body,
+		RequestID:     se.action.RequestID,
+		Service:       qr.qu.Service,
+		Shard:         se.action.Shard,
+		Snapshot:      se.action.Snapshot,
+		TimeoutMillis: max(1, qr.leafDeadline.Sub(se.sent).Milliseconds()),
+		Repeatable:    qr.qu.Repeatable,
+		Key:           qr.qu.Key,
+		Query:         qr.qu.Body,
 	}
 }
 
-func (rn *run) reportReply(se *sending, rp backend.Reply) {
-	now := rn.en.ts.Now()
-	rn.release(now, se, outcome(&rp))
-	rn.post(Replied{Now: now, Attempt: se.ask.Attempt, Server: se.ch.Server, Reply: rp})
+func (qr *queryRun) reportReply(se *sendTask, rp backend.Reply) {
+	now := qr.en.ts.Now()
+	qr.release(now, se, replyOutcome(&rp))
+	qr.post(Replied{Now: now, Attempt: se.action.Attempt, Server: se.ch.Server, Reply: rp})
 }
 
-func (rn *run) reportFailure(se *sending, er *backend.Error) {
-	now := rn.en.ts.Now()
-	rn.release(now, se, limit.Outcome{Kind: failureKind(er)})
-	rn.post(AttemptFailed{Now: now, Attempt: se.ask.Attempt, Kind: er.Kind, Sent: er.Sent})
+func (qr *queryRun) reportFailure(se *sendTask, er *backend.Error) {
+	now := qr.en.ts.Now()
+	qr.release(now, se, limit.Outcome{Kind: failureOutcome(er)})
+	qr.post(AttemptFailed{Now: now, Attempt: se.action.Attempt, Kind: er.Kind, Sent: er.Sent})
 	if er.Sent {
-		rn.en.held.keep(rn.en, now, se.ask.RequestID, se.ch)
+		qr.en.heldSlots.hold(qr.en, now, se.action.RequestID, se.ch)
 	}
 }
 
-// release gives the slot of an attempt back.
-func (rn *run) release(now time.Time, se *sending, oc limit.Outcome) {
+// release returns the slot of an attempt to the balancer.
+func (qr *queryRun) release(now time.Time, se *sendTask, oc limit.Outcome) {
 	oc.Latency = now.Sub(se.sent)
-	rn.en.ta.Done(now, se.ch, oc)
-	rn.learn(oc)
-}
-
-// target returns where an attempt goes. A connection that has gone silent looks
-// like a slow server. It is given up while there is time for another one; a
-// request that must not be repeated has no use for another and waits to the end.
-func (rn *run) target(se *sending) backend.Target {
-	silent := rn.ru.AnswerDeadline.Sub(se.sent)
-	if rn.ru.Repeatable {
-		silent = silent * silentNum / silentDen
+	qr.en.ba.Done(now, se.ch, oc)
+	qr.observeLatency(oc)
+}
+
+// target returns where an attempt is sent. A silent connection looks like a
+// slow server. It is abandoned while there is still time for another one. A
+// request that must not be repeated could not use another connection, so it
+// waits until the deadline.
+func (qr *queryRun) target(se *sendTask) backend.Target {
+	silenceTimeout := qr.pa.AnswerDeadline.Sub(se.sent)
+	if qr.pa.Repeatable {
+		silenceTimeout = silenceTimeout * silenceNumerator / silenceDenominator
 	}
 	return backend.Target{
 		Server:         se.ch.Server,
 		Address:        se.ch.Record.Address,
 		Incarnation:    se.ch.Record.Incarnation,
 		MaxConnections: se.ch.MaxConnections,
-		SilenceTimeout: max(silent, time.Millisecond),
-		ReplySince:     se.since,
-		LateThreshold:  rn.ru.HedgeDelay,
+		SilenceTimeout: max(silenceTimeout, time.Millisecond),
+		ReplySince:     se.replySince,
+		LateThreshold:  qr.pa.HedgeDelay,
 	}
 }
 
-// learn takes a latency into account. One that was given up counts with how
-// long it was waited for if that is late already: without it a hedge that wins
-// would hide each late reply, and the delay would shrink with every hedge.
-func (rn *run) learn(oc limit.Outcome) {
+// observeLatency records a latency. An abandoned attempt counts with the time
+// waited if it was already late. Otherwise each winning hedge would hide a late
+// reply, and the hedge delay would shrink with every hedge.
+func (qr *queryRun) observeLatency(oc limit.Outcome) {
 	switch oc.Kind {
 	case limit.OK:
 	case limit.Cancelled, limit.TimedOut, limit.ConnectionLost:
-		if oc.Latency < rn.ru.HedgeDelay {
+		if oc.Latency < qr.pa.HedgeDelay {
 			return
 		}
 	default:
 		return
 	}
-	rn.en.ta.ObserveLatency(rn.qu.Service, oc.Latency)
+	qr.en.ba.ObserveLatency(qr.qu.Service, oc.Latency)
 }
 
-// failureOf returns the error as a *backend.Error. Of any other it is not known
-// whether the request left.
-func failureOf(err error) *backend.Error {
+// asBackendError returns the error as a *backend.Error. For any other error
+// type it is unknown whether the request was sent.
+func asBackendError(err error) *backend.Error {
 	var er *backend.Error
 	if errors.As(err, &er) {
 		return er
@@ -114,8 +116,8 @@
 	return &backend.Error{Kind: backend.Cut, Sent: true, Err: err}
 }
 
-// outcome returns what a reply says of the server.
-func outcome(rp *backend.Reply) limit.Outcome {
+// replyOutcome returns what a reply says about the server.
+func replyOutcome(rp *backend.Reply) limit.Outcome {
 	switch rp.Code {
 	case backend.ReplyOK:
 		return limit.Outcome{Kind: limit.OK}
@@ -134,9 +136,9 @@
 	}
 }
 
-// failureKind returns what a failure says of the server. After a request that
-// left and had no reply, the server may still be at work.
-func failureKind(er *backend.Error) limit.OutcomeKind {
+// failureOutcome returns what a failure says about the server. After a request
+// that was sent and got no reply, the server may still be working on it.
+func failureOutcome(er *backend.Error) limit.OutcomeKind {
 	switch {
 	case er.Kind == backend.DialFailed:
 		return limit.Failed
@@ -151,67 +153,69 @@
 	}
 }
 
-// Settled takes in what became of a request that was given up after it left; it
-// is for backend.ClientConfig.Settled. A server that proves to have stopped
-// gets its slot back at once.
-func (en *Engine) RequestAbandoned(sm backend.AbandonedRequest) {
-	en.held.settle(en, sm)
+// RequestAbandoned handles the outcome of a request that was abandoned after it
+// was sent; use it as backend.ClientConfig.OnAbandoned. The slot of a server
+// that has confirmed the stop is released at once.
+func (en *Engine) RequestAbandoned(ar backend.AbandonedRequest) {
+	en.heldSlots.release(en, ar)
 }
 
 const (
-	// holdTime is how long a request waits for its settlement to be heard of.
-	holdTime = time.Minute
-	// holdSweep is after how many requests the overdue ones are dropped.
-	holdSweep = 256
+	// How long an abandoned request waits for its counterpart.
+	heldSlotTTL = time.Minute
+	// Number of entries added between two sweeps.
+	sweepEvery = 256
 )
 
-// holds pairs requests that were given up with their settlements, whichever
-// comes first.
-type holds struct {
-	kept  sync.Map // kept maps request ids to a *hold.
-	count atomic.Uint64
+// heldSlots matches the slots of abandoned requests with the outcomes that the
+// client reports. Either may arrive first.
+type heldSlots struct {
+	pending sync.Map // request id to *heldSlot
+	count   atomic.Uint64
 }
 
-// hold is one side of a pair.
-type hold struct {
-	when       time.Time
-	choice     limit.Choice
-	settlement *backend.AbandonedRequest // settlement is nil until it has come.
+// heldSlot is one half of a match: the slot or the reported outcome.
+type heldSlot struct {
+	createdAt time.Time
+	choice    limit.Choice
+	abandoned *backend.AbandonedRequest // nil in the half that holds the slot
 }
 
-func (hs *holds) keep(en *Engine, now time.Time, requestID string, ch limit.Choice) {
-	ot := hs.meet(requestID, &hold{when: now, choice: ch})
-	if ot != nil && ot.settlement != nil && ot.settlement.Stopped {
-		en.ta.ReleaseSlot(now, ch)
+func (hs *heldSlots) hold(en *Engine, now time.Time, requestID string, ch limit.Choice) {
+	ot := hs.pair(requestID, &heldSlot{createdAt: now, choice: ch})
+	if ot != nil && ot.abandoned != nil && ot.abandoned.Stopped {
+		en.ba.ReleaseSlot(now, ch)
 	}
 }
 
-func (hs *holds) settle(en *Engine, sm backend.AbandonedRequest) {
+func (hs *heldSlots) release(en *Engine, ar backend.AbandonedRequest) {
 	now := en.ts.Now()
-	ot := hs.meet(sm.RequestID, &hold{when: now, settlement: &sm})
-	if ot != nil && ot.settlement == nil && sm.Stopped {
-		en.ta.ReleaseSlot(now, ot.choice)
+	ot := hs.pair(ar.RequestID, &heldSlot{createdAt: now, abandoned: &ar})
+	if ot != nil && ot.abandoned == nil && ar.Stopped {
+		en.ba.ReleaseSlot(now, ot.choice)
 	}
 }
 
-// meet leaves one side for the other, or takes the other that was there first.
-func (hs *holds) meet(requestID string, ho *hold) *hold {
-	if hs.count.Add(1)%holdSweep == 0 {
-		hs.sweep(ho.when.Add(-holdTime))
+// pair stores one half to wait for the other, or removes and returns the other
+// if it arrived first.
+func (hs *heldSlots) pair(requestID string, ho *heldSlot) *heldSlot {
+	if hs.count.Add(1)%sweepEvery == 0 {
+		hs.sweep(ho.createdAt.Add(-heldSlotTTL))
 	}
-	ot, met := hs.kept.LoadOrStore(requestID, ho)
-	if !met {
+	ot, found := hs.pending.LoadOrStore(requestID, ho)
+	if !found {
 		return nil
 	}
-	hs.kept.Delete(requestID)
-	return ot.(*hold)
+	hs.pending.Delete(requestID)
+	return ot.(*heldSlot)
 }
 
-// sweep drops sides whose other never came, as when the sender settles nothing.
-func (hs *holds) sweep(before time.Time) {
-	hs.kept.Range(func(id, ho any) bool {
-		if ho.(*hold).when.Before(before) {
-			hs.kept.Delete(id)
+// sweep drops halves whose counterpart never came, for example because the
+// sender reports no outcomes.
+func (hs *heldSlots) sweep(before time.Time) {
+	hs.pending.Range(func(id, ho any) bool {
+		if ho.(*heldSlot).createdAt.Before(before) {
+			hs.pending.Delete(id)
 		}
 		return true
 	})
--- a/fanout/bench_test.go
+++ b/fanout/bench_test.go
@@ -19,30 +19,32 @@
 	"balsamwinch.example/view"
 )
 
-// instant replies at once. It embeds a table for the choice of servers.
-type instant struct {
+// instantReplies is a Sender that replies at once. It embeds a table to choose
+// servers.
+type instantReplies struct {
 	*limit.Table
 }
 
-func (instant) Do(_ context.Context, ta backend.Target, rq backend.Request) (backend.Reply, error) {
+func (instantReplies) Do(_ context.Context, ta backend.Target, rq backend.Request) (backend.Reply, error) {
 	return backend.Reply{RequestID: rq.RequestID, Server: ta.Server, Shard: rq.Shard, Snapshot: rq.Snapshot, Code: backend.ReplyOK}, nil
 }
 
-// bare is instant with a table that decides nothing.
-type bare struct {
-	instant
+// fixedPick is instantReplies with a balancer that always picks the first
+// candidate.
+type fixedPick struct {
+	instantReplies
 }
 
-func (bare) Pick(_ time.Time, _ operator.Tactics, candidates []backend.Record, _ []string) (limit.Choice, bool) {
+func (fixedPick) Pick(_ time.Time, _ operator.Tactics, candidates []backend.Record, _ []string) (limit.Choice, bool) {
 	return limit.Choice{Server: candidates[0].Server, Record: candidates[0]}, true
 }
-func (bare) Done(time.Time, limit.Choice, limit.Outcome) {}
-func (bare) ObserveLatency(string, time.Duration)        {}
+func (fixedPick) Done(time.Time, limit.Choice, limit.Outcome) {}
+func (fixedPick) ObserveLatency(string, time.Duration)        {}
 
-// BenchmarkRun measures what a query costs the entry itself, with servers that
-// reply at once: processor time and allocations for each leaf request, and the
-// time from arrival to answer. The table of package limit is the real one but for
-// bare, which shows what is the engine's own.
+// BenchmarkRun measures the cost of a query for the entry itself, with servers
+// that reply at once: processor time and allocations per leaf request, and the
+// time from arrival to answer. It uses the real table of package limit, except
+// in the "bare" cases, which show the engine's own cost.
 func BenchmarkRun(b *testing.B) {
 	for _, count := range []int{13, 180} {
 		b.Run(strconv.Itoa(count), func(b *testing.B) { benchmarkRun(b, count, false) })
@@ -50,7 +52,7 @@
 	}
 }
 
-func benchmarkRun(b *testing.B, count int, decidesNothing bool) {
+func benchmarkRun(b *testing.B, count int, fixed bool) {
 	vi := &view.View{Sequence: 1, LeaseUntil: time.Now().Add(time.Hour)}
 	var shards []string
 	for ix := range count {
@@ -70,14 +72,14 @@
 	ts := timer.New()
 	var ce view.Cell
 	ce.Store(vi)
-	cl := instant{limit.NewTable(ts, limit.TableConfig{})}
+	cl := instantReplies{limit.NewTable(ts, limit.TableConfig{})}
 	cl.Update(vi)
-	nb := func(percent float64, burst int) Budget { return limit.NewBudget(percent, burst) }
-	var ta Balancer = cl
-	if decidesNothing {
-		ta = bare{cl}
+	bf := func(percent float64, burst int) Budget { return limit.NewBudget(percent, burst) }
+	var ba Balancer = cl
+	if fixed {
+		ba = fixedPick{cl}
 	}
-	en := New("i", &ce, cl, ta, limit.NewAdmission(ts, limit.AdmissionConfig{}), nb, nil, ts, zap.NewNop(), NewMetrics(metrics.NewSet()))
+	en := New("i", &ce, cl, ba, limit.NewAdmission(ts, limit.AdmissionConfig{}), bf, nil, ts, zap.NewNop(), NewMetrics(metrics.NewSet()))
 	var took []time.Duration
 	b.ReportAllocs()
 	b.ResetTimer()
@@ -97,7 +99,7 @@
 	b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "p99-µs")
 }
 
-// processorTime returns the processor time of the process, in nanoseconds.
+// processorTime returns the processor time used by the process, in nanoseconds.
 func processorTime() int64 {
 	var us syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &us) != nil {
--- a/fanout/engine.go
+++ b/fanout/engine.go
@@ -18,22 +18,24 @@
 	"balsamwinch.example/view"
 )
 
-// Sender sends requests to backend servers; *backend.Client is one. An error is
-// a *backend.Error. Once the context ends, it returns soon.
+// Sender sends requests to backend servers; *backend.Client implements it.
+// Errors are of type *backend.Error. Do returns soon after the context ends.
 type Sender interface {
 	Do(ctx context.Context, ta backend.Target, rq backend.Request) (backend.Reply, error)
 }
 
-// Hearer is a Sender that knows when it last heard a backend server;
-// *backend.Client is one. With any other, no server is ever doubted.
+// ReplyTracker is implemented by a Sender that tracks the latest reply of each
+// backend server, such as *backend.Client. With any other Sender no server is
+// considered unresponsive.
 type ReplyTracker interface {
-	// Heard returns when a whole reply last came from a backend server over a
-	// connection that was open when the one that carries the request last worked;
-	// zero if none did.
+	// LastReply returns when a complete reply last came from a backend server
+	// over a connection that was already open when the connection carrying the
+	// request last worked; zero if none did.
 	LastReply(server, requestID string) time.Time
 }
 
-// Servers chooses among replicas and keeps their slots; *limit.Table is one.
+// Balancer chooses among replicas and accounts for their slots; *limit.Table
+// implements it.
 type Balancer interface {
 	Pick(now time.Time, tactics operator.Tactics, candidates []backend.Record, exclude []string) (limit.Choice, bool)
 	Done(now time.Time, ch limit.Choice, oc limit.Outcome)
@@ -44,94 +46,94 @@
 	ObserveLatency(service string, latency time.Duration)
 }
 
-// Admitter admits queries at the entry; *limit.Admission is one.
+// Admitter admits queries at the entry; *limit.Admission implements it.
 type Admitter interface {
 	Admit(ctx context.Context, service string, weight, cost int, deadline time.Time) (release func(served bool), err *result.Error)
 }
 
-// Budget bounds extra leaf requests; *limit.Budget is one.
+// Budget limits extra leaf requests; *limit.Budget implements it.
 type Budget interface {
 	Earn(n int)
 	Spend() bool
 }
 
-// NewBudget makes the budget of one service from the percentage in its
-// configuration and the number of extra leaf requests that it may save up.
+// BudgetFactory creates the budget of one service from its configured
+// percentage and the number of extra leaf requests that it may accumulate.
 type BudgetFactory func(percent float64, burst int) Budget
 
-// Engine answers queries. It is safe for many goroutines, and queries share no
-// lock on their way.
+// Engine answers queries. It is safe for concurrent use, and queries share no
+// lock on their path.
 type Engine struct {
-	self string
-	boot string // boot tells this engine's attempts from those of an earlier process.
-	ce   *view.Cell
-	cl   Sender
-	he   ReplyTracker // he is nil if the Sender is none.
-	ta   Balancer
-	ad   Admitter
-	nb   BudgetFactory
-	on   once.Recorder
-	ts   *timer.Service
-	lg   *zap.Logger
-	me   *Metrics
+	self   string
+	bootID string // distinguishes this engine's attempts from those of an earlier process
+	ce     *view.Cell
+	cl     Sender
+	rt     ReplyTracker // nil if the Sender does not implement it
+	ba     Balancer
+	ad     Admitter
+	bf     BudgetFactory
+	on     once.Recorder
+	ts     *timer.Service
+	lg     *zap.Logger
+	me     *Metrics
 
-	seq      atomic.Uint64
-	active   atomic.Int64 // active counts queries and what they left running.
-	routes   atomic.Pointer[routes]
-	services sync.Map // services maps a configured service's name to its *service.
-	held     holds
-	recent   recent
-	slow     logLimit
+	seq       atomic.Uint64
+	active    atomic.Int64 // queries running, including the goroutines they left behind
+	routes    atomic.Pointer[routeTable]
+	services  sync.Map // name of a configured service to *serviceState
+	heldSlots heldSlots
+	recent    answerRing
+	answerLog logLimiter
 }
 
-// New returns an engine of the instance with the given name. The lease, the
-// configuration and the backend servers are those of the newest view in the
+// New returns an engine of the instance with the given name. It takes the
+// lease, the configuration and the backend servers from the newest view in the
 // cell.
-func New(self string, ce *view.Cell, cl Sender, ta Balancer, ad Admitter, nb BudgetFactory, on once.Recorder, ts *timer.Service, lg *zap.Logger, me *Metrics) *Engine {
+func New(self string, ce *view.Cell, cl Sender, ba Balancer, ad Admitter, bf BudgetFactory, on once.Recorder, ts *timer.Service, lg *zap.Logger, me *Metrics) *Engine {
 	en := &Engine{
-		self: self, boot: strconv.FormatInt(ts.Now().UnixNano(), 36),
-		ce: ce, cl: cl, ta: ta, ad: ad, nb: nb, on: on, ts: ts, lg: lg, me: me,
+		self: self, bootID: strconv.FormatInt(ts.Now().UnixNano(), 36),
+		ce: ce, cl: cl, ba: ba, ad: ad, bf: bf, on: on, ts: ts, lg: lg, me: me,
 	}
-	en.he, _ = cl.(ReplyTracker)
-	en.slow.init()
+	en.rt, _ = cl.(ReplyTracker)
+	en.answerLog.init()
 	return en
 }
 
-// Bounds of the times within a query.
+// Limits that divide the time of a query.
 const (
-	defaultSpan = time.Second // defaultSpan is the deadline if nobody states one.
+	defaultTimeout = time.Second // deadline if neither query nor service states one
 
-	// The margin before the deadline is for merging and the way back to the
-	// caller; half of it lies between the end of a leaf request and the answer.
-	marginShare = 20
-	minMargin   = 2 * time.Millisecond
-	maxMargin   = 25 * time.Millisecond
+	// The margin before the deadline covers merging and the way back to the
+	// caller. Half of it lies between the end of a leaf request and the answer.
+	marginDivisor = 20
+	minMargin     = 2 * time.Millisecond
+	maxMargin     = 25 * time.Millisecond
 
-	// recordShare is the part of the time that is kept for recording the outcome
-	// of a request that must not be repeated.
-	recordShare = 10
-	maxRecord   = 250 * time.Millisecond
+	// A request that must not be repeated reserves 1/recordDivisor of its time,
+	// up to maxRecordTime, for recording its outcome.
+	recordDivisor = 10
+	maxRecordTime = 250 * time.Millisecond
 
-	// silentShare is the part of its time after which a leaf request without any
-	// progress gives up its connection. A hedge on another one comes before.
-	silentNum, silentDen = 2, 3
+	// Fraction of its time after which a leaf request that makes no progress
+	// abandons its connection. A hedge on another connection comes earlier.
+	silenceNumerator, silenceDenominator = 2, 3
 )
 
-// Run answers one query, by its deadline unless the recording of an outcome
-// takes longer. When ctx ends, a query that may be repeated ends too; one that
-// must not goes on once it may have begun, so that its outcome is recorded.
+// Run answers one query by its deadline, unless recording an outcome takes
+// longer. When ctx ends, a repeatable query ends too. One that must not be
+// repeated continues once it may have begun, so that its outcome is recorded.
 func (en *Engine) Run(ctx context.Context, qu Query) Answer {
-	rn := &run{en: en, ctx: ctx, qu: &qu}
+	qr := &queryRun{en: en, ctx: ctx, qu: &qu}
 	en.active.Add(1)
-	rn.live.Add(1)
-	defer rn.leave()
+	qr.numGoroutines.Add(1)
+	defer qr.goroutineDone()
 	start := en.ts.Now()
 	vi := en.ce.Load()
-	an, consulted := rn.run(start, vi)
-	if qu.Resend && !qu.Repeatable && !consulted && an.Code.NotRun() {
+	an, recordChecked := qr.answerQuery(start, vi)
+	if qu.Resend && !qu.Repeatable && !recordChecked && an.Code.NotRun() {
 		// The caller sent this key before and lost the answer. "Not run" would be
-		// true of this arrival only, and the caller would give the order anew
-		// under another key while the first one may have run.
+		// true of this arrival only, and the caller would send the order again
+		// under another key although the first arrival may have run.
 		an.Detail = "an earlier arrival may have run; this one was refused: " + an.Code.String() + " " + an.Detail
 		an.Code = result.OutcomeUnknown
 	}
@@ -141,17 +143,17 @@
 		an.Revision = vi.Configuration.Revision
 	}
 	an.Cost.Micros = en.ts.Now().Sub(start).Microseconds()
-	en.observe(rn, start, &an)
+	en.recordAnswer(qr, start, &an)
 	return an
 }
 
-// Active returns how many queries run or have left something running: attempts
-// that end, outcomes that are being recorded.
+// InFlight returns the number of queries that are running or have left
+// goroutines behind, such as ending attempts and outcomes being recorded.
 func (en *Engine) InFlight() int {
 	return int(en.active.Load())
 }
 
-// Wait returns when nothing is active, or the context's error.
+// Wait returns nil when nothing is in flight, or the context's error.
 func (en *Engine) Wait(ctx context.Context) error {
 	for en.InFlight() > 0 {
 		if err := en.ts.Sleep(ctx, 10*time.Millisecond); err != nil {
@@ -161,116 +163,118 @@
 	return nil
 }
 
-// run answers a query. Consulted says that the record of intents was asked and
-// said that no earlier arrival can have run.
-func (rn *run) run(start time.Time, vi *view.View) (an Answer, consulted bool) {
-	if an, ok := rn.prepare(start, vi); !ok {
+// answerQuery answers a query. recordChecked reports whether the intent record
+// was consulted and rules out that an earlier arrival ran.
+func (qr *queryRun) answerQuery(start time.Time, vi *view.View) (an Answer, recordChecked bool) {
+	if an, ok := qr.prepare(start, vi); !ok {
 		return an, false
 	}
-	release, er := rn.en.ad.Admit(rn.ctx, rn.qu.Service, rn.se.Weight, len(rn.plan.Shards), rn.ru.AnswerDeadline)
+	release, er := qr.en.ad.Admit(qr.ctx, qr.qu.Service, qr.se.Weight, len(qr.plan.Shards), qr.pa.AnswerDeadline)
 	if er != nil {
 		return refusal(er.Code, er.Detail, er.RetryAfter), false
 	}
-	if rn.qu.Repeatable {
-		an = rn.execute()
+	if qr.qu.Repeatable {
+		an = qr.execute()
 	} else {
-		an, consulted = rn.executeOnce()
+		an, recordChecked = qr.executeOnce()
 	}
 	release(an.Code == result.Complete || an.Code == result.Partial)
-	an.Stale = an.Stale || rn.stale
-	return an, consulted
+	an.Stale = an.Stale || qr.stale
+	return an, recordChecked
 }
 
 func refusal(co result.Code, detail string, retryAfter time.Duration) Answer {
 	return Answer{Code: co, Detail: detail, Covered: []string{}, RetryAfterMillis: retryAfter.Milliseconds()}
 }
 
-// prepare checks whether the query may be run at all and plans it. It returns
+// prepare checks whether the query may run at all and plans it. It returns
 // false with the refusal if not.
-func (rn *run) prepare(start time.Time, vi *view.View) (Answer, bool) {
-	qu := rn.qu
+func (qr *queryRun) prepare(start time.Time, vi *view.View) (Answer, bool) {
+	qu := qr.qu
 	se, known := vi.Configuration.Services[qu.Service]
 	if !vi.Leased(start) {
-		// An instance that has lost control can't know that its configuration is
-		// still in force. It serves on only where the operators allow it, and says so.
+		// Without control an instance cannot know whether its configuration is
+		// still in force. It continues to serve only where the operators allow it,
+		// and marks its answers as stale.
 		if !known || !se.ServeWithoutControl {
-			return refusal(result.NotRunStale, "the lease from control has run out", retryMissing), false
+			return refusal(result.NotRunStale, "the control lease has expired", retryAfterMissing), false
 		}
-		rn.stale = true
+		qr.stale = true
 	}
 	if !known {
 		return refusal(result.NotRunUnknownService, "want a configured service, got "+strconv.Quote(qu.Service), 0), false
 	}
-	if detail := check(se, qu); detail != "" {
+	if detail := validate(se, qu); detail != "" {
 		return refusal(result.NotRunBadRequest, detail, 0), false
 	}
-	rn.se = se
-	rn.revision = vi.Configuration.Revision
-	rn.sv = rn.en.serviceOf(qu.Service, se)
-	rn.setRules(start)
-	if !start.Before(rn.ru.AnswerDeadline) {
-		return refusal(result.NotRunDeadline, "the deadline leaves no time", 0), false
+	qr.se = se
+	qr.revision = vi.Configuration.Revision
+	qr.sv = qr.en.serviceOf(qu.Service, se)
+	qr.setParams(start)
+	if !start.Before(qr.pa.AnswerDeadline) {
+		return refusal(result.NotRunDeadline, "the deadline leaves no time to run the query", 0), false
 	}
-	rn.ro = rn.en.routesOf(vi).of(qu.Service, se)
-	plan, ok := rn.ro.planFor(qu.Shards)
+	qr.ro = qr.en.routesOf(vi).routeFor(qu.Service, se)
+	plan, ok := qr.ro.planFor(qu.Shards)
 	if !ok {
-		return refusal(result.NotRunNoServer, "no backend server holds a shard of one snapshot", retryMissing), false
+		return refusal(result.NotRunNoServer, "no backend server holds a shard of any snapshot", retryAfterMissing), false
 	}
-	rn.plan = plan
+	qr.plan = plan
 	return Answer{}, true
 }
 
-// check returns what is wrong with a query, or nothing.
-func check(se operator.Service, qu *Query) string {
+// validate returns what is wrong with a query, or an empty string.
+func validate(se operator.Service, qu *Query) string {
 	switch qu.Policy {
 	case "", operator.Complete, operator.Best:
 	default:
 		return "Policy: want Complete or Best, got " + strconv.Quote(string(qu.Policy))
 	}
 	if !qu.Repeatable && qu.Key == "" {
-		return "Key: want one for a request that is not repeatable"
+		return "Key: required for a request that is not repeatable"
 	}
-	if sh, ok := unknown(se, qu.Shards); ok {
+	if sh, ok := unknownShard(se, qu.Shards); ok {
 		return "Shards: want shards of a partition map, got " + strconv.Quote(sh)
 	}
 	return ""
 }
 
-// setRules splits the time that the query has.
-func (rn *run) setRules(start time.Time) {
-	qu := rn.qu
+// setParams divides the time available to the query.
+func (qr *queryRun) setParams(start time.Time) {
+	qu := qr.qu
 	if qu.Deadline.IsZero() {
-		span := rn.se.Deadline()
+		span := qr.se.Deadline()
 		if span <= 0 {
-			span = defaultSpan
+			span = defaultTimeout
 		}
 		qu.Deadline = start.Add(span)
 	}
 	span := qu.Deadline.Sub(start)
-	margin := min(max(span/marginShare, minMargin), maxMargin)
-	rn.recordBy = qu.Deadline.Add(-margin)
+	margin := min(max(span/marginDivisor, minMargin), maxMargin)
+	qr.recordDeadline = qu.Deadline.Add(-margin)
 	reserve := time.Duration(0)
 	if !qu.Repeatable {
-		reserve = min(span/recordShare, maxRecord)
+		reserve = min(span/recordDivisor, maxRecordTime)
 	}
-	rn.ru = Params{
-		RequestIDPrefix: qu.RequestID + "." + rn.en.self + "." + rn.en.boot + "." + strconv.FormatUint(rn.en.seq.Add(1), 36),
+	qr.pa = Params{
+		RequestIDPrefix: qu.RequestID + "." + qr.en.self + "." + qr.en.bootID + "." + strconv.FormatUint(qr.en.seq.Add(1), 36),
 		Start:           start,
-		AnswerDeadline:  rn.recordBy.Add(-reserve),
-		HedgeDelay:      rn.en.ta.HedgeDelay(qu.Service),
-		Policy:          policy(rn.se, qu),
-		Tactics:         rn.se.Tactics,
+		AnswerDeadline:  qr.recordDeadline.Add(-reserve),
+		HedgeDelay:      qr.en.ba.HedgeDelay(qu.Service),
+		Policy:          effectivePolicy(qr.se, qu),
+		Tactics:         qr.se.Tactics,
 		Repeatable:      qu.Repeatable,
 	}
-	rn.leafBy = rn.ru.AnswerDeadline.Add(-margin / 2)
-	if rn.ru.HedgeDelay <= 0 {
-		rn.ru.HedgeDelay = limit.DefaultHedgeDelay
+	qr.leafDeadline = qr.pa.AnswerDeadline.Add(-margin / 2)
+	if qr.pa.HedgeDelay <= 0 {
+		qr.pa.HedgeDelay = limit.DefaultHedgeDelay
 	}
 }
 
-// policy returns the query's policy, the service's, or Complete: without a word
-// from anybody, a missing shard must not pass as a success.
-func policy(se operator.Service, qu *Query) operator.Policy {
+// effectivePolicy returns the query's policy, else the service's, else
+// Complete: unless someone asked for it, an answer with missing shards must not
+// pass as a success.
+func effectivePolicy(se operator.Service, qu *Query) operator.Policy {
 	switch {
 	case qu.Policy != "":
 		return qu.Policy
@@ -281,9 +285,9 @@
 	}
 }
 
-// routesOf returns the routes of a view. Queries that see a new view at the same
-// time may make them twice; one of them is kept.
-func (en *Engine) routesOf(vi *view.View) *routes {
+// routesOf returns the routes of a view. Concurrent queries that see a new view
+// may build them twice; one of them is kept.
+func (en *Engine) routesOf(vi *view.View) *routeTable {
 	for {
 		old := en.routes.Load()
 		if old != nil && old.vi == vi {
@@ -299,32 +303,33 @@
 	}
 }
 
-// service is what lasts of a service between its queries.
-type service struct {
+// serviceState is the state of a service that is kept between its queries.
+type serviceState struct {
 	me *serviceMetrics
-	bu atomic.Pointer[boundBudget]
+	bu atomic.Pointer[serviceBudget]
 }
 
-type boundBudget struct {
+type serviceBudget struct {
 	percent float64
 	Budget
 }
 
-// budgetBurst is how many extra leaf requests a service may save up.
-const budgetBurst = 20
+// maxBudgetBurst is the number of extra leaf requests that a service may
+// accumulate.
+const maxBudgetBurst = 20
 
-// serviceOf returns what lasts of a configured service, with its budget as the
-// configuration has it.
-func (en *Engine) serviceOf(name string, se operator.Service) *service {
+// serviceOf returns the state of a configured service, with the budget that the
+// configuration states.
+func (en *Engine) serviceOf(name string, se operator.Service) *serviceState {
 	va, ok := en.services.Load(name)
 	if !ok {
-		va, _ = en.services.LoadOrStore(name, &service{me: en.me.service(name)})
+		va, _ = en.services.LoadOrStore(name, &serviceState{me: en.me.service(name)})
 	}
-	sv := va.(*service)
+	sv := va.(*serviceState)
 	if old := sv.bu.Load(); old == nil || old.percent != se.ExtraLoadPercent {
-		sv.bu.CompareAndSwap(old, &boundBudget{
+		sv.bu.CompareAndSwap(old, &serviceBudget{
 			percent: se.ExtraLoadPercent,
-			Budget:  en.nb(se.ExtraLoadPercent, budgetBurst),
+			Budget:  en.bf(se.ExtraLoadPercent, maxBudgetBurst),
 		})
 	}
 	return sv
--- a/fanout/event.go
+++ b/fanout/event.go
@@ -8,85 +8,84 @@
 	"balsamwinch.example/snapshot"
 )
 
-// Rules are what the decisions of one query go by. They stay the same while it
-// runs.
+// Params are the parameters of one query. They do not change while it runs.
 type Params struct {
-	RequestIDPrefix string        // Prefix begins the request id of each attempt; it is unique to the query.
-	Start           time.Time     // Start is when the query arrived.
-	AnswerDeadline  time.Time     // Finish is when the answer is given at the latest.
-	HedgeDelay      time.Duration // HedgeDelay is after how long a leaf request is late; above zero.
+	RequestIDPrefix string        // prefix of each attempt's request id, unique to the query
+	Start           time.Time     // when the query arrived
+	AnswerDeadline  time.Time     // when the answer is given at the latest
+	HedgeDelay      time.Duration // time after which a leaf request is late; positive
 	Policy          operator.Policy
 	Tactics         operator.Tactics
 	Repeatable      bool
 }
 
-// Attempt names one request to a backend server within a query.
+// Attempt identifies one request to a backend server within a query.
 type Attempt struct {
-	Number int // Number counts the attempts of the query from 1.
-	Shard  int // Shard is the position of the shard in the plan.
+	Number int // from 1, in the order of the attempts of the query
+	Shard  int // index of the shard in the plan
 }
 
-// Event is something that happened to a query.
+// Event is an input of Step.
 type Event interface {
 	when() time.Time
 }
 
-// Started gives the plan that the query pins. Given again, as the reply to
-// Replan, it restarts the query if that gains coverage.
+// PlanReady carries the plan that the query pins. When it arrives again, in
+// response to Replan, it restarts the query if that increases coverage.
 type PlanReady struct {
 	Now  time.Time
 	Plan snapshot.Coverage
 }
 
-// Replied says that a backend server replied to an attempt.
+// Replied reports that a backend server replied to an attempt.
 type Replied struct {
 	Now     time.Time
 	Attempt Attempt
-	Server  string // Server is the one that was asked.
+	Server  string // server that the attempt was sent to
 	Reply   backend.Reply
 }
 
-// AttemptFailed says that an attempt ended without a reply.
+// AttemptFailed reports that an attempt ended without a reply.
 type AttemptFailed struct {
 	Now     time.Time
 	Attempt Attempt
 	Kind    backend.ErrorKind
-	Sent    bool // Sent says that bytes of the request may have left.
+	Sent    bool // whether bytes of the request may have been sent
 }
 
-// NotSent says that an attempt was not sent because no backend server may be
-// sent one now.
+// NoServerAvailable reports that an attempt was not sent because no backend
+// server can take it now.
 type NoServerAvailable struct {
 	Now            time.Time
 	Attempt        Attempt
-	AvailableLater bool // Able says that a backend server that holds the shard may take it later.
-	// Pause is how long it will take by what is known; Room may say so earlier.
+	AvailableLater bool // whether a backend server that holds the shard may take the attempt later
+	// Expected time until then; CapacityAvailable may come earlier.
 	RetryDelay time.Duration
-	// Doubted says that nothing comes from the backend server of the attempt that
-	// runs for the shard.
+	// Whether the backend server of the attempt in flight for the shard currently
+	// sends no replies at all.
 	Unresponsive bool
 }
 
-// Room says that a backend server of a shard that had none may take an attempt
-// now.
+// CapacityAvailable reports that a backend server may now take an attempt for a
+// shard that was waiting for capacity.
 type CapacityAvailable struct {
 	Now   time.Time
 	Shard int
 }
 
-// NoBudget says that an attempt was not sent because the budget for extra leaf
-// requests is spent.
+// BudgetExhausted reports that an attempt was not sent because the budget for
+// extra leaf requests is exhausted.
 type BudgetExhausted struct {
 	Now     time.Time
 	Attempt Attempt
 }
 
-// Due says that the moment of the latest Arm has come.
+// TimerFired reports that the time of the latest SetTimer has come.
 type TimerFired struct {
 	Now time.Time
 }
 
-// CallerGone says that the caller went away.
+// CallerGone reports that the caller disconnected.
 type CallerGone struct {
 	Now time.Time
 }
@@ -100,35 +99,36 @@
 func (ev TimerFired) when() time.Time        { return ev.Now }
 func (ev CallerGone) when() time.Time        { return ev.Now }
 
-// Action is something to be done for a query.
+// Action is an output of Step for the executor to perform.
 type Action interface {
 	isAction()
 }
 
-// Kind says why an attempt is made.
+// AttemptKind is the reason for an attempt.
 type AttemptKind uint8
 
 // The kinds of attempts.
 const (
-	First AttemptKind = iota // First is the first of its shard.
-	Retry                    // Retry follows a failure.
-	Hedge                    // Hedge runs beside an attempt that is late.
+	First AttemptKind = iota // first attempt for the shard
+	Retry                    // replaces a failed attempt
+	Hedge                    // runs in parallel with a late attempt
 )
 
-// Gate says how an attempt stands to the budget for extra leaf requests.
+// BudgetUse states how an attempt is charged to the budget for extra leaf
+// requests.
 type BudgetUse uint8
 
-// The gates of attempts.
+// The ways to charge an attempt.
 const (
-	BudgetExempt               BudgetUse = iota // Free is not extra: it is the first that reaches a backend server.
-	BudgetRequired                              // Gated is sent only if the budget has it.
-	BudgetRequiredIfResponsive                  // Doubted is Owed if nothing comes from the backend server of the attempt that is late, else Gated.
-	BudgetOptional                              // Owed takes from the budget what it has and is sent in any case.
+	BudgetExempt               BudgetUse = iota // not charged: first attempt for the shard to reach a backend server
+	BudgetRequired                              // sent only if the budget allows it
+	BudgetRequiredIfResponsive                  // BudgetOptional if the server of the late attempt is unresponsive, else BudgetRequired
+	BudgetOptional                              // charged if the budget allows it, and sent in any case
 )
 
-// Ask sends an attempt to a backend server that holds the shard. The executor
-// answers with NotSent or NoBudget if it can't, else later with Replied or
-// AttemptFailed.
+// SendAttempt sends an attempt to a backend server that holds the shard. The
+// executor answers with NoServerAvailable or BudgetExhausted if it cannot,
+// otherwise later with Replied or AttemptFailed.
 type SendAttempt struct {
 	Attempt   Attempt
 	RequestID string
@@ -136,30 +136,30 @@
 	Shard     string
 	Kind      AttemptKind
 	BudgetUse BudgetUse
-	// Elsewhere excludes the backend servers that the query has asked for this
-	// shard before.
+	// Excludes backend servers that the query has already tried for this shard.
 	ExcludeTried bool
 }
 
-// CancelAttempt stops an attempt whose reply is no longer wanted.
+// CancelAttempt cancels an attempt whose reply is no longer needed.
 type CancelAttempt struct {
 	Attempt Attempt
 }
 
-// Replan asks for a plan on a snapshot newer than the pinned one. The executor
-// answers with Started, or not at all if it knows none.
+// Replan requests a plan for a snapshot newer than the pinned one. The executor
+// answers with PlanReady, or not at all if it knows none.
 type Replan struct {
 	Newer snapshot.ID
 }
 
-// Arm asks for Due at the given time, in place of an earlier Arm.
+// SetTimer requests TimerFired at the given time and replaces an earlier
+// SetTimer.
 type SetTimer struct {
 	At time.Time
 }
 
-// Finish gives the answer and ends the query; attempts that still run are to
-// be cancelled. RequestID, Instance, Revision, Stale and the time taken are
-// left to the executor.
+// Finish carries the answer and ends the query; the executor cancels attempts
+// still in flight. It also fills in RequestID, Instance, Revision, Stale and
+// the time taken.
 type Finish struct {
 	Answer Answer
 }
--- a/fanout/explain.go
+++ b/fanout/explain.go
@@ -12,7 +12,7 @@
 	"balsamwinch.example/snapshot"
 )
 
-// Explained says why an answer was less than complete.
+// IncompleteAnswer describes an answer that was refused or less than complete.
 type IncompleteAnswer struct {
 	When             time.Time
 	RequestID        string
@@ -20,27 +20,28 @@
 	Code             result.Code
 	Detail           string
 	Snapshot         snapshot.ID
-	Covered          []string       // Covered are the shards with rows.
-	Missing          []MissingShard // Missing are the shards without rows and their reasons.
+	Covered          []string       // shards with rows
+	Missing          []MissingShard // shards without rows, with their reasons
 	RetryAfterMillis int64
 	Cost             Cost
 }
 
-// recentAnswers is how many answers Recent remembers.
-const recentAnswers = 256
+// maxRecentAnswers is the number of answers that RecentIncomplete keeps.
+const maxRecentAnswers = 256
 
-// recent is a ring of the last answers that were less than complete.
-type recent struct {
+// answerRing is a ring buffer of the latest answers that were less than
+// complete.
+type answerRing struct {
 	next atomic.Uint64
-	ring [recentAnswers]atomic.Pointer[IncompleteAnswer]
+	ring [maxRecentAnswers]atomic.Pointer[IncompleteAnswer]
 }
 
-func (re *recent) add(ex *IncompleteAnswer) {
-	re.ring[(re.next.Add(1)-1)%recentAnswers].Store(ex)
+func (ar *answerRing) add(ex *IncompleteAnswer) {
+	ar.ring[(ar.next.Add(1)-1)%maxRecentAnswers].Store(ex)
 }
 
-// Recent returns the last answers that were refused or less than complete, the
-// newest first.
+// RecentIncomplete returns the latest answers that were refused or less than
+// complete, newest first.
 func (en *Engine) RecentIncomplete() []IncompleteAnswer {
 	var exs []IncompleteAnswer
 	for ix := range en.recent.ring {
@@ -52,28 +53,28 @@
 	return exs
 }
 
-// Bounds of the log of single answers.
+// Limits of the log lines for single answers.
 const (
-	logsPerSecond = 5
-	logsBurst     = 20
-	// slowShare is the part of its time after which a complete answer is slow.
-	slowNum, slowDen = 3, 4
+	maxLogsPerSecond = 5
+	maxLogsBurst     = 20
+	// Fraction of its time after which a complete answer is logged as slow.
+	slowNumerator, slowDenominator = 3, 4
 )
 
-// logLimit bounds the lines for single answers, which come by the thousand when
-// something fails, and counts what it leaves out.
-type logLimit struct {
+// logLimiter limits log lines for single answers, which come by the thousand
+// during a failure, and counts those it drops.
+type logLimiter struct {
 	li      *rate.Limiter
 	omitted atomic.Int64
 }
 
-func (ll *logLimit) init() {
-	ll.li = rate.NewLimiter(logsPerSecond, logsBurst)
+func (ll *logLimiter) init() {
+	ll.li = rate.NewLimiter(maxLogsPerSecond, maxLogsBurst)
 }
 
-// allow reports whether a line may be written, and how many were left out since
-// the last.
-func (ll *logLimit) allow(now time.Time) (omitted int64, ok bool) {
+// allow reports whether a line may be written, and how many were dropped since
+// the last one.
+func (ll *logLimiter) allow(now time.Time) (omitted int64, ok bool) {
 	if !ll.li.AllowN(now, 1) {
 		ll.omitted.Add(1)
 		return 0, false
@@ -81,35 +82,35 @@
 	return ll.omitted.Swap(0), true
 }
 
-// observe counts an answer, and remembers and logs one that is less than
-// complete or slow. A service that no configuration names is not counted, or
-// callers could make any number of series.
-func (en *Engine) observe(rn *run, start time.Time, an *Answer) {
-	if rn.sv != nil {
-		rn.sv.me.add(an)
+// recordAnswer updates the metrics, and keeps and logs an answer that is less
+// than complete or slow. Unconfigured services are not counted, because callers
+// could otherwise create any number of metric series.
+func (en *Engine) recordAnswer(qr *queryRun, start time.Time, an *Answer) {
+	if qr.sv != nil {
+		qr.sv.me.add(an)
 	}
 	elapsed := time.Duration(an.Cost.Micros) * time.Microsecond
 	now := start.Add(elapsed)
 	if an.Code != result.Complete {
 		en.recent.add(&IncompleteAnswer{
-			When: now, RequestID: an.RequestID, Service: rn.qu.Service, Code: an.Code, Detail: an.Detail,
+			When: now, RequestID: an.RequestID, Service: qr.qu.Service, Code: an.Code, Detail: an.Detail,
 			Snapshot: an.Snapshot, Covered: an.Covered, Missing: an.Missing,
 			RetryAfterMillis: an.RetryAfterMillis, Cost: an.Cost,
 		})
 	}
-	if event := logEvent(rn, an, elapsed); event != "" {
-		en.logAnswer(event, rn.qu, now, an)
+	if event := logEvent(qr, an, elapsed); event != "" {
+		en.logAnswer(event, qr.qu, now, an)
 	}
 }
 
-// logEvent returns the name of the line for an answer, or nothing.
-func logEvent(rn *run, an *Answer, elapsed time.Duration) string {
+// logEvent returns the name of the log event for an answer, or an empty string.
+func logEvent(qr *queryRun, an *Answer, elapsed time.Duration) string {
 	switch {
 	case an.Code.NotRun():
 		return ""
 	case an.Code != result.Complete:
 		return "query.incomplete"
-	case elapsed*slowDen > rn.ru.AnswerDeadline.Sub(rn.ru.Start)*slowNum:
+	case elapsed*slowDenominator > qr.pa.AnswerDeadline.Sub(qr.pa.Start)*slowNumerator:
 		return "query.slow"
 	default:
 		return ""
@@ -117,7 +118,7 @@
 }
 
 func (en *Engine) logAnswer(event string, qu *Query, now time.Time, an *Answer) {
-	omitted, ok := en.slow.allow(now)
+	omitted, ok := en.answerLog.allow(now)
 	if !ok {
 		return
 	}
--- a/fanout/keyed_test.go
+++ b/fanout/keyed_test.go
@@ -14,24 +14,24 @@
 	"balsamwinch.example/view"
 )
 
-func (ti *tier) order() Query {
-	qu := ti.query()
+func (et *engineTest) onceQuery() Query {
+	qu := et.query()
 	qu.Repeatable = false
 	qu.Key = "k"
 	return qu
 }
 
-func TestRunOnce(t *testing.T) {
-	says := func(st once.Status) func(ti *tier, qu *Query) {
-		return func(ti *tier, _ *Query) {
-			ti.begin = func() (once.Decision, error) {
+func TestNotRepeatableQueryOutcomes(t *testing.T) {
+	withStatus := func(st once.Status) func(et *engineTest, qu *Query) {
+		return func(et *engineTest, _ *Query) {
+			et.begin = func() (once.Decision, error) {
 				return once.Decision{Status: st, Code: result.Complete, Answer: []byte(`{"Covered":["a"],"Cost":{"LeafRequests":9}}`)}, nil
 			}
 		}
 	}
-	shed := func(ti *tier, _ *Query) {
-		ti.reply = func(_ context.Context, rq backend.Request, server string) (backend.Reply, error) {
-			rp := ok(rq, server)
+	shed := func(et *engineTest, _ *Query) {
+		et.reply = func(_ context.Context, rq backend.Request, server string) (backend.Reply, error) {
+			rp := okReply(rq, server)
 			rp.Code = backend.ReplyBad
 			return rp, nil
 		}
@@ -39,83 +39,83 @@
 	lost := errors.New("lost")
 	tests := []struct {
 		name    string
-		change  func(ti *tier, qu *Query)
+		change  func(et *engineTest, qu *Query)
 		want    string
 		records []string
 	}{
-		{"fresh", says(once.Fresh), "Complete [a b] []", []string{"begin, 0 sent", "finish Complete"}},
-		{"finished", says(once.Finished), "Complete [a] []", []string{"begin, 0 sent"}},
-		{"running", says(once.Running), "OutcomeUnknown [] [] another arrival of the key is running or was lost", []string{"begin, 0 sent"}},
-		{"too old", says(once.TooOld), "OutcomeUnknown [] [] the key is older than what is kept", []string{"begin, 0 sent"}},
-		{"reused", says(once.KeyReused), "NotRunKeyReused [] [] the key was used before with another request", []string{"begin, 0 sent"}},
-		{"full", says(once.Full), "NotRunNoControl [] [] no room for another intent", []string{"begin, 0 sent"}},
-		{"rows not kept", func(ti *tier, _ *Query) {
-			ti.begin = func() (once.Decision, error) {
+		{"fresh", withStatus(once.Fresh), "Complete [a b] []", []string{"begin, 0 sent", "finish Complete"}},
+		{"finished", withStatus(once.Finished), "Complete [a] []", []string{"begin, 0 sent"}},
+		{"running", withStatus(once.Running), "OutcomeUnknown [] [] another request with this key is running or was lost", []string{"begin, 0 sent"}},
+		{"too old", withStatus(once.TooOld), "OutcomeUnknown [] [] the key is older than the records that are kept", []string{"begin, 0 sent"}},
+		{"reused", withStatus(once.KeyReused), "NotRunKeyReused [] [] the key was used before with another request", []string{"begin, 0 sent"}},
+		{"full", withStatus(once.Full), "NotRunNoControl [] [] no capacity for another intent", []string{"begin, 0 sent"}},
+		{"rows not kept", func(et *engineTest, _ *Query) {
+			et.begin = func() (once.Decision, error) {
 				return once.Decision{Status: once.Finished, Code: result.Complete}, nil
 			}
 		}, "Incomplete [] [{a NotKept} {b NotKept}] the request ran once with Complete; its rows are no longer kept", []string{"begin, 0 sent"}},
-		{"not recorded", func(ti *tier, _ *Query) {
-			ti.begin = func() (once.Decision, error) { return once.Decision{}, lost }
+		{"not recorded", func(et *engineTest, _ *Query) {
+			et.begin = func() (once.Decision, error) { return once.Decision{}, lost }
 		}, "NotRunNoControl [] [] the intent could not be recorded: lost", []string{"begin, 0 sent", "finish NotRunNoControl"}},
-		{"all refused frees the key", shed, "NotRunBadRequest [] [{a BadRequest} {b BadRequest}] 2 of 2 shards missing: a (BadRequest) and others", []string{"begin, 0 sent", "finish NotRunBadRequest"}},
-		{"record kept later", func(ti *tier, _ *Query) {
-			ti.finish = func(try int) error {
+		{"refused by all servers frees the key", shed, "NotRunBadRequest [] [{a BadRequest} {b BadRequest}] 2 of 2 shards missing: a (BadRequest) and others", []string{"begin, 0 sent", "finish NotRunBadRequest"}},
+		{"recording is retried", func(et *engineTest, _ *Query) {
+			et.finish = func(try int) error {
 				if try < 4 {
 					return lost
 				}
 				return nil
 			}
 		}, "Complete [a b] []", []string{"begin, 0 sent", "finish Complete"}},
-		{"lease out while recording", func(ti *tier, _ *Query) {
-			ti.begin = func() (once.Decision, error) {
-				ti.publish(func(vi *view.View) { vi.LeaseUntil = time.Now() })
+		{"lease expired while recording", func(et *engineTest, _ *Query) {
+			et.begin = func() (once.Decision, error) {
+				et.publish(func(vi *view.View) { vi.LeaseUntil = time.Now() })
 				return once.Decision{Status: once.Fresh}, nil
 			}
-		}, "NotRunStale [] [] the lease from control has run out", []string{"begin, 0 sent", "finish NotRunStale"}},
+		}, "NotRunStale [] [] the control lease has expired", []string{"begin, 0 sent", "finish NotRunStale"}},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			play(t, func(c *qt.C, ti *tier) {
-				qu := ti.order()
-				tc.change(ti, &qu)
-				an := ti.en.Run(c.Context(), qu)
-				c.Check(brief(an), qt.Equals, tc.want)
-				c.Check(an.Cost.LeafRequests, qt.Equals, len(ti.sent()))
-				c.Check(ti.en.Wait(c.Context()), qt.IsNil)
-				c.Check(ti.records, qt.DeepEquals, tc.records)
+			runEngineTest(t, func(c *qt.C, et *engineTest) {
+				qu := et.onceQuery()
+				tc.change(et, &qu)
+				an := et.en.Run(c.Context(), qu)
+				c.Check(summary(an), qt.Equals, tc.want)
+				c.Check(an.Cost.LeafRequests, qt.Equals, len(et.sentRequests()))
+				c.Check(et.en.Wait(c.Context()), qt.IsNil)
+				c.Check(et.records, qt.DeepEquals, tc.records)
 			})
 		})
 	}
 }
 
-// A parent's booking ran, but its answer was lost, and the parent's program
-// sends it again to an instance that has lost control. "Not run" would be true of
-// the second arrival, and the parent would book again under another key.
-func TestRunOnceResendRefused(t *testing.T) {
-	play(t, func(c *qt.C, ti *tier) {
-		ti.publish(func(vi *view.View) { vi.LeaseUntil = time.Now() })
-		qu := ti.order()
-		c.Assert(ti.en.Run(c.Context(), qu).Code, qt.Equals, result.NotRunStale)
+// A booking ran but its answer was lost, and the caller resends it to an
+// instance that has lost control. "Not run" would be true of the second arrival
+// only, and the caller would book again under another key.
+func TestResendWithoutControlIsOutcomeUnknown(t *testing.T) {
+	runEngineTest(t, func(c *qt.C, et *engineTest) {
+		et.publish(func(vi *view.View) { vi.LeaseUntil = time.Now() })
+		qu := et.onceQuery()
+		c.Assert(et.en.Run(c.Context(), qu).Code, qt.Equals, result.NotRunStale)
 		qu.Resend = true
-		c.Assert(ti.en.Run(c.Context(), qu).Code, qt.Equals, result.OutcomeUnknown)
+		c.Assert(et.en.Run(c.Context(), qu).Code, qt.Equals, result.OutcomeUnknown)
 	})
 }
 
-// A studio desk loses its connection while its booking runs. If the instance
-// gave the booking up with the caller, a resend would hear "outcome unknown" for
-// good; so it goes on, and the resend gets the recorded answer. Its hedge delay
-// passes without a second request.
-func TestRunOnceCallerGone(t *testing.T) {
-	play(t, func(c *qt.C, ti *tier) {
+// The caller disconnects while its booking runs. If the instance cancelled the
+// booking, a resend would get "outcome unknown" forever; so the booking
+// continues, and the resend gets the recorded answer. Its hedge delay passes
+// without a second request.
+func TestNotRepeatableQueryOutlivesCaller(t *testing.T) {
+	runEngineTest(t, func(c *qt.C, et *engineTest) {
 		ctx, cancel := context.WithCancel(c.Context())
-		ti.reply = func(_ context.Context, rq backend.Request, server string) (backend.Reply, error) {
+		et.reply = func(_ context.Context, rq backend.Request, server string) (backend.Reply, error) {
 			cancel()
 			time.Sleep(50 * time.Millisecond)
-			return ok(rq, server), nil
+			return okReply(rq, server), nil
 		}
-		an := ti.en.Run(ctx, ti.order())
-		c.Assert(brief(an), qt.Equals, "Complete [a b] []")
-		c.Assert(ti.records, qt.DeepEquals, []string{"begin, 0 sent", "finish Complete"})
-		c.Assert(len(ti.sent()), qt.Equals, 2)
+		an := et.en.Run(ctx, et.onceQuery())
+		c.Assert(summary(an), qt.Equals, "Complete [a b] []")
+		c.Assert(et.records, qt.DeepEquals, []string{"begin, 0 sent", "finish Complete"})
+		c.Assert(len(et.sentRequests()), qt.Equals, 2)
 	})
 }
--- a/fanout/late.go
+++ b/fanout/late.go
@@ -6,177 +6,179 @@
 	"balsamwinch.example/operator"
 )
 
-// due looks at each shard whose time has come.
-func (tu *turn) due() {
-	if tu.over() {
+// timerFired handles each shard whose wake-up time has come.
+func (tr *transition) timerFired() {
+	if tr.finishIfOver() {
 		return
 	}
-	tu.st.armed = never
-	tu.st.wake = never
-	for ix := range tu.st.plan.Shards {
-		sh := tu.st.shards.get(ix)
+	tr.st.timerAt = never
+	tr.st.wakeAt = never
+	for ix := range tr.st.plan.Shards {
+		sh := tr.st.shards.get(ix)
 		switch {
 		case sh.status != shardOpen:
-		case sh.wake > tu.now:
-			tu.st.wake = min(tu.st.wake, sh.wake)
-		case sh.runs() == 0:
-			tu.again(ix, *sh)
+		case sh.wakeAt > tr.now:
+			tr.st.wakeAt = min(tr.st.wakeAt, sh.wakeAt)
+		case sh.numRunning() == 0:
+			tr.sendAgain(ix, *sh)
 		default:
-			tu.hedge(ix, *sh)
+			tr.hedge(ix, *sh)
 		}
 	}
 }
 
-// again asks for a shard that waited.
-func (tu *turn) again(ix int, sh shard) {
+// sendAgain sends an attempt for a shard that waited.
+func (tr *transition) sendAgain(ix int, sh shard) {
 	if sh.fails+sh.sheds == 0 {
-		tu.ask(ix, sh, First, sh.gate, false)
+		tr.sendAttempt(ix, sh, First, sh.budgetUse, false)
 		return
 	}
-	// The budget grows with new requests. When all callers wait for one, it does
-	// not grow, and each would wait until its deadline. So a shard that nobody is
-	// asked for is owed one attempt beyond the budget after a third of the time.
-	if sh.gate == BudgetRequired && !sh.forced && tu.now >= tu.st.finish()/owedShare {
-		sh.gate = BudgetOptional
-		sh.forced = true
+	// The budget grows with new requests. If all callers wait for it, it does not
+	// grow, and each would wait until its deadline. So a shard without attempts
+	// in flight gets one attempt beyond the budget after a third of the time.
+	if sh.budgetUse == BudgetRequired && !sh.overBudgetUsed && tr.now >= tr.st.answerDeadline()/overBudgetDivisor {
+		sh.budgetUse = BudgetOptional
+		sh.overBudgetUsed = true
 	}
-	// The server that has dropped the snapshot does not get it back.
-	tu.ask(ix, sh, Retry, sh.gate, sh.reason == VersionGone)
+	// A server that dropped the snapshot does not get it back, so it is excluded.
+	tr.sendAttempt(ix, sh, Retry, sh.budgetUse, sh.reason == VersionGone)
 }
 
-// wait looks at a shard again a little later, or after the pause if that is
-// longer.
-func (tu *turn) wait(ix int, sh shard, pause time.Duration) {
-	sh.wake = tu.now + max(min(minWait<<sh.waits, maxWait), min(pause, maxPause))
-	sh.waits = min(sh.waits+1, maxWaits)
-	tu.put(ix, sh)
+// scheduleRetry retries a shard after a short backoff, or after the given delay
+// if that is longer.
+func (tr *transition) scheduleRetry(ix int, sh shard, delay time.Duration) {
+	sh.wakeAt = tr.now + max(min(minRetryDelay<<sh.waits, maxRetryDelay), min(delay, maxServerRetryDelay))
+	sh.waits = min(sh.waits+1, maxBackoffSteps)
+	tr.setShard(ix, sh)
 }
 
-// hedge asks another replica for a shard whose attempt is late. A request that
-// must not be repeated is never hedged.
-func (tu *turn) hedge(ix int, sh shard) {
-	if !tu.st.ru.Repeatable || tu.st.ru.Tactics == operator.Baseline || sh.runs() > 1 || sh.sent-sh.sheds > maxFails {
-		sh.wake = never
-		tu.put(ix, sh)
+// hedge sends a second attempt to another replica of a shard whose attempt is
+// late. A request that must not be repeated is never hedged.
+func (tr *transition) hedge(ix int, sh shard) {
+	if !tr.st.params.Repeatable || tr.st.params.Tactics == operator.Baseline || sh.numRunning() > 1 || sh.sent-sh.sheds > maxFailures {
+		sh.wakeAt = never
+		tr.setShard(ix, sh)
 		return
 	}
-	gate := BudgetRequiredIfResponsive
-	// A connection that has gone silent shows nothing but a reply that does not
-	// come. If many do so at once, the budget is soon spent and the hedges that
-	// would save the requests are refused, although they have time. So each
-	// shard has one hedge beyond the budget: at once if its server isn't heard from
-	// at all, and else late enough not to double the load of servers that are
-	// merely slow.
+	budgetUse := BudgetRequiredIfResponsive
+	// A silent connection shows only as a missing reply. If many connections go
+	// silent at once, the budget is soon exhausted, and the hedges that would
+	// save the requests are refused although there is time for them. So each
+	// shard may have one hedge beyond the budget: at once if its server sends no
+	// replies at all, otherwise late enough not to double the load of servers
+	// that are merely slow.
 	switch {
-	case sh.forced:
-		gate = BudgetRequired
-	case tu.now >= tu.owedAt(&sh):
-		gate = BudgetOptional
+	case sh.overBudgetUsed:
+		budgetUse = BudgetRequired
+	case tr.now >= tr.overBudgetAt(&sh):
+		budgetUse = BudgetOptional
 	}
-	sh.forced = sh.forced || gate != BudgetRequired
-	tu.ask(ix, sh, Hedge, gate, !sh.alone)
+	sh.overBudgetUsed = sh.overBudgetUsed || budgetUse != BudgetRequired
+	tr.sendAttempt(ix, sh, Hedge, budgetUse, !sh.noOtherReplica)
 }
 
-// owedAt returns when a shard's attempt is hedged beyond the budget.
-func (tu *turn) owedAt(sh *shard) time.Duration {
-	left := tu.st.finish() - sh.asked
-	return sh.asked + max(chanceDelays*tu.st.ru.HedgeDelay, left/owedShare)
+// overBudgetAt returns when a shard's attempt is hedged even beyond the budget.
+func (tr *transition) overBudgetAt(sh *shard) time.Duration {
+	left := tr.st.answerDeadline() - sh.oldestSent
+	return sh.oldestSent + max(attemptHedgeDelays*tr.st.params.HedgeDelay, left/overBudgetDivisor)
 }
 
-// hedgeLater puts a hedge off that could not be sent.
-func (tu *turn) hedgeLater(ix int, sh shard, ru running, at time.Duration) {
-	if ru.gate >= BudgetRequiredIfResponsive {
-		sh.forced = false
+// deferHedge postpones a hedge that could not be sent.
+func (tr *transition) deferHedge(ix int, sh shard, ru runningAttempt, at time.Duration) {
+	if ru.budgetUse >= BudgetRequiredIfResponsive {
+		sh.overBudgetUsed = false
 	}
-	sh.wake = max(at, tu.now+minWait)
-	if ow := tu.owedAt(&sh); !sh.forced && ow > tu.now {
-		sh.wake = min(sh.wake, ow)
+	sh.wakeAt = max(at, tr.now+minRetryDelay)
+	if overBudgetAt := tr.overBudgetAt(&sh); !sh.overBudgetUsed && overBudgetAt > tr.now {
+		sh.wakeAt = min(sh.wakeAt, overBudgetAt)
 	}
-	tu.put(ix, sh)
+	tr.setShard(ix, sh)
 }
 
-func (tu *turn) notSent(ev NoServerAvailable) {
-	sh, ru, ok := tu.ended(ev.Attempt, false)
+func (tr *transition) noServerAvailable(ev NoServerAvailable) {
+	sh, ru, ok := tr.endAttempt(ev.Attempt, false)
 	if !ok {
 		return
 	}
 	ix := ev.Attempt.Shard
-	sh.gate = ru.gate
+	sh.budgetUse = ru.budgetUse
 	switch {
-	case sh.runs() > 0 && ev.AvailableLater && ev.Unresponsive && sh.moved == 0:
-		tu.move(ix, sh, ru)
-	case sh.runs() > 0 && ev.AvailableLater:
-		tu.hedgeLater(ix, sh, ru, tu.now+max(maxWait, ev.RetryDelay))
-	case sh.runs() > 0:
-		sh.alone = true
+	case sh.numRunning() > 0 && ev.AvailableLater && ev.Unresponsive && sh.replacedAt == 0:
+		tr.replaceAttempt(ix, sh, ru)
+	case sh.numRunning() > 0 && ev.AvailableLater:
+		tr.deferHedge(ix, sh, ru, tr.now+max(maxRetryDelay, ev.RetryDelay))
+	case sh.numRunning() > 0:
+		sh.noOtherReplica = true
 		if ev.Unresponsive {
-			tu.hedgeLater(ix, sh, ru, tu.now+maxWait)
+			tr.deferHedge(ix, sh, ru, tr.now+maxRetryDelay)
 			return
 		}
-		tu.hedgeLater(ix, sh, ru, max(tu.now+maxWait, sh.asked+sameServerDelays*tu.st.ru.HedgeDelay))
+		tr.deferHedge(ix, sh, ru, max(tr.now+maxRetryDelay, sh.oldestSent+sameServerHedgeDelays*tr.st.params.HedgeDelay))
 	case ev.AvailableLater && sh.reason != VersionGone:
-		sh.because(Busy)
-		tu.wait(ix, sh, ev.RetryDelay)
+		sh.setReason(Busy)
+		tr.scheduleRetry(ix, sh, ev.RetryDelay)
 	default:
-		sh.because(NoServer)
-		tu.replan(ix, sh)
+		sh.setReason(NoServer)
+		tr.replan(ix, sh)
 	}
 }
 
-// move gives up an attempt on a backend server that isn't heard from, for one in
-// its place.
+// replaceAttempt cancels an attempt on an unresponsive backend server so that
+// another can take its place.
 //
 // If all connections to the replicas of a shard go silent under load, the lost
-// attempts soon fill the slots, and the hedges that would save the requests find
-// none. It shows as shards that wait until the deadline for a slot. Cancelling
-// an attempt frees the slot once the backend server says that it runs nothing.
-// It is done once: a shard that takes long everywhere must not be stopped again.
-func (tu *turn) move(ix int, sh shard, ru running) {
-	if ru.gate >= BudgetRequiredIfResponsive {
-		sh.forced = false
-	}
-	sh.wake = never
-	sh.moved = tu.now
-	tu.put(ix, sh)
-	tu.cancelRunning(ix, &sh)
+// attempts soon occupy the slots, and the hedges that would save the requests
+// find none. Shards then wait for a slot until the deadline. Cancelling an
+// attempt frees its slot once the backend server confirms that it is not
+// running the request. This is done once per shard, because a shard that is
+// slow everywhere must not be cancelled again.
+func (tr *transition) replaceAttempt(ix int, sh shard, ru runningAttempt) {
+	if ru.budgetUse >= BudgetRequiredIfResponsive {
+		sh.overBudgetUsed = false
+	}
+	sh.wakeAt = never
+	sh.replacedAt = tr.now
+	tr.setShard(ix, sh)
+	tr.cancelRunning(ix, &sh)
 }
 
-// room asks for a shard that waits for a server with room.
-func (tu *turn) room(ix int) {
-	if ix < 0 || ix >= len(tu.st.plan.Shards) {
+// capacityAvailable sends an attempt for a shard that waits for a server with
+// capacity.
+func (tr *transition) capacityAvailable(ix int) {
+	if ix < 0 || ix >= len(tr.st.plan.Shards) {
 		return
 	}
-	sh := *tu.st.shards.get(ix)
-	if sh.status == shardOpen && sh.runs() == 0 && sh.blind == 0 {
-		tu.again(ix, sh)
+	sh := *tr.st.shards.get(ix)
+	if sh.status == shardOpen && sh.numRunning() == 0 && sh.noServerWaits == 0 {
+		tr.sendAgain(ix, sh)
 	}
 }
 
-func (tu *turn) noBudget(ev BudgetExhausted) {
-	sh, ru, ok := tu.ended(ev.Attempt, false)
+func (tr *transition) budgetExhausted(ev BudgetExhausted) {
+	sh, ru, ok := tr.endAttempt(ev.Attempt, false)
 	if !ok {
 		return
 	}
-	if sh.runs() > 0 {
-		tu.hedgeLater(ev.Attempt.Shard, sh, ru, tu.now+tu.st.ru.HedgeDelay)
+	if sh.numRunning() > 0 {
+		tr.deferHedge(ev.Attempt.Shard, sh, ru, tr.now+tr.st.params.HedgeDelay)
 		return
 	}
-	sh.gate = ru.gate
-	tu.wait(ev.Attempt.Shard, sh, 0)
+	sh.budgetUse = ru.budgetUse
+	tr.scheduleRetry(ev.Attempt.Shard, sh, 0)
 }
 
-// replan asks for a newer snapshot for a shard that no server can be asked for.
-// The plan had a holder, so that one is leaving or has dropped the snapshot, and
-// what it announced in its place may not have come here yet. So the shard waits
-// a few times before it is given up.
-func (tu *turn) replan(ix int, sh shard) {
-	if sh.blind >= maxBlind {
-		tu.lose(ix, sh, sh.reason)
+// replan requests a newer snapshot for a shard that no server can serve. The
+// plan had a holder, so that server is draining or has dropped the snapshot,
+// and the announcement of its replacement may not have arrived yet. So the
+// shard waits a few times before it is marked missing.
+func (tr *transition) replan(ix int, sh shard) {
+	if sh.noServerWaits >= maxNoServerWaits {
+		tr.markMissing(ix, sh, sh.reason)
 		return
 	}
-	sh.blind++
-	tu.wait(ix, sh, 0)
-	if tu.mayRestart() {
-		tu.do(Replan{Newer: tu.st.plan.Snapshot})
+	sh.noServerWaits++
+	tr.scheduleRetry(ix, sh, 0)
+	if tr.mayRestart() {
+		tr.emit(Replan{Newer: tr.st.plan.Snapshot})
 	}
 }
--- a/fanout/metrics.go
+++ b/fanout/metrics.go
@@ -9,37 +9,37 @@
 	"balsamwinch.example/result"
 )
 
-// Metrics exports what the engine measures, by configured service: latency,
+// Metrics exports the engine's metrics for each configured service: latency,
 // answers by code, shards covered and missing by reason, leaf requests and the
 // extra ones among them.
 type Metrics struct {
 	set *metrics.Set
 }
 
-// NewMetrics returns metrics that are registered in the set.
+// NewMetrics returns metrics registered in the set.
 func NewMetrics(set *metrics.Set) *Metrics {
 	return &Metrics{set: set}
 }
 
-// serviceMetrics are the series of one service.
+// serviceMetrics holds the series of one service.
 type serviceMetrics struct {
-	set      *metrics.Set
-	name     string
-	latency  *metrics.Histogram
-	leaves   *metrics.Counter
-	extra    *metrics.Counter
-	hedges   *metrics.Counter
-	retries  *metrics.Counter
-	restarts *metrics.Counter
-	covered  *metrics.Counter
-	missing  sync.Map // missing maps a Reason to its *metrics.Counter.
-	answers  sync.Map // answers maps a result.Code to its *metrics.Counter.
+	set          *metrics.Set
+	name         string
+	latency      *metrics.Histogram
+	leafRequests *metrics.Counter
+	extra        *metrics.Counter
+	hedges       *metrics.Counter
+	retries      *metrics.Counter
+	restarts     *metrics.Counter
+	covered      *metrics.Counter
+	missing      sync.Map // Reason to *metrics.Counter
+	answers      sync.Map // result.Code to *metrics.Counter
 }
 
 func (me *Metrics) service(name string) *serviceMetrics {
 	sm := &serviceMetrics{set: me.set, name: name}
 	sm.latency = me.set.GetOrCreateHistogram(sm.series("balsamwinch_query_seconds"))
-	sm.leaves = me.set.GetOrCreateCounter(sm.series("balsamwinch_leaf_requests_total"))
+	sm.leafRequests = me.set.GetOrCreateCounter(sm.series("balsamwinch_leaf_requests_total"))
 	sm.extra = me.set.GetOrCreateCounter(sm.series("balsamwinch_leaf_requests_extra_total"))
 	sm.hedges = me.set.GetOrCreateCounter(sm.series("balsamwinch_hedges_total"))
 	sm.retries = me.set.GetOrCreateCounter(sm.series("balsamwinch_retries_total"))
@@ -48,8 +48,8 @@
 	return sm
 }
 
-// series returns the name of a series of the service, with further pairs of
-// label and value.
+// series returns the name of a series of the service. labels are alternating
+// label names and values.
 func (sm *serviceMetrics) series(name string, labels ...string) string {
 	st := name + `{service=` + strconv.Quote(sm.name)
 	for ix := 0; ix+1 < len(labels); ix += 2 {
@@ -58,7 +58,7 @@
 	return st + "}"
 }
 
-func (sm *serviceMetrics) missed(re Reason) *metrics.Counter {
+func (sm *serviceMetrics) missingCounter(re Reason) *metrics.Counter {
 	if co, ok := sm.missing.Load(re); ok {
 		return co.(*metrics.Counter)
 	}
@@ -66,7 +66,7 @@
 	return co.(*metrics.Counter)
 }
 
-func (sm *serviceMetrics) answered(code result.Code) *metrics.Counter {
+func (sm *serviceMetrics) answerCounter(code result.Code) *metrics.Counter {
 	if co, ok := sm.answers.Load(code); ok {
 		return co.(*metrics.Counter)
 	}
@@ -74,18 +74,18 @@
 	return co.(*metrics.Counter)
 }
 
-// add counts one answer.
+// add records one answer.
 func (sm *serviceMetrics) add(an *Answer) {
 	const perSecond = 1e6
 	sm.latency.Update(float64(an.Cost.Micros) / perSecond)
-	sm.answered(an.Code).Inc()
-	sm.leaves.Add(an.Cost.LeafRequests)
+	sm.answerCounter(an.Code).Inc()
+	sm.leafRequests.Add(an.Cost.LeafRequests)
 	sm.extra.Add(an.Cost.Extra)
 	sm.hedges.Add(an.Cost.Hedges)
 	sm.retries.Add(an.Cost.Retries)
 	sm.restarts.Add(an.Cost.Restarts)
 	sm.covered.Add(len(an.Covered))
 	for _, mi := range an.Missing {
-		sm.missed(mi.Reason).Inc()
+		sm.missingCounter(mi.Reason).Inc()
 	}
 }
--- a/fanout/reply.go
+++ b/fanout/reply.go
@@ -7,16 +7,16 @@
 	"balsamwinch.example/operator"
 )
 
-// failure is the end of an attempt without rows.
+// failure describes an attempt that ended without rows.
 type failure struct {
-	reason Reason
-	left   bool // left says that bytes of the request may have left.
-	begun  bool // begun says that the backend server may have begun it.
-	final  bool // final says that no other server would do better.
+	reason       Reason
+	possiblySent bool // whether bytes of the request may have been sent
+	possiblyRun  bool // whether the backend server may have begun it
+	permanent    bool // whether retrying on another server is pointless
 }
 
-func (tu *turn) attemptFailed(ev AttemptFailed) {
-	fa := failure{left: ev.Sent, begun: ev.Sent}
+func (tr *transition) attemptFailed(ev AttemptFailed) {
+	fa := failure{possiblySent: ev.Sent, possiblyRun: ev.Sent}
 	switch ev.Kind {
 	case backend.NoConnection:
 		fa.reason = Busy
@@ -35,144 +35,146 @@
 	default:
 		fa.reason = Cut
 	}
-	tu.failed(ev.Attempt, fa)
+	tr.handleFailure(ev.Attempt, fa)
 }
 
-func (tu *turn) replied(ev Replied) {
+func (tr *transition) replied(ev Replied) {
 	rp := ev.Reply
-	// Two requests whose replies change places on their way, or one that is
-	// answered twice, would put one query's rows into another's answer, and
-	// another's "not run" would let a request run twice. Only a reply that
-	// states the attempt's own request id, server and shard is one to it.
-	if !tu.answers(ev) {
-		tu.failed(ev.Attempt, failure{reason: Crossed, left: true, begun: true})
+	// If two replies were swapped on their way or one request was answered twice,
+	// one query's rows could enter another's answer, and another's "not run"
+	// could let a request run twice. So a reply counts only if it states the
+	// attempt's own request id, server and shard.
+	if !tr.matchesAttempt(ev) {
+		tr.handleFailure(ev.Attempt, failure{reason: Crossed, possiblySent: true, possiblyRun: true})
 		return
 	}
-	tu.st.retryAfter = max(tu.st.retryAfter, time.Duration(rp.RetryAfterMillis)*time.Millisecond)
+	tr.st.retryAfter = max(tr.st.retryAfter, time.Duration(rp.RetryAfterMillis)*time.Millisecond)
 	switch rp.Code {
 	case backend.ReplyOK:
-		tu.cover(ev)
+		tr.coverShard(ev)
 	case backend.ReplyShed:
-		tu.failed(ev.Attempt, failure{reason: Shed, left: true})
+		tr.handleFailure(ev.Attempt, failure{reason: Shed, possiblySent: true})
 	case backend.ReplyDraining:
-		tu.failed(ev.Attempt, failure{reason: Draining, left: true})
+		tr.handleFailure(ev.Attempt, failure{reason: Draining, possiblySent: true})
 	case backend.ReplyVersionGone:
-		tu.failed(ev.Attempt, failure{reason: VersionGone, left: true})
+		tr.handleFailure(ev.Attempt, failure{reason: VersionGone, possiblySent: true})
 	case backend.ReplyWrongShard:
-		tu.failed(ev.Attempt, failure{reason: WrongShard, left: true})
+		tr.handleFailure(ev.Attempt, failure{reason: WrongShard, possiblySent: true})
 	case backend.ReplyBad:
-		tu.failed(ev.Attempt, failure{reason: BadRequest, left: true, final: true})
+		tr.handleFailure(ev.Attempt, failure{reason: BadRequest, possiblySent: true, permanent: true})
 	case backend.ReplyDeadlinePassed:
-		tu.failed(ev.Attempt, failure{reason: Deadline, left: true, begun: true})
+		tr.handleFailure(ev.Attempt, failure{reason: Deadline, possiblySent: true, possiblyRun: true})
 	case backend.ReplyFailed:
-		tu.failed(ev.Attempt, failure{reason: Failed, left: true, begun: true})
+		tr.handleFailure(ev.Attempt, failure{reason: Failed, possiblySent: true, possiblyRun: true})
 	case backend.ReplyCancelled:
-		tu.failed(ev.Attempt, failure{reason: Cut, left: true, begun: true})
+		tr.handleFailure(ev.Attempt, failure{reason: Cut, possiblySent: true, possiblyRun: true})
 	default:
-		tu.failed(ev.Attempt, failure{reason: Malformed, left: true, begun: true})
+		tr.handleFailure(ev.Attempt, failure{reason: Malformed, possiblySent: true, possiblyRun: true})
 	}
 }
 
-// answers reports whether a reply is one to the attempt it came for. Rows count
-// only from the pinned snapshot; a refusal may state another one.
-func (tu *turn) answers(ev Replied) bool {
+// matchesAttempt reports whether a reply belongs to its attempt. Rows count
+// only if they come from the pinned snapshot; a refusal may state another one.
+func (tr *transition) matchesAttempt(ev Replied) bool {
 	ix := ev.Attempt.Shard
-	if ix < 0 || ix >= len(tu.st.plan.Shards) {
+	if ix < 0 || ix >= len(tr.st.plan.Shards) {
 		return false
 	}
 	rp := &ev.Reply
-	if rp.Code == backend.ReplyOK && rp.Snapshot != tu.st.plan.Snapshot {
+	if rp.Code == backend.ReplyOK && rp.Snapshot != tr.st.plan.Snapshot {
 		return false
 	}
-	return rp.RequestID == tu.st.RequestID(ev.Attempt) && rp.Server == ev.Server && rp.Shard == tu.st.plan.Shards[ix]
+	return rp.RequestID == tr.st.RequestID(ev.Attempt) && rp.Server == ev.Server && rp.Shard == tr.st.plan.Shards[ix]
 }
 
-// cover takes a shard's rows and stops its other attempts.
-func (tu *turn) cover(ev Replied) {
-	sh, _, ok := tu.ended(ev.Attempt, true)
+// coverShard stores a shard's rows and cancels its other attempts.
+func (tr *transition) coverShard(ev Replied) {
+	sh, _, ok := tr.endAttempt(ev.Attempt, true)
 	if !ok {
 		return
 	}
 	ix := ev.Attempt.Shard
-	tu.cancelRunning(ix, &sh)
+	tr.cancelRunning(ix, &sh)
 	sh.status = shardCovered
 	sh.rows = &ShardRows{Shard: ev.Reply.Shard, Server: ev.Server, Rows: ev.Reply.Rows}
-	tu.st.open--
-	tu.put(ix, sh)
+	tr.st.numOpen--
+	tr.setShard(ix, sh)
 }
 
-// lose settles that a shard will be missing. Attempts that still run stay noted
-// in it: a backend server may have begun them, which forbids to say "not run".
-func (tu *turn) lose(ix int, sh shard, re Reason) {
-	tu.cancelRunning(ix, &sh)
+// markMissing marks a shard as missing for good. Attempts still in flight stay
+// recorded in the shard: a backend server may have begun them, which rules out
+// a "not run" answer.
+func (tr *transition) markMissing(ix int, sh shard, re Reason) {
+	tr.cancelRunning(ix, &sh)
 	sh.status = shardMissing
 	sh.reason = re
-	tu.st.open--
-	tu.st.missing++
-	tu.put(ix, sh)
+	tr.st.numOpen--
+	tr.st.numMissing++
+	tr.setShard(ix, sh)
 }
 
-// failed decides whether a shard is asked again after an attempt failed.
-func (tu *turn) failed(at Attempt, fa failure) {
-	sh, ru, ok := tu.ended(at, fa.left)
+// handleFailure decides whether a shard is retried after an attempt failed.
+func (tr *transition) handleFailure(at Attempt, fa failure) {
+	sh, ru, ok := tr.endAttempt(at, fa.possiblySent)
 	if !ok {
 		return
 	}
 	ix := at.Shard
 	sh.reason = fa.reason
-	if !fa.left && ru.gate >= BudgetRequiredIfResponsive || !fa.begun && ru.gate == BudgetRequiredIfResponsive {
-		sh.forced = false
+	if !fa.possiblySent && ru.budgetUse >= BudgetRequiredIfResponsive || !fa.possiblyRun && ru.budgetUse == BudgetRequiredIfResponsive {
+		sh.overBudgetUsed = false
 	}
-	if fa.reason == Shed && tu.st.ru.Policy == operator.Complete && tu.st.ru.Tactics != operator.Baseline && sh.sheds < maxSheds {
-		// A server that sheds has begun nothing and may have a slot free soon, and
-		// the policy is to wait: that is no failure that gives the shard up.
+	if fa.reason == Shed && tr.st.params.Policy == operator.Complete && tr.st.params.Tactics != operator.Baseline && sh.sheds < maxSheds {
+		// A server that sheds has begun nothing and may have a free slot soon, and
+		// the policy is to wait. So this does not count as a failure of the shard.
 		sh.sheds++
-		sh.forced = sh.forced && ru.gate != BudgetOptional
+		sh.overBudgetUsed = sh.overBudgetUsed && ru.budgetUse != BudgetOptional
 	} else if fa.reason != Busy {
 		sh.fails++
 	}
-	sh.begun = sh.begun || fa.begun
-	tu.st.begun = tu.st.begun || fa.begun
+	sh.possiblyRun = sh.possiblyRun || fa.possiblyRun
+	tr.st.possiblyRun = tr.st.possiblyRun || fa.possiblyRun
 	switch {
-	case fa.final:
-		tu.lose(ix, sh, fa.reason)
-	case sh.runs() > 0:
-		sh.wake = tu.now + tu.st.ru.HedgeDelay
-		tu.put(ix, sh)
-	case !tu.mayRetry(&sh):
-		tu.lose(ix, sh, fa.reason)
+	case fa.permanent:
+		tr.markMissing(ix, sh, fa.reason)
+	case sh.numRunning() > 0:
+		sh.wakeAt = tr.now + tr.st.params.HedgeDelay
+		tr.setShard(ix, sh)
+	case !tr.mayRetry(&sh):
+		tr.markMissing(ix, sh, fa.reason)
 	case fa.reason == Busy:
-		sh.gate = BudgetExempt
-		tu.wait(ix, sh, 0)
+		sh.budgetUse = BudgetExempt
+		tr.scheduleRetry(ix, sh, 0)
 	default:
-		gate := tu.gate(&sh, fa)
-		sh.forced = sh.forced || gate == BudgetOptional
-		tu.ask(ix, sh, Retry, gate, true)
+		budgetUse := tr.retryBudgetUse(&sh, fa)
+		sh.overBudgetUsed = sh.overBudgetUsed || budgetUse == BudgetOptional
+		tr.sendAttempt(ix, sh, Retry, budgetUse, true)
 	}
 }
 
-// mayRetry reports whether a shard may be asked once more. A request that must
-// not be repeated may only if no attempt for the shard can have begun.
-func (tu *turn) mayRetry(sh *shard) bool {
-	if !tu.st.ru.Repeatable && sh.begun {
+// mayRetry reports whether another attempt may be sent for a shard. A request
+// that must not be repeated may be retried only if no attempt for the shard can
+// have begun.
+func (tr *transition) mayRetry(sh *shard) bool {
+	if !tr.st.params.Repeatable && sh.possiblyRun {
 		return false
 	}
-	if sh.reason == Deadline && tu.now+tu.st.ru.HedgeDelay >= tu.st.finish() {
+	if sh.reason == Deadline && tr.now+tr.st.params.HedgeDelay >= tr.st.answerDeadline() {
 		return false
 	}
-	if tu.st.ru.Tactics == operator.Baseline || sh.reason == Failed {
-		return sh.fails < fewFails
+	if tr.st.params.Tactics == operator.Baseline || sh.reason == Failed {
+		return sh.fails < maxFailuresSingleRetry
 	}
-	return sh.fails < maxFails
+	return sh.fails < maxFailures
 }
 
-// gate returns how a retry stands to the budget. One that replaces an attempt
-// that never left is no extra load. A server that sheds, fails or is too slow
-// may be so from load, so a retry must not add to it beyond the budget. The
-// other failures lie with one connection or server, and the request is owed
-// one more attempt.
-func (tu *turn) gate(sh *shard, fa failure) BudgetUse {
-	if !fa.left || tu.st.ru.Tactics == operator.Baseline {
+// retryBudgetUse returns how a retry is charged. A retry that replaces an
+// attempt that was never sent is no extra load. A server that sheds, fails or
+// is too slow may be overloaded, so a retry must not exceed the budget. Other
+// failures concern one connection or server, and the request gets one attempt
+// beyond the budget.
+func (tr *transition) retryBudgetUse(sh *shard, fa failure) BudgetUse {
+	if !fa.possiblySent || tr.st.params.Tactics == operator.Baseline {
 		return BudgetExempt
 	}
 	switch fa.reason {
@@ -180,7 +182,7 @@
 		return BudgetRequired
 	default:
 	}
-	if sh.forced {
+	if sh.overBudgetUsed {
 		return BudgetRequired
 	}
 	return BudgetOptional
--- a/fanout/route.go
+++ b/fanout/route.go
@@ -13,7 +13,7 @@
 	"balsamwinch.example/view"
 )
 
-// Selects reports whether the service gives new work to the backend server.
+// Selects reports whether the service sends new work to the backend server.
 func Selects(se operator.Service, re *backend.Record) bool {
 	if re.State == backend.Draining || re.State == backend.Left {
 		return false
@@ -21,7 +21,8 @@
 	return limit.Selects(se, re)
 }
 
-// Holdings returns what snapshot.Choose needs to know of a service.
+// PlanInputs returns the holders and partitions of a service as snapshot.Choose
+// needs them.
 func PlanInputs(se operator.Service, servers []backend.Record) ([]snapshot.Holder, []snapshot.Partition) {
 	var hos []snapshot.Holder
 	for ix := range servers {
@@ -44,111 +45,113 @@
 	return pas
 }
 
-// routes are what one view says of the services' backend servers. A service is
-// worked out by the first query that needs it.
-type routes struct {
-	vi     *view.View
-	old    *routes // old are those of the view before, until the groups are made.
-	once   sync.Once
-	groups map[string][]int // groups are the places in vi.Servers by announced service.
-	all    []int
-	cells  sync.Map // cells maps a service's name to its *routeCell.
+// routeTable holds the routes to the services' backend servers in one view. The
+// first query that needs a service builds its route.
+type routeTable struct {
+	vi         *view.View
+	previous   *routeTable // routes of the previous view; nil once the groups are built
+	once       sync.Once
+	byService  map[string][]int // indexes into vi.Servers by announced service
+	allServers []int
+	entries    sync.Map // service name to *routeEntry
 }
 
-type routeCell struct {
-	once sync.Once
-	ro   atomic.Pointer[route]
-	old  *route // old is the route of an earlier view, if any.
+type routeEntry struct {
+	once     sync.Once
+	ro       atomic.Pointer[route]
+	previous *route // route of an earlier view, if any
 }
 
-// latest returns the cell's route, the old one if it is not made yet.
-func (ce *routeCell) latest() *route {
-	if ro := ce.ro.Load(); ro != nil {
+// latest returns the route, or the previous one if it is not built yet.
+func (en *routeEntry) latest() *route {
+	if ro := en.ro.Load(); ro != nil {
 		return ro
 	}
-	return ce.old
+	return en.previous
 }
 
-// route is what is known of one service's backend servers. It is immutable.
+// route holds what is known about one service's backend servers. It is
+// immutable.
 type route struct {
-	se      operator.Service
-	sources []source
-	holders []snapshot.Holder
-	servers map[snapshot.ID]map[string][]backend.Record
-	plan    snapshot.Coverage // plan is that of a query for all shards.
-	planned bool              // planned says that there is such a plan.
+	se             operator.Service
+	recordVersions []recordVersion
+	holders        []snapshot.Holder
+	servers        map[snapshot.ID]map[string][]backend.Record
+	plan           snapshot.Coverage // plan of a query for all shards
+	planned        bool              // whether such a plan exists
 }
 
-// source is a record that a route was made from.
-type source struct {
+// recordVersion identifies the version of a record that a route was built from.
+type recordVersion struct {
 	server      string
 	incarnation uint64
 	sequence    uint64
 }
 
-// newRoutes returns the routes of a view. What the old ones hold of a service
-// whose backend servers did not change is taken over.
-func newRoutes(vi *view.View, old *routes) *routes {
-	return &routes{vi: vi, old: old}
+// newRoutes returns the routes of a view. It reuses previous routes of services
+// whose backend servers did not change.
+func newRoutes(vi *view.View, previous *routeTable) *routeTable {
+	return &routeTable{vi: vi, previous: previous}
 }
 
-// of returns the route of a service that the view's configuration names.
-func (rs *routes) of(name string, se operator.Service) *route {
-	rs.once.Do(rs.group)
-	ce, ok := rs.cells.Load(name)
+// routeFor returns the route of a service named in the view's configuration.
+func (rt *routeTable) routeFor(name string, se operator.Service) *route {
+	rt.once.Do(rt.groupServers)
+	ce, ok := rt.entries.Load(name)
 	if !ok {
-		ce, _ = rs.cells.LoadOrStore(name, &routeCell{})
+		ce, _ = rt.entries.LoadOrStore(name, &routeEntry{})
 	}
-	cell := ce.(*routeCell)
+	cell := ce.(*routeEntry)
 	cell.once.Do(func() {
-		cell.ro.Store(rs.build(se, cell.old))
+		cell.ro.Store(rt.build(se, cell.previous))
 	})
 	return cell.ro.Load()
 }
 
-// group sorts the servers by announced service, so that a service looks only at
-// its own of many thousands, and takes over the old routes to compare with.
-func (rs *routes) group() {
-	rs.groups = make(map[string][]int)
-	rs.all = make([]int, len(rs.vi.Servers))
-	for ix := range rs.vi.Servers {
-		rs.all[ix] = ix
-		name := rs.vi.Servers[ix].Service
-		rs.groups[name] = append(rs.groups[name], ix)
+// groupServers groups the servers by announced service, so that a service
+// examines only its own among many thousands, and keeps the previous routes for
+// comparison.
+func (rt *routeTable) groupServers() {
+	rt.byService = make(map[string][]int)
+	rt.allServers = make([]int, len(rt.vi.Servers))
+	for ix := range rt.vi.Servers {
+		rt.allServers[ix] = ix
+		name := rt.vi.Servers[ix].Service
+		rt.byService[name] = append(rt.byService[name], ix)
 	}
-	if rs.old == nil {
+	if rt.previous == nil {
 		return
 	}
-	rs.old.cells.Range(func(name, ce any) bool {
-		if _, ok := rs.vi.Configuration.Services[name.(string)]; ok {
-			rs.cells.Store(name, &routeCell{old: ce.(*routeCell).latest()})
+	rt.previous.entries.Range(func(name, ce any) bool {
+		if _, ok := rt.vi.Configuration.Services[name.(string)]; ok {
+			rt.entries.Store(name, &routeEntry{previous: ce.(*routeEntry).latest()})
 		}
 		return true
 	})
-	rs.old = nil
+	rt.previous = nil
 }
 
-// build returns the route of a service, the old one if it still holds.
-func (rs *routes) build(se operator.Service, old *route) *route {
-	places := rs.all
+// build returns the route of a service, or the previous one if nothing changed.
+func (rt *routeTable) build(se operator.Service, previous *route) *route {
+	indexes := rt.allServers
 	if se.Selector.Service != "" {
-		places = rs.groups[se.Selector.Service]
+		indexes = rt.byService[se.Selector.Service]
 	}
 	var chosen []int
-	var sources []source
-	for _, ix := range places {
-		re := &rs.vi.Servers[ix]
+	var sources []recordVersion
+	for _, ix := range indexes {
+		re := &rt.vi.Servers[ix]
 		if Selects(se, re) {
 			chosen = append(chosen, ix)
-			sources = append(sources, source{server: re.Server, incarnation: re.Incarnation, sequence: re.Sequence})
+			sources = append(sources, recordVersion{server: re.Server, incarnation: re.Incarnation, sequence: re.Sequence})
 		}
 	}
-	if old != nil && slices.Equal(old.sources, sources) && reflect.DeepEqual(old.se, se) {
-		return old
+	if previous != nil && slices.Equal(previous.recordVersions, sources) && reflect.DeepEqual(previous.se, se) {
+		return previous
 	}
-	ro := &route{se: se, sources: sources, servers: make(map[snapshot.ID]map[string][]backend.Record)}
+	ro := &route{se: se, recordVersions: sources, servers: make(map[snapshot.ID]map[string][]backend.Record)}
 	for _, ix := range chosen {
-		ro.add(rs.vi.Servers[ix])
+		ro.add(rt.vi.Servers[ix])
 	}
 	ro.plan, ro.planned = snapshot.Choose(partitions(se), ro.holders, nil)
 	return ro
@@ -166,12 +169,13 @@
 	}
 }
 
-// holding returns the servers that hold a shard of a snapshot.
-func (ro *route) holding(id snapshot.ID, sh string) []backend.Record {
+// serversFor returns the servers that hold a shard of a snapshot.
+func (ro *route) serversFor(id snapshot.ID, sh string) []backend.Record {
 	return ro.servers[id][sh]
 }
 
-// planFor returns the plan of a query for the wanted shards, or for all.
+// planFor returns the plan of a query for the wanted shards, or for all if none
+// are given.
 func (ro *route) planFor(wanted []string) (snapshot.Coverage, bool) {
 	if len(wanted) == 0 {
 		return ro.plan, ro.planned
@@ -187,8 +191,8 @@
 	return snapshot.Choose(partitions(ro.se), newer, wanted)
 }
 
-// unknown returns the first wanted shard that no partition map has.
-func unknown(se operator.Service, wanted []string) (string, bool) {
+// unknownShard returns the first wanted shard that is in no partition map.
+func unknownShard(se operator.Service, wanted []string) (string, bool) {
 	for _, sh := range wanted {
 		has := func(pa operator.Partition) bool { return slices.Contains(pa.Shards, sh) }
 		if !slices.ContainsFunc(se.Partitions, has) {
--- a/fanout/run.go
+++ b/fanout/run.go
@@ -13,247 +13,249 @@
 	"balsamwinch.example/timer"
 )
 
-// run carries out one query: it feeds events to Step and performs its actions.
-// Everything but post is for the goroutine of Engine.Run alone.
-type run struct {
-	en       *Engine
-	ctx      context.Context // ctx is the caller's.
-	qu       *Query
-	se       operator.Service
-	sv       *service
-	ru       Params
-	ro       *route
-	plan     snapshot.Coverage
-	stale    bool
-	revision uint64
-	leafBy   time.Time // leafBy is when backend servers give up.
-	recordBy time.Time // recordBy is when the answer is given even if its record is not known to be kept.
+// queryRun executes one query: it passes events to Step and performs its
+// actions. Only the goroutine of Engine.Run may use it, except for post.
+type queryRun struct {
+	en             *Engine
+	ctx            context.Context // context of the caller
+	qu             *Query
+	se             operator.Service
+	sv             *serviceState
+	pa             Params
+	ro             *route
+	plan           snapshot.Coverage
+	stale          bool
+	revision       uint64
+	leafDeadline   time.Time // when backend servers give up
+	recordDeadline time.Time // when the answer is given even if its record is not confirmed
 
-	live atomic.Int64 // live counts the goroutines of the run.
+	numGoroutines atomic.Int64 // goroutines of the query still running
 
-	st       State
-	base     context.Context // base is that of all attempts.
-	cancel   context.CancelFunc
-	events   chan Event
-	done     chan struct{} // done is closed when nobody takes events any more.
-	wake     chan struct{}
-	tm       *timer.Timeout
-	todo     []Event
-	attempts []attempt // attempts are in the order of their numbers, from 1.
-	waits    map[int]context.CancelFunc
-	answer   *Answer
+	st            State
+	attemptsCtx   context.Context // parent context of all attempts
+	cancel        context.CancelFunc
+	events        chan Event
+	done          chan struct{} // closed when no more events are received
+	timerFired    chan struct{}
+	tm            *timer.Timeout
+	pending       []Event
+	attempts      []attempt // in the order of their numbers, from 1
+	capacityWaits map[int]context.CancelFunc
+	answer        *Answer
 }
 
-// leave ends one goroutine of the run, and the run with the last of them.
-func (rn *run) leave() {
-	if rn.live.Add(-1) == 0 {
-		rn.en.active.Add(-1)
+// goroutineDone ends one goroutine of the query; the query ends with the last
+// of them.
+func (qr *queryRun) goroutineDone() {
+	if qr.numGoroutines.Add(-1) == 0 {
+		qr.en.active.Add(-1)
 	}
 }
 
-// attempt is what the run remembers of one attempt; the zero attempt never left.
+// attempt is the state of one attempt; the zero value was never sent.
 type attempt struct {
 	shard     int
 	server    string
 	requestID string
-	sent      time.Time // sent is zero once a reply has come.
+	sent      time.Time // zero once a reply has come
 	cancel    context.CancelFunc
 }
 
-// spareEvents is the room for events beyond one for each shard.
-const spareEvents = 4
+// extraEvents is the event buffer capacity beyond one per shard.
+const extraEvents = 4
 
-// execute runs the planned query to its answer.
-func (rn *run) execute() Answer {
-	en := rn.en
-	rn.pin()
-	count := len(rn.plan.Shards)
-	rn.base, rn.cancel = context.WithDeadline(context.WithoutCancel(rn.ctx), rn.ru.AnswerDeadline)
-	rn.events = make(chan Event, count+spareEvents)
-	rn.done = make(chan struct{})
-	rn.wake = make(chan struct{}, 1)
-	rn.attempts = make([]attempt, 0, count+spareEvents)
-	rn.st = NewState(rn.ru)
-	rn.sv.bu.Load().Earn(count)
-	rn.step(PlanReady{Now: en.ts.Now(), Plan: rn.plan})
-	gone := rn.ctx.Done()
-	for rn.answer == nil {
-		if len(rn.todo) > 0 {
-			ev := rn.todo[0]
-			rn.todo = rn.todo[1:]
-			rn.step(ev)
+// execute runs the planned query and returns its answer.
+func (qr *queryRun) execute() Answer {
+	en := qr.en
+	qr.pinPlan()
+	count := len(qr.plan.Shards)
+	qr.attemptsCtx, qr.cancel = context.WithDeadline(context.WithoutCancel(qr.ctx), qr.pa.AnswerDeadline)
+	qr.events = make(chan Event, count+extraEvents)
+	qr.done = make(chan struct{})
+	qr.timerFired = make(chan struct{}, 1)
+	qr.attempts = make([]attempt, 0, count+extraEvents)
+	qr.st = NewState(qr.pa)
+	qr.sv.bu.Load().Earn(count)
+	qr.step(PlanReady{Now: en.ts.Now(), Plan: qr.plan})
+	gone := qr.ctx.Done()
+	for qr.answer == nil {
+		if len(qr.pending) > 0 {
+			ev := qr.pending[0]
+			qr.pending = qr.pending[1:]
+			qr.step(ev)
 			continue
 		}
 		select {
-		case ev := <-rn.events:
-			rn.step(ev)
-		case <-rn.wake:
-			rn.drain()
-			rn.todo = append(rn.todo, TimerFired{Now: en.ts.Now()})
+		case ev := <-qr.events:
+			qr.step(ev)
+		case <-qr.timerFired:
+			qr.drainEvents()
+			qr.pending = append(qr.pending, TimerFired{Now: en.ts.Now()})
 		case <-gone:
 			gone = nil
-			rn.step(CallerGone{Now: en.ts.Now()})
+			qr.step(CallerGone{Now: en.ts.Now()})
 		}
 	}
-	rn.end()
-	return *rn.answer
+	qr.stop()
+	return *qr.answer
 }
 
-// end stops what still runs. A passed deadline ends the attempts by itself, and
-// their backend servers know it; a cancellation would be told to each of them.
-func (rn *run) end() {
-	close(rn.done)
-	if rn.tm != nil {
-		rn.tm.Stop()
+// stop stops what is still running. If the deadline has passed, the attempts
+// end by themselves and their backend servers know it; a cancellation would be
+// sent to each of them.
+func (qr *queryRun) stop() {
+	close(qr.done)
+	if qr.tm != nil {
+		qr.tm.Stop()
 	}
-	if rn.en.ts.Now().Before(rn.ru.AnswerDeadline) {
-		rn.cancel()
+	if qr.en.ts.Now().Before(qr.pa.AnswerDeadline) {
+		qr.cancel()
 	}
 }
 
-// post hands an event to the run; after its end nobody wants it.
-func (rn *run) post(ev Event) {
+// post sends an event to the query; it is dropped after the query's end.
+func (qr *queryRun) post(ev Event) {
 	select {
-	case rn.events <- ev:
-	case <-rn.done:
+	case qr.events <- ev:
+	case <-qr.done:
 	}
 }
 
-// drain takes the events that are there before the time for decisions comes: a
-// reply that made it by the deadline counts.
-func (rn *run) drain() {
-	for rn.answer == nil {
+// drainEvents handles pending events before the timer event: a reply that
+// arrived by the deadline counts.
+func (qr *queryRun) drainEvents() {
+	for qr.answer == nil {
 		select {
-		case ev := <-rn.events:
-			rn.step(ev)
+		case ev := <-qr.events:
+			qr.step(ev)
 		default:
 			return
 		}
 	}
 }
 
-// step feeds one event to Step and performs what comes of it.
-func (rn *run) step(ev Event) {
+// step passes one event to Step and performs the resulting actions.
+func (qr *queryRun) step(ev Event) {
 	if ro, ok := ev.(CapacityAvailable); ok {
-		rn.stopWaiting(ro.Shard)
+		qr.stopWaiting(ro.Shard)
 	}
 	if re, ok := ev.(Replied); ok {
-		rn.attempts[re.Attempt.Number-1].sent = time.Time{}
+		qr.attempts[re.Attempt.Number-1].sent = time.Time{}
 	}
 	var acts []Action
-	rn.st, acts = Step(rn.st, ev)
+	qr.st, acts = Step(qr.st, ev)
 	for _, ac := range acts {
 		switch ac := ac.(type) {
 		case SendAttempt:
-			rn.ask(ac)
+			qr.sendAttempt(ac)
 		case CancelAttempt:
-			if cancel := rn.attempts[ac.Attempt.Number-1].cancel; cancel != nil {
+			if cancel := qr.attempts[ac.Attempt.Number-1].cancel; cancel != nil {
 				cancel()
 			}
 		case Replan:
-			rn.replan(ac.Newer)
+			qr.replan(ac.Newer)
 		case SetTimer:
-			rn.arm(ac.At)
+			qr.setTimer(ac.At)
 		case Finish:
-			rn.answer = &ac.Answer
+			qr.answer = &ac.Answer
 		}
 	}
 }
 
-func (rn *run) arm(at time.Time) {
-	delay := max(0, at.Sub(rn.en.ts.Now()))
-	if rn.tm != nil {
-		rn.tm.Reset(delay)
+func (qr *queryRun) setTimer(at time.Time) {
+	delay := max(0, at.Sub(qr.en.ts.Now()))
+	if qr.tm != nil {
+		qr.tm.Reset(delay)
 		return
 	}
-	rn.tm = rn.en.ts.Timeout(delay, func() {
+	qr.tm = qr.en.ts.Timeout(delay, func() {
 		select {
-		case rn.wake <- struct{}{}:
+		case qr.timerFired <- struct{}{}:
 		default:
 		}
 	})
 }
 
-// pin takes the plan of the newest view. Since the query was planned it may have
-// waited for its admission or for the record of its intent.
-func (rn *run) pin() {
-	was := rn.ro
-	rn.refresh()
-	if rn.ro == was {
+// pinPlan takes the plan of the newest view, since the query may have waited
+// for admission or for the record of its intent after it was planned.
+func (qr *queryRun) pinPlan() {
+	previous := qr.ro
+	qr.refreshRoute()
+	if qr.ro == previous {
 		return
 	}
-	if plan, ok := rn.ro.planFor(rn.qu.Shards); ok {
-		rn.plan = plan
+	if plan, ok := qr.ro.planFor(qr.qu.Shards); ok {
+		qr.plan = plan
 	}
 }
 
 // replan looks for a newer snapshot in the newest view.
-func (rn *run) replan(newer snapshot.ID) {
-	rn.refresh()
-	if plan, ok := rn.ro.planNewer(newer, rn.qu.Shards); ok {
-		rn.todo = append(rn.todo, PlanReady{Now: rn.en.ts.Now(), Plan: plan})
+func (qr *queryRun) replan(newer snapshot.ID) {
+	qr.refreshRoute()
+	if plan, ok := qr.ro.planNewer(newer, qr.qu.Shards); ok {
+		qr.pending = append(qr.pending, PlanReady{Now: qr.en.ts.Now(), Plan: plan})
 	}
 }
 
-// refresh takes the newest view's backend servers, unless the service has left
-// the configuration.
-func (rn *run) refresh() {
-	vi := rn.en.ce.Load()
-	if se, ok := vi.Configuration.Services[rn.qu.Service]; ok {
-		rn.ro = rn.en.routesOf(vi).of(rn.qu.Service, se)
+// refreshRoute takes the backend servers of the newest view, unless the service
+// was removed from the configuration.
+func (qr *queryRun) refreshRoute() {
+	vi := qr.en.ce.Load()
+	if se, ok := vi.Configuration.Services[qr.qu.Service]; ok {
+		qr.ro = qr.en.routesOf(vi).routeFor(qr.qu.Service, se)
 	}
 }
 
-// ask sends an attempt, or says at once why it can't.
-func (rn *run) ask(ac SendAttempt) {
-	en := rn.en
+// sendAttempt sends an attempt, or reports at once why it cannot.
+func (qr *queryRun) sendAttempt(ac SendAttempt) {
+	en := qr.en
 	now := en.ts.Now()
-	rn.attempts = append(rn.attempts, attempt{shard: ac.Attempt.Shard})
+	qr.attempts = append(qr.attempts, attempt{shard: ac.Attempt.Shard})
 	var exclude []string
 	if ac.Kind != First {
-		rn.refresh()
+		qr.refreshRoute()
 	}
 	if ac.ExcludeTried {
-		exclude = rn.tried(ac.Attempt.Shard)
+		exclude = qr.triedServers(ac.Attempt.Shard)
 	}
-	candidates := rn.ro.holding(ac.Snapshot, ac.Shard)
-	ch, ok := en.ta.Pick(now, rn.se.Tactics, candidates, exclude)
+	candidates := qr.ro.serversFor(ac.Snapshot, ac.Shard)
+	ch, ok := en.ba.Pick(now, qr.se.Tactics, candidates, exclude)
 	if !ok {
-		rn.notSent(now, ac, candidates, exclude)
+		qr.noServerAvailable(now, ac, candidates, exclude)
 		return
 	}
-	owed := ac.BudgetUse == BudgetOptional || ac.BudgetUse == BudgetRequiredIfResponsive && rn.doubted(now, ac.Attempt.Shard)
-	if ac.BudgetUse != BudgetExempt && !rn.sv.bu.Load().Spend() && !owed {
-		en.ta.Done(now, ch, limit.Outcome{Kind: limit.NotSent})
-		rn.todo = append(rn.todo, BudgetExhausted{Now: now, Attempt: ac.Attempt})
+	overBudget := ac.BudgetUse == BudgetOptional || ac.BudgetUse == BudgetRequiredIfResponsive && qr.unresponsive(now, ac.Attempt.Shard)
+	if ac.BudgetUse != BudgetExempt && !qr.sv.bu.Load().Spend() && !overBudget {
+		en.ba.Done(now, ch, limit.Outcome{Kind: limit.NotSent})
+		qr.pending = append(qr.pending, BudgetExhausted{Now: now, Attempt: ac.Attempt})
 		return
 	}
-	rn.stopWaiting(ac.Attempt.Shard)
-	since := rn.provedSince(now, ac)
-	ctx, cancel := context.WithCancel(rn.base)
-	at := &rn.attempts[ac.Attempt.Number-1]
+	qr.stopWaiting(ac.Attempt.Shard)
+	replySince := qr.replySince(now, ac)
+	ctx, cancel := context.WithCancel(qr.attemptsCtx)
+	at := &qr.attempts[ac.Attempt.Number-1]
 	at.server = ch.Server
 	at.requestID = ac.RequestID
 	at.sent = now
 	at.cancel = cancel
-	rn.live.Add(1)
-	go rn.send(ctx, cancel, &sending{ask: ac, sent: now, since: since, ch: ch})
+	qr.numGoroutines.Add(1)
+	go qr.send(ctx, cancel, &sendTask{action: ac, sent: now, replySince: replySince, ch: ch})
 }
 
-// doubted reports whether nothing comes from the backend servers that have not
-// replied to the attempts for a shard.
+// unresponsive reports whether the backend servers with unanswered attempts for
+// a shard send no replies at all.
 //
-// All connections to a server can go silent at once. One slow reply among many
-// looks the same for its own attempt, but then the server's other replies go on
-// coming over connections that were open then.
-func (rn *run) doubted(now time.Time, ix int) bool {
-	from := now.Add(-rn.ru.HedgeDelay)
+// All connections to a server can go silent at once. To its own attempt, a
+// single slow reply looks the same, but then other replies of the server keep
+// arriving over connections that were open at that time.
+func (qr *queryRun) unresponsive(now time.Time, ix int) bool {
+	threshold := now.Add(-qr.pa.HedgeDelay)
 	late := false
-	for _, at := range rn.attempts {
+	for _, at := range qr.attempts {
 		if at.shard != ix || at.sent.IsZero() {
 			continue
 		}
-		if rn.en.he == nil || at.sent.After(from) || rn.en.he.LastReply(at.server, at.requestID).After(from) {
+		if qr.en.rt == nil || at.sent.After(threshold) || qr.en.rt.LastReply(at.server, at.requestID).After(threshold) {
 			return false
 		}
 		late = true
@@ -261,20 +263,21 @@
 	return late
 }
 
-// provedSince returns since when a connection must have proved to work to carry
-// an attempt in place of a late one; zero if any will do. Half a delay leaves out
-// most of those that worked after the late one was sent and went silent then.
-func (rn *run) provedSince(now time.Time, ac SendAttempt) time.Time {
-	if ac.Kind == Hedge || rn.doubted(now, ac.Attempt.Shard) {
-		return now.Add(-rn.ru.HedgeDelay / 2)
+// replySince returns since when a connection must have received a reply to
+// carry an attempt in place of a late one; zero if any connection will do. Half
+// a hedge delay rules out most connections that worked after the late attempt
+// was sent and went silent then.
+func (qr *queryRun) replySince(now time.Time, ac SendAttempt) time.Time {
+	if ac.Kind == Hedge || qr.unresponsive(now, ac.Attempt.Shard) {
+		return now.Add(-qr.pa.HedgeDelay / 2)
 	}
 	return time.Time{}
 }
 
-// tried returns the servers that the shard was sent to.
-func (rn *run) tried(ix int) []string {
+// triedServers returns the servers that attempts for the shard were sent to.
+func (qr *queryRun) triedServers(ix int) []string {
 	var names []string
-	for _, at := range rn.attempts {
+	for _, at := range qr.attempts {
 		if at.shard == ix && at.server != "" && !slices.Contains(names, at.server) {
 			names = append(names, at.server)
 		}
@@ -282,51 +285,51 @@
 	return names
 }
 
-// notSent says that no server can be sent an attempt, and waits for room if the
-// shard has nothing else to wait for.
-func (rn *run) notSent(now time.Time, ac SendAttempt, candidates []backend.Record, exclude []string) {
+// noServerAvailable reports that no server can take an attempt, and waits for
+// capacity if the shard has nothing else to wait for.
+func (qr *queryRun) noServerAvailable(now time.Time, ac SendAttempt, candidates []backend.Record, exclude []string) {
 	ev := NoServerAvailable{Now: now, Attempt: ac.Attempt}
 	if ac.Kind == Hedge {
-		ev.RetryDelay, ev.AvailableLater = rn.en.ta.RetryDelay(now, candidates, exclude)
-		ev.Unresponsive = rn.doubted(now, ac.Attempt.Shard)
+		ev.RetryDelay, ev.AvailableLater = qr.en.ba.RetryDelay(now, candidates, exclude)
+		ev.Unresponsive = qr.unresponsive(now, ac.Attempt.Shard)
 	} else if len(candidates) > 0 {
-		ev.RetryDelay, ev.AvailableLater = rn.en.ta.RetryDelay(now, candidates, nil)
-		rn.awaitRoom(now, ac.Attempt.Shard, candidates)
+		ev.RetryDelay, ev.AvailableLater = qr.en.ba.RetryDelay(now, candidates, nil)
+		qr.awaitCapacity(now, ac.Attempt.Shard, candidates)
 	}
-	rn.todo = append(rn.todo, ev)
+	qr.pending = append(qr.pending, ev)
 }
 
-// awaitRoom posts Room when a candidate may have room. A query that only looked
-// again from time to time would be overtaken by later ones.
-func (rn *run) awaitRoom(now time.Time, ix int, candidates []backend.Record) {
-	if rn.waits[ix] != nil {
+// awaitCapacity posts CapacityAvailable when a candidate may have capacity. A
+// query that only polled would be overtaken by later ones.
+func (qr *queryRun) awaitCapacity(now time.Time, ix int, candidates []backend.Record) {
+	if qr.capacityWaits[ix] != nil {
 		return
 	}
-	wa := rn.en.ta.NewWaiter(now, candidates, nil)
+	wa := qr.en.ba.NewWaiter(now, candidates, nil)
 	if wa == nil {
 		return
 	}
-	ctx, cancel := context.WithCancel(rn.base)
-	if rn.waits == nil {
-		rn.waits = make(map[int]context.CancelFunc)
+	ctx, cancel := context.WithCancel(qr.attemptsCtx)
+	if qr.capacityWaits == nil {
+		qr.capacityWaits = make(map[int]context.CancelFunc)
 	}
-	rn.waits[ix] = cancel
-	rn.live.Add(1)
+	qr.capacityWaits[ix] = cancel
+	qr.numGoroutines.Add(1)
 	go func() {
-		defer rn.leave()
+		defer qr.goroutineDone()
 		defer wa.Close()
 		select {
 		case <-wa.Available():
-			rn.post(CapacityAvailable{Now: rn.en.ts.Now(), Shard: ix})
+			qr.post(CapacityAvailable{Now: qr.en.ts.Now(), Shard: ix})
 		case <-ctx.Done():
 		}
 	}()
 }
 
-// stopWaiting ends the wait of a shard for room.
-func (rn *run) stopWaiting(ix int) {
-	if cancel := rn.waits[ix]; cancel != nil {
+// stopWaiting ends a shard's wait for capacity.
+func (qr *queryRun) stopWaiting(ix int) {
+	if cancel := qr.capacityWaits[ix]; cancel != nil {
 		cancel()
-		delete(rn.waits, ix)
+		delete(qr.capacityWaits, ix)
 	}
 }
--- a/fanout/step.go
+++ b/fanout/step.go
@@ -7,235 +7,236 @@
 	"balsamwinch.example/snapshot"
 )
 
-// Bounds of the decisions of one query.
+// Limits for the decisions of one query.
 const (
-	// maxFails is after how many failures a shard is given up.
-	maxFails = 4
-	// maxSheds is how many replies without a free slot don't count as failures,
-	// under the policy that waits for all shards.
+	// Failures after which a shard is marked missing.
+	maxFailures = 4
+	// Replies without a free slot that do not count as failures, under the policy
+	// that waits for all shards.
 	maxSheds = 100
-	// fewFails is the same for the Baseline tactics, which retry once, and for
-	// backend servers that say that the request fails.
-	fewFails = 2
-	// maxBlind is how often a shard waits for a server or a snapshot that is not
-	// known here yet.
-	maxBlind = 10
-	// maxWaits is after how many waits they get no longer.
-	maxWaits = 8
-	// maxRestarts is how often a query begins again on a newer snapshot.
+	// maxFailures for Baseline tactics, which retry once, and for backend servers
+	// that report that the request fails.
+	maxFailuresSingleRetry = 2
+	// How often a shard waits for a server or a snapshot that is not known here
+	// yet.
+	maxNoServerWaits = 10
+	// Waits after which the backoff stops growing.
+	maxBackoffSteps = 8
+	// Restarts of a query on a newer snapshot.
 	maxRestarts = 2
-	// minWait and maxWait bound the wait for a slot, a connection or a plan.
-	minWait  = time.Millisecond
-	maxWait  = 10 * time.Millisecond
-	maxPause = 50 * time.Millisecond
-	// chanceDelays is how many hedge delays an attempt has before it is left out.
-	chanceDelays = 2
-	// sameServerDelays is after how many hedge delays a server is asked again on
-	// another connection if no other replica can be.
-	sameServerDelays = 4
-	// owedShare is the part of its time after which an attempt without a reply
-	// is hedged even if the budget is spent.
-	owedShare = 3
+	// Bounds of the wait for a slot, a connection or a plan.
+	minRetryDelay       = time.Millisecond
+	maxRetryDelay       = 10 * time.Millisecond
+	maxServerRetryDelay = 50 * time.Millisecond
+	// Hedge delays that an attempt gets before its shard is left out.
+	attemptHedgeDelays = 2
+	// Hedge delays after which a server gets the hedge itself, on another
+	// connection, if no other replica can take it.
+	sameServerHedgeDelays = 4
+	// An attempt without a reply is hedged even beyond the budget after
+	// 1/overBudgetDivisor of its time.
+	overBudgetDivisor = 3
 )
 
-// Step decides what one event means for a query and returns the new state and
-// what is to be done, in order. It is pure.
+// Step returns the new state of a query after an event, and the actions to
+// perform, in order. It has no side effects.
 func Step(st State, ev Event) (State, []Action) {
 	if st.done {
 		return st, nil
 	}
-	tu := turn{st: st, now: ev.when().Sub(st.ru.Start)}
+	tr := transition{st: st, now: ev.when().Sub(st.params.Start)}
 	switch ev := ev.(type) {
 	case PlanReady:
-		tu.started(ev.Plan)
+		tr.planReady(ev.Plan)
 	case Replied:
-		tu.replied(ev)
+		tr.replied(ev)
 	case AttemptFailed:
-		tu.attemptFailed(ev)
+		tr.attemptFailed(ev)
 	case NoServerAvailable:
-		tu.notSent(ev)
+		tr.noServerAvailable(ev)
 	case CapacityAvailable:
-		tu.room(ev.Shard)
+		tr.capacityAvailable(ev.Shard)
 	case BudgetExhausted:
-		tu.noBudget(ev)
+		tr.budgetExhausted(ev)
 	case TimerFired:
-		tu.due()
+		tr.timerFired()
 	case CallerGone:
-		tu.callerGone()
+		tr.callerGone()
 	}
-	tu.settle()
-	return tu.st, tu.acts
+	tr.finishOrSchedule()
+	return tr.st, tr.actions
 }
 
-// turn is one step while it is worked out.
-type turn struct {
-	st    State
-	now   time.Duration
-	acts  []Action
-	fresh bool // fresh says that the list of shards was made in this turn.
-	// unsent says that an attempt turned out not to have left.
+// transition is one Step in progress.
+type transition struct {
+	st        State
+	now       time.Duration
+	actions   []Action
+	newShards bool // whether the list of shards was created in this transition
+	// Whether an attempt turned out not to have been sent.
 	unsent bool
 }
 
-func (tu *turn) do(ac Action) {
-	tu.acts = append(tu.acts, ac)
+func (tr *transition) emit(ac Action) {
+	tr.actions = append(tr.actions, ac)
 }
 
-// put replaces a shard in the state.
-func (tu *turn) put(ix int, sh shard) {
+// setShard replaces a shard in the state.
+func (tr *transition) setShard(ix int, sh shard) {
 	if sh.status == shardOpen {
-		tu.st.wake = min(tu.st.wake, sh.wake)
+		tr.st.wakeAt = min(tr.st.wakeAt, sh.wakeAt)
 	}
-	if tu.fresh {
-		*tu.st.shards.get(ix) = sh
+	if tr.newShards {
+		*tr.st.shards.get(ix) = sh
 		return
 	}
-	tu.st.shards = tu.st.shards.with(ix, sh)
+	tr.st.shards = tr.st.shards.with(ix, sh)
 }
 
-// started pins the plan and asks each of its shards.
-func (tu *turn) started(plan snapshot.Coverage) {
-	if tu.st.plan.Shards != nil {
-		if !tu.gains(plan) {
+// planReady pins the plan and sends an attempt for each of its shards.
+func (tr *transition) planReady(plan snapshot.Coverage) {
+	if tr.st.plan.Shards != nil {
+		if !tr.gainsCoverage(plan) {
 			return
 		}
-		tu.abandon()
-		tu.st.cost.Restarts++
-	}
-	tu.st.plan = plan
-	tu.st.shards = newShardList(len(plan.Shards))
-	tu.st.open, tu.st.missing = len(plan.Shards), 0
-	tu.st.wake, tu.st.latest = never, 0
-	tu.fresh = true
-	tu.acts = slices.Grow(tu.acts, len(plan.Shards)+1)
-	unheld := plan.Missing
+		tr.abandonSnapshot()
+		tr.st.cost.Restarts++
+	}
+	tr.st.plan = plan
+	tr.st.shards = newShardList(len(plan.Shards))
+	tr.st.numOpen, tr.st.numMissing = len(plan.Shards), 0
+	tr.st.wakeAt, tr.st.latestSent = never, 0
+	tr.newShards = true
+	tr.actions = slices.Grow(tr.actions, len(plan.Shards)+1)
+	missing := plan.Missing
 	for ix, name := range plan.Shards {
-		if len(unheld) > 0 && unheld[0] == name {
-			unheld = unheld[1:]
-			tu.lose(ix, shard{}, NoServer)
+		if len(missing) > 0 && missing[0] == name {
+			missing = missing[1:]
+			tr.markMissing(ix, shard{}, NoServer)
 			continue
 		}
-		tu.ask(ix, shard{}, First, BudgetExempt, false)
+		tr.sendAttempt(ix, shard{}, First, BudgetExempt, false)
 	}
 }
 
-// gains reports whether restarting on the plan may cover more than going on.
-// Shards that wait for another snapshot are lost if it goes on.
-func (tu *turn) gains(plan snapshot.Coverage) bool {
-	if plan.Snapshot.Compare(tu.st.plan.Snapshot) <= 0 || !tu.mayRestart() {
+// gainsCoverage reports whether restarting on the plan may cover more than
+// continuing. Shards that wait for another snapshot are lost if the query
+// continues.
+func (tr *transition) gainsCoverage(plan snapshot.Coverage) bool {
+	if plan.Snapshot.Compare(tr.st.plan.Snapshot) <= 0 || !tr.mayRestart() {
 		return false
 	}
-	reach := len(tu.st.plan.Shards) - tu.st.missing
-	for ix := range tu.st.plan.Shards {
-		if sh := tu.st.shards.get(ix); sh.status == shardOpen && sh.blind > 0 && sh.runs() == 0 {
-			reach--
+	reachable := len(tr.st.plan.Shards) - tr.st.numMissing
+	for ix := range tr.st.plan.Shards {
+		if sh := tr.st.shards.get(ix); sh.status == shardOpen && sh.noServerWaits > 0 && sh.numRunning() == 0 {
+			reachable--
 		}
 	}
 	held := len(plan.Shards) - len(plan.Missing)
-	return held*len(tu.st.plan.Shards) > reach*len(plan.Shards)
+	return held*len(tr.st.plan.Shards) > reachable*len(plan.Shards)
 }
 
-// mayRestart reports whether the query may begin again: there is time for it,
+// mayRestart reports whether the query may restart: there must be time for it,
 // and a request that must not be repeated cannot have begun anywhere.
-func (tu *turn) mayRestart() bool {
-	if !tu.st.ru.Repeatable && tu.st.mayHaveBegun() {
+func (tr *transition) mayRestart() bool {
+	if !tr.st.params.Repeatable && tr.st.mayHaveRun() {
 		return false
 	}
-	return tu.st.cost.Restarts < maxRestarts && tu.now+tu.st.ru.HedgeDelay < tu.st.finish()
+	return tr.st.cost.Restarts < maxRestarts && tr.now+tr.st.params.HedgeDelay < tr.st.answerDeadline()
 }
 
-// abandon gives up what was asked of the pinned snapshot. What was merged from
-// it is dropped, so that no answer mixes snapshots.
-func (tu *turn) abandon() {
-	tu.st.begun = tu.st.mayHaveBegun()
-	for ix := range tu.st.plan.Shards {
-		tu.cancelRunning(ix, tu.st.shards.get(ix))
+// abandonSnapshot cancels the attempts on the pinned snapshot. Rows merged from
+// it are dropped, so that no answer mixes snapshots.
+func (tr *transition) abandonSnapshot() {
+	tr.st.possiblyRun = tr.st.mayHaveRun()
+	for ix := range tr.st.plan.Shards {
+		tr.cancelRunning(ix, tr.st.shards.get(ix))
 	}
 }
 
-func (tu *turn) cancelRunning(ix int, sh *shard) {
+func (tr *transition) cancelRunning(ix int, sh *shard) {
 	for _, ru := range sh.running {
 		if ru.number != 0 {
-			tu.do(CancelAttempt{Attempt: Attempt{Number: int(ru.number), Shard: ix}})
+			tr.emit(CancelAttempt{Attempt: Attempt{Number: int(ru.number), Shard: ix}})
 		}
 	}
 }
 
-// ask sends an attempt for a shard.
-func (tu *turn) ask(ix int, sh shard, kind AttemptKind, gate BudgetUse, elsewhere bool) {
-	if tu.now >= tu.st.finish() {
-		tu.put(ix, sh)
+// sendAttempt sends an attempt for a shard.
+func (tr *transition) sendAttempt(ix int, sh shard, kind AttemptKind, budgetUse BudgetUse, excludeTried bool) {
+	if tr.now >= tr.st.answerDeadline() {
+		tr.setShard(ix, sh)
 		return
 	}
-	tu.st.last++
-	at := Attempt{Number: tu.st.last, Shard: ix}
-	tu.do(SendAttempt{
+	tr.st.lastAttempt++
+	at := Attempt{Number: tr.st.lastAttempt, Shard: ix}
+	tr.emit(SendAttempt{
 		Attempt:      at,
-		RequestID:    tu.st.RequestID(at),
-		Snapshot:     tu.st.plan.Snapshot,
-		Shard:        tu.st.plan.Shards[ix],
+		RequestID:    tr.st.RequestID(at),
+		Snapshot:     tr.st.plan.Snapshot,
+		Shard:        tr.st.plan.Shards[ix],
 		Kind:         kind,
-		BudgetUse:    gate,
-		ExcludeTried: elsewhere,
+		BudgetUse:    budgetUse,
+		ExcludeTried: excludeTried,
 	})
-	tu.count(kind, 1)
+	tr.addCost(kind, 1)
 	sh.sent++
-	sh.add(running{number: int32(at.Number), kind: kind, gate: gate})
-	sh.wake = never
+	sh.add(runningAttempt{number: int32(at.Number), kind: kind, budgetUse: budgetUse})
+	sh.wakeAt = never
 	if kind != Hedge {
-		sh.asked = tu.now
-		sh.wake = tu.now + tu.st.ru.HedgeDelay
+		sh.oldestSent = tr.now
+		sh.wakeAt = tr.now + tr.st.params.HedgeDelay
 	}
-	// Another connection to the same server gains little if the server is stuck,
-	// and the query must not wait the longer for it.
-	if kind != Hedge || elsewhere {
-		sh.latest = tu.now
-		tu.st.latest = max(tu.st.latest, tu.now)
+	// Another connection to the same server helps little if the server is stuck,
+	// and it must not prolong the wait of the query.
+	if kind != Hedge || excludeTried {
+		sh.latestSent = tr.now
+		tr.st.latestSent = max(tr.st.latestSent, tr.now)
 	}
-	tu.put(ix, sh)
+	tr.setShard(ix, sh)
 }
 
-// count adds attempts to the cost, or takes back those that never left.
-func (tu *turn) count(kind AttemptKind, number int) {
-	tu.st.cost.LeafRequests += number
+// addCost adds attempts to the cost, or subtracts those that were never sent.
+func (tr *transition) addCost(kind AttemptKind, number int) {
+	tr.st.cost.LeafRequests += number
 	switch kind {
 	case Hedge:
-		tu.st.cost.Hedges += number
+		tr.st.cost.Hedges += number
 	case Retry:
-		tu.st.cost.Retries += number
+		tr.st.cost.Retries += number
 	case First:
 	}
 }
 
-// ended takes an attempt out of those that run. It returns false for an attempt
-// that nothing is expected of: its end is late, doubled, or of a snapshot that
-// the query has left.
-func (tu *turn) ended(at Attempt, left bool) (shard, running, bool) {
-	if at.Shard < 0 || at.Shard >= len(tu.st.plan.Shards) {
-		return shard{}, running{}, false
+// endAttempt removes an attempt from those in flight. It returns false if the
+// attempt's end is no longer expected: it is late, a duplicate, or from an
+// abandoned snapshot.
+func (tr *transition) endAttempt(at Attempt, possiblySent bool) (shard, runningAttempt, bool) {
+	if at.Shard < 0 || at.Shard >= len(tr.st.plan.Shards) {
+		return shard{}, runningAttempt{}, false
 	}
-	sh := *tu.st.shards.get(at.Shard)
+	sh := *tr.st.shards.get(at.Shard)
 	ru, ok := sh.remove(at.Number)
 	if !ok || sh.status != shardOpen {
-		return shard{}, running{}, false
+		return shard{}, runningAttempt{}, false
 	}
-	if !left {
-		tu.count(ru.kind, -1)
+	if !possiblySent {
+		tr.addCost(ru.kind, -1)
 		sh.sent--
-		sh.latest = 0
-		if sh.runs() > 0 {
-			sh.latest = sh.asked
+		sh.latestSent = 0
+		if sh.numRunning() > 0 {
+			sh.latestSent = sh.oldestSent
 		}
-		tu.unsent = true
+		tr.unsent = true
 	}
 	return sh, ru, true
 }
 
-// callerGone ends a query whose caller is gone. A request that must not be
-// repeated goes on once it may have begun, so that its outcome is recorded for
-// the caller's resend.
-func (tu *turn) callerGone() {
-	if tu.st.ru.Repeatable || !tu.st.mayHaveBegun() {
-		tu.answer(Cancelled)
+// callerGone ends a query whose caller disconnected. A request that must not be
+// repeated continues once it may have begun, so that its outcome is recorded
+// for the caller's resend.
+func (tr *transition) callerGone() {
+	if tr.st.params.Repeatable || !tr.st.mayHaveRun() {
+		tr.finish(Cancelled)
 	}
 }
--- a/fanout/step_test.go
+++ b/fanout/step_test.go
@@ -18,25 +18,26 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// TestStep replays testdata/step.txt. A line "> 12 ok 3" is an event: at 12 ms,
-// attempt 3 replied OK. The lines after it are the actions that Step gave.
-func TestStep(t *testing.T) {
+// TestStepScenarios replays testdata/step.txt. A line "> 12 ok 3" is an event:
+// at 12 ms, attempt 3 replied OK. The lines after it are the actions that Step
+// returned.
+func TestStepScenarios(t *testing.T) {
 	const file = "testdata/step.txt"
 	data, err := os.ReadFile(file)
 	qt.Assert(t, err, qt.IsNil)
 	var out strings.Builder
-	var sc *script
+	var sc *scenario
 	for line := range strings.Lines(string(data)) {
 		line = strings.TrimSuffix(line, "\n")
 		switch {
-		case strings.HasPrefix(line, "rules "):
-			sc = newScript(strings.Fields(line)[1:])
+		case strings.HasPrefix(line, "params "):
+			sc = newScenario(strings.Fields(line)[1:])
 		case strings.HasPrefix(line, "> "):
 			out.WriteString(line + "\n")
-			sc.play(t, &out, strings.Fields(line)[1:])
+			sc.apply(t, &out, strings.Fields(line)[1:])
 			continue
 		case line != "" && !strings.HasPrefix(line, "#"):
-			continue // an action, to be written anew
+			continue // an action, written again below its event
 		}
 		out.WriteString(line + "\n")
 	}
@@ -47,33 +48,33 @@
 	qt.Assert(t, out.String(), qt.Equals, string(data))
 }
 
-// script is one query that is replayed.
-type script struct {
-	st   State
-	asks map[int]SendAttempt
+// scenario is one query being replayed.
+type scenario struct {
+	st       State
+	attempts map[int]SendAttempt
 }
 
-// newScript takes the words Best, Complete, Baseline, once, and the end in ms.
-// The hedge delay is 10 ms.
-func newScript(words []string) *script {
-	ru := Params{RequestIDPrefix: "q", Start: epoch, HedgeDelay: 10 * time.Millisecond, Policy: operator.Complete, Repeatable: true}
-	for _, wo := range words {
-		switch wo {
+// newScenario takes the words Best, Complete, Baseline, not-repeatable, and the
+// deadline in ms. The hedge delay is 10 ms.
+func newScenario(words []string) *scenario {
+	pa := Params{RequestIDPrefix: "q", Start: epoch, HedgeDelay: 10 * time.Millisecond, Policy: operator.Complete, Repeatable: true}
+	for _, si := range words {
+		switch si {
 		case "Best", "Complete":
-			ru.Policy = operator.Policy(wo)
+			pa.Policy = operator.Policy(si)
 		case "Baseline":
-			ru.Tactics = operator.Baseline
-		case "once":
-			ru.Repeatable = false
+			pa.Tactics = operator.Baseline
+		case "not-repeatable":
+			pa.Repeatable = false
 		default:
-			ms, _ := strconv.Atoi(wo)
-			ru.AnswerDeadline = at(ms)
+			ms, _ := strconv.Atoi(si)
+			pa.AnswerDeadline = at(ms)
 		}
 	}
-	return &script{st: NewState(ru), asks: make(map[int]SendAttempt)}
+	return &scenario{st: NewState(pa), attempts: make(map[int]SendAttempt)}
 }
 
-func (sc *script) play(t *testing.T, out *strings.Builder, words []string) {
+func (sc *scenario) apply(t *testing.T, out *strings.Builder, words []string) {
 	ms, err := strconv.Atoi(words[0])
 	qt.Assert(t, err, qt.IsNil)
 	var acts []Action
@@ -81,35 +82,35 @@
 	for _, ac := range acts {
 		switch ac := ac.(type) {
 		case SendAttempt:
-			sc.asks[ac.Attempt.Number] = ac
-			words := []string{"First", "Retry", "Hedge"}[ac.Kind] + []string{"", " gated", " doubted", " owed"}[ac.BudgetUse]
+			sc.attempts[ac.Attempt.Number] = ac
+			words := []string{"First", "Retry", "Hedge"}[ac.Kind] + []string{"", " budget-required", " budget-if-responsive", " budget-optional"}[ac.BudgetUse]
 			if ac.ExcludeTried {
-				words += " elsewhere"
+				words += " exclude-tried"
 			}
-			fmt.Fprintf(out, "ask %d %s %s %s\n", ac.Attempt.Number, ac.Shard, ac.Snapshot, words)
+			fmt.Fprintf(out, "send %d %s %s %s\n", ac.Attempt.Number, ac.Shard, ac.Snapshot, words)
 		case CancelAttempt:
 			fmt.Fprintf(out, "cancel %d\n", ac.Attempt.Number)
 		case Replan:
 			fmt.Fprintf(out, "replan %s\n", ac.Newer)
 		case SetTimer:
-			fmt.Fprintf(out, "arm %d\n", ac.At.Sub(epoch).Milliseconds())
+			fmt.Fprintf(out, "timer %d\n", ac.At.Sub(epoch).Milliseconds())
 		case Finish:
 			an := ac.Answer
-			fmt.Fprintf(out, "finish %s %s covered %v missing %v again %d cost %+v\n", an.Code, an.Snapshot, an.Covered, an.Missing, an.RetryAfterMillis, an.Cost)
+			fmt.Fprintf(out, "finish %s %s covered %v missing %v retry-after %d cost %+v\n", an.Code, an.Snapshot, an.Covered, an.Missing, an.RetryAfterMillis, an.Cost)
 		}
 	}
 }
 
-// replies and failures are the words for ends of attempts.
+// replyWords and failureWords are the words for ends of attempts.
 var (
-	replies = map[string]backend.ReplyCode{
-		"ok": backend.ReplyOK, "other": backend.ReplyOK, "crossed": backend.ReplyShed, "shed": backend.ReplyShed, "draining": backend.ReplyDraining,
-		"gone": backend.ReplyVersionGone, "bad": backend.ReplyBad, "failed": backend.ReplyFailed, "expired": backend.ReplyDeadlinePassed,
+	replyWords = map[string]backend.ReplyCode{
+		"ok": backend.ReplyOK, "wrong-snapshot": backend.ReplyOK, "wrong-request": backend.ReplyShed, "shed": backend.ReplyShed, "draining": backend.ReplyDraining,
+		"version-gone": backend.ReplyVersionGone, "bad": backend.ReplyBad, "failed": backend.ReplyFailed, "deadline-passed": backend.ReplyDeadlinePassed,
 	}
-	failures = map[string]backend.ErrorKind{"cut": backend.Cut, "silent": backend.Silent, "refused": backend.DialFailed, "unconnected": backend.NoConnection}
+	failureWords = map[string]backend.ErrorKind{"cut": backend.Cut, "silent": backend.Silent, "dial-failed": backend.DialFailed, "no-connection": backend.NoConnection}
 )
 
-func (sc *script) event(t *testing.T, now time.Time, word string, args []string) Event {
+func (sc *scenario) event(t *testing.T, now time.Time, word string, args []string) Event {
 	switch word {
 	case "plan":
 		co := snapshot.Coverage{}
@@ -123,38 +124,38 @@
 			}
 		}
 		return PlanReady{Now: now, Plan: co}
-	case "due":
+	case "timer-fired":
 		return TimerFired{Now: now}
 	case "caller-gone":
 		return CallerGone{Now: now}
 	}
 	number, err := strconv.Atoi(args[0])
 	qt.Assert(t, err, qt.IsNil)
-	ask := sc.asks[number]
+	ask := sc.attempts[number]
 	switch word {
-	case "room":
+	case "capacity":
 		return CapacityAvailable{Now: now, Shard: number}
-	case "full":
+	case "busy":
 		return NoServerAvailable{Now: now, Attempt: ask.Attempt, AvailableLater: true, RetryDelay: 5 * time.Millisecond}
-	case "mute":
+	case "busy-unresponsive":
 		return NoServerAvailable{Now: now, Attempt: ask.Attempt, AvailableLater: true, Unresponsive: true}
-	case "lone":
+	case "no-server-unresponsive":
 		return NoServerAvailable{Now: now, Attempt: ask.Attempt, Unresponsive: true}
-	case "nobody":
+	case "no-server":
 		return NoServerAvailable{Now: now, Attempt: ask.Attempt}
-	case "broke":
+	case "no-budget":
 		return BudgetExhausted{Now: now, Attempt: ask.Attempt}
 	}
-	if kind, ok := failures[word]; ok {
+	if kind, ok := failureWords[word]; ok {
 		return AttemptFailed{Now: now, Attempt: ask.Attempt, Kind: kind, Sent: kind == backend.Cut || kind == backend.Silent}
 	}
-	code, ok := replies[word]
+	code, ok := replyWords[word]
 	qt.Assert(t, ok, qt.IsTrue, qt.Commentf("event %q", word))
 	rp := backend.Reply{RequestID: ask.RequestID, Server: "s", Shard: ask.Shard, Snapshot: ask.Snapshot, Code: code, Rows: rowOf(ask.Snapshot, ask.Shard)}
 	switch word {
-	case "other":
+	case "wrong-snapshot":
 		rp.Snapshot.Version++
-	case "crossed":
+	case "wrong-request":
 		rp.RequestID = "another"
 	case "shed":
 		rp.RetryAfterMillis = 30
