--- a/backend/announce.go
+++ b/backend/announce.go
@@ -14,18 +14,18 @@
 
 const maxRecordBytes = 1 << 20
 
-// Refusal is the body of an answer to an announcement that was not taken.
+// Refusal is the response body for an announcement that was rejected.
 type Refusal struct {
 	Code   result.Code
 	Detail string
-	Faults []RecordFault `json:",omitempty"` // Faults are all that is wrong with the record.
+	Faults []RecordFault `json:",omitempty"` // all faults of the record
 }
 
-var errTrailing = errors.New("want one record, got more behind it")
+var errTrailingData = errors.New("want one record, got more after it")
 
-// NewAnnounceHandler returns the handler of AnnouncePath. It takes a record by
-// POST, refuses it with a Refusal if it has a fault or a field that is not
-// known, and otherwise answers with what accept returns for it.
+// NewAnnounceHandler returns the handler of AnnouncePath. It accepts a record
+// by POST and responds with what accept returns for it. A record with a fault
+// or an unknown field is rejected with a Refusal.
 func NewAnnounceHandler(accept func(Record) AnnounceReply, lg *zap.Logger) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, hr *http.Request) {
 		if hr.Method != http.MethodPost {
@@ -56,7 +56,7 @@
 		return re, fmt.Errorf("want a record as JSON: %w", err)
 	}
 	if _, err := de.Token(); !errors.Is(err, io.EOF) {
-		return re, errTrailing
+		return re, errTrailingData
 	}
 	return re, nil
 }
--- a/backend/announce_test.go
+++ b/backend/announce_test.go
@@ -17,26 +17,26 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-const soundRecord = `{"Server":"sv","Service":"archivo","Address":"10.1.2.3:7001","DataCentre":"surquillo","Labels":{"Rack":"r1"},
+const validRecord = `{"Server":"sv","Service":"archivo","Address":"10.1.2.3:7001","DataCentre":"surquillo","Labels":{"Rack":"r1"},
 "Incarnation":7,"Sequence":1,"State":"Serving","Slots":6,"ConnectionLimit":110,"TTLMillis":5000,
 "Holdings":[{"Shard":"a","Snapshot":{"Partition":1,"Version":1}}]}`
 
-// TestAnnounce compares the answers to announcements, sound and not, with the
-// golden file.
-func TestAnnounce(t *testing.T) {
+// Compares the responses to valid and invalid announcements with the golden
+// file.
+func TestAnnouncementReplies(t *testing.T) {
 	c := qt.New(t)
 	ha := backend.NewAnnounceHandler(func(re backend.Record) backend.AnnounceReply {
 		return backend.AnnounceReply{Instance: "took " + re.Server, Instances: []string{"10.1.1.1:7102"}, RepeatMillis: 1000}
 	}, zap.NewNop())
-	with := func(old, nu string) string { return strings.Replace(soundRecord, old, nu, 1) }
+	with := func(old, nu string) string { return strings.Replace(validRecord, old, nu, 1) }
 	var got strings.Builder
 	for _, tc := range []struct{ method, body string }{
-		{http.MethodPost, soundRecord},
-		{http.MethodGet, soundRecord},
+		{http.MethodPost, validRecord},
+		{http.MethodGet, validRecord},
 		{http.MethodPost, `{"Server":`},
 		{http.MethodPost, with(`"Slots"`, `"Slot"`)},
 		{http.MethodPost, with(`6`, `"six"`)},
-		{http.MethodPost, soundRecord + "{}"},
+		{http.MethodPost, validRecord + "{}"},
 		{http.MethodPost, with(`10.1.2.3:7001`, `host-3:7001`)},
 		{http.MethodPost, with(`10.1.2.3:7001`, `0.0.0.0:7001`)},
 		{http.MethodPost, with(`"Serving"`, `"Busy"`)},
--- a/backend/client.go
+++ b/backend/client.go
@@ -13,56 +13,58 @@
 	"balsamwinch.example/timer"
 )
 
-// Target says which backend server a request goes to and how many connections
-// to it this instance may hold.
+// Target identifies the backend server that a request is sent to, and sets the
+// limits for the connections to it.
 type Target struct {
 	Server         string
-	Address        string // Address is an IP number and port.
+	Address        string // IP address and port
 	Incarnation    uint64
-	MaxConnections int // Connections is this instance's share of the connection limit.
-	// SilentAfter is how long a connection may make no progress while a request
-	// waits before it is abandoned; 0 takes the client's setting. It should be well
-	// above the slowest healthy reply: a false alarm costs the idle connections.
+	MaxConnections int // this instance's share of the server's connection limit
+	// How long a connection may make no progress during a request before it is
+	// abandoned; 0 uses the client's setting. It should be well above the slowest
+	// healthy reply, because a false alarm costs the idle connections.
 	SilenceTimeout time.Duration
-	// ProvedSince refuses idle connections on which nothing has come since then.
+	// Idle connections that have received no reply since then are not used; zero
+	// allows all.
 	ReplySince time.Time
-	// LateAfter is after how long a reply is late; 0 says nothing. The Cancel of a
-	// late request goes over a connection proved to work, unless the backend server
-	// was heard over another of the same age in that time.
+	// Time after which a reply is late; 0 disables the check. The Cancel of a
+	// late request uses a connection that has received a reply within that time,
+	// unless the backend server has replied within it over another connection of
+	// the same age.
 	LateThreshold time.Duration
 }
 
 // ClientConfig holds the settings of a Client. A zero field takes its default.
 type ClientConfig struct {
-	SilenceTimeout time.Duration // SilentAfter is the default of Target.SilentAfter; 0 waits until the deadline.
-	DialTimeout    time.Duration // DialTimeout bounds the opening of a connection; default 1 s.
-	// IdleAfter is when an idle connection is closed; default 60 s. It should be
+	SilenceTimeout time.Duration // default of Target.SilenceTimeout; 0 waits until the deadline
+	DialTimeout    time.Duration // limit for opening a connection; default 1 s
+	// Time after which an idle connection is closed; default 60 s. It should be
 	// below the idle timeout of the backend servers.
 	IdleTimeout time.Duration
-	// Linger is how long the connection of a request that was given up waits for
-	// the late reply, to be used again after it; default 1 s.
+	// How long the connection of an abandoned request waits for the late reply,
+	// so that it can be reused afterwards; default 1 s.
 	LingerTimeout time.Duration
-	// CloseWait is how long a closed connection counts as open at most, until the
-	// backend server confirms the end; default 50 ms.
+	// How long a closed connection still counts as open at most, until the
+	// backend server confirms the close; default 50 ms.
 	CloseTimeout time.Duration
-	// CancelWait is how long the reply to a Cancel may take before it is sent
-	// again on a new connection; default 100 ms.
+	// How long to wait for the reply to a Cancel before it is sent again on a new
+	// connection; default 100 ms.
 	CancelTimeout time.Duration
-	MaxReplyBytes int64 // MaxReplyBytes bounds the body of a reply; default 16 MiB.
-	// Dial opens a connection to an IP number and port; default TCP.
+	MaxReplyBytes int64 // limit for the body of a reply; default 16 MiB
+	// Opens a connection to an IP address and port; default TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// Settled, if not nil, is told once for each request whose Do returned an
-	// Error with Sent, on a goroutine of its own.
+	// If not nil, called once, on a goroutine of its own, for each request whose
+	// Do returned an Error with Sent.
 	OnAbandoned func(AbandonedRequest)
 }
 
-// Settlement says what is known of a request that was given up after bytes of
-// it may have left.
+// AbandonedRequest is what is known about a request that was abandoned after
+// some of its bytes may have been sent.
 type AbandonedRequest struct {
 	Server    string
 	RequestID string
-	// Stopped reports whether the backend server said that it no longer runs the
-	// request: by a late reply to it or by its answer to a Cancel.
+	// Whether the backend server confirmed that it no longer runs the request, by
+	// a late reply to it or by its reply to a Cancel.
 	Stopped bool
 }
 
@@ -93,24 +95,25 @@
 
 // ConnStats counts the connections to one backend server.
 type ConnStats struct {
-	Open        int    // Open counts connections being dialed, open and being closed.
-	Idle        int    // Idle counts those that carry no request.
-	Lingering   int    // Lingering counts those that wait for a reply nobody else waits for.
-	Closing     int    // Closing counts those whose end is not confirmed yet.
-	Opened      uint64 // Opened counts those ever opened.
-	Silent      uint64 // Abandoned counts those closed because they went silent.
-	Mismatched  uint64 // Crossed counts those closed after a reply to another request.
-	Unconfirmed uint64 // Unconfirmed counts those that the backend server may still count as open.
-	Lost        uint64 // Lost counts those closed because a request was lost on them.
+	Open        int    // being dialed, open or being closed
+	Idle        int    // carrying no request
+	Lingering   int    // waiting for the late reply to an abandoned request
+	Closing     int    // closed, but not yet confirmed by the server
+	Opened      uint64 // opened in total
+	Silent      uint64 // closed because they went silent
+	Mismatched  uint64 // closed after a reply to another request
+	Unconfirmed uint64 // closed without confirmation, so the server may still count them as open
+	Lost        uint64 // closed because a request was lost on them
 }
 
-// Client sends requests to backend servers over HTTP/1.1. It holds the
-// connections itself, with the request writer and reply reader of net/http, so
-// that none is opened, shared or tried again behind the caller's back.
+// Client sends requests to backend servers over HTTP/1.1. It manages the
+// connections itself, using the request writer and reply reader of net/http, so
+// that none is opened, shared or retried without the caller's knowledge.
 //
-// A request that finds the share of connections in use fails at once with
+// If all connections of the share are in use, a request fails at once with
 // NoConnection: queueing happens at the entry, where another replica can be
-// chosen. It waits only for connections that are being closed.
+// chosen. A request waits only for connections that are about to become free,
+// such as those being closed.
 type Client struct {
 	cf ClientConfig
 	ts *timer.Service
@@ -121,15 +124,15 @@
 	closed bool
 }
 
-// NewClient returns a client that holds no connections yet.
+// NewClient returns a client without connections.
 func NewClient(ts *timer.Service, lg *zap.Logger, cf ClientConfig) *Client {
 	return &Client{cf: cf.withDefaults(), ts: ts, lg: lg, pools: make(map[string]*pool)}
 }
 
-// Do sends a request and returns the backend server's reply to it, of whatever
-// reply code. The time left of the context's deadline goes along in the
-// request. The error is an *Error. Once bytes may have left, the request is never
-// sent again.
+// Do sends a request and returns the backend server's reply, with any reply
+// code. The time left until the context's deadline is sent in the request. The
+// error is an *Error. Once bytes may have been sent, the request is never sent
+// again.
 func (cl *Client) Do(ctx context.Context, ta Target, rq Request) (Reply, error) {
 	for {
 		po, cn, er := cl.acquire(ctx, ta, forQuery)
@@ -141,8 +144,8 @@
 		if er == nil {
 			return re, nil
 		}
-		// The server may have closed the connection while it was idle. Nothing
-		// left on it, so another connection takes the request.
+		// The server may have closed the connection while it was idle. No byte was
+		// sent on it, so another connection can take the request.
 		if er.Kind == Cut && !er.Sent && reused {
 			continue
 		}
@@ -157,7 +160,7 @@
 	if er != nil {
 		return CancelReply{}, er
 	}
-	defer po.endBrief()
+	defer po.cancelDone()
 	cr, er := po.cancel(ctx, cn, ta, requestID)
 	if er != nil {
 		return CancelReply{}, er
@@ -165,28 +168,29 @@
 	return cr, nil
 }
 
-// Retain closes the connections to servers that are not among the given ones,
-// idle ones at once and others after their request, and takes over addresses
-// and shares of the rest.
+// SetTargets closes the connections to servers that are not among the given
+// ones, idle ones at once and others after their request. For the other servers
+// it updates addresses and shares.
 func (cl *Client) SetTargets(servers map[string]Target) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	for na, po := range cl.pools {
 		ta, ok := servers[na]
 		if ok {
-			po.retain(ta)
+			po.updateTarget(ta)
 			continue
 		}
-		// A pool is forgotten only once nothing of it counts as open, or a server
-		// that comes back would get its connections on top of the old ones.
+		// A pool is removed only when none of its connections counts as open.
+		// Otherwise a server that comes back would get new connections in addition
+		// to the old ones.
 		if po.retire() {
 			delete(cl.pools, na)
 		}
 	}
 }
 
-// Close closes all connections as Retain does for an empty set. Requests from
-// then on get NoConnection.
+// Close closes all connections, like SetTargets with an empty set. Later
+// requests fail with NoConnection.
 func (cl *Client) Close() {
 	cl.mu.Lock()
 	cl.closed = true
@@ -194,7 +198,7 @@
 	cl.SetTargets(nil)
 }
 
-// Stats counts the connections to a backend server.
+// Stats returns the connection counts for a backend server.
 func (cl *Client) Stats(server string) ConnStats {
 	cl.mu.RLock()
 	po := cl.pools[server]
@@ -205,10 +209,10 @@
 	return po.stats()
 }
 
-// Heard returns when a whole reply last came from a backend server over a
-// connection that was open when the one that carries the request last worked;
-// zero if none did. Those opened since don't count: they may work while all
-// that were open have gone silent.
+// LastReply returns when a complete reply last came from a backend server over
+// a connection that was already open when the connection carrying the request
+// last worked; zero if none did. Connections opened since then do not count:
+// they may work while all older ones have gone silent.
 func (cl *Client) LastReply(server, requestID string) time.Time {
 	cl.mu.RLock()
 	po := cl.pools[server]
@@ -216,10 +220,10 @@
 	if po == nil {
 		return time.Time{}
 	}
-	return po.heard(requestID)
+	return po.lastReply(requestID)
 }
 
-// Servers returns the names of the servers to which connections are held.
+// Servers returns the sorted names of the servers that have a connection pool.
 func (cl *Client) Servers() []string {
 	cl.mu.RLock()
 	defer cl.mu.RUnlock()
@@ -231,7 +235,7 @@
 	return nas
 }
 
-func (cl *Client) acquire(ctx context.Context, ta Target, us use) (*pool, *conn, *Error) {
+func (cl *Client) acquire(ctx context.Context, ta Target, pu purpose) (*pool, *conn, *Error) {
 	for {
 		if ctx.Err() != nil {
 			return nil, nil, contextError(ctx, ta.Server, false)
@@ -240,8 +244,8 @@
 		if po == nil {
 			return nil, nil, &Error{Kind: NoConnection, Server: ta.Server, Err: errClientClosed}
 		}
-		cn, er := po.acquire(ctx, ta, us)
-		if er == nil || !errors.Is(er, errPoolGone) {
+		cn, er := po.acquire(ctx, ta, pu)
+		if er == nil || !errors.Is(er, errPoolRemoved) {
 			return po, cn, er
 		}
 	}
@@ -271,7 +275,7 @@
 	return po
 }
 
-// contextError returns the error of a request whose context ended.
+// contextError returns the error for a request whose context ended.
 func contextError(ctx context.Context, server string, sent bool) *Error {
 	kind := Cancelled
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
--- a/backend/client_bench_test.go
+++ b/backend/client_bench_test.go
@@ -28,8 +28,8 @@
 	Repeatable: true, Query: json.RawMessage(`{"Building":"Av. Larco 345","Limit":20}`),
 }
 
-// BenchmarkDo times one leaf request over loopback: "canned" against a server
-// that does next to nothing, so that it shows the client's own cost, and "leaf"
+// BenchmarkDo measures one leaf request over loopback: "canned" against a
+// server with a fixed reply, which shows the client's own cost, and "leaf"
 // against an emulated backend server in the same process.
 func BenchmarkDo(b *testing.B) {
 	for _, bc := range []struct {
@@ -96,7 +96,8 @@
 	return ln.Addr().String()
 }
 
-// answerCanned answers each read: the requests of this benchmark come in one piece.
+// answerCanned writes the reply after each read: each request of this benchmark
+// arrives in one read.
 func answerCanned(nc net.Conn, reply []byte) {
 	defer nc.Close()
 	buf := make([]byte, 4096)
@@ -110,7 +111,7 @@
 	}
 }
 
-// BenchmarkTransport times the same request through net/http's own pool, for
+// BenchmarkTransport measures the same request through net/http's own pool, for
 // comparison with "canned".
 func BenchmarkTransport(b *testing.B) {
 	ad := serveCanned(qt.New(b))
@@ -120,14 +121,14 @@
 	b.ReportAllocs()
 	before := processorTime()
 	for b.Loop() {
-		if err := postThrough(ctx, &hc, ad); err != nil {
+		if err := postWith(ctx, &hc, ad); err != nil {
 			b.Fatal(err)
 		}
 	}
 	b.ReportMetric(float64(processorTime()-before)/float64(b.N), "cpu-ns/op")
 }
 
-func postThrough(ctx context.Context, hc *http.Client, ad string) error {
+func postWith(ctx context.Context, hc *http.Client, ad string) error {
 	body, err := json.Marshal(benchRequest)
 	if err != nil {
 		return err
--- a/backend/client_test.go
+++ b/backend/client_test.go
@@ -12,37 +12,37 @@
 	"balsamwinch.example/backend"
 )
 
-// A caller sees its order booked twice. The entry sends a request on a kept-open
-// connection, the backend server reads it, begins, and closes the connection;
-// an HTTP client that takes this for an idle close sends it again elsewhere.
-func TestSentOnce(t *testing.T) {
-	for _, nth := range []int{1, 2} { // the nth request of a connection is the one that is cut
+// Guards against running an order twice. The backend server reads a request on
+// a kept-alive connection, begins it and closes the connection. An HTTP client
+// that takes this for an idle close sends the request again elsewhere.
+func TestNotResentWhenConnectionClosesMidRequest(t *testing.T) {
+	for _, failing := range []int{1, 2} { // the connection is closed during this request
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
 			served := 0
-			fk := &fake{answer: func(nc net.Conn, _ int, rq backend.Request) bool {
+			fk := &fakeServer{answer: func(nc net.Conn, _ int, rq backend.Request) bool {
 				served++
-				return served != nth && write(nc, reply(rq))
+				return served != failing && write(nc, reply(rq))
 			}}
 			cl := newClient(t, backend.ClientConfig{Dial: fk.dial})
 			var err error
-			for range nth {
+			for range failing {
 				_, err = cl.Do(context.Background(), target(2), request("r"))
 			}
-			check(c, err, backend.Cut, true)
-			arrivals, _, _ := fk.seen()
-			c.Check(arrivals, qt.HasLen, nth)
+			checkError(c, err, backend.Cut, true)
+			arrivals, _, _ := fk.received()
+			c.Check(arrivals, qt.HasLen, failing)
 		})
 	}
 }
 
-// A caller sees "outcome unknown" for an order on a quiet afternoon. The backend
-// server closed the idle connection a moment ago; not a byte of the order left
-// on it, so a new connection takes it.
-func TestIdleClosed(t *testing.T) {
+// Guards against "outcome unknown" for an order that was never sent. The
+// backend server has just closed the idle connection. No byte of the order was
+// sent on it, so a new connection takes it.
+func TestResentWhenIdleConnectionWasClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		fk := &fake{answer: func(nc net.Conn, nth int, rq backend.Request) bool {
+		fk := &fakeServer{answer: func(nc net.Conn, nth int, rq backend.Request) bool {
 			return write(nc, reply(rq)) && nth > 1
 		}}
 		cl := newClient(t, backend.ClientConfig{Dial: fk.dial})
@@ -51,22 +51,23 @@
 			c.Assert(err, qt.IsNil)
 			synctest.Wait()
 		}
-		arrivals, _, conns := fk.seen()
+		arrivals, _, conns := fk.received()
 		c.Check(arrivals, qt.DeepEquals, []string{"r1", "r2"})
 		c.Check(conns, qt.Equals, 2)
 	})
 }
 
-// A fitter waits until the deadline, again and again, while the backend server
-// is well. A device between the two has lost track of all connections open at
-// that time: what is sent on them vanishes for good, while new ones work.
-func TestSilent(t *testing.T) {
+// Guards against one request after another waiting until its deadline although
+// the backend server is healthy. A device between the two ends has lost track
+// of all connections open at that time: requests on them vanish, while new
+// connections work.
+func TestSilentConnectionClosesIdleOnesOfItsAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		lost := false
 		quit := make(chan struct{})
 		defer close(quit)
-		fk := &fake{}
+		fk := &fakeServer{}
 		fk.answer = func(nc net.Conn, nth int, rq backend.Request) bool {
 			time.Sleep(time.Millisecond)
 			if lost && nth <= 3 {
@@ -76,56 +77,58 @@
 			return write(nc, reply(rq))
 		}
 		cl := newClient(t, backend.ClientConfig{Dial: fk.dial, SilenceTimeout: 100 * time.Millisecond})
-		together(3, func(int) error {
+		runParallel(3, func(int) error {
 			_, err := cl.Do(context.Background(), target(4), request("warm"))
 			return err
 		})
 		c.Assert(cl.Stats("sv").Idle, qt.Equals, 3)
 		lost = true
-		ctx, cancel := within(time.Second)
+		ctx, cancel := withTimeout(time.Second)
 		defer cancel()
 		began := time.Now()
 		_, err := cl.Do(ctx, target(4), request("r1"))
-		check(c, err, backend.Silent, true)
+		checkError(c, err, backend.Silent, true)
 		c.Check(time.Since(began), qt.Equals, 100*time.Millisecond)
 		_, err = cl.Do(ctx, target(4), request("r1-again"))
 		c.Assert(err, qt.IsNil)
 		c.Check(time.Since(began) < 150*time.Millisecond, qt.IsTrue)
 		synctest.Wait()
-		_, cancels, _ := fk.seen()
+		_, cancels, _ := fk.received()
 		c.Check(cancels, qt.DeepEquals, []string{"r1"})
 		c.Check(cl.Stats("sv").Silent, qt.Equals, uint64(1))
 	})
 }
 
-// newSilent returns a client with two idle connections to a server, which may
-// have two, after 10 ms in which each had a reply. They are silent from then on.
-func newSilent(c *qt.C, t *testing.T, cf backend.ClientConfig) (*backend.Client, *fake) {
-	lost := false
-	fk := &fake{answer: func(nc net.Conn, _ int, rq backend.Request) bool {
+// newSilentClient returns a client whose two idle connections, the server's
+// maximum, have each received a reply after 10 ms. They are silent from then
+// on.
+func newSilentClient(c *qt.C, t *testing.T, cf backend.ClientConfig) (*backend.Client, *fakeServer) {
+	silent := false
+	fk := &fakeServer{answer: func(nc net.Conn, _ int, rq backend.Request) bool {
 		time.Sleep(10 * time.Millisecond)
 		return write(nc, reply(rq))
 	}}
-	fk.silent = func(nth int) bool { return lost && nth <= 2 }
+	fk.silent = func(nth int) bool { return silent && nth <= 2 }
 	cf.Dial = fk.dial
 	cl := newClient(t, cf)
-	together(2, func(int) error {
+	runParallel(2, func(int) error {
 		_, err := cl.Do(context.Background(), target(2), request("warm"))
 		return err
 	})
 	c.Assert(cl.Stats("sv").Idle, qt.Equals, 2)
-	lost = true
+	silent = true
 	return cl, fk
 }
 
-// A fitter's search misses a shard although it was hedged in time. The hedge
-// took another idle connection, which had gone silent in the same moment. All
-// places are taken by such connections, so one has to go for a new one. That it
-// works says nothing for the others, so the server still counts as not heard.
-func TestProvedSince(t *testing.T) {
+// Guards against a missing shard although the hedge was sent in time: the hedge
+// took another idle connection that had gone silent at the same moment. All
+// connections of the share are silent, so one must be closed for a new one.
+// That the new one works says nothing about the others, so the server still
+// counts as unresponsive.
+func TestHedgeAvoidsSilentIdleConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		cl, _ := newSilent(c, t, backend.ClientConfig{SilenceTimeout: time.Second})
+		cl, _ := newSilentClient(c, t, backend.ClientConfig{SilenceTimeout: time.Second})
 		replied := time.Now()
 		time.Sleep(10 * time.Millisecond)
 		ta := target(2)
@@ -136,36 +139,37 @@
 		_, err := cl.Do(context.Background(), ta, request("hedge"))
 		c.Assert(err, qt.IsNil)
 		c.Check(cl.LastReply("sv", "lost"), qt.Equals, replied)
-		_, err = cl.Do(context.Background(), ta, request("again")) // over the proved one
+		_, err = cl.Do(context.Background(), ta, request("again")) // over the connection that replied
 		c.Assert(err, qt.IsNil)
 		c.Check(cl.Stats("sv").Opened, qt.Equals, uint64(3))
 	})
 }
 
-// A service answers "overloaded" while its backend servers are idle. Requests
-// were lost on silent connections and given up for hedges, and their Cancels
-// went over silent connections too, so their slots stayed taken for seconds.
-// The word that a request doesn't run frees its slot at once, and as no reply
-// follows, the other connections of that age go before they cost a request each.
-func TestCancelOfLost(t *testing.T) {
+// Guards against "overloaded" while backend servers are idle. Requests were
+// lost on silent connections and abandoned for hedges, and their Cancels went
+// over silent connections too, so their slots stayed taken for seconds. The
+// server's confirmation that it does not run a request frees its slot at once.
+// Since no reply follows, the other connections of that age are closed before
+// they cost a request each.
+func TestCancelAvoidsSilentConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		settled := make(chan time.Duration, 1)
+		abandoned := make(chan time.Duration, 1)
 		began := time.Now()
 		var got backend.AbandonedRequest
-		cl, fk := newSilent(c, t, backend.ClientConfig{OnAbandoned: func(se backend.AbandonedRequest) {
+		cl, fk := newSilentClient(c, t, backend.ClientConfig{OnAbandoned: func(se backend.AbandonedRequest) {
 			got = se
-			settled <- time.Since(began)
+			abandoned <- time.Since(began)
 		}})
-		ctx, cancel := within(time.Hour)
+		ctx, cancel := withTimeout(time.Hour)
 		time.AfterFunc(50*time.Millisecond, cancel)
 		ta := target(2)
 		ta.LateThreshold = 50 * time.Millisecond
 		_, err := cl.Do(ctx, ta, request("r1"))
-		check(c, err, backend.Cancelled, true)
-		c.Check(<-settled, qt.Equals, 60*time.Millisecond)
+		checkError(c, err, backend.Cancelled, true)
+		c.Check(<-abandoned, qt.Equals, 60*time.Millisecond)
 		c.Check(got, qt.Equals, backend.AbandonedRequest{Server: "sv", RequestID: "r1", Stopped: true})
-		_, cancels, _ := fk.seen()
+		_, cancels, _ := fk.received()
 		c.Check(cancels, qt.DeepEquals, []string{"r1"})
 		time.Sleep(time.Second / 2)
 		st := cl.Stats("sv")
@@ -173,11 +177,11 @@
 	})
 }
 
-// A long answer that keeps coming is no silent connection.
-func TestSlowIsNotSilent(t *testing.T) {
+// A long reply that keeps arriving does not count as a silent connection.
+func TestSlowReplyIsNotSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		fk := &fake{answer: func(nc net.Conn, _ int, rq backend.Request) bool {
+		fk := &fakeServer{answer: func(nc net.Conn, _ int, rq backend.Request) bool {
 			for _, by := range encode(reply(rq)) {
 				time.Sleep(90 * time.Millisecond)
 				nc.Write([]byte{by})
@@ -190,10 +194,10 @@
 	})
 }
 
-// A parent sees another family's classes. The backend server, or something
-// before it, gives a reply to another request, late or twice; the next request
-// on that connection would take it for its own.
-func TestCrossed(t *testing.T) {
+// Guards against returning another caller's rows. The backend server, or
+// something in front of it, sends a reply to another request, late or twice;
+// the next request on that connection would take it for its own.
+func TestMismatchedReplyIsRejected(t *testing.T) {
 	replies := map[string]func(nc net.Conn, re backend.Reply){
 		"RequestID": func(nc net.Conn, re backend.Reply) { re.RequestID = "other"; write(nc, re) },
 		"Server":    func(nc net.Conn, re backend.Reply) { re.Server = "other"; write(nc, re) },
@@ -210,7 +214,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				fk := &fake{answer: func(nc net.Conn, nth int, rq backend.Request) bool {
+				fk := &fakeServer{answer: func(nc net.Conn, nth int, rq backend.Request) bool {
 					if nth > 1 {
 						return write(nc, reply(rq))
 					}
@@ -219,23 +223,23 @@
 				}}
 				cl := newClient(t, backend.ClientConfig{Dial: fk.dial})
 				_, err := cl.Do(context.Background(), target(2), request("r1"))
-				check(c, err, backend.Crossed, true)
+				checkError(c, err, backend.Crossed, true)
 				re, err := cl.Do(context.Background(), target(2), request("r2"))
 				c.Assert(err, qt.IsNil)
 				c.Check(re.RequestID, qt.Equals, "r2")
-				c.Check(fk.carried(1), qt.Equals, 1)
+				c.Check(fk.numRequests(1), qt.Equals, 1)
 			})
 		})
 	}
 }
 
-// A fitter's search fails although the backend server is well: it gave the reply
-// before twice, and the second copy met this search. The copy shows behind the
-// first, so the connection is not used again.
-func TestDoubled(t *testing.T) {
+// Guards against failing a request although the backend server is healthy: it
+// sent the previous reply twice, and the second copy met this request. The copy
+// is detected after the first reply, so the connection is not reused.
+func TestDuplicateReplyEndsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		fk := &fake{answer: func(nc net.Conn, _ int, rq backend.Request) bool {
+		fk := &fakeServer{answer: func(nc net.Conn, _ int, rq backend.Request) bool {
 			bs := encode(reply(rq))
 			nc.Write(append(bs, bs...))
 			return true
@@ -245,12 +249,13 @@
 			_, err := cl.Do(context.Background(), target(2), request(id))
 			c.Assert(err, qt.IsNil)
 		}
-		c.Check(fk.carried(1), qt.Equals, 1)
+		c.Check(fk.numRequests(1), qt.Equals, 1)
 	})
 }
 
-// Replies that are no replies are refused with their kind; the connection ends.
-func TestMalformed(t *testing.T) {
+// Invalid replies are rejected with their error kind, and the connection is
+// closed.
+func TestMalformedReplyIsRejected(t *testing.T) {
 	for _, tc := range []struct {
 		raw  string
 		kind backend.ErrorKind
@@ -265,24 +270,25 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			fk := &fake{answer: func(nc net.Conn, _ int, _ backend.Request) bool {
+			fk := &fakeServer{answer: func(nc net.Conn, _ int, _ backend.Request) bool {
 				nc.Write([]byte(tc.raw))
 				return tc.kind == backend.Malformed
 			}}
 			cl := newClient(t, backend.ClientConfig{Dial: fk.dial, MaxReplyBytes: 500})
 			_, err := cl.Do(context.Background(), target(1), request("r1"))
-			check(c, err, tc.kind, true)
+			checkError(c, err, tc.kind, true)
 			cl.Do(context.Background(), target(1), request("r2"))
-			c.Check(fk.carried(1), qt.Equals, 1)
+			c.Check(fk.numRequests(1), qt.Equals, 1)
 		})
 	}
 }
 
-// Sent is false only when surely no byte left: these never reach the server.
-func TestNotSent(t *testing.T) {
+// Sent is false only when certainly no byte was sent: these requests never
+// reach the server.
+func TestErrorsBeforeSending(t *testing.T) {
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
-	short, cancel := within(time.Microsecond)
+	short, cancel := withTimeout(time.Microsecond)
 	defer cancel()
 	<-short.Done()
 	bad := request("r1")
@@ -303,82 +309,84 @@
 		{context.Background(), old, request("r1"), backend.DialFailed},
 	} {
 		c := qt.New(t)
-		fk := &fake{answer: func(net.Conn, int, backend.Request) bool { return false }}
+		fk := &fakeServer{answer: func(net.Conn, int, backend.Request) bool { return false }}
 		cf := backend.ClientConfig{Dial: fk.dial}
 		if tc.ta.Server == "by-name" {
 			cf.Dial = nil
 		}
 		cl := newClient(t, cf)
-		cl.Cancel(context.Background(), target(0), "none") // makes incarnation 1 known
+		cl.Cancel(context.Background(), target(0), "none") // introduces incarnation 1
 		_, err := cl.Do(tc.ctx, tc.ta, tc.rq)
-		check(c, err, tc.kind, false)
-		arrivals, _, _ := fk.seen()
+		checkError(c, err, tc.kind, false)
+		arrivals, _, _ := fk.received()
 		c.Check(arrivals, qt.HasLen, 0)
 	}
 }
 
-// The time left goes along; a passed deadline ends the wait, and the late reply
-// makes the connection fit for use again.
-func TestDeadline(t *testing.T) {
+// The time left is sent with the request. When the deadline passes, the caller
+// stops waiting, and the late reply makes the connection reusable.
+func TestConnectionReusedAfterLateReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		fk := &fake{answer: func(nc net.Conn, _ int, rq backend.Request) bool {
+		fk := &fakeServer{answer: func(nc net.Conn, _ int, rq backend.Request) bool {
 			time.Sleep(300 * time.Millisecond)
 			return write(nc, reply(rq))
 		}}
-		settled := make(chan backend.AbandonedRequest, 1)
-		cl := newClient(t, backend.ClientConfig{Dial: fk.dial, OnAbandoned: func(se backend.AbandonedRequest) { settled <- se }})
-		ctx, cancel := within(250 * time.Millisecond)
+		abandoned := make(chan backend.AbandonedRequest, 1)
+		cl := newClient(t, backend.ClientConfig{Dial: fk.dial, OnAbandoned: func(se backend.AbandonedRequest) { abandoned <- se }})
+		ctx, cancel := withTimeout(250 * time.Millisecond)
 		defer cancel()
 		_, err := cl.Do(ctx, target(1), request("r1"))
-		check(c, err, backend.Deadline, true)
+		checkError(c, err, backend.Deadline, true)
 		synctest.Wait()
 		c.Check(fk.timeouts, qt.DeepEquals, []int64{250})
 		c.Check(cl.Stats("sv").Lingering, qt.Equals, 1)
-		c.Check(<-settled, qt.Equals, backend.AbandonedRequest{Server: "sv", RequestID: "r1", Stopped: true})
+		c.Check(<-abandoned, qt.Equals, backend.AbandonedRequest{Server: "sv", RequestID: "r1", Stopped: true})
 		_, err = cl.Do(context.Background(), target(1), request("r2"))
 		c.Assert(err, qt.IsNil)
 		synctest.Wait()
-		_, cancels, conns := fk.seen()
+		_, cancels, conns := fk.received()
 		c.Check(cancels, qt.HasLen, 0)
 		c.Check(conns, qt.Equals, 1)
 	})
 }
 
-// A hedge's loser goes on to hold its slot: the share is one connection, which
-// carries the request, so no Cancel can be sent. The end of that connection says
-// it, and the next request waits for its place.
-func TestCancelOnLastConnection(t *testing.T) {
+// Guards against a losing attempt that keeps its slot: the share is one
+// connection, which carries the request, so no Cancel can be sent. Closing that
+// connection cancels the request, and the next request waits for the freed
+// connection.
+func TestCancelByClosingLastConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		heard := make(chan time.Time, 1)
-		fk := &fake{answer: func(nc net.Conn, nth int, rq backend.Request) bool {
+		closedAt := make(chan time.Time, 1)
+		fk := &fakeServer{answer: func(nc net.Conn, nth int, rq backend.Request) bool {
 			if nth > 1 {
 				return write(nc, reply(rq))
 			}
 			nc.Read(make([]byte, 1))
-			heard <- time.Now()
+			closedAt <- time.Now()
 			return false
 		}}
 		cl := newClient(t, backend.ClientConfig{Dial: fk.dial})
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(time.Millisecond, cancel)
 		_, err := cl.Do(ctx, target(1), request("r1"))
-		check(c, err, backend.Cancelled, true)
+		checkError(c, err, backend.Cancelled, true)
 		cancelled := time.Now()
-		c.Check((<-heard).Sub(cancelled), qt.Equals, time.Duration(0))
+		c.Check((<-closedAt).Sub(cancelled), qt.Equals, time.Duration(0))
 		_, err = cl.Do(context.Background(), target(1), request("r2"))
 		c.Assert(err, qt.IsNil)
 	})
 }
 
-// A backend server refuses connections after it was absent from the view for a
-// moment: the connections from before are forgotten, but still open.
-func TestRetainCounts(t *testing.T) {
+// Guards against connections refused by a backend server that was missing from
+// the view for a moment: its earlier connections are still open and must still
+// count.
+func TestRemovedServerConnectionsStillCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		answer := make(chan struct{})
-		fk := &fake{answer: func(nc net.Conn, _ int, rq backend.Request) bool {
+		fk := &fakeServer{answer: func(nc net.Conn, _ int, rq backend.Request) bool {
 			<-answer
 			return write(nc, reply(rq))
 		}}
@@ -391,13 +399,13 @@
 		synctest.Wait()
 		cl.SetTargets(nil)
 		_, err := cl.Do(context.Background(), target(1), request("r2"))
-		check(c, err, backend.NoConnection, false)
+		checkError(c, err, backend.NoConnection, false)
 		close(answer)
 		c.Check(<-first, qt.IsNil)
 	})
 }
 
-func together(nu int, fn func(i int) error) []error {
+func runParallel(nu int, fn func(i int) error) []error {
 	errs := make([]error, nu)
 	done := make(chan struct{})
 	for i := range nu {
--- a/backend/conn.go
+++ b/backend/conn.go
@@ -21,76 +21,76 @@
 )
 
 const (
-	readBuffer  = 4 << 10
-	writeBuffer = 2 << 10
-	// keptBytes is the largest body buffer that an idle connection keeps.
-	keptBytes = 64 << 10
+	readBufferBytes  = 4 << 10
+	writeBufferBytes = 2 << 10
+	// Largest body buffer that an idle connection keeps.
+	maxKeptBufferBytes = 64 << 10
 )
 
 var (
-	errSilent  = errors.New("no progress")
-	errTooLong = errors.New("reply too long")
+	errSilent       = errors.New("connection made no progress")
+	errReplyTooLong = errors.New("reply too long")
 )
 
-// requestHeader is shared by all requests and never changed.
+// requestHeader is shared by all requests and never modified.
 var requestHeader = http.Header{
 	"Content-Type": {"application/json"},
 	"User-Agent":   {"balsamwinch"},
 }
 
-// conn is one HTTP/1.1 connection. It carries one request at a time and is used
-// by one goroutine at a time, but for evict and interrupt.
+// conn is one HTTP/1.1 connection. It carries one request at a time. Only one
+// goroutine at a time may use it, except for evict and interrupt.
 type conn struct {
-	nc       net.Conn
-	raw      syscall.RawConn // raw is nil if nc has no descriptor.
-	ta       Target
-	ts       *timer.Service
-	maxReply int64
-	opened   time.Time
-	rd       *bufio.Reader
-	wr       *bufio.Writer
-	hr       http.Request
-	out      requestBody
-	in       bytes.Buffer
+	nc          net.Conn
+	raw         syscall.RawConn // nil if nc has no file descriptor
+	ta          Target
+	ts          *timer.Service
+	maxReply    int64
+	opened      time.Time
+	rd          *bufio.Reader
+	wr          *bufio.Writer
+	hr          http.Request
+	requestBody bodyBuffer
+	replyBody   bytes.Buffer
 
-	used     bool          // used says that the connection has carried a request.
-	reusable bool          // reusable says that the last exchange left it clean.
-	carries  string        // carries is the id of the request that it carries; the pool's lock guards it.
-	sentAt   time.Time     // sentAt is when the last request was begun.
-	proof    time.Time     // proof is when the connection last made progress.
-	proved   time.Time     // proved is when a whole reply last came, or the opening; the pool's lock guards it.
-	sent     bool          // sent says that the whole request was written.
-	got      int           // got counts the bytes of the reply.
-	silent   time.Duration // silent is how long it may make none; 0 for ever.
-	until    time.Time     // until is the deadline of the exchange; zero for none.
-	wrote    int           // wrote counts the bytes of the request that may have left.
-	ioErr    error         // ioErr is the last error of the connection itself.
+	used           bool          // whether the connection has carried a request
+	reusable       bool          // whether the last exchange left the connection clean
+	requestID      string        // id of the request that the connection carries; guarded by the pool's lock
+	sentAt         time.Time     // when the last request was started
+	lastProgress   time.Time     // when the connection last made progress
+	lastReply      time.Time     // when a complete reply last came, or the connection was opened; guarded by the pool's lock
+	sent           bool          // whether the whole request was written
+	bytesRead      int           // bytes of the reply read
+	silenceTimeout time.Duration // how long the connection may make no progress; 0 for no limit
+	deadline       time.Time     // of the exchange; zero for none
+	bytesWritten   int           // bytes of the request that may have been sent
+	ioErr          error         // last error of the connection itself
 
-	mu          sync.Mutex
-	interrupted bool          // interrupted says that the context of the exchange ended.
-	evicted     bool          // evicted says that the pool wants the connection's place.
-	fired       chan struct{} // fired gets one value when interrupt has run.
-	interrupt   func()
-	probe       func(fd uintptr)
-	probeByte   [1]byte
-	probed      error // probed is the result of the last probe.
+	mu            sync.Mutex
+	interrupted   bool          // whether the context of the exchange ended
+	evicted       bool          // whether the pool needs the connection's place
+	interruptDone chan struct{} // receives one value when interrupt has run
+	interrupt     func()
+	probe         func(fd uintptr)
+	probeByte     [1]byte
+	probeErr      error // result of the last probe
 }
 
-// requestBody is the body of a request, encoded once into memory.
-type requestBody struct {
+// bodyBuffer holds the body of a request, encoded once into memory.
+type bodyBuffer struct {
 	bytes.Buffer
 }
 
-// Close does nothing.
-func (rb *requestBody) Close() error { return nil }
+// Close implements io.Closer and does nothing.
+func (rb *bodyBuffer) Close() error { return nil }
 
 func newConn(nc net.Conn, ta Target, ts *timer.Service, maxReply int64) *conn {
-	cn := &conn{nc: nc, ta: ta, ts: ts, maxReply: maxReply, opened: ts.Now(), fired: make(chan struct{}, 1)}
-	cn.proof, cn.proved = cn.opened, cn.opened
-	cn.rd = bufio.NewReaderSize(readSide{cn}, readBuffer)
-	cn.wr = bufio.NewWriterSize(writeSide{cn}, writeBuffer)
-	cn.interrupt = cn.onContextEnd
-	cn.probe = func(fd uintptr) { _, cn.probed = syscall.Read(int(fd), cn.probeByte[:]) }
+	cn := &conn{nc: nc, ta: ta, ts: ts, maxReply: maxReply, opened: ts.Now(), interruptDone: make(chan struct{}, 1)}
+	cn.lastProgress, cn.lastReply = cn.opened, cn.opened
+	cn.rd = bufio.NewReaderSize(connReader{cn}, readBufferBytes)
+	cn.wr = bufio.NewWriterSize(connWriter{cn}, writeBufferBytes)
+	cn.interrupt = cn.onContextDone
+	cn.probe = func(fd uintptr) { _, cn.probeErr = syscall.Read(int(fd), cn.probeByte[:]) }
 	cn.hr = http.Request{
 		Method: http.MethodPost, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 		Host: ta.Address, URL: &url.URL{Scheme: "http", Host: ta.Address}, Header: requestHeader,
@@ -102,7 +102,8 @@
 }
 
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
-	// A name would be looked up on every dial, and could lead elsewhere.
+	// Host names are rejected: they would be resolved on every dial and could
+	// lead to another server.
 	if _, err := netip.ParseAddrPort(address); err != nil {
 		return nil, err
 	}
@@ -113,8 +114,8 @@
 // exchange sends one request and returns the body of the reply, which is valid
 // until the next exchange. The error's kind is Cut, Silent, Cancelled, Deadline
 // or Malformed.
-func (cn *conn) exchange(ctx context.Context, path string, message any, silent time.Duration) ([]byte, *Error) {
-	cn.begin(ctx, silent)
+func (cn *conn) exchange(ctx context.Context, path string, message any, silenceTimeout time.Duration) ([]byte, *Error) {
+	cn.begin(ctx, silenceTimeout)
 	if ctx.Done() != nil {
 		stop := context.AfterFunc(ctx, cn.interrupt)
 		defer cn.end(stop)
@@ -123,16 +124,16 @@
 		return nil, er
 	}
 	if _, err := cn.rd.Peek(1); err != nil {
-		return nil, cn.failure(ctx, err)
+		return nil, cn.classifyError(ctx, err)
 	}
 	return cn.receive(ctx)
 }
 
-func (cn *conn) begin(ctx context.Context, silent time.Duration) {
+func (cn *conn) begin(ctx context.Context, silenceTimeout time.Duration) {
 	cn.sentAt = cn.ts.Now()
-	cn.silent = silent
-	cn.until, _ = ctx.Deadline()
-	cn.wrote, cn.got = 0, 0
+	cn.silenceTimeout = silenceTimeout
+	cn.deadline, _ = ctx.Deadline()
+	cn.bytesWritten, cn.bytesRead = 0, 0
 	cn.sent = false
 	cn.ioErr = nil
 	cn.reusable = false
@@ -143,39 +144,39 @@
 	if stop() {
 		return
 	}
-	// The interruption has begun. It must be over before the connection goes to
-	// another request, which it would hit instead.
-	<-cn.fired
+	// The interruption has begun. It must finish before the connection carries
+	// another request, or it would interrupt that one instead.
+	<-cn.interruptDone
 	cn.mu.Lock()
 	cn.interrupted = false
 	cn.mu.Unlock()
 }
 
-func (cn *conn) onContextEnd() {
+func (cn *conn) onContextDone() {
 	cn.mu.Lock()
 	cn.interrupted = true
 	_ = cn.nc.SetDeadline(time.Unix(1, 0))
 	cn.mu.Unlock()
-	cn.fired <- struct{}{}
+	cn.interruptDone <- struct{}{}
 }
 
 func (cn *conn) send(ctx context.Context, path string, message any) *Error {
-	cn.out.Reset()
-	en := json.NewEncoder(&cn.out)
+	cn.requestBody.Reset()
+	en := json.NewEncoder(&cn.requestBody)
 	en.SetEscapeHTML(false)
 	if err := en.Encode(message); err != nil {
 		cn.reusable = true
 		return &Error{Kind: Malformed, Server: cn.ta.Server, Err: err}
 	}
 	cn.hr.URL.Path = path
-	cn.hr.Body = &cn.out
-	cn.hr.ContentLength = int64(cn.out.Len())
+	cn.hr.Body = &cn.requestBody
+	cn.hr.ContentLength = int64(cn.requestBody.Len())
 	err := cn.hr.Write(cn.wr)
 	if err == nil {
 		err = cn.wr.Flush()
 	}
 	if err != nil {
-		return cn.failure(ctx, err)
+		return cn.classifyError(ctx, err)
 	}
 	cn.sent = true
 	return nil
@@ -184,28 +185,29 @@
 func (cn *conn) receive(ctx context.Context) ([]byte, *Error) {
 	rs, err := http.ReadResponse(cn.rd, &cn.hr)
 	if err != nil {
-		return nil, cn.failure(ctx, err)
+		return nil, cn.classifyError(ctx, err)
 	}
-	cn.in.Reset()
-	_, err = cn.in.ReadFrom(io.LimitReader(rs.Body, cn.maxReply+1))
+	cn.replyBody.Reset()
+	_, err = cn.replyBody.ReadFrom(io.LimitReader(rs.Body, cn.maxReply+1))
 	if err != nil {
-		return nil, cn.failure(ctx, err)
+		return nil, cn.classifyError(ctx, err)
 	}
-	if int64(cn.in.Len()) > cn.maxReply {
-		return nil, cn.malformed(errTooLong)
+	if int64(cn.replyBody.Len()) > cn.maxReply {
+		return nil, cn.malformed(errReplyTooLong)
 	}
 	if rs.StatusCode != http.StatusOK {
 		return nil, cn.malformed(fmt.Errorf("status %d", rs.StatusCode))
 	}
-	// Bytes behind the reply are a second reply to this request. The next request
-	// would take them for its own, so the connection has carried its last one.
+	// Bytes after the reply are a second reply to this request. The next request
+	// would take them for its own, so the connection is not reused.
 	cn.reusable = !rs.Close && cn.rd.Buffered() == 0
-	return cn.in.Bytes(), nil
+	return cn.replyBody.Bytes(), nil
 }
 
-// failure classifies an error of the exchange.
-func (cn *conn) failure(ctx context.Context, err error) *Error {
-	er := &Error{Kind: Cut, Server: cn.ta.Server, Sent: cn.wrote > 0, Err: err}
+// classifyError converts an error of the exchange into an Error of the matching
+// kind.
+func (cn *conn) classifyError(ctx context.Context, err error) *Error {
+	er := &Error{Kind: Cut, Server: cn.ta.Server, Sent: cn.bytesWritten > 0, Err: err}
 	switch {
 	case cn.ioErr == nil:
 		er.Kind = Malformed
@@ -214,7 +216,7 @@
 	case !errors.Is(cn.ioErr, os.ErrDeadlineExceeded):
 	case cn.isEvicted():
 		er.Kind = Cancelled
-	case !cn.until.IsZero() && !cn.ts.Now().Before(cn.until):
+	case !cn.deadline.IsZero() && !cn.ts.Now().Before(cn.deadline):
 		er.Kind, er.Err = Deadline, context.DeadlineExceeded
 	default:
 		er.Kind, er.Err = Silent, errSilent
@@ -226,26 +228,27 @@
 	return &Error{Kind: Malformed, Server: cn.ta.Server, Sent: true, Err: err}
 }
 
-// resumable reports whether the reply of a failed exchange may still come whole:
-// the request left whole, and nothing of the reply has been read.
+// resumable reports whether the reply of a failed exchange may still arrive
+// completely: the whole request was sent, and nothing of the reply has been
+// read.
 func (cn *conn) resumable() bool {
-	return cn.sent && cn.got == 0 && errors.Is(cn.ioErr, os.ErrDeadlineExceeded)
+	return cn.sent && cn.bytesRead == 0 && errors.Is(cn.ioErr, os.ErrDeadlineExceeded)
 }
 
-// resume waits for the reply of an exchange whose caller gave up.
+// resume waits for the reply of an exchange that its caller abandoned.
 func (cn *conn) resume(wait time.Duration) ([]byte, *Error) {
-	cn.until = cn.ts.Now().Add(wait)
-	cn.silent = 0
+	cn.deadline = cn.ts.Now().Add(wait)
+	cn.silenceTimeout = 0
 	cn.ioErr = nil
 	ctx := context.Background()
 	if _, err := cn.rd.Peek(1); err != nil {
-		return nil, cn.failure(ctx, err)
+		return nil, cn.classifyError(ctx, err)
 	}
 	return cn.receive(ctx)
 }
 
-// evict ends the wait of a lingering connection and reports whether it had not
-// been ended before.
+// evict ends the wait of a lingering connection and reports whether this call
+// ended it.
 func (cn *conn) evict() bool {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
@@ -263,21 +266,21 @@
 	return cn.evicted
 }
 
-// quiet reports whether an idle connection still lives and nothing has come in
-// on it. A read without waiting tells: the end of the connection, which a server
-// may give while it is idle, and a late or doubled reply both show as anything
-// but "would block", and neither may meet the next request.
-func (cn *conn) quiet() bool {
+// usable reports whether an idle connection is still open and nothing has
+// arrived on it. It checks with a non-blocking read. A close by the server
+// while the connection was idle, and a late or duplicate reply, give a result
+// other than "would block", and neither may reach the next request.
+func (cn *conn) usable() bool {
 	if cn.raw == nil {
 		return true
 	}
-	cn.probed = nil
+	cn.probeErr = nil
 	err := cn.raw.Control(cn.probe)
-	return err == nil && cn.probed == syscall.EAGAIN
+	return err == nil && cn.probeErr == syscall.EAGAIN
 }
 
-// close ends the connection and reports whether the backend server has confirmed
-// the end within the wait.
+// close closes the connection and reports whether the backend server confirmed
+// the close within the wait.
 func (cn *conn) close(wait time.Duration) bool {
 	defer cn.nc.Close()
 	hc, ok := cn.nc.(interface{ CloseWrite() error })
@@ -292,12 +295,12 @@
 	return !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// arm sets the deadline of the next read or write: the exchange's, or sooner if
-// the connection may not go without progress that long.
-func (cn *conn) arm() {
-	at := cn.until
-	if cn.silent > 0 {
-		if by := cn.ts.Now().Add(cn.silent); at.IsZero() || by.Before(at) {
+// setDeadline sets the deadline of the next read or write: the exchange's, or
+// the end of the silence timeout if that is sooner.
+func (cn *conn) setDeadline() {
+	at := cn.deadline
+	if cn.silenceTimeout > 0 {
+		if by := cn.ts.Now().Add(cn.silenceTimeout); at.IsZero() || by.Before(at) {
 			at = by
 		}
 	}
@@ -308,21 +311,21 @@
 	}
 }
 
-// readSide and writeSide let the buffers of a conn read and write under its
+// connReader and connWriter let the buffers of a conn read and write with its
 // deadlines and counters.
 type (
-	readSide  struct{ cn *conn }
-	writeSide struct{ cn *conn }
+	connReader struct{ cn *conn }
+	connWriter struct{ cn *conn }
 )
 
 // Read reads from the connection.
-func (rs readSide) Read(bs []byte) (int, error) {
+func (rs connReader) Read(bs []byte) (int, error) {
 	cn := rs.cn
-	cn.arm()
+	cn.setDeadline()
 	nu, err := cn.nc.Read(bs)
 	if nu > 0 {
-		cn.got += nu
-		cn.proof = cn.ts.Now()
+		cn.bytesRead += nu
+		cn.lastProgress = cn.ts.Now()
 	}
 	if err != nil {
 		cn.ioErr = err
@@ -330,12 +333,13 @@
 	return nu, err
 }
 
-// Write writes to the connection. Bytes that the system took may have left.
-func (ws writeSide) Write(bs []byte) (int, error) {
+// Write writes to the connection. Bytes accepted by the operating system may
+// have been sent.
+func (ws connWriter) Write(bs []byte) (int, error) {
 	cn := ws.cn
-	cn.arm()
+	cn.setDeadline()
 	nu, err := cn.nc.Write(bs)
-	cn.wrote += nu
+	cn.bytesWritten += nu
 	if err != nil {
 		cn.ioErr = err
 	}
--- a/backend/exchange.go
+++ b/backend/exchange.go
@@ -11,17 +11,17 @@
 	"go.uber.org/zap"
 )
 
-// query sends a request over the connection, which it gives back to the pool.
+// query sends a request over the connection, which it returns to the pool.
 func (po *pool) query(ctx context.Context, cn *conn, ta Target, rq Request) (Reply, *Error) {
-	if er := stampTimeout(ctx, po, &rq); er != nil {
+	if er := setTimeout(ctx, po, &rq); er != nil {
 		cn.reusable = true
 		po.release(cn, false)
 		return Reply{}, er
 	}
-	po.carry(cn, rq.RequestID)
-	bs, er := cn.exchange(ctx, QueryPath, rq, po.silentAfter(ta))
+	po.setRequest(cn, rq.RequestID)
+	bs, er := cn.exchange(ctx, QueryPath, rq, po.silenceTimeout(ta))
 	if er != nil {
-		po.fail(cn, ta, rq, er)
+		po.handleFailure(cn, ta, rq, er)
 		return Reply{}, er
 	}
 	var re Reply
@@ -30,20 +30,20 @@
 		er = checkReply(ta, rq, re)
 	}
 	if er != nil {
-		po.fail(cn, ta, rq, er)
+		po.handleFailure(cn, ta, rq, er)
 		return Reply{}, er
 	}
 	po.release(cn, true)
 	return re, nil
 }
 
-// stampTimeout sets the time left of the context's deadline in the request.
-func stampTimeout(ctx context.Context, po *pool, rq *Request) *Error {
-	until, ok := ctx.Deadline()
+// setTimeout sets the time left until the context's deadline in the request.
+func setTimeout(ctx context.Context, po *pool, rq *Request) *Error {
+	deadline, ok := ctx.Deadline()
 	if !ok {
 		return nil
 	}
-	left := until.Sub(po.cl.ts.Now()).Milliseconds()
+	left := deadline.Sub(po.cl.ts.Now()).Milliseconds()
 	if left <= 0 {
 		return &Error{Kind: Deadline, Server: po.ta.Server, Err: context.DeadlineExceeded}
 	}
@@ -53,7 +53,7 @@
 	return nil
 }
 
-func (po *pool) silentAfter(ta Target) time.Duration {
+func (po *pool) silenceTimeout(ta Target) time.Duration {
 	if ta.SilenceTimeout > 0 {
 		return ta.SilenceTimeout
 	}
@@ -62,8 +62,8 @@
 
 func (cn *conn) decode(bs []byte, out any) *Error {
 	err := json.Unmarshal(bs, out)
-	if cn.in.Cap() > keptBytes {
-		cn.in = bytes.Buffer{}
+	if cn.replyBody.Cap() > maxKeptBufferBytes {
+		cn.replyBody = bytes.Buffer{}
 	}
 	if err != nil {
 		return cn.malformed(err)
@@ -71,10 +71,10 @@
 	return nil
 }
 
-// checkReply refuses a reply that is not for the request. A backend server, or
-// something before it, can mix up replies; it shows as the rows of another
-// query, shard or snapshot in an answer. Each reply states what it is for, and
-// one that differs in anything is no answer, whatever its code.
+// checkReply rejects a reply that is not for the request. A backend server, or
+// something in front of it, can mix up replies, and rows of another query,
+// shard or snapshot would enter an answer. Each reply states what it is for.
+// One that differs in any field is not an answer, whatever its code.
 func checkReply(ta Target, rq Request, re Reply) *Error {
 	crossed := func(field string, want, got any) *Error {
 		return &Error{Kind: Crossed, Server: ta.Server, Sent: true, Err: fmt.Errorf("%s: want %v, got %v", field, want, got)}
@@ -89,7 +89,7 @@
 	case re.Snapshot != rq.Snapshot:
 		return crossed("Snapshot", rq.Snapshot, re.Snapshot)
 	case !re.Code.known():
-		return &Error{Kind: Malformed, Server: ta.Server, Sent: true, Err: fmt.Errorf("Code: %q is not known", re.Code)}
+		return &Error{Kind: Malformed, Server: ta.Server, Sent: true, Err: fmt.Errorf("Code: unknown value %q", re.Code)}
 	}
 	return nil
 }
@@ -103,15 +103,15 @@
 	}
 }
 
-// fail gives a connection back after a failed exchange, and sees to the request
-// if the backend server may still run it.
-func (po *pool) fail(cn *conn, ta Target, rq Request, er *Error) {
+// handleFailure returns a connection to the pool after a failed exchange, and
+// resolves the request if the backend server may still be running it.
+func (po *pool) handleFailure(cn *conn, ta Target, rq Request, er *Error) {
 	lingers := false
 	sent := cn.sentAt
-	ta.ReplySince = po.doubtedSince(cn, ta, rq.RequestID)
+	ta.ReplySince = po.cancelReplySince(cn, ta, rq.RequestID)
 	switch er.Kind {
 	case Silent:
-		po.abandon(cn)
+		po.closeSilent(cn)
 	case Cancelled, Deadline:
 		lingers = er.Sent && cn.resumable()
 		if lingers {
@@ -126,7 +126,7 @@
 		}
 		po.discard(cn)
 	case Crossed:
-		po.discardCrossed(cn, rq, er)
+		po.discardMismatched(cn, rq, er)
 	default:
 		po.discard(cn)
 	}
@@ -136,20 +136,20 @@
 	if !lingers {
 		cn = nil
 	}
-	go po.settle(cn, ta, rq.RequestID, er.Kind, sent)
+	go po.resolveAbandoned(cn, ta, rq.RequestID, er.Kind, sent)
 }
 
-// doubtedSince returns since when a connection must have proved to work to carry
-// the Cancel of a request that failed; zero if any will do.
-func (po *pool) doubtedSince(cn *conn, ta Target, requestID string) time.Time {
-	from := po.cl.ts.Now().Add(-ta.LateThreshold)
-	if ta.LateThreshold == 0 || cn.sentAt.After(from) || po.heard(requestID).After(from) {
+// cancelReplySince returns since when a connection must have received a reply
+// to carry the Cancel of a failed request; zero if any connection will do.
+func (po *pool) cancelReplySince(cn *conn, ta Target, requestID string) time.Time {
+	threshold := po.cl.ts.Now().Add(-ta.LateThreshold)
+	if ta.LateThreshold == 0 || cn.sentAt.After(threshold) || po.lastReply(requestID).After(threshold) {
 		return time.Time{}
 	}
-	return from
+	return threshold
 }
 
-func (po *pool) discardCrossed(cn *conn, rq Request, er *Error) {
+func (po *pool) discardMismatched(cn *conn, rq Request, er *Error) {
 	po.mu.Lock()
 	po.st.Mismatched++
 	po.mu.Unlock()
@@ -158,53 +158,57 @@
 		zap.String("RequestID", rq.RequestID), zap.Error(er.Err))
 }
 
-// replyGrace is how long a reply may be under way behind the word that its
-// request has ended.
+// replyGrace is how much later than the confirmation of a Cancel the cancelled
+// request's own reply may arrive.
 const replyGrace = 20 * time.Millisecond
 
-// settle asks the backend server to stop a request that was given up, and waits
-// on its connection, if that lingers, for the late reply. The reply shows that
-// the request has ended and keeps the connection for others, which spares the
-// cost of a new one.
-func (po *pool) settle(cn *conn, ta Target, requestID string, kind ErrorKind, sent time.Time) {
-	sm := AbandonedRequest{Server: ta.Server, RequestID: requestID}
-	late := make(chan bool, 1)
+// resolveAbandoned asks the backend server to stop an abandoned request. If the
+// request's connection lingers, it also waits there for the late reply, which
+// shows that the request has ended and lets the connection be reused, saving
+// the cost of a new one.
+func (po *pool) resolveAbandoned(cn *conn, ta Target, requestID string, kind ErrorKind, sent time.Time) {
+	ar := AbandonedRequest{Server: ta.Server, RequestID: requestID}
+	lateReply := make(chan bool, 1)
 	if cn != nil {
-		go func() { late <- po.awaitLate(cn, requestID) }()
+		go func() { lateReply <- po.awaitLateReply(cn, requestID) }()
 	} else {
-		late <- false
+		lateReply <- false
 	}
-	// A passed deadline needs no Cancel: the server knows the deadline itself.
+	// After the deadline no Cancel is needed: the server knows the deadline
+	// itself.
 	if kind != Deadline {
-		var asked bool
-		sm.Stopped, asked = po.askToStop(ta, requestID)
-		if !asked && cn != nil {
-			// No connection is left to say it on. The end of this one says it.
+		var reached bool
+		ar.Stopped, reached = po.sendCancel(ta, requestID)
+		if !reached && cn != nil {
+			// No connection is left to send the Cancel on, so closing this one tells
+			// the server to stop.
 			po.evict(cn)
 		}
 	}
-	if !sm.Stopped || cn == nil {
-		sm.Stopped = <-late || sm.Stopped
-		po.settled(sm)
+	if !ar.Stopped || cn == nil {
+		ar.Stopped = <-lateReply || ar.Stopped
+		po.notifyAbandoned(ar)
 		return
 	}
-	// The slot of the request is free, whether or not its connection brings more.
-	po.settled(sm)
-	ti := po.cl.ts.Timeout(replyGrace, func() { po.lose(cn, sent) })
-	<-late
+	// The request's slot is free, whether or not its connection receives the late
+	// reply.
+	po.notifyAbandoned(ar)
+	ti := po.cl.ts.Timeout(replyGrace, func() { po.closeLost(cn, sent) })
+	<-lateReply
 	ti.Stop()
 }
 
-func (po *pool) settled(sm AbandonedRequest) {
+func (po *pool) notifyAbandoned(ar AbandonedRequest) {
 	if po.cl.cf.OnAbandoned != nil {
-		po.cl.cf.OnAbandoned(sm)
+		po.cl.cf.OnAbandoned(ar)
 	}
 }
 
-// askToStop sends a Cancel, and reports whether the request has stopped and
+// sendCancel sends a Cancel, and reports whether the request has stopped and
 // whether the backend server was reached. A Cancel takes the server no time, so
-// one without a reply has met a silent connection and is sent on a new one.
-func (po *pool) askToStop(ta Target, requestID string) (stopped, asked bool) {
+// if there is no reply, the connection is silent and the Cancel is sent again
+// on a new one.
+func (po *pool) sendCancel(ta Target, requestID string) (stopped, reached bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), po.cl.cf.LingerTimeout)
 	defer cancel()
 	ta.SilenceTimeout = po.cl.cf.CancelTimeout
@@ -215,19 +219,19 @@
 		}
 		var er *Error
 		errors.As(err, &er)
-		asked = asked || er.Sent
+		reached = reached || er.Sent
 		if er.Kind != Silent {
-			return false, asked
+			return false, reached
 		}
 		ta.ReplySince = po.cl.ts.Now()
 	}
 }
 
-// awaitLate waits for the late reply on a lingering connection and reports
-// whether it came.
-func (po *pool) awaitLate(cn *conn, requestID string) bool {
+// awaitLateReply waits for the late reply on a lingering connection and reports
+// whether it arrived.
+func (po *pool) awaitLateReply(cn *conn, requestID string) bool {
 	replied := false
-	defer func() { po.unlinger(cn, replied) }()
+	defer func() { po.endLinger(cn, replied) }()
 	bs, er := cn.resume(po.cl.cf.LingerTimeout)
 	if er != nil {
 		return false
@@ -241,11 +245,11 @@
 	return true
 }
 
-// cancel sends a Cancel over the connection, which it gives back to the pool.
+// cancel sends a Cancel over the connection, which it returns to the pool.
 func (po *pool) cancel(ctx context.Context, cn *conn, ta Target, requestID string) (CancelReply, *Error) {
-	bs, er := cn.exchange(ctx, CancelPath, Cancel{RequestID: requestID}, po.silentAfter(ta))
+	bs, er := cn.exchange(ctx, CancelPath, Cancel{RequestID: requestID}, po.silenceTimeout(ta))
 	if er != nil {
-		po.failCancel(cn, er)
+		po.handleCancelFailure(cn, er)
 		return CancelReply{}, er
 	}
 	var cr CancelReply
@@ -261,9 +265,9 @@
 	return cr, nil
 }
 
-func (po *pool) failCancel(cn *conn, er *Error) {
+func (po *pool) handleCancelFailure(cn *conn, er *Error) {
 	if er.Kind == Silent {
-		po.abandon(cn)
+		po.closeSilent(cn)
 		return
 	}
 	po.discard(cn)
--- a/backend/fake_test.go
+++ b/backend/fake_test.go
@@ -22,24 +22,25 @@
 
 var one = snapshot.ID{Partition: 1, Version: 1}
 
-// fake is a scripted backend server behind net.Pipe, for tests whose time is
-// faked.
-type fake struct {
-	// answer writes what connection nc, the nth from 1, gives to a request, and
-	// reports whether the connection goes on.
+// fakeServer is a scripted backend server behind net.Pipe, for tests with fake
+// time.
+type fakeServer struct {
+	// answer writes the response of connection nc, the nth from 1, to a request,
+	// and reports whether the connection stays open.
 	answer func(nc net.Conn, nth int, rq backend.Request) bool
-	// silent says which connections lose all that is sent on them; nil for none.
+	// silent reports whether the nth connection loses all that is sent on it; nil
+	// means none does.
 	silent func(nth int) bool
 
 	mu       sync.Mutex
 	conns    int
-	requests map[int]int // requests counts them by the connection that carried them.
-	arrivals []string    // arrivals are the ids of the requests that came whole.
+	requests map[int]int // number of requests by connection
+	arrivals []string    // ids of the requests that arrived completely
 	cancels  []string
 	timeouts []int64
 }
 
-func (fk *fake) dial(context.Context, string) (net.Conn, error) {
+func (fk *fakeServer) dial(context.Context, string) (net.Conn, error) {
 	near, far := net.Pipe()
 	fk.mu.Lock()
 	fk.conns++
@@ -49,7 +50,7 @@
 	return near, nil
 }
 
-func (fk *fake) serve(nc net.Conn, nth int) {
+func (fk *fakeServer) serve(nc net.Conn, nth int) {
 	defer nc.Close()
 	rd := bufio.NewReader(nc)
 	for {
@@ -58,13 +59,13 @@
 			return
 		}
 		var rq backend.Request
-		if json.NewDecoder(hr.Body).Decode(&rq) != nil || !fk.take(nc, nth, hr.URL.Path, rq) {
+		if json.NewDecoder(hr.Body).Decode(&rq) != nil || !fk.handle(nc, nth, hr.URL.Path, rq) {
 			return
 		}
 	}
 }
 
-func (fk *fake) take(nc net.Conn, nth int, path string, rq backend.Request) bool {
+func (fk *fakeServer) handle(nc net.Conn, nth int, path string, rq backend.Request) bool {
 	if fk.silent != nil && fk.silent(nth) {
 		return true
 	}
@@ -84,13 +85,13 @@
 	return fk.answer(nc, nth, rq)
 }
 
-func (fk *fake) seen() (arrivals, cancels []string, conns int) {
+func (fk *fakeServer) received() (arrivals, cancels []string, conns int) {
 	fk.mu.Lock()
 	defer fk.mu.Unlock()
 	return slices.Clone(fk.arrivals), slices.Clone(fk.cancels), fk.conns
 }
 
-func (fk *fake) carried(nth int) int {
+func (fk *fakeServer) numRequests(nth int) int {
 	fk.mu.Lock()
 	defer fk.mu.Unlock()
 	return fk.requests[nth]
@@ -135,13 +136,13 @@
 	return backend.Target{Server: "sv", Address: "127.0.0.1:1", Incarnation: 1, MaxConnections: share}
 }
 
-func check(c *qt.C, err error, kind backend.ErrorKind, sent bool) {
+func checkError(c *qt.C, err error, kind backend.ErrorKind, sent bool) {
 	c.Helper()
 	ki, se := kindOf(err)
 	c.Check(ki, qt.Equals, kind, qt.Commentf("%v", err))
 	c.Check(se, qt.Equals, sent, qt.Commentf("%v", err))
 }
 
-func within(d time.Duration) (context.Context, context.CancelFunc) {
+func withTimeout(d time.Duration) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), d)
 }
--- a/backend/leaf_test.go
+++ b/backend/leaf_test.go
@@ -30,24 +30,24 @@
 	return le, backend.Target{Server: "sv", Address: le.Address(), MaxConnections: cf.ConnectionLimit}
 }
 
-// Callers see refused connections on a backend server that is well. Entries
-// close the connections of requests that they cancel and open others in their
-// place, and the server still counts the closed ones towards its limit.
-func TestConnectionLimit(t *testing.T) {
+// Guards against refused connections on a healthy backend server. Entries close
+// the connections of requests that they cancel and open others in their place,
+// while the server still counts the closed ones towards its limit.
+func TestClosingConnectionsCountTowardsLimit(t *testing.T) {
 	c := qt.New(t)
 	const limit = 3
 	le, ta := startLeaf(c, leaf.Config{Slots: 64, ConnectionLimit: limit, Latency: leaf.Latency{Median: time.Millisecond, Sigma: 1}, Seed: 1})
-	var wg sync.WaitGroup // counts the requests and, of those that were sent and failed, the settlements
+	var wg sync.WaitGroup // counts the requests, and the OnAbandoned calls of those that were sent and failed
 	cl := newClient(c, backend.ClientConfig{CloseTimeout: time.Minute, OnAbandoned: func(backend.AbandonedRequest) { wg.Done() }})
 	rn := rand.New(rand.NewPCG(1, 1))
-	patience := make([]time.Duration, 12)
-	for i := range patience {
-		patience[i] = time.Duration(rn.IntN(2000)) * time.Microsecond
+	timeouts := make([]time.Duration, 12)
+	for i := range timeouts {
+		timeouts[i] = time.Duration(rn.IntN(2000)) * time.Microsecond
 	}
-	together(len(patience), func(i int) error {
+	runParallel(len(timeouts), func(i int) error {
 		for range 40 {
 			ctx, cancel := context.WithCancel(context.Background())
-			tm := time.AfterFunc(patience[i], cancel)
+			tm := time.AfterFunc(timeouts[i], cancel)
 			wg.Add(1)
 			_, err := cl.Do(ctx, ta, request("r"))
 			if _, sent := kindOf(err); !sent {
@@ -65,14 +65,14 @@
 	c.Check(cl.Stats("sv").Unconfirmed, qt.Equals, uint64(0))
 }
 
-// A hedge's loser keeps its slot, and each hedge costs a new connection of 6 ms.
-// The Cancel goes over a spare connection, the server answers the cancelled
-// request, and its connection is used again.
-func TestCancel(t *testing.T) {
+// Guards against a losing attempt that keeps its slot, and against hedges that
+// each cost a new connection of 6 ms. The Cancel goes over a spare connection,
+// the server answers the cancelled request, and its connection is reused.
+func TestCancelFreesSlotAndConnection(t *testing.T) {
 	c := qt.New(t)
 	le, ta := startLeaf(c, leaf.Config{Slots: 1, ConnectionLimit: 2, Latency: leaf.Latency{Median: time.Hour}})
-	settled := make(chan backend.AbandonedRequest, 1)
-	cl := newClient(c, backend.ClientConfig{LingerTimeout: time.Minute, OnAbandoned: func(se backend.AbandonedRequest) { settled <- se }})
+	abandoned := make(chan backend.AbandonedRequest, 1)
+	cl := newClient(c, backend.ClientConfig{LingerTimeout: time.Minute, OnAbandoned: func(se backend.AbandonedRequest) { abandoned <- se }})
 	for range 3 {
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() {
@@ -82,8 +82,8 @@
 			cancel()
 		}()
 		_, err := cl.Do(ctx, ta, request("r1"))
-		check(c, err, backend.Cancelled, true)
-		c.Check((<-settled).Stopped, qt.IsTrue)
+		checkError(c, err, backend.Cancelled, true)
+		c.Check((<-abandoned).Stopped, qt.IsTrue)
 	}
 	co := le.Counts()
 	c.Check(co.Running, qt.Equals, 0)
@@ -91,10 +91,10 @@
 	c.Check(co.Accepted, qt.Equals, 2)
 }
 
-// The only connection of the share has gone silent, and the close of it is lost
-// as well. The retry comes at once, while the old connection still counts; it
-// waits for its place instead of failing.
-func TestSilentLastConnection(t *testing.T) {
+// The only connection of the share has gone silent, and its close is lost as
+// well. The retry comes at once, while the old connection still counts as open;
+// it waits for the old one's place instead of failing.
+func TestRetryWaitsForClosingSilentConnection(t *testing.T) {
 	c := qt.New(t)
 	le, ta := startLeaf(c, leaf.Config{ConnectionLimit: 2})
 	ta.MaxConnections = 1
@@ -102,19 +102,19 @@
 	_, err := cl.Do(context.Background(), ta, request("r1"))
 	c.Assert(err, qt.IsNil)
 	le.SetFaults(leaf.Faults{Silent: true, SilentHeld: true})
-	impatient := ta
-	impatient.SilenceTimeout = 20 * time.Millisecond
-	_, err = cl.Do(context.Background(), impatient, request("r2"))
-	check(c, err, backend.Silent, true)
+	short := ta
+	short.SilenceTimeout = 20 * time.Millisecond
+	_, err = cl.Do(context.Background(), short, request("r2"))
+	checkError(c, err, backend.Silent, true)
 	_, err = cl.Do(context.Background(), ta, request("r3"))
 	c.Assert(err, qt.IsNil)
 	c.Check(cl.Stats("sv").Unconfirmed, qt.Equals, uint64(1))
 }
 
-// The faults of an emulated server show as their kinds, and none of them reaches
-// the request that follows. A doubled reply shows only if the connection is
-// taken for the next request before the second copy has come.
-func TestFaults(t *testing.T) {
+// The faults of an emulated server result in the matching error kinds, and none
+// of them affects the following request. A duplicate reply is detected only if
+// the connection carries the next request before the second copy has arrived.
+func TestFaultsDoNotAffectNextRequest(t *testing.T) {
 	for _, tc := range []struct {
 		fa    leaf.Faults
 		kinds []backend.ErrorKind
@@ -133,17 +133,17 @@
 			c.Check(tc.kinds, qt.Contains, kind)
 			c.Check(sent, qt.Equals, err != nil)
 		}
-		// Never more; less by those that met the second copy of a reply, which ends
-		// the connection before the server has read them.
+		// Never more. It may be fewer by those that met the second copy of a reply,
+		// which closes the connection before the server has read them.
 		co := le.Counts()
 		c.Check(co.Requests <= 20, qt.IsTrue)
 		c.Check(co.Requests == 20 || tc.fa.Doubled > 0, qt.IsTrue)
 	}
 }
 
-// A server that leaves the view loses its connections; one that moves gets new
-// ones, and the share holds for old and new together.
-func TestRetain(t *testing.T) {
+// A server that leaves the view loses its connections. One that moves gets new
+// ones, and the share applies to old and new ones together.
+func TestSetTargetsClosesAndReplacesConnections(t *testing.T) {
 	c := qt.New(t)
 	le, ta := startLeaf(c, leaf.Config{ConnectionLimit: 4})
 	cl := newClient(c, backend.ClientConfig{CloseTimeout: time.Minute})
--- a/backend/message.go
+++ b/backend/message.go
@@ -8,44 +8,44 @@
 
 // The paths of a backend server's endpoints.
 const (
-	QueryPath  = "/query"  // QueryPath takes a Request by POST and gives a Reply.
-	CancelPath = "/cancel" // CancelPath takes a Cancel by POST and gives a CancelReply.
-	HealthPath = "/health" // HealthPath gives a Health; it may lag.
-	LoadPath   = "/load"   // LoadPath gives a Load; it may lag or mislead.
+	QueryPath  = "/query"  // accepts a Request by POST and returns a Reply
+	CancelPath = "/cancel" // accepts a Cancel by POST and returns a CancelReply
+	HealthPath = "/health" // returns a Health, which may be outdated
+	LoadPath   = "/load"   // returns a Load, which may be outdated or wrong
 )
 
-// AnnouncePath is the path of an instance's endpoint that takes a Record by
-// POST and gives an AnnounceReply.
+// AnnouncePath is the path of an instance's endpoint that accepts a Record by
+// POST and returns an AnnounceReply.
 const AnnouncePath = "/announce"
 
-// AnnounceReply answers an announcement.
+// AnnounceReply is the response to an announcement.
 type AnnounceReply struct {
 	Instance  string
-	Instances []string // Instances are the announce addresses of instances to turn to, nearest first.
-	// RepeatMillis is how soon the server should announce itself again.
+	Instances []string // announce addresses of instances to use, nearest first
+	// Time in milliseconds after which the server should announce itself again.
 	RepeatMillis int64
 }
 
 // Request asks one backend server for one shard's part of a query.
 type Request struct {
-	RequestID     string // RequestID is unique for each attempt and comes back in the reply.
+	RequestID     string // unique for each attempt and repeated in the reply
 	Service       string
 	Shard         string
 	Snapshot      snapshot.ID
-	TimeoutMillis int64 // TimeoutMillis is the time left when the request was sent.
+	TimeoutMillis int64 // time left when the request was sent
 	Repeatable    bool
-	Key           string `json:",omitempty"` // Key is the caller's key of a not-repeatable request.
+	Key           string `json:",omitempty"` // the caller's key of a non-repeatable request
 	Query         json.RawMessage
 }
 
-// ReplyCode says what became of a Request.
+// ReplyCode is the outcome of a Request.
 type ReplyCode string
 
 // The reply codes of a backend server.
 const (
 	ReplyOK             ReplyCode = "OK"
-	ReplyShed           ReplyCode = "Shed"           // no slot free; not run
-	ReplyDraining       ReplyCode = "Draining"       // leaving; not run
+	ReplyShed           ReplyCode = "Shed"           // no free slot; not run
+	ReplyDraining       ReplyCode = "Draining"       // draining; not run
 	ReplyVersionGone    ReplyCode = "VersionGone"    // no longer holds the snapshot; not run
 	ReplyWrongShard     ReplyCode = "WrongShard"     // does not hold the shard; not run
 	ReplyBad            ReplyCode = "Bad"            // malformed request; not run
@@ -54,7 +54,7 @@
 	ReplyFailed         ReplyCode = "Failed"         // ran and failed
 )
 
-// NotRun reports whether the backend server promises that it did not begin.
+// NotRun reports whether the backend server guarantees that it did not begin.
 func (rc ReplyCode) NotRun() bool {
 	switch rc {
 	case ReplyShed, ReplyDraining, ReplyVersionGone, ReplyWrongShard, ReplyBad:
@@ -64,9 +64,9 @@
 	}
 }
 
-// Reply is a backend server's answer to a Request. Server, Shard, Snapshot and
-// RequestID are its own statement; a reply that differs from the request in
-// any of them is not an answer to it.
+// Reply is a backend server's answer to a Request. The server itself states
+// Server, Shard, Snapshot and RequestID; a reply that differs from the request
+// in any of them is not an answer to it.
 type Reply struct {
 	RequestID        string
 	Server           string
@@ -75,7 +75,7 @@
 	Snapshot         snapshot.ID
 	Code             ReplyCode
 	Rows             []json.RawMessage `json:",omitempty"`
-	Running          int               // Running is the server's own count of requests in its slots.
+	Running          int               // the server's own count of requests in its slots
 	RetryAfterMillis int64             `json:",omitempty"`
 }
 
@@ -84,19 +84,19 @@
 	RequestID string
 }
 
-// CancelReply says whether the request is known to have stopped.
+// CancelReply states whether the request is known to have stopped.
 type CancelReply struct {
 	RequestID string
-	Stopped   bool // Stopped is false while the request still holds its slot.
+	Stopped   bool // false while the request still holds its slot
 }
 
-// Health is what a backend server says of its health.
+// Health is the health that a backend server reports.
 type Health struct {
 	Server string
 	State  State
 }
 
-// Load is what a backend server says of its load.
+// Load is the load that a backend server reports.
 type Load struct {
 	Server      string
 	Running     int
--- a/backend/pool.go
+++ b/backend/pool.go
@@ -12,47 +12,48 @@
 )
 
 var (
-	errShareUsed    = errors.New("share of connections in use")
-	errPoolGone     = errors.New("pool forgotten")
+	errShareInUse   = errors.New("all connections of the share are in use")
+	errPoolRemoved  = errors.New("connection pool removed")
 	errClientClosed = errors.New("client closed")
 )
 
-// use is what a connection is acquired for.
-type use int
+// purpose is what a connection is acquired for.
+type purpose int
 
 const (
-	forQuery use = iota
+	forQuery purpose = iota
 	forCancel
 )
 
-// brief is what a connection for this use adds to those that come free soon.
-func (us use) brief() int {
-	if us == forCancel {
+// numCancels returns how many Cancels a connection with this purpose carries.
+func (pu purpose) numCancels() int {
+	if pu == forCancel {
 		return 1
 	}
 	return 0
 }
 
 // pool holds the connections to one backend server. Every connection is counted
-// in exactly one of dialing, busy, lingering, idle and closing, from before it is
-// dialed until its end is confirmed, so that their sum never exceeds the share.
+// in exactly one of dialing, busy, lingering, idle and closing, from before it
+// is dialed until its close is confirmed, so that their sum never exceeds the
+// share.
 type pool struct {
 	cl *Client
 
-	mu        sync.Mutex
-	ta        Target
-	retired   bool // retired says that the server is in no view any more.
-	gone      bool // gone says that the client has forgotten the pool.
-	dialing   int
-	busy      int
-	closing   int
-	brief     int                // brief counts the Cancels under way; each ends soon.
-	orphans   int                // orphans counts the connections being dialed for requests that have gone.
-	idle      []*conn            // idle are in the order of their return, newest last.
-	lingering []*conn            // lingering are in the order of their requests' ends.
-	conns     map[*conn]struct{} // conns are all but those being dialed or closed.
-	changed   chan struct{}      // changed is closed when a connection changes its place.
-	st        ConnStats
+	mu          sync.Mutex
+	ta          Target
+	retired     bool // whether the server is no longer in any view
+	removed     bool // whether the client has removed the pool
+	dialing     int
+	busy        int
+	closing     int
+	cancels     int                // Cancels in flight; each ends soon
+	orphanDials int                // connections being dialed for requests that have ended
+	idle        []*conn            // in the order of their return, newest last
+	lingering   []*conn            // in the order in which their requests ended
+	conns       map[*conn]struct{} // all except those being dialed or closed
+	changed     chan struct{}      // closed when a connection changes its state
+	st          ConnStats
 }
 
 func newPool(cl *Client, ta Target) *pool {
@@ -76,52 +77,52 @@
 
 // acquire returns a connection for one request: an idle one, or a new one
 // within the share. It waits for connections that are being closed. For a
-// Cancel, which is less urgent, it closes no lingering one to make room.
+// Cancel, which is less urgent, it closes no lingering connection to make room.
 //
-// What stands in for a request without a reply would meet the same fate on
-// another idle connection that went silent in the same moment. It shows as
-// hedges, retries and Cancels that get no reply either. So those on which
-// nothing came since are closed before they cost another request its wait.
-func (po *pool) acquire(ctx context.Context, ta Target, us use) (*conn, *Error) {
+// A hedge, retry or Cancel sent because of a missing reply would fail the same
+// way on another idle connection that went silent at the same time. So idle
+// connections that have received no reply since ReplySince are closed before
+// they cost another request its wait.
+func (po *pool) acquire(ctx context.Context, ta Target, pu purpose) (*conn, *Error) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	if po.gone {
-		return nil, &Error{Kind: NoConnection, Server: ta.Server, Err: errPoolGone}
+	if po.removed {
+		return nil, &Error{Kind: NoConnection, Server: ta.Server, Err: errPoolRemoved}
 	}
-	if err := po.retarget(ta); err != nil {
+	if err := po.setTarget(ta); err != nil {
 		return nil, &Error{Kind: DialFailed, Server: ta.Server, Err: err}
 	}
-	if us == forQuery {
+	if pu == forQuery {
 		po.retired = false
 	}
 	if !ta.ReplySince.IsZero() {
-		po.closeIdle(func(cn *conn) bool { return !cn.proved.After(ta.ReplySince) })
+		po.closeIdle(func(cn *conn) bool { return !cn.lastReply.After(ta.ReplySince) })
 	}
 	for {
 		if cn := po.takeIdle(); cn != nil {
-			po.brief += us.brief()
+			po.cancels += pu.numCancels()
 			return cn, nil
 		}
 		if po.open() < po.ta.MaxConnections {
-			po.brief += us.brief()
+			po.cancels += pu.numCancels()
 			cn, er := po.dial(ctx)
 			if er != nil {
-				po.brief -= us.brief()
+				po.cancels -= pu.numCancels()
 				po.notify()
 			}
 			return cn, er
 		}
-		if !po.endsSoon() && !(us == forQuery && po.evictOne()) {
-			return nil, &Error{Kind: NoConnection, Server: ta.Server, Err: errShareUsed}
+		if !po.mayFreeSoon() && !(pu == forQuery && po.evictLingering()) {
+			return nil, &Error{Kind: NoConnection, Server: ta.Server, Err: errShareInUse}
 		}
-		if !po.waitChange(ctx) {
+		if !po.waitForChange(ctx) {
 			return nil, contextError(ctx, ta.Server, false)
 		}
 	}
 }
 
-// retarget takes over a newer address, incarnation and share.
-func (po *pool) retarget(ta Target) error {
+// setTarget applies a newer address, incarnation and share.
+func (po *pool) setTarget(ta Target) error {
 	if ta.Incarnation < po.ta.Incarnation {
 		if ta.Address != po.ta.Address {
 			return fmt.Errorf("incarnation %d is superseded by %d", ta.Incarnation, po.ta.Incarnation)
@@ -134,17 +135,18 @@
 		po.closeIdle(func(*conn) bool { return true })
 	}
 	for len(po.idle) > 0 && po.open()-po.closing > ta.MaxConnections {
-		po.closeOldest()
+		po.closeOldestIdle()
 	}
 	return nil
 }
 
-// takeIdle returns the newest idle connection that still lives, as busy.
+// takeIdle returns the newest idle connection that is still usable and marks it
+// as busy.
 func (po *pool) takeIdle() *conn {
 	for len(po.idle) > 0 {
 		cn := po.idle[len(po.idle)-1]
 		po.idle = po.idle[:len(po.idle)-1]
-		if po.cl.ts.Now().Sub(cn.proof) < po.cl.cf.IdleTimeout && cn.quiet() {
+		if po.cl.ts.Now().Sub(cn.lastProgress) < po.cl.cf.IdleTimeout && cn.usable() {
 			po.busy++
 			return cn
 		}
@@ -153,14 +155,14 @@
 	return nil
 }
 
-// endsSoon reports whether a connection comes free without more being done.
-func (po *pool) endsSoon() bool {
-	return po.closing > 0 || po.brief > 0 || po.orphans > 0
+// mayFreeSoon reports whether a connection becomes free without further action.
+func (po *pool) mayFreeSoon() bool {
+	return po.closing > 0 || po.cancels > 0 || po.orphanDials > 0
 }
 
-// evictOne closes the longest lingering connection and reports whether there
-// was one.
-func (po *pool) evictOne() bool {
+// evictLingering closes the connection that has lingered longest and reports
+// whether any was lingering.
+func (po *pool) evictLingering() bool {
 	for _, cn := range po.lingering {
 		if cn.evict() {
 			break
@@ -170,14 +172,14 @@
 }
 
 // evict closes a connection if it still lingers, and reports whether it did.
-// Once its late reply came, it may carry another request.
+// Once its late reply has come, it may carry another request.
 func (po *pool) evict(cn *conn) bool {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 	return slices.Contains(po.lingering, cn) && cn.evict()
 }
 
-func (po *pool) waitChange(ctx context.Context) bool {
+func (po *pool) waitForChange(ctx context.Context) bool {
 	if po.changed == nil {
 		po.changed = make(chan struct{})
 	}
@@ -199,29 +201,31 @@
 	}
 }
 
-// dialed is the outcome of opening a connection.
-type dialed struct {
+// dialResult is the result of opening a connection.
+type dialResult struct {
 	cn *conn
 	er *Error
 }
 
-// dial opens a connection, as busy. It is counted before the first packet
-// leaves. If the context ends first, the connection becomes an idle one.
+// dial opens a connection and marks it as busy. It counts the connection before
+// the first packet is sent. If the context ends first, the connection becomes
+// idle.
 //
-// To break the opening off instead would leave a connection that the backend
-// server has accepted and counts towards its limit, while it counts no more here.
+// Aborting the dial instead could leave a connection that the backend server
+// has accepted and counts towards its limit, while it is no longer counted
+// here.
 func (po *pool) dial(ctx context.Context) (*conn, *Error) {
 	po.dialing++
 	ta := po.ta
 	po.mu.Unlock()
 	defer po.mu.Lock()
-	done := make(chan dialed)
+	done := make(chan dialResult)
 	go func() {
 		cn, er := po.connect(ta)
 		select {
-		case done <- dialed{cn, er}:
+		case done <- dialResult{cn, er}:
 		case <-ctx.Done():
-			po.adopt(cn)
+			po.adoptDialed(cn)
 		}
 	}()
 	select {
@@ -229,7 +233,7 @@
 		return di.cn, di.er
 	case <-ctx.Done():
 		po.mu.Lock()
-		po.orphans++
+		po.orphanDials++
 		po.mu.Unlock()
 		return nil, contextError(ctx, ta.Server, false)
 	}
@@ -253,75 +257,77 @@
 	return cn, nil
 }
 
-// adopt takes a new connection whose request has gone, or nil.
-func (po *pool) adopt(cn *conn) {
+// adoptDialed takes over a new connection whose request has ended; cn is nil if
+// the dial failed.
+func (po *pool) adoptDialed(cn *conn) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	po.orphans--
+	po.orphanDials--
 	if cn == nil {
 		return
 	}
 	po.busy--
 	cn.reusable = true
-	po.settleIn(cn)
+	po.idleOrClose(cn)
 }
 
-// release takes a connection back, after a whole reply or unused.
+// release takes a connection back, after a complete reply or unused.
 func (po *pool) release(cn *conn, replied bool) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	cn.carries = ""
+	cn.requestID = ""
 	if replied {
-		cn.proved = po.cl.ts.Now()
+		cn.lastReply = po.cl.ts.Now()
 	}
 	po.busy--
-	po.settleIn(cn)
+	po.idleOrClose(cn)
 }
 
-// carry notes the request that a connection carries.
-func (po *pool) carry(cn *conn, requestID string) {
+// setRequest records the request that a connection carries.
+func (po *pool) setRequest(cn *conn, requestID string) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	cn.carries = requestID
+	cn.requestID = requestID
 }
 
-// heard returns when a whole reply last came over a connection that was open
-// when the one that carries the request last worked; zero if none did.
-func (po *pool) heard(requestID string) time.Time {
+// lastReply returns when a complete reply last came over a connection that was
+// already open when the connection carrying the request last worked; zero if
+// none did.
+func (po *pool) lastReply(requestID string) time.Time {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 	var worked, last time.Time
 	for cn := range po.conns {
-		if cn.carries == requestID {
-			worked = cn.proved
+		if cn.requestID == requestID {
+			worked = cn.lastReply
 		}
 	}
 	for cn := range po.conns {
-		if !cn.opened.After(worked) && cn.proved.After(cn.opened) && cn.proved.After(last) {
-			last = cn.proved
+		if !cn.opened.After(worked) && cn.lastReply.After(cn.opened) && cn.lastReply.After(last) {
+			last = cn.lastReply
 		}
 	}
 	return last
 }
 
-// endBrief notes the end of a Cancel.
-func (po *pool) endBrief() {
+// cancelDone records the end of a Cancel.
+func (po *pool) cancelDone() {
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	po.brief--
+	po.cancels--
 	po.notify()
 }
 
-// settleIn makes a connection idle, or closes it if it may not be used again.
-func (po *pool) settleIn(cn *conn) {
+// idleOrClose makes a connection idle, or closes it if it must not be reused.
+func (po *pool) idleOrClose(cn *conn) {
 	current := cn.ta.Address == po.ta.Address && cn.ta.Incarnation == po.ta.Incarnation
 	if po.retired || !current || !cn.reusable || po.open()-po.closing >= po.ta.MaxConnections {
 		po.startClose(cn)
 		return
 	}
 	po.idle = append(po.idle, cn)
-	if po.cl.ts.Now().Sub(po.idle[0].proof) >= po.cl.cf.IdleTimeout {
-		po.closeOldest()
+	if po.cl.ts.Now().Sub(po.idle[0].lastProgress) >= po.cl.cf.IdleTimeout {
+		po.closeOldestIdle()
 	}
 	po.notify()
 }
@@ -334,15 +340,15 @@
 	po.startClose(cn)
 }
 
-// abandon closes a busy connection that went silent, and with it every idle
+// closeSilent closes a busy connection that went silent, and every idle
 // connection that was opened before the silent request was sent.
 //
-// Something between the two ends can lose track of open connections: requests
-// on them vanish for good while new connections work. It shows as no progress
-// until the deadline, for one request after another, one for each connection
-// that was open then. Closing the idle ones too makes the next attempt open a new
-// connection, so the loss costs one wait at most.
-func (po *pool) abandon(cn *conn) {
+// A device between the two ends can lose track of open connections: requests on
+// them are lost, while new connections work. One request after another then
+// makes no progress until its deadline, once for each connection that was open
+// at that time. Closing the idle connections too makes the next attempt open a
+// new one, so the loss costs at most one wait.
+func (po *pool) closeSilent(cn *conn) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 	po.busy--
@@ -350,29 +356,31 @@
 	po.startClose(cn)
 	po.closeIdle(func(ot *conn) bool { return !ot.opened.After(cn.sentAt) })
 	po.cl.lg.Warn("backend.connection.silent", zap.String("Server", po.ta.Server),
-		zap.Duration("Age", cn.sentAt.Sub(cn.opened)), zap.Duration("SilentAfter", cn.silent))
+		zap.Duration("Age", cn.sentAt.Sub(cn.opened)), zap.Duration("SilentAfter", cn.silenceTimeout))
 }
 
-// lose ends the lingering of a connection on which a request or its reply was
-// lost, and closes the idle connections on which nothing came since it was sent.
+// closeLost ends the lingering of a connection on which a request or its reply
+// was lost, and closes the idle connections that have received no reply since
+// it was sent.
 //
-// The backend server says over another connection that it does not run the
-// request, and no reply to it comes: so the connection is silent, and those of
-// its age may be. Without this each of them would cost one more request its wait.
-func (po *pool) lose(cn *conn, sent time.Time) {
+// The backend server confirmed over another connection that it does not run the
+// request, and no reply to it arrives. So the connection is silent, and others
+// of its age may be too. Without this, each of them would cost one more request
+// its wait.
+func (po *pool) closeLost(cn *conn, sent time.Time) {
 	if !po.evict(cn) {
 		return
 	}
 	po.mu.Lock()
 	defer po.mu.Unlock()
 	po.st.Lost++
-	po.closeIdle(func(ot *conn) bool { return !ot.opened.After(sent) && !ot.proved.After(sent) })
+	po.closeIdle(func(ot *conn) bool { return !ot.opened.After(sent) && !ot.lastReply.After(sent) })
 	po.cl.lg.Warn("backend.connection.lost", zap.String("Server", po.ta.Server), zap.Duration("Age", sent.Sub(cn.opened)))
 }
 
-func (po *pool) closeIdle(chosen func(*conn) bool) {
+func (po *pool) closeIdle(match func(*conn) bool) {
 	po.idle = slices.DeleteFunc(po.idle, func(cn *conn) bool {
-		if chosen(cn) {
+		if match(cn) {
 			po.startClose(cn)
 			return true
 		}
@@ -380,16 +388,16 @@
 	})
 }
 
-func (po *pool) closeOldest() {
+func (po *pool) closeOldestIdle() {
 	cn := po.idle[0]
 	po.idle = slices.Delete(po.idle, 0, 1)
 	po.startClose(cn)
 }
 
-// startClose ends a connection that is in no other place any more. It counts as
-// open until the backend server has confirmed the end or CloseWait has passed,
-// because a server that has not yet seen the end counts it towards its limit and
-// would refuse the connection that takes its place.
+// startClose closes a connection that is in no other state any more. It counts
+// as open until the backend server has confirmed the close or CloseTimeout has
+// passed, because a server that has not yet seen the close counts the
+// connection towards its limit and would refuse the one that takes its place.
 func (po *pool) startClose(cn *conn) {
 	po.closing++
 	delete(po.conns, cn)
@@ -414,39 +422,39 @@
 	po.notify()
 }
 
-// unlinger ends the lingering of a connection, after its late reply or without.
-func (po *pool) unlinger(cn *conn, replied bool) {
+// endLinger ends the lingering of a connection, with or without its late reply.
+func (po *pool) endLinger(cn *conn, replied bool) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	cn.carries = ""
+	cn.requestID = ""
 	if replied {
-		cn.proved = po.cl.ts.Now()
+		cn.lastReply = po.cl.ts.Now()
 	}
 	po.lingering = slices.DeleteFunc(po.lingering, func(ot *conn) bool { return ot == cn })
 	cn.reusable = cn.reusable && !cn.isEvicted()
-	po.settleIn(cn)
+	po.idleOrClose(cn)
 }
 
-// retain takes over a target and closes idle connections that have ended or are
-// no longer needed.
-func (po *pool) retain(ta Target) {
+// updateTarget applies a target and closes idle connections that have ended or
+// are no longer needed.
+func (po *pool) updateTarget(ta Target) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	// An older incarnation than the one in use is a late view; its address is of
-	// no use here.
-	_ = po.retarget(ta)
+	// An incarnation older than the one in use comes from an outdated view, so
+	// its address is not used.
+	_ = po.setTarget(ta)
 	po.retired = false
 	oldest := po.cl.ts.Now().Add(-po.cl.cf.IdleTimeout)
-	po.closeIdle(func(cn *conn) bool { return cn.proof.Before(oldest) || !cn.quiet() })
+	po.closeIdle(func(cn *conn) bool { return cn.lastProgress.Before(oldest) || !cn.usable() })
 }
 
-// retire closes the idle connections and reports whether none is open any more;
-// the pool is of no use from then on.
+// retire closes the idle connections and reports whether no connection is open
+// any more. If so, the pool can no longer be used.
 func (po *pool) retire() bool {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 	po.retired = true
 	po.closeIdle(func(*conn) bool { return true })
-	po.gone = po.open() == 0
-	return po.gone
+	po.removed = po.open() == 0
+	return po.removed
 }
--- a/backend/record.go
+++ b/backend/record.go
@@ -1,6 +1,6 @@
-// Package backend speaks to backend servers: it defines what they announce and
-// the requests and replies of their query protocol, and holds the connections
-// to them.
+// Package backend implements the communication with backend servers: it defines
+// their announcements and the requests and replies of their query protocol, and
+// manages the connections to them.
 package backend
 
 import (
@@ -9,15 +9,15 @@
 	"balsamwinch.example/snapshot"
 )
 
-// State is what a backend server announces of itself.
+// State is the state that a backend server announces.
 type State string
 
 // The states of a backend server.
 const (
 	Serving  State = "Serving"
-	Cold     State = "Cold"     // Cold takes work but is slow: its caches are empty.
-	Draining State = "Draining" // Draining finishes its work and takes no more.
-	Left     State = "Left"     // Left is the last word of a server that stopped.
+	Cold     State = "Cold"     // accepts work but is slow because its caches are empty
+	Draining State = "Draining" // finishes its work and accepts no more
+	Left     State = "Left"     // stopped; last announcement of a server
 )
 
 // Holding is one shard of one snapshot that a backend server can answer from.
@@ -26,21 +26,21 @@
 	Snapshot snapshot.ID
 }
 
-// Record is what a backend server announces. A record with a higher
+// Record is the announcement of a backend server. A record with a higher
 // Incarnation, or an equal one and a higher Sequence, replaces an older one.
 type Record struct {
-	Server          string // Server is the name, unique among backend servers.
-	Service         string // Service is the product that it serves, for selectors.
-	Address         string // Address is the IP number and port of its query endpoint.
+	Server          string // name, unique among backend servers
+	Service         string // product that it serves, for selectors
+	Address         string // IP address and port of its query endpoint
 	DataCentre      string
 	Labels          map[string]string
-	Incarnation     uint64 // Incarnation rises with each start of the server.
-	Sequence        uint64 // Sequence rises with each change within an incarnation.
+	Incarnation     uint64 // increases with each start of the server
+	Sequence        uint64 // increases with each change within an incarnation
 	State           State
-	Slots           int // Slots is how many requests it runs at a time.
-	ConnectionLimit int // ConnectionLimit is how many connections it accepts in all.
+	Slots           int // requests that it runs concurrently
+	ConnectionLimit int // connections that it accepts in total
 	Holdings        []Holding
-	TTLMillis       int64 // TTLMillis is how long the record holds without being repeated.
+	TTLMillis       int64 // how long the record is valid unless repeated
 }
 
 // Newer reports whether the record replaces another of the same server.
@@ -51,7 +51,7 @@
 	return re.Sequence > ot.Sequence
 }
 
-// TTL returns how long the record holds without being repeated.
+// TTL returns how long the record is valid unless repeated.
 func (re Record) TTL() time.Duration {
 	return time.Duration(re.TTLMillis) * time.Millisecond
 }
