--- a/instance/asker.go
+++ b/instance/asker.go
@@ -11,91 +11,91 @@
 	"balsamwinch.example/timer"
 )
 
-// Times of a proposal.
+// Timeouts and delays of calls to control.
 const (
-	// proposeTimeout bounds one call with a command, which for a change includes
-	// the wait until it is in force.
-	proposeTimeout = inForceWait + 2*time.Second
+	// proposeTimeout bounds one call with a command. A change includes the wait until it is in
+	// force.
+	proposeTimeout = inForceTimeout + 2*time.Second
 	// intentTimeout bounds one call with an intent.
 	intentTimeout = time.Second
-	// leaderPause is the time before the next instance is asked for its leader.
-	leaderPause = 20 * time.Millisecond
+	// leaderRetryDelay is the delay before the control instances are tried again.
+	leaderRetryDelay = 20 * time.Millisecond
 )
 
-// leaderAsker sends messages to whichever instance leads control.
-type leaderAsker struct {
+// leaderClient calls the control instance that currently leads.
+type leaderClient struct {
 	cf settings.Instance
-	as asker
+	pc peerClient
 	th *thread
 	ts *timer.Service
 }
 
-// order returns whom to ask in turn, the guess first.
-func (la *leaderAsker) order(guess string) []string {
-	names := make([]string, 0, len(la.cf.Control.Voters)+1)
-	if guess != "" {
-		names = append(names, guess)
+// candidates returns the control instances in the order to try them, the hinted leader first.
+func (lc *leaderClient) candidates(hint string) []string {
+	names := make([]string, 0, len(lc.cf.Control.Voters)+1)
+	if hint != "" {
+		names = append(names, hint)
 	}
-	for _, vr := range la.cf.Control.Voters {
-		if vr.Name != guess {
+	for _, vr := range lc.cf.Control.Voters {
+		if vr.Name != hint {
 			names = append(names, vr.Name)
 		}
 	}
 	return names
 }
 
-// until asks control instances in turn until done accepts a reply or the context
-// ends. done gives the name of the leader to ask next, if the reply names one.
-func (la *leaderAsker) until(ctx context.Context, timeout time.Duration, ms peer.Message, done func(peer.Message) (leader string, ok bool)) error {
-	guess := ""
+// call calls control instances in turn until accept takes a reply or the context ends. If the
+// reply names a leader, accept returns that name and it is tried next.
+func (lc *leaderClient) call(ctx context.Context, timeout time.Duration, ms peer.Message, accept func(peer.Message) (leader string, ok bool)) error {
+	hint := ""
 	for {
-		names := la.order(guess)
-		guess = ""
+		names := lc.candidates(hint)
+		hint = ""
 		for _, name := range names {
-			rp, err := la.once(ctx, timeout, name, ms)
+			rp, err := lc.callOne(ctx, timeout, name, ms)
 			if ctx.Err() != nil {
-				return &result.Error{Code: result.ControlUnavailable, Op: "ask control", Detail: "no leader answered in time", Err: ctx.Err()}
+				return &result.Error{Code: result.ControlUnavailable, Op: "call control", Detail: "no leader replied in time", Err: ctx.Err()}
 			}
 			if err != nil {
 				continue
 			}
-			leader, ok := done(rp)
+			leader, ok := accept(rp)
 			if ok {
 				return nil
 			}
 			if leader != "" && leader != name {
-				guess = leader
+				hint = leader
 				break
 			}
 		}
-		if err := la.ts.Sleep(ctx, leaderPause); err != nil {
-			return &result.Error{Code: result.ControlUnavailable, Op: "ask control", Detail: "no leader answered in time", Err: err}
+		if err := lc.ts.Sleep(ctx, leaderRetryDelay); err != nil {
+			return &result.Error{Code: result.ControlUnavailable, Op: "call control", Detail: "no leader replied in time", Err: err}
 		}
 	}
 }
 
-func (la *leaderAsker) once(ctx context.Context, timeout time.Duration, name string, ms peer.Message) (peer.Message, error) {
+func (lc *leaderClient) callOne(ctx context.Context, timeout time.Duration, name string, ms peer.Message) (peer.Message, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return la.as.ask(ctx, name, ms)
+	return lc.pc.call(ctx, name, ms)
 }
 
-// propose resends a command until its outcome is known or the context ends. All
-// commands are idempotent, so a lost reply costs nothing but the resend.
-func (la *leaderAsker) propose(ctx context.Context, timeout time.Duration, cm control.Command) (control.Outcome, error) {
+// propose sends a command and retries until the outcome is known or the context ends. Commands
+// are idempotent, so a command whose reply was lost can be sent again.
+func (lc *leaderClient) propose(ctx context.Context, timeout time.Duration, cm control.Command) (control.Outcome, error) {
 	data, err := control.Encode(cm)
 	if err != nil {
 		return nil, &result.Error{Code: result.Invalid, Op: "encode command", Err: err}
 	}
 	var oc control.Outcome
 	var invalid error
-	err = la.until(ctx, timeout, control.Proposal{Command: data}, func(ms peer.Message) (string, bool) {
+	err = lc.call(ctx, timeout, control.Proposal{Command: data}, func(ms peer.Message) (string, bool) {
 		rp, ok := ms.(control.ProposalReply)
 		if !ok {
 			return "", false
 		}
 		if rp.Code == result.Invalid {
-			invalid = &result.Error{Code: result.Invalid, Op: "propose", Detail: "the leader can't read the command"}
+			invalid = &result.Error{Code: result.Invalid, Op: "propose", Detail: "the leader can't decode the command"}
 			return "", true
 		}
 		if len(rp.Outcome) == 0 {
--- a/instance/configuration.go
+++ b/instance/configuration.go
@@ -11,43 +11,44 @@
 	"balsamwinch.example/operator"
 )
 
-// grant takes over control's answer to a renewal. A configuration is taken only
-// upwards: a grant that was overtaken by a newer one must not revert it, and its
-// lease is still good, because the leader that gave it knew no newer revision.
-func (th *thread) grant(ev granted) {
+// handleGrant applies control's reply to a renewal. The configuration never goes back to an
+// older revision: a grant may arrive after a newer one. The lease of such a grant is still
+// valid, because the leader that granted it knew no newer revision.
+func (th *thread) handleGrant(ev grantReceived) {
 	if ev.gr.Leader != "" {
 		th.leader = ev.gr.Leader
 	}
-	if ev.gr.Revision > th.cfg.Revision && th.follows(ev) && !th.adopt(ev.gr) {
+	if ev.gr.Revision > th.cfg.Revision && th.appliesToCurrent(ev) && !th.applyConfiguration(ev.gr) {
 		return
 	}
 	if !ev.gr.Granted {
 		return
 	}
 	until := ev.sentAt.Add(time.Duration(ev.gr.LeaseMillis) * time.Millisecond)
-	if until.After(th.lease) {
-		th.lease = until
+	if until.After(th.leaseUntil) {
+		th.leaseUntil = until
 	}
 	th.entries = ev.gr.Entries
-	if ev.gr.Roster != th.roster.Load() {
-		th.holders = ev.gr.Instances
-		th.roster.Store(ev.gr.Roster)
+	if ev.gr.Roster != th.rosterDigest.Load() {
+		th.leaseHolders = ev.gr.Instances
+		th.rosterDigest.Store(ev.gr.Roster)
 	}
-	// The same list again says that control still hears them.
-	th.member(member.InstancesGranted{Now: th.ts.Now(), Instances: th.holders})
+	// The list is passed on even if it is unchanged: it shows that control still hears from
+	// these instances.
+	th.stepMember(member.InstancesGranted{Now: th.ts.Now(), Instances: th.leaseHolders})
 	th.dirty = true
 }
 
-// follows reports whether the grant's files build on those in force here. One
-// that was asked for from an older revision lists files as unchanged that did
-// change since; the next renewal brings the right ones.
-func (th *thread) follows(ev granted) bool {
-	return ev.inForce == th.cfg.Revision && ev.gr.Newer
+// appliesToCurrent reports whether the grant's files are a difference to the configuration in
+// force here. A grant that was requested at an older revision may omit files that have changed
+// since; the next renewal returns the right ones.
+func (th *thread) appliesToCurrent(ev grantReceived) bool {
+	return ev.baseRevision == th.cfg.Revision && ev.gr.Newer
 }
 
-// adopt puts the files of a grant in force and reports whether it could. An
-// instance that can't read them must not use the lease that came with them.
-func (th *thread) adopt(gr control.Grant) bool {
+// applyConfiguration puts the files of a grant in force and reports whether they could be
+// read. If not, the lease that came with them must not be used.
+func (th *thread) applyConfiguration(gr control.Grant) bool {
 	files := make(map[string]control.File, len(gr.Names))
 	for _, name := range gr.Names {
 		files[name] = th.files[name]
@@ -69,13 +70,13 @@
 	th.files = files
 	th.lg.Info("configuration-in-force", zap.Uint64("Revision", gr.Revision))
 	th.dirty = true
-	th.publish() // The renewal that is woken must name this revision.
-	th.wake()
+	th.publish() // The triggered renewal must report this revision.
+	th.triggerRenewal()
 	return true
 }
 
-// maxEntries returns how many entry instances may hold a lease. Without a
-// configuration there are no services, so nothing is bounded yet.
+// maxEntries returns how many entry instances may hold a lease. Without a configuration there
+// are no services yet, so the number is unlimited.
 func maxEntries(cfg operator.Configuration) int {
 	if cfg.Limits.MaxEntries == 0 {
 		return math.MaxInt32
--- a/instance/connections.go
+++ b/instance/connections.go
@@ -7,25 +7,24 @@
 	"balsamwinch.example/view"
 )
 
-// viewChanged passes a new view on to the parts that keep something for each
-// backend server. When the lease has run out, the connections are closed: control
-// may give this instance's share of them to another one from then on, and the
-// backend servers would see more than they allow.
+// viewChanged passes a new view to the components that keep state for each backend server.
+// When the lease has expired, all connections to backend servers are closed: control may then
+// give this instance's share of the connections to another instance, and the backend servers
+// would get more than they allow.
 //
-// A view that only makes the lease longer, as one each renewal does, changes
-// nothing for them.
+// A view that only extends the lease, as after each renewal, is skipped.
 func (in *Instance) viewChanged(vi *view.View) {
 	if in.cl == nil {
 		return
 	}
 	now := in.ts.Now()
 	connected := vi.Leased(now) || servesWithoutControl(vi.Configuration)
-	la := in.last
-	if la != nil && now.Before(in.sweepAt) && in.connected == connected && same(la.Servers, vi.Servers) && same(la.Instances, vi.Instances) &&
+	la := in.lastView
+	if la != nil && now.Before(in.nextSweep) && in.connected == connected && sameSlice(la.Servers, vi.Servers) && sameSlice(la.Instances, vi.Instances) &&
 		la.Configuration.Revision == vi.Configuration.Revision && la.Entries == vi.Entries {
 		return
 	}
-	in.last, in.connected, in.sweepAt = vi, connected, now.Add(sweepPeriod)
+	in.lastView, in.connected, in.nextSweep = vi, connected, now.Add(sweepInterval)
 	in.ta.Update(vi)
 	if !connected {
 		in.cl.SetTargets(nil)
--- a/instance/drain.go
+++ b/instance/drain.go
@@ -7,34 +7,33 @@
 	"go.uber.org/zap"
 )
 
-// farewellTime bounds the last words of an instance: a renewal that is under way
-// and the one that gives the lease back.
-const farewellTime = 2 * callTimeout
+// leaveTimeout bounds the last calls of a stopping instance: a renewal in flight and the one
+// that releases the lease.
+const leaveTimeout = 2 * callTimeout
 
-// drain stops the instance without cutting a request off. It leaves the address
-// list at once, and goes on serving until the lists that callers hold have run
-// out: a caller that connects with a list which is still valid must be served,
-// and only the list's time to live tells when there is none left. Then requests
-// in flight finish, the lease is given back and leadership is handed over.
+// drain stops the instance gracefully. It removes itself from the address list at once, but
+// serves until the lists that callers hold have expired: a caller that connects with a valid
+// list must be served, and only the list's TTL tells when no valid list is left. Then requests
+// in flight finish, the lease is released and leadership is handed over.
 func (in *Instance) drain() {
-	ctx, cancel := context.WithTimeout(context.Background(), in.drainWithin())
+	ctx, cancel := context.WithTimeout(context.Background(), in.drainTimeout())
 	defer cancel()
-	if err := in.th.post(ctx, drained{}); err != nil {
+	if err := in.th.post(ctx, drainStarted{}); err != nil {
 		return
 	}
 	if in.self().Entry {
 		_ = in.ts.Sleep(ctx, in.addressTTL())
 	}
-	in.shutDown(ctx, "Caller")
-	in.shutDown(ctx, "Backend")
-	in.farewell(ctx)
-	in.shutDown(ctx, "Operator")
+	in.shutDownListeners(ctx, "Caller")
+	in.shutDownListeners(ctx, "Backend")
+	in.leave(ctx)
+	in.shutDownListeners(ctx, "Operator")
 	in.lg.Info("stopped")
 }
 
-// addressTTL returns how long a caller may still hold a list that names this
-// instance. One that was asked just before the instance left the lists elsewhere
-// gets the time of one renewal on top.
+// addressTTL returns how long a caller may still hold a list that names this instance. Another
+// instance may have returned such a list just before it heard of the drain, so one renewal
+// interval is added.
 func (in *Instance) addressTTL() time.Duration {
 	ttl := in.ce.Load().Configuration.Limits.AddressTTL()
 	if ttl == 0 {
@@ -43,13 +42,13 @@
 	return ttl + in.cf.Timing.Renewal
 }
 
-// drainWithin returns how long a graceful stop takes at most.
-func (in *Instance) drainWithin() time.Duration {
+// drainTimeout returns the longest time that a graceful stop takes.
+func (in *Instance) drainTimeout() time.Duration {
 	return in.addressTTL() + in.cf.Timing.DrainGrace
 }
 
-func (in *Instance) shutDown(ctx context.Context, name string) {
-	for _, li := range in.open {
+func (in *Instance) shutDownListeners(ctx context.Context, name string) {
+	for _, li := range in.listeners {
 		if li.name != name {
 			continue
 		}
@@ -60,23 +59,23 @@
 	}
 }
 
-// farewell closes the connections to backend servers, gives the lease back,
-// hands leadership over and tells the others.
-func (in *Instance) farewell(ctx context.Context) {
+// leave closes the connections to backend servers, releases the lease, hands leadership over
+// and notifies the other instances.
+func (in *Instance) leave(ctx context.Context) {
 	if err := in.en.Wait(ctx); err != nil {
 		in.lg.Warn("requests-cut-off", zap.Int64("Active", int64(in.en.InFlight())), zap.Error(err))
 	}
 	in.cl.Close()
-	ctx, cancel := context.WithTimeout(ctx, farewellTime)
+	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 	in.rn.leave(ctx)
 	reply := make(chan struct{})
-	if err := in.th.post(ctx, leaving{reply: reply}); err != nil {
+	if err := in.th.post(ctx, leaveRequested{reply: reply}); err != nil {
 		return
 	}
 	select {
 	case <-reply:
 	case <-ctx.Done():
 	}
-	_ = in.ts.Sleep(ctx, handOver)
+	_ = in.ts.Sleep(ctx, flushDelay)
 }
--- a/instance/event.go
+++ b/instance/event.go
@@ -9,54 +9,54 @@
 	"balsamwinch.example/quorum"
 )
 
-// event is something that the control thread is told.
+// event is an input of the control thread.
 type event interface{ isEvent() }
 
-// messaged is a message of another instance. A call has a reply channel with
-// room for one message; a one-way message has none.
-type messaged struct {
+// messageReceived is a message from another instance. For a call, reply has room for one
+// message; for a one-way message it is nil.
+type messageReceived struct {
 	from  string
 	ms    peer.Message
 	reply chan<- peer.Message
 }
 
-// announced is an announcement of a backend server.
-type announced struct {
+// serverAnnounced is an announcement of a backend server.
+type serverAnnounced struct {
 	re    backend.Record
 	reply chan<- backend.AnnounceReply
 }
 
-// granted is control's answer to a renewal.
-type granted struct {
-	gr      control.Grant
-	sentAt  time.Time // sentAt is when the renewal was sent; the lease counts from it.
-	inForce uint64    // inForce is the revision that the renewal named.
+// grantReceived is control's reply to a renewal.
+type grantReceived struct {
+	gr           control.Grant
+	sentAt       time.Time // when the renewal was sent; the lease counts from then
+	baseRevision uint64    // the revision that the renewal reported as in force
 }
 
-// formed says that the voter set of the tier's first start is known. An empty
-// set means that this instance is not in it.
-type formed struct {
+// tierFormed carries the voter set of the tier's first start. An empty set means that this
+// instance is not in it.
+type tierFormed struct {
 	vs quorum.VoterSet
 }
 
-// drained says that this instance stops: no new callers, then the end.
-type drained struct{}
+// drainStarted starts a graceful stop: the instance takes no new callers and then stops.
+type drainStarted struct{}
 
-// leaving says that the last request was served. The reply is closed once the
-// others were told.
-type leaving struct {
+// leaveRequested says that the last request was served. reply is closed once the other
+// instances were notified.
+type leaveRequested struct {
 	reply chan<- struct{}
 }
 
-// statusAsked asks for the thread's view of control and membership.
-type statusAsked struct {
-	reply chan<- statusSeen
+// statusRequested asks for the thread's view of control and membership.
+type statusRequested struct {
+	reply chan<- threadStatus
 }
 
-func (messaged) isEvent()    {}
-func (announced) isEvent()   {}
-func (granted) isEvent()     {}
-func (formed) isEvent()      {}
-func (drained) isEvent()     {}
-func (leaving) isEvent()     {}
-func (statusAsked) isEvent() {}
+func (messageReceived) isEvent() {}
+func (serverAnnounced) isEvent() {}
+func (grantReceived) isEvent()   {}
+func (tierFormed) isEvent()      {}
+func (drainStarted) isEvent()    {}
+func (leaveRequested) isEvent()  {}
+func (statusRequested) isEvent() {}
--- a/instance/formation.go
+++ b/instance/formation.go
@@ -12,68 +12,68 @@
 	"balsamwinch.example/timer"
 )
 
-// formationPause is the time between two rounds of asking.
-const formationPause = 100 * time.Millisecond
+// formationRetryDelay is the delay between two rounds of requests.
+const formationRetryDelay = 100 * time.Millisecond
 
-// former finds out, for a fresh disk, whether the tier was formed already.
+// bootstrapper finds out, for an empty disk, whether the tier was already formed.
 //
-// A disk that was lost must never vote as its old self: what it voted for and
-// acknowledged is gone, and a second vote in the same term would make two
-// leaders. So every disk has an identity of its own, the first named control
-// instance alone forms the tier once all others have said that their disks are
-// fresh too, and a fresh disk that finds the tier formed without it waits as an
-// outsider until the leader adds it.
-type former struct {
+// A replaced disk must never vote under the identity of the lost one: the lost disk's votes
+// and acknowledged entries are gone, and a second vote in the same term could elect two
+// leaders. So each disk has its own identity. Only the first configured control instance forms
+// the tier, once all others have reported empty disks too. An empty disk that finds the tier
+// formed without it waits as a non-member until the leader adds it.
+type bootstrapper struct {
 	cf settings.Instance
 	id quorum.ID
-	as asker
+	pc peerClient
 	th *thread
 	ts *timer.Service
 	lg *zap.Logger
 }
 
-// Serve asks the other control instances until the matter is decided, and goes
-// on announcing an outsider until it is a member.
-func (fo *former) Serve(ctx context.Context) error {
-	known := false
+// Serve polls the other control instances until it is decided whether the tier was formed. A
+// disk that is not a member goes on polling, which tells the leader of it, until it has been
+// added.
+func (bs *bootstrapper) Serve(ctx context.Context) error {
+	reported := false
 	for {
-		vs, member, decided := fo.round(ctx)
-		if member && known {
+		vs, member, decided := bs.pollVoters(ctx)
+		if member && reported {
 			return suture.ErrDoNotRestart
 		}
-		if decided && !known {
-			known = true
+		if decided && !reported {
+			reported = true
 			if !member {
 				vs = quorum.VoterSet{}
-				fo.lg.Warn("disk-not-in-voter-set", zap.String("ID", string(fo.id)))
+				bs.lg.Warn("disk-not-in-voter-set", zap.String("ID", string(bs.id)))
 			}
-			if err := fo.th.post(ctx, formed{vs: vs}); err != nil {
+			if err := bs.th.post(ctx, tierFormed{vs: vs}); err != nil {
 				return err
 			}
 			if member {
 				return suture.ErrDoNotRestart
 			}
 		}
-		if err := fo.ts.Sleep(ctx, formationPause); err != nil {
+		if err := bs.ts.Sleep(ctx, formationRetryDelay); err != nil {
 			return err
 		}
 	}
 }
 
-// round asks each other control instance once. It returns the voter set, whether
-// this disk is in it, and whether that is certain.
-func (fo *former) round(ctx context.Context) (vs quorum.VoterSet, member, decided bool) {
-	vrs := fo.cf.Control.Voters
-	fresh := []quorum.ID{fo.id}
+// pollVoters asks each other control instance once. It returns the voter set, whether this
+// disk is a member, and whether the answer is final.
+func (bs *bootstrapper) pollVoters(ctx context.Context) (vs quorum.VoterSet, member, decided bool) {
+	vrs := bs.cf.Control.Voters
+	fresh := []quorum.ID{bs.id}
 	for _, vr := range vrs {
-		if vr.Name == fo.cf.Name {
+		if vr.Name == bs.cf.Name {
 			continue
 		}
-		rp, ok := fo.asks(ctx, vr.Name)
+		rp, ok := bs.requestFormation(ctx, vr.Name)
 		if !ok {
 			continue
 		}
-		if rp.Formed && !includes(vs, fo.id) {
+		if rp.Formed && !includes(vs, bs.id) {
 			vs = rp.Voters
 			decided = true
 		}
@@ -82,18 +82,18 @@
 		}
 	}
 	if decided {
-		return vs, includes(vs, fo.id), true
+		return vs, includes(vs, bs.id), true
 	}
-	if vrs[0].Name == fo.cf.Name && len(fresh) == len(vrs) {
+	if vrs[0].Name == bs.cf.Name && len(fresh) == len(vrs) {
 		return quorum.VoterSet{Voters: fresh}, true, true
 	}
 	return vs, false, false
 }
 
-func (fo *former) asks(ctx context.Context, name string) (formationReply, bool) {
+func (bs *bootstrapper) requestFormation(ctx context.Context, name string) (formationReply, bool) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	ms, err := fo.as.ask(ctx, name, formationRequest{Name: fo.cf.Name, ID: fo.id})
+	ms, err := bs.pc.call(ctx, name, formationRequest{Name: bs.cf.Name, ID: bs.id})
 	if err != nil {
 		return formationReply{}, false
 	}
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -1,6 +1,6 @@
-// Package instance runs one instance of balsamwinch: the control thread that
-// performs what the pure packages decide, the listeners for callers, backend
-// servers, operators and other instances, and the graceful stop.
+// Package instance runs one instance of balsamwinch: the control thread, which performs the
+// actions that the packages without I/O decide on; the listeners for callers, backend servers,
+// operators and other instances; and the graceful stop.
 package instance
 
 import (
@@ -27,46 +27,46 @@
 	"balsamwinch.example/wal"
 )
 
-// Times of the HTTP servers.
+// Limits and delays of the listeners.
 const (
 	headerTimeout = 10 * time.Second
-	// handOver is how long a stopping instance gives its last words to leave.
-	handOver   = 200 * time.Millisecond
-	maxHeaders = 16 << 10
-	// sweepPeriod is how often, at least, idle connections to backend servers that
-	// are past their time are closed.
-	sweepPeriod = 10 * time.Second
+	// flushDelay is how long a stopping instance waits for its last messages to be sent.
+	flushDelay     = 200 * time.Millisecond
+	maxHeaderBytes = 16 << 10
+	// sweepInterval is the longest time between two checks for idle connections to backend
+	// servers that have expired.
+	sweepInterval = 10 * time.Second
 )
 
 // Instance is one running instance.
 type Instance struct {
-	cf   settings.Instance
-	ts   *timer.Service
-	lg   *zap.Logger
-	ce   *view.Cell
-	set  *metrics.Set
-	pe   *peer.Peer
-	th   *thread
-	jo   *wal.Journal
-	rn   *renewer
-	fo   *former
-	la   *leaderAsker
-	cl   *backend.Client
-	ta   *limit.Table
-	en   *fanout.Engine
-	open []listening
+	cf        settings.Instance
+	ts        *timer.Service
+	lg        *zap.Logger
+	ce        *view.Cell
+	set       *metrics.Set
+	pe        *peer.Peer
+	th        *thread
+	jo        *wal.Journal
+	rn        *renewer
+	bs        *bootstrapper
+	lc        *leaderClient
+	cl        *backend.Client
+	ta        *limit.Table
+	en        *fanout.Engine
+	listeners []listener
 
-	last      *view.View // last is the view that the control thread last passed on.
-	sweepAt   time.Time  // sweepAt is when idle connections are looked at again.
-	connected bool       // connected says whether the last view allowed connections.
+	lastView  *view.View // the view that was passed on last
+	nextSweep time.Time  // when idle connections are checked again
+	connected bool       // whether lastView allowed connections to backend servers
 
 	stop chan struct{}
 	once sync.Once
 	kill chan struct{}
 }
 
-// New opens the data folder and listens, and serves nothing before Serve. The
-// TLS settings come from package keys.
+// New opens the data folder and the listeners; requests are served once Serve runs. The TLS
+// configuration comes from package keys.
 func New(cf settings.Instance, tl *tls.Config, ts *timer.Service, lg *zap.Logger) (*Instance, error) {
 	lg = lg.With(zap.String("Instance", cf.Name), zap.String("DataCentre", cf.DataCentre))
 	in := &Instance{
@@ -89,13 +89,13 @@
 	}
 	in.th = newThread(cf, in.self(), in.ce, co, ts, lg, in.viewChanged)
 	in.th.pe = pe
-	in.la = &leaderAsker{cf: cf, as: in, th: in.th, ts: ts}
-	in.rn = &renewer{cf: cf, ce: in.ce, th: in.th, as: in, ts: ts, lg: lg, leaving: make(chan chan<- struct{})}
+	in.lc = &leaderClient{cf: cf, pc: in, th: in.th, ts: ts}
+	in.rn = &renewer{cf: cf, ce: in.ce, th: in.th, pc: in, ts: ts, lg: lg, leaving: make(chan chan<- struct{})}
 	if err := in.openControl(); err != nil {
 		return nil, errors.Join(err, in.close())
 	}
 	in.serveHTTP()
-	in.export()
+	in.registerMetrics()
 	return in, nil
 }
 
@@ -113,7 +113,7 @@
 		return err
 	}
 	in.th.vo = vo
-	in.fo = &former{cf: in.cf, id: vo.id, as: in, th: in.th, ts: in.ts, lg: in.lg}
+	in.bs = &bootstrapper{cf: in.cf, id: vo.id, pc: in, th: in.th, ts: in.ts, lg: in.lg}
 	return nil
 }
 
@@ -131,14 +131,14 @@
 	}
 }
 
-// receive hands a message of another instance to the control thread and waits
-// for the reply if the message is a call.
+// receive passes a message from another instance to the control thread. If the message is a
+// call, it waits for the reply.
 func (in *Instance) receive(ctx context.Context, from string, ms peer.Message) (peer.Message, error) {
 	if !isCall(ms) {
-		return nil, in.th.post(ctx, messaged{from: from, ms: ms})
+		return nil, in.th.post(ctx, messageReceived{from: from, ms: ms})
 	}
 	reply := make(chan peer.Message, 1)
-	if err := in.th.post(ctx, messaged{from: from, ms: ms, reply: reply}); err != nil {
+	if err := in.th.post(ctx, messageReceived{from: from, ms: ms, reply: reply}); err != nil {
 		return nil, err
 	}
 	select {
@@ -159,8 +159,8 @@
 	}
 }
 
-// ask calls another instance, or this one without the network.
-func (in *Instance) ask(ctx context.Context, name string, ms peer.Message) (peer.Message, error) {
+// call calls another instance, or this one without using the network.
+func (in *Instance) call(ctx context.Context, name string, ms peer.Message) (peer.Message, error) {
 	if name == in.cf.Name {
 		return in.receive(ctx, name, ms)
 	}
@@ -181,13 +181,13 @@
 	return ""
 }
 
-// Stop starts a graceful stop, as a SIGTERM does.
+// Stop starts a graceful stop, as SIGTERM does.
 func (in *Instance) Stop() {
 	in.once.Do(func() { close(in.stop) })
 }
 
-// Kill ends the instance without a word to anyone, as far as that can be done
-// within a process. It is for trials of failures.
+// Kill ends the instance without notifying anyone, as far as that is possible within a
+// process. It is for failure tests.
 func (in *Instance) Kill() {
 	close(in.kill)
 }
@@ -198,13 +198,13 @@
 	return !vi.Draining && vi.Configuration.Revision > 0 && vi.Leased(in.ts.Now())
 }
 
-// View returns the newest view.
+// View returns the current view.
 func (in *Instance) View() *view.View {
 	return in.ce.Load()
 }
 
-// Serve runs the instance until the context ends or Stop is called, and then
-// stops gracefully. The error is nil after a graceful stop.
+// Serve runs the instance until the context ends or Stop is called, and then stops gracefully.
+// The error is nil after a graceful stop.
 func (in *Instance) Serve(ctx context.Context) error {
 	running, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -219,27 +219,27 @@
 		in.drain()
 	}
 	cancel()
-	in.cutOff()
+	in.closeServers()
 	<-done
 	return in.close()
 }
 
-// supervise starts all parts under one supervisor.
+// supervise starts all services under one supervisor.
 func (in *Instance) supervise(ctx context.Context) <-chan error {
-	su := suture.New(in.cf.Name, suture.Spec{EventHook: in.supervised})
+	su := suture.New(in.cf.Name, suture.Spec{EventHook: in.logSupervisorEvent})
 	su.Add(in.pe)
 	su.Add(in.th)
 	su.Add(in.rn)
-	if in.fo != nil && !in.th.vo.formed {
-		su.Add(in.fo)
+	if in.bs != nil && !in.th.vo.formed {
+		su.Add(in.bs)
 	}
-	for _, li := range in.open {
+	for _, li := range in.listeners {
 		su.Add(li)
 	}
 	return su.ServeBackground(ctx)
 }
 
-func (in *Instance) supervised(ev suture.Event) {
+func (in *Instance) logSupervisorEvent(ev suture.Event) {
 	if _, ok := ev.(suture.EventServiceTerminate); ok {
 		in.lg.Warn("service-ended", zap.Any("Event", ev.Map()))
 	}
@@ -248,7 +248,7 @@
 // close releases what New opened.
 func (in *Instance) close() error {
 	var errs []error
-	for _, li := range in.open {
+	for _, li := range in.listeners {
 		_ = li.ln.Close()
 	}
 	if in.cl != nil {
--- a/instance/leader.go
+++ b/instance/leader.go
@@ -15,9 +15,9 @@
 	"balsamwinch.example/view"
 )
 
-// renewal grants or refuses a lease. Only a leader that no other can have
-// replaced yet grants, so that two leaders never hand out leases at a time.
-func (vo *voter) renewal(rn control.Renewal) control.Grant {
+// handleRenewal grants or refuses a lease. Only a leader that cannot have been replaced yet
+// grants, so that two leaders never grant leases at the same time.
+func (vo *voter) handleRenewal(rn control.Renewal) control.Grant {
 	now := vo.th.ts.Now()
 	gr := control.Grant{Term: vo.st.Term(), Leader: nameOf(vo.leader)}
 	if !vo.leads(now) {
@@ -40,13 +40,13 @@
 		gr.Newer = true
 		gr.Names, gr.Files = changedSince(vo.sm.Files(), rn.InForce)
 	}
-	vo.settle(now)
+	vo.resolveWaiting(now)
 	return gr
 }
 
-// changedSince returns the names of all files, and the files that changed after
-// the revision. Sending all files to every instance would cost their size times
-// the number of instances for each change.
+// changedSince returns the names of all files, and the files that changed after the revision.
+// Sending all files to every instance would cost their size times the number of instances for
+// each change.
 func changedSince(all []control.File, revision uint64) (names []string, changed []control.File) {
 	for _, fi := range all {
 		names = append(names, fi.Name)
@@ -64,11 +64,11 @@
 	digest uint64
 }
 
-// rosterAt returns the list of lease holders, at most rosterPeriod old. With many
-// instances nearly every renewal finds the list that it holds already, so the list
-// neither has to be made nor sent for each.
+// rosterAt returns the list of lease holders, which may be up to rosterTTL old. With many
+// instances nearly every renewal would get the list that the instance already has, so it is
+// neither built nor sent each time.
 func (vo *voter) rosterAt(now time.Time) roster {
-	if now.Sub(vo.roster.at) < rosterPeriod {
+	if now.Sub(vo.roster.at) < rosterTTL {
 		return vo.roster
 	}
 	vo.roster = roster{at: now, list: vo.bo.Instances(now)}
@@ -81,12 +81,12 @@
 	return vo.roster
 }
 
-// proposal appends a command to the log, with the leader's clock in it. The
-// reply comes once the command is applied, and for a change once it is in force.
-func (vo *voter) proposal(ms control.Proposal, reply chan<- peer.Message) {
+// handleProposal appends a command, stamped with the leader's clock, to the log. The reply is
+// sent once the command is applied, and for a change once it is in force.
+func (vo *voter) handleProposal(ms control.Proposal, reply chan<- peer.Message) {
 	now := vo.th.ts.Now()
 	if !vo.leads(now) {
-		reply <- control.ProposalReply{Code: result.NotLeader, Leader: vo.hint()}
+		reply <- control.ProposalReply{Code: result.NotLeader, Leader: vo.leaderHint()}
 		return
 	}
 	cm, err := control.Decode(ms.Command)
@@ -94,26 +94,26 @@
 		reply <- control.ProposalReply{Code: result.Invalid}
 		return
 	}
-	data, err := control.Encode(stamp(cm, now))
+	data, err := control.Encode(withTimestamp(cm, now))
 	if err != nil {
 		reply <- control.ProposalReply{Code: result.Invalid}
 		return
 	}
-	vo.tag++
-	vo.proposed[vo.tag] = pending{reply: reply}
-	vo.step(quorum.Propose{Now: now, Tag: vo.tag, Data: data})
+	vo.lastTag++
+	vo.proposed[vo.lastTag] = pendingProposal{reply: reply}
+	vo.step(quorum.Propose{Now: now, Tag: vo.lastTag, Data: data})
 }
 
-// hint names the leader to turn to, unless that is this voter, which does not
-// act as one yet.
-func (vo *voter) hint() string {
+// leaderHint names the leader to try next. It is empty if that is this voter, which cannot act
+// as the leader yet.
+func (vo *voter) leaderHint() string {
 	if vo.leader == vo.id {
 		return ""
 	}
 	return nameOf(vo.leader)
 }
 
-func stamp(cm control.Command, now time.Time) control.Command {
+func withTimestamp(cm control.Command, now time.Time) control.Command {
 	switch cm := cm.(type) {
 	case control.Change:
 		cm.When = now
@@ -129,11 +129,10 @@
 	}
 }
 
-// formation answers a control instance that starts. If it comes with another
-// disk than the one that votes under its name, the leader lets it take the old
-// one's place, unless that one was heard from lately: then two processes claim
-// one name, and the operators must choose.
-func (vo *voter) formation(from string, rq formationRequest) formationReply {
+// handleFormation replies to a control instance that starts. If its disk is not the one that
+// votes under its name, the leader starts to replace the old disk. It does not if the old disk
+// was heard from recently: then two processes claim one name, and operators must decide.
+func (vo *voter) handleFormation(from string, rq formationRequest) formationReply {
 	rp := formationReply{ID: vo.id, Formed: vo.formed && vo.appliedIndex > 0}
 	if !rp.Formed {
 		return rp
@@ -143,9 +142,9 @@
 	if nameOf(rq.ID) != from || !vo.leads(now) || includes(rp.Voters, rq.ID) {
 		return rp
 	}
-	old, ok := named(rp.Voters.Voters, from)
-	quiet := replaceAfter * vo.th.cf.Timing.Election
-	if now.Sub(vo.heard[old]) < quiet || now.Sub(vo.leaderSince) < quiet {
+	old, ok := findByName(rp.Voters.Voters, from)
+	silenceTimeout := replaceAfterElectionTimeouts * vo.th.cf.Timing.Election
+	if now.Sub(vo.lastReceived[old]) < silenceTimeout || now.Sub(vo.leaderSince) < silenceTimeout {
 		return rp
 	}
 	if ok {
@@ -159,7 +158,7 @@
 	return vs.HasVoter(id) || vs.HasLearner(id)
 }
 
-func named(ids []quorum.ID, name string) (quorum.ID, bool) {
+func findByName(ids []quorum.ID, name string) (quorum.ID, bool) {
 	for _, id := range ids {
 		if nameOf(id) == name {
 			return id, true
@@ -168,10 +167,10 @@
 	return "", false
 }
 
-// replace removes lost disks whose newcomer votes by now. A newcomer counts only
-// once it has caught up, so that the failure of a second instance right after
-// the repair finds the state on a majority.
-func (vo *voter) replace(now time.Time) {
+// removeReplaced removes lost disks whose replacement is a voter. A replacement becomes a
+// voter only once it has caught up, so that the state is still on a majority if a second
+// instance fails right after the repair.
+func (vo *voter) removeReplaced(now time.Time) {
 	if !vo.leads(now) {
 		clear(vo.replacing)
 		return
@@ -209,8 +208,8 @@
 		rp.LeaderSinceMillis = now.Sub(vo.leaderSince).Milliseconds()
 	}
 	vs := vo.st.Voters()
-	rp.Voters = texts(vs.Voters)
-	rp.Learners = texts(vs.Learners)
+	rp.Voters = idStrings(vs.Voters)
+	rp.Learners = idStrings(vs.Learners)
 	if vo.leads(now) {
 		rp.Holders = vo.bo.Holders(now)
 		_, rp.WaitingFor = vo.bo.InForce(now, rp.Revision)
@@ -218,7 +217,7 @@
 	return rp
 }
 
-func texts(ids []quorum.ID) []string {
+func idStrings(ids []quorum.ID) []string {
 	out := make([]string, 0, len(ids))
 	for _, id := range ids {
 		out = append(out, string(id))
@@ -226,15 +225,15 @@
 	return out
 }
 
-// audit gives audit entries, from the leader alone: another voter may not have
-// heard of a change that its operator was just told of.
+// audit returns audit entries. Only the leader does: another voter may not have received a
+// change whose operator already has the reply.
 func (vo *voter) audit(rq control.AuditRequest) control.AuditReply {
 	if !vo.leads(vo.th.ts.Now()) {
-		return control.AuditReply{Leader: vo.hint()}
+		return control.AuditReply{Leader: vo.leaderHint()}
 	}
 	limit := rq.Limit
-	if limit <= 0 || limit > auditPage {
-		limit = auditPage
+	if limit <= 0 || limit > maxAuditEntries {
+		limit = maxAuditEntries
 	}
 	ens := vo.sm.Audit(rq.From)
 	return control.AuditReply{
@@ -245,12 +244,11 @@
 	}
 }
 
-// files gives the accepted files, from the leader alone: another voter may not
-// have heard of the newest change, and its operator would base an edit on old
-// content.
+// files returns the accepted files. Only the leader does: another voter may not have received
+// the newest change, and its operator would base an edit on old content.
 func (vo *voter) files() filesReply {
 	if !vo.leads(vo.th.ts.Now()) {
-		return filesReply{Leader: vo.hint()}
+		return filesReply{Leader: vo.leaderHint()}
 	}
 	return filesReply{OK: true, Revision: vo.sm.Revision(), Files: vo.sm.Files()}
 }
@@ -258,13 +256,13 @@
 func (vo *voter) changeVoters(ms votersRequest) votersReply {
 	now := vo.th.ts.Now()
 	if !vo.leads(now) {
-		return votersReply{Leader: vo.hint()}
+		return votersReply{Leader: vo.leaderHint()}
 	}
 	vs := vo.st.Voters()
 	rp := votersReply{OK: true, Voters: vs}
 	switch ms.Request.Action {
 	case operator.RemoveVoter:
-		id, ok := named(append(vs.Voters, vs.Learners...), ms.Request.Name)
+		id, ok := findByName(append(vs.Voters, vs.Learners...), ms.Request.Name)
 		if !ok {
 			rp.Detail = "already removed"
 			return rp
@@ -272,7 +270,7 @@
 		vo.step(quorum.ChangeVoters{Now: now, Remove: id})
 		rp.Detail = "removal proposed"
 	default:
-		rp.Detail = "a control instance that starts with another disk asks to be added by itself"
+		rp.Detail = "a control instance that starts with a new disk requests to be added by itself"
 	}
 	rp.Voters = vo.st.Voters()
 	return rp
--- a/instance/leader_bench_test.go
+++ b/instance/leader_bench_test.go
@@ -13,9 +13,9 @@
 	"balsamwinch.example/timer"
 )
 
-// BenchmarkLeaderKilled measures how long no change is accepted after the leading
-// control instance was killed, with the default times: an election, and the lease
-// of the killed instance, which has to run out.
+// BenchmarkLeaderKilled measures how long no change is accepted after the leader was killed,
+// with the default timing: an election, and the lease of the killed instance, which has to
+// expire.
 func BenchmarkLeaderKilled(b *testing.B) {
 	for b.Loop() {
 		b.StopTimer()
--- a/instance/lease_test.go
+++ b/instance/lease_test.go
@@ -16,15 +16,15 @@
 	"balsamwinch.example/timer"
 )
 
-// killedLeader answers as three voters of which i3, the leader, was killed: nobody
-// hears from it, i1 believes for a while that it leads, and i2 leads from leadsAt on.
+// killedLeader replies as three voters of which i3, the leader, was killed: i3 never replies,
+// i1 still names it as the leader for a while, and i2 leads from leadsAt on.
 type killedLeader struct {
 	start   time.Time
 	leadsAt time.Duration
 	asked   []string
 }
 
-func (kl *killedLeader) ask(ctx context.Context, name string, _ peer.Message) (peer.Message, error) {
+func (kl *killedLeader) call(ctx context.Context, name string, _ peer.Message) (peer.Message, error) {
 	kl.asked = append(kl.asked, name)
 	leads := time.Since(kl.start) >= kl.leadsAt
 	switch {
@@ -40,11 +40,11 @@
 	}
 }
 
-// The leader is killed, and another voter leads 0.6 s later. An instance whose renewal
-// waits for the killed one in vain asks it again, as it is next in turn or because a
-// voter that has not noticed names it: its lease runs out with a leader there, and its
-// callers are refused. The one that was silent must be passed over meanwhile.
-func TestSilentVoterIsPassedOver(t *testing.T) {
+// The leader is killed, and another voter leads 0.6 s later. An instance whose renewal timed
+// out at the killed leader must skip it for a while. Otherwise it calls it again, because it
+// is next in turn or a voter that has not noticed names it; its lease then expires although
+// there is a leader, and its callers are refused.
+func TestUnresponsiveVoterIsSkipped(t *testing.T) {
 	var vrs []settings.Voter
 	for _, name := range []string{"i1", "i2", "i3"} {
 		vrs = append(vrs, settings.Voter{Name: name})
@@ -53,23 +53,23 @@
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
 			kl := &killedLeader{start: time.Now(), leadsAt: 600 * time.Millisecond}
-			rn := &renewer{cf: settings.Instance{Control: settings.ControlGroup{Voters: vrs}}, as: kl, ts: timer.New(), guess: "i3", next: next}
+			rn := &renewer{cf: settings.Instance{Control: settings.ControlGroup{Voters: vrs}}, pc: kl, ts: timer.New(), leaderHint: "i3", nextVoter: next}
 			for {
 				if gr, ok := rn.request(t.Context(), control.Renewal{}); ok {
 					c.Assert(gr.Granted, qt.IsTrue)
 					break
 				}
-				c.Assert(rn.ts.Sleep(t.Context(), tickPeriod), qt.IsNil)
+				c.Assert(rn.ts.Sleep(t.Context(), tickInterval), qt.IsNil)
 			}
-			c.Assert(time.Since(kl.start) <= callTimeout+3*tickPeriod, qt.IsTrue, qt.Commentf("%v, asked %v", time.Since(kl.start), kl.asked))
+			c.Assert(time.Since(kl.start) <= callTimeout+3*tickInterval, qt.IsTrue, qt.Commentf("%v, asked %v", time.Since(kl.start), kl.asked))
 		})
 	}
 }
 
-// slowLeader is a leader whose first answer is late.
+// slowLeader is a leader that does not reply to the first call in time.
 type slowLeader struct{ asked []string }
 
-func (sl *slowLeader) ask(ctx context.Context, name string, _ peer.Message) (peer.Message, error) {
+func (sl *slowLeader) call(ctx context.Context, name string, _ peer.Message) (peer.Message, error) {
 	sl.asked = append(sl.asked, name)
 	if name != "i3" {
 		return control.Grant{Leader: "i3"}, nil
@@ -81,31 +81,31 @@
 	return control.Grant{LeaseMillis: 2000, Granted: true, Leader: "i3"}, nil
 }
 
-// The leader is late with one answer and goes on leading. Were it passed over for good,
-// nobody would renew the lease: it must be asked again soon.
-func TestLateVoterIsAskedAgain(t *testing.T) {
+// The leader is late with one reply and goes on leading. It must be called again soon: if it
+// were skipped for good, nobody would renew the lease.
+func TestSlowLeaderIsAskedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		sl := &slowLeader{}
 		vrs := []settings.Voter{{Name: "i1"}, {Name: "i2"}, {Name: "i3"}}
-		rn := &renewer{cf: settings.Instance{Control: settings.ControlGroup{Voters: vrs}}, as: sl, ts: timer.New(), guess: "i3"}
+		rn := &renewer{cf: settings.Instance{Control: settings.ControlGroup{Voters: vrs}}, pc: sl, ts: timer.New(), leaderHint: "i3"}
 		began := time.Now()
 		for {
 			if _, ok := rn.request(t.Context(), control.Renewal{}); ok {
 				break
 			}
-			c.Assert(rn.ts.Sleep(t.Context(), tickPeriod), qt.IsNil)
+			c.Assert(rn.ts.Sleep(t.Context(), tickInterval), qt.IsNil)
 		}
-		c.Assert(time.Since(began) <= callTimeout+silentFor+2*tickPeriod, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
+		c.Assert(time.Since(began) <= callTimeout+unresponsiveTimeout+2*tickInterval, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
 		c.Assert(slices.Contains(sl.asked, "i1"), qt.IsTrue)
 	})
 }
 
-// A tier of one voter has nobody else to ask.
+// With a single voter, an unresponsive voter is not skipped.
 func TestOnlyVoterIsAskedAgain(t *testing.T) {
 	c := qt.New(t)
 	rn := &renewer{cf: settings.Instance{Control: settings.ControlGroup{Voters: []settings.Voter{{Name: "i1"}}}}, ts: timer.New()}
 
-	rn.silent, rn.silentAt = "i1", rn.ts.Now()
-	c.Assert(rn.whom(), qt.Equals, "i1")
+	rn.unresponsive, rn.unresponsiveSince = "i1", rn.ts.Now()
+	c.Assert(rn.selectVoter(), qt.Equals, "i1")
 }
--- a/instance/listeners.go
+++ b/instance/listeners.go
@@ -15,15 +15,15 @@
 	"balsamwinch.example/limit"
 )
 
-// listening is one HTTP server and what it listens on.
-type listening struct {
+// listener is an HTTP server and its TCP listener.
+type listener struct {
 	name string
 	ln   net.Listener
 	sv   *http.Server
 }
 
-// listen opens the TCP listeners, so that addresses chosen by the kernel are
-// known before anything is told to others.
+// listen opens the TCP listeners, so that ports chosen by the kernel are known before the
+// addresses are announced.
 func (in *Instance) listen() error {
 	for _, li := range []struct{ name, address string }{
 		{"Caller", in.cf.Addresses.Caller},
@@ -37,18 +37,18 @@
 		if err != nil {
 			return err
 		}
-		in.open = append(in.open, listening{name: li.name, ln: ln})
+		in.listeners = append(in.listeners, listener{name: li.name, ln: ln})
 	}
 	return nil
 }
 
-// Address returns where the named listener (Caller, Backend, Operator or Peer)
-// listens, or "" if there is none.
+// Address returns the address of the named listener (Caller, Backend, Operator or Peer), or ""
+// if there is none.
 func (in *Instance) Address(name string) string {
 	if name == "Peer" {
 		return in.pe.Address()
 	}
-	for _, li := range in.open {
+	for _, li := range in.listeners {
 		if li.name == name {
 			return li.ln.Addr().String()
 		}
@@ -56,7 +56,7 @@
 	return ""
 }
 
-// serveHTTP makes the handlers and the servers of all listeners.
+// serveHTTP creates the handlers and the servers of all listeners.
 func (in *Instance) serveHTTP() {
 	in.cl = backend.NewClient(in.ts, in.lg, backend.ClientConfig{
 		SilenceTimeout: in.cf.Timing.SilentAfter,
@@ -65,19 +65,19 @@
 	in.ta = limit.NewTable(in.ts, limit.TableConfig{Seed: uint64(in.ts.Now().UnixNano())})
 	ad := limit.NewAdmission(in.ts, limit.AdmissionConfig{MaxLeafRequests: in.cf.Limits.LeafRequests, ServiceCapacity: in.ta.ServiceCapacity})
 	nb := func(percent float64, burst int) fanout.Budget { return limit.NewBudget(percent, burst) }
-	re := &recorder{name: in.cf.Name, la: in.la}
+	re := &recorder{name: in.cf.Name, lc: in.lc}
 	in.en = fanout.New(in.cf.Name, in.ce, in.cl, in.ta, ad, nb, re, in.ts, in.lg, fanout.NewMetrics(in.set))
 	handlers := map[string]http.Handler{
 		"Caller":   caller.New(in.ce, in.en, in.ts, in.lg),
 		"Backend":  in.announceHandler(),
 		"Operator": in.operatorHandler(),
 	}
-	for ix := range in.open {
-		li := &in.open[ix]
+	for ix := range in.listeners {
+		li := &in.listeners[ix]
 		li.sv = &http.Server{
 			Handler:           handlers[li.name],
 			ReadHeaderTimeout: headerTimeout,
-			MaxHeaderBytes:    maxHeaders,
+			MaxHeaderBytes:    maxHeaderBytes,
 			ErrorLog:          zap.NewStdLog(in.lg),
 		}
 	}
@@ -85,41 +85,41 @@
 
 func (in *Instance) announceHandler() http.Handler {
 	mu := http.NewServeMux()
-	mu.Handle(backend.AnnouncePath, backend.NewAnnounceHandler(in.announced, in.lg))
+	mu.Handle(backend.AnnouncePath, backend.NewAnnounceHandler(in.handleAnnounce, in.lg))
 	return mu
 }
 
-func (in *Instance) announced(re backend.Record) backend.AnnounceReply {
+func (in *Instance) handleAnnounce(re backend.Record) backend.AnnounceReply {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	reply := make(chan backend.AnnounceReply, 1)
-	if err := in.th.post(ctx, announced{re: re, reply: reply}); err != nil {
-		return backend.AnnounceReply{Instance: in.cf.Name, RepeatMillis: renounce.Milliseconds()}
+	if err := in.th.post(ctx, serverAnnounced{re: re, reply: reply}); err != nil {
+		return backend.AnnounceReply{Instance: in.cf.Name, RepeatMillis: announceInterval.Milliseconds()}
 	}
 	select {
 	case ar := <-reply:
 		return ar
 	case <-ctx.Done():
-		return backend.AnnounceReply{Instance: in.cf.Name, RepeatMillis: renounce.Milliseconds()}
+		return backend.AnnounceReply{Instance: in.cf.Name, RepeatMillis: announceInterval.Milliseconds()}
 	}
 }
 
-// cutOff ends the HTTP servers at once. After a drain they are down already.
-func (in *Instance) cutOff() {
-	for _, li := range in.open {
+// closeServers closes the HTTP servers at once. After a drain they are already shut down.
+func (in *Instance) closeServers() {
+	for _, li := range in.listeners {
 		_ = li.sv.Close()
 	}
 }
 
 // Serve serves HTTP until the server is shut down.
-func (li listening) Serve(context.Context) error {
+func (li listener) Serve(context.Context) error {
 	if err := li.sv.Serve(li.ln); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return suture.ErrDoNotRestart
 }
 
-// String names the service in the log.
-func (li listening) String() string {
+// String returns the name of the service for the log.
+func (li listener) String() string {
 	return li.name
 }
--- a/instance/local.go
+++ b/instance/local.go
@@ -17,17 +17,17 @@
 	"balsamwinch.example/timer"
 )
 
-// loopback is the IP number of a local tier.
+// loopback is the IP address of a local tier.
 const loopback = "127.0.0.1"
 
-// LocalConfig describes a tier on one machine for demos, trials and tests. Its
-// instances speak over the network as they would apart.
+// LocalConfig describes a tier on one machine for demos and tests. Its instances communicate
+// over the network, as on separate machines.
 type LocalConfig struct {
-	Instances        int      // Instances is how many there are, each an entry.
-	ControlInstances int      // Control is how many of them keep the durable state, from the first.
-	Region           string   // Region is that of all instances.
-	DataCentres      []string // DataCentres are given to the instances in turn.
-	Folder           string   // Folder holds the data folders.
+	Instances        int      // number of instances; each is an entry
+	ControlInstances int      // number of instances, the first ones, with the control role
+	Region           string   // region of all instances
+	DataCentres      []string // assigned to the instances in turn
+	Folder           string   // parent of the data folders
 	Timing           settings.Timing
 	Limits           settings.Limits
 }
@@ -40,7 +40,7 @@
 	client *operator.Client
 }
 
-// localInstance is one instance of a local tier and what it is started from.
+// localInstance is one instance of a local tier and the settings to restart it with.
 type localInstance struct {
 	st   settings.Instance
 	tl   *tls.Config
@@ -48,8 +48,8 @@
 	done chan error
 }
 
-// StartLocal starts a tier. Zero fields of Timing and Limits take their
-// defaults. The tier has no configuration until Apply.
+// StartLocal starts a tier. A zero Timing or Limits means the defaults. The tier has no
+// configuration until Apply.
 func StartLocal(cf LocalConfig, ts *timer.Service, lg *zap.Logger) (*Local, error) {
 	au, err := keys.NewAuthority()
 	if err != nil {
@@ -61,7 +61,7 @@
 	}
 	lo := &Local{ts: ts, lg: lg}
 	for _, st := range all {
-		tl, err := issue(au, st.Name)
+		tl, err := issueTLS(au, st.Name)
 		if err != nil {
 			return nil, errors.Join(err, lo.Close())
 		}
@@ -75,7 +75,7 @@
 	return lo, nil
 }
 
-func issue(au *keys.Authority, name string) (*tls.Config, error) {
+func issueTLS(au *keys.Authority, name string) (*tls.Config, error) {
 	pa, err := au.Issue(keys.Subject{Name: name, IPs: []net.IP{net.ParseIP(loopback)}})
 	if err != nil {
 		return nil, err
@@ -85,7 +85,7 @@
 
 // localSettings returns the settings of each instance.
 func localSettings(cf LocalConfig) ([]settings.Instance, error) {
-	pas, err := freeUDP(cf.Instances)
+	pas, err := freeUDPAddresses(cf.Instances)
 	if err != nil {
 		return nil, err
 	}
@@ -117,9 +117,9 @@
 	return all, nil
 }
 
-// freeUDP returns addresses whose ports were free a moment ago. Voters must know
-// each other's addresses before any of them starts.
-func freeUDP(count int) ([]string, error) {
+// freeUDPAddresses returns addresses whose ports were free when it was called. Voters must
+// know each other's addresses before any of them starts.
+func freeUDPAddresses(count int) ([]string, error) {
 	var out []string
 	var open []net.PacketConn
 	defer func() {
@@ -146,7 +146,7 @@
 	for name, at := range map[string]*string{
 		"Caller": &li.st.Addresses.Caller, "Backend": &li.st.Addresses.Backend, "Operator": &li.st.Addresses.Operator,
 	} {
-		*at = in.Address(name) // A restart comes back to where others know it.
+		*at = in.Address(name) // After a restart the instance listens at the same address.
 	}
 	li.in = in
 	li.done = make(chan error, 1)
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// Instances returns the instances in their order.
+// Instances returns the instances in the order in which they were started.
 func (lo *Local) Instances() []*Instance {
 	var out []*Instance
 	for _, li := range lo.ins {
@@ -163,7 +163,7 @@
 	return out
 }
 
-// Kill ends the instance of the given index without a word to the others.
+// Kill ends the instance with the given index without notifying the others.
 func (lo *Local) Kill(ix int) error {
 	li := lo.ins[ix]
 	li.in.Kill()
@@ -172,13 +172,13 @@
 	return err
 }
 
-// Start starts a killed instance again, from its disk if it has one.
+// Restart starts a killed instance again, from its disk if it has one.
 func (lo *Local) Restart(ix int) error {
 	return lo.ins[ix].start(lo.ts, lo.lg)
 }
 
-// Addresses returns where the named listener (Caller, Backend, Operator or Peer)
-// of each instance listens.
+// Addresses returns the address of the named listener (Caller, Backend, Operator or Peer) of
+// each instance.
 func (lo *Local) Addresses(name string) []string {
 	var out []string
 	for _, li := range lo.ins {
@@ -187,8 +187,8 @@
 	return out
 }
 
-// Apply adds files to the configuration or replaces those of the same names, and
-// returns once they are in force everywhere.
+// Apply adds files to the configuration or replaces those with the same names. It returns once
+// they are in force everywhere.
 func (lo *Local) Apply(ctx context.Context, changeID string, fis []operator.File) error {
 	known, err := lo.client.Files(ctx)
 	if err != nil {
@@ -212,11 +212,11 @@
 	return nil
 }
 
-// Wait returns once cond holds for every instance, or the context's error.
+// Wait returns once cond holds for every instance, or with the context's error.
 func (lo *Local) Wait(ctx context.Context, cond func(*Instance) bool) error {
 	for _, li := range lo.ins {
 		for !cond(li.in) {
-			if err := lo.ts.Sleep(ctx, tickPeriod); err != nil {
+			if err := lo.ts.Sleep(ctx, tickInterval); err != nil {
 				return err
 			}
 		}
@@ -224,7 +224,7 @@
 	return nil
 }
 
-// Close stops all instances gracefully at a time and returns what went wrong.
+// Close stops all instances gracefully and concurrently, and returns their errors.
 func (lo *Local) Close() error {
 	for _, li := range lo.ins {
 		li.in.Stop()
--- a/instance/local_bench_test.go
+++ b/instance/local_bench_test.go
@@ -22,12 +22,12 @@
 	"balsamwinch.example/timer"
 )
 
-// leaves is how many shards the brief's largest service of today has.
+// leaves is the number of shards of the largest service in production.
 const leaves = 13
 
-// BenchmarkQueryOverhead compares a query over 13 shards through an entry with
-// asking the same backend servers directly, turn by turn, without contention.
-// The difference is what the entry adds.
+// BenchmarkQueryOverhead compares a query over 13 shards through an entry with direct requests
+// to the same backend servers, alternately and without contention. The difference is what the
+// entry adds.
 func BenchmarkQueryOverhead(b *testing.B) {
 	ts := timer.New()
 	lo, records := startTier(b, ts)
@@ -94,7 +94,7 @@
 	return lo, lo.Instances()[0].View().Servers
 }
 
-// askAll asks every backend server at a time and waits for all.
+// askAll sends a request to all backend servers concurrently and waits for the replies.
 func askAll(b *testing.B, cl *backend.Client, records []backend.Record) {
 	var wg sync.WaitGroup
 	for _, re := range records {
--- a/instance/message.go
+++ b/instance/message.go
@@ -7,50 +7,49 @@
 	"balsamwinch.example/quorum"
 )
 
-// The kinds of the messages of this package.
+// Kinds of this package's messages.
 const (
-	kindRouted = peer.KindControl + 50 + iota
+	kindRoutedMessage = peer.KindControl + 50 + iota
 	kindFormationRequest
 	kindFormationReply
-	kindNotice
+	kindRevisionNotice
 	kindFilesRequest
 	kindFilesReply
 	kindVotersRequest
 	kindVotersReply
 )
 
-// routed carries a message of the replicated log between two disks. The
-// identities are checked at the receiver: a message for a disk that was lost
-// must not reach the one that replaced it.
-type routed struct {
+// routedMessage carries a message of the replicated log between two disks. The receiver checks
+// both identities: a message for a lost disk must not reach its replacement.
+type routedMessage struct {
 	From, To quorum.ID
 	Frame    []byte
 }
 
-// formationRequest asks a control instance whether the tier was formed, and
-// tells it the asker's identity.
+// formationRequest asks a control instance whether the tier was formed, and gives it the
+// sender's identity.
 type formationRequest struct {
 	Name string
 	ID   quorum.ID
 }
 
-// formationReply is the answer of a control instance.
+// formationReply is the reply to a formationRequest.
 type formationReply struct {
 	ID     quorum.ID
 	Formed bool
 	Voters quorum.VoterSet
 }
 
-// notice tells an instance that a newer revision was committed, so that it
-// renews its lease at once.
-type notice struct {
+// revisionNotice tells an instance that a newer revision was committed, so that it renews its
+// lease at once.
+type revisionNotice struct {
 	Revision uint64
 }
 
 // filesRequest asks the leader for the accepted files.
 type filesRequest struct{}
 
-// filesReply gives the accepted files, or the name of the leader to ask.
+// filesReply returns the accepted files, or the name of the leader to ask.
 type filesReply struct {
 	OK       bool
 	Leader   string
@@ -58,12 +57,12 @@
 	Files    []control.File
 }
 
-// votersRequest asks the leader for a change of the voter set.
+// votersRequest asks the leader to change the voter set.
 type votersRequest struct {
 	Request operator.VotersRequest
 }
 
-// votersReply is the leader's answer.
+// votersReply is the leader's reply, or names the leader to ask.
 type votersReply struct {
 	OK     bool
 	Leader string
@@ -71,37 +70,37 @@
 	Voters quorum.VoterSet
 }
 
-// Kind numbers the message.
-func (routed) Kind() peer.Kind { return kindRouted }
+// Kind implements peer.Message.
+func (routedMessage) Kind() peer.Kind { return kindRoutedMessage }
 
-// Kind numbers the message.
+// Kind implements peer.Message.
 func (formationRequest) Kind() peer.Kind { return kindFormationRequest }
 
-// Kind numbers the message.
+// Kind implements peer.Message.
 func (formationReply) Kind() peer.Kind { return kindFormationReply }
 
-// Kind numbers the message.
-func (notice) Kind() peer.Kind { return kindNotice }
+// Kind implements peer.Message.
+func (revisionNotice) Kind() peer.Kind { return kindRevisionNotice }
 
-// Kind numbers the message.
+// Kind implements peer.Message.
 func (filesRequest) Kind() peer.Kind { return kindFilesRequest }
 
-// Kind numbers the message.
+// Kind implements peer.Message.
 func (filesReply) Kind() peer.Kind { return kindFilesReply }
 
-// Kind numbers the message.
+// Kind implements peer.Message.
 func (votersRequest) Kind() peer.Kind { return kindVotersRequest }
 
-// Kind numbers the message.
+// Kind implements peer.Message.
 func (votersReply) Kind() peer.Kind { return kindVotersReply }
 
 // messages returns a zero value of each message, for the codec.
 func messages() []peer.Message {
 	return []peer.Message{
-		routed{},
+		routedMessage{},
 		formationRequest{},
 		formationReply{},
-		notice{},
+		revisionNotice{},
 		filesRequest{},
 		filesReply{},
 		votersRequest{},
--- a/instance/metrics.go
+++ b/instance/metrics.go
@@ -10,8 +10,8 @@
 	"balsamwinch.example/peer"
 )
 
-// export registers the gauges of the control path.
-func (in *Instance) export() {
+// registerMetrics registers the gauges of the control path.
+func (in *Instance) registerMetrics() {
 	in.set.NewGauge("balsamwinch_revision", func() float64 {
 		return float64(in.ce.Load().Configuration.Revision)
 	})
@@ -25,23 +25,23 @@
 		return float64(len(in.ce.Load().Servers))
 	})
 	in.set.NewGauge("balsamwinch_control_term", func() float64 {
-		return float64(in.seen().control.Term)
+		return float64(in.threadStatus().control.Term)
 	})
 	in.set.NewGauge("balsamwinch_control_leads", func() float64 {
-		if in.seen().leads {
+		if in.threadStatus().leads {
 			return 1
 		}
 		return 0
 	})
-	in.exportTraffic("Quorum", func(co peer.Counters) peer.Traffic { return co.Quorum })
-	in.exportTraffic("Control", func(co peer.Counters) peer.Traffic { return co.Control })
-	in.exportTraffic("Member", func(co peer.Counters) peer.Traffic { return co.Member })
+	in.registerTrafficMetrics("Quorum", func(co peer.Counters) peer.Traffic { return co.Quorum })
+	in.registerTrafficMetrics("Control", func(co peer.Counters) peer.Traffic { return co.Control })
+	in.registerTrafficMetrics("Member", func(co peer.Counters) peer.Traffic { return co.Member })
 }
 
-func (in *Instance) exportTraffic(name string, of func(peer.Counters) peer.Traffic) {
-	gauge := func(metric, way string, value func(peer.Traffic) uint64) {
-		in.set.NewGauge(fmt.Sprintf("balsamwinch_peer_%s{range=%q,way=%q}", metric, name, way), func() float64 {
-			return float64(value(of(in.pe.Counters())))
+func (in *Instance) registerTrafficMetrics(name string, selectTraffic func(peer.Counters) peer.Traffic) {
+	gauge := func(metric, direction string, value func(peer.Traffic) uint64) {
+		in.set.NewGauge(fmt.Sprintf("balsamwinch_peer_%s{range=%q,way=%q}", metric, name, direction), func() float64 {
+			return float64(value(selectTraffic(in.pe.Counters())))
 		})
 	}
 	gauge("messages_total", "in", func(tr peer.Traffic) uint64 { return tr.MessagesIn })
@@ -50,20 +50,20 @@
 	gauge("bytes_total", "out", func(tr peer.Traffic) uint64 { return tr.BytesOut })
 }
 
-// seen asks the control thread for its state, and gives an empty one if it does
-// not answer.
-func (in *Instance) seen() statusSeen {
+// threadStatus asks the control thread for its status, and returns an empty one if it does not
+// reply in time.
+func (in *Instance) threadStatus() threadStatus {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	reply := make(chan statusSeen, 1)
-	if err := in.th.post(ctx, statusAsked{reply: reply}); err != nil {
-		return statusSeen{}
+	reply := make(chan threadStatus, 1)
+	if err := in.th.post(ctx, statusRequested{reply: reply}); err != nil {
+		return threadStatus{}
 	}
 	select {
 	case ss := <-reply:
 		return ss
 	case <-ctx.Done():
-		return statusSeen{}
+		return threadStatus{}
 	}
 }
 
@@ -81,7 +81,7 @@
 	return mu
 }
 
-// readyz says whether callers sent here would be served.
+// readyz reports whether callers sent here would be served, and if not, why.
 func (in *Instance) readyz(rw http.ResponseWriter, _ *http.Request) {
 	vi := in.ce.Load()
 	switch {
--- a/instance/operators.go
+++ b/instance/operators.go
@@ -19,16 +19,16 @@
 	"balsamwinch.example/view"
 )
 
-// statusSeen is what the control thread knows.
-type statusSeen struct {
+// threadStatus is the status of the control thread.
+type threadStatus struct {
 	control   control.StatusReply
 	leads     bool
 	leader    string
 	conflicts []member.AddressConflict
 }
 
-func (th *thread) status() statusSeen {
-	ss := statusSeen{leader: th.leader, conflicts: th.me.AddressConflicts()}
+func (th *thread) status() threadStatus {
+	ss := threadStatus{leader: th.leader, conflicts: th.me.AddressConflicts()}
 	if th.vo != nil {
 		ss.control = th.vo.status()
 		ss.leads = th.vo.leads(th.ts.Now())
@@ -42,7 +42,7 @@
 	for _, fc := range cr.Files {
 		cm.Files = append(cm.Files, control.FileChange(fc))
 	}
-	oc, err := in.la.propose(ctx, proposeTimeout, cm)
+	oc, err := in.lc.propose(ctx, proposeTimeout, cm)
 	if err != nil {
 		return operator.ChangeReply{}, err
 	}
@@ -61,13 +61,13 @@
 	return cp, nil
 }
 
-// leaderStatus asks the leader for its state, and gives an empty one if none
-// answers.
+// leaderStatus asks the leader for its status, and returns an empty one if no leader replies
+// in time.
 func (in *Instance) leaderStatus(ctx context.Context) control.StatusReply {
 	var rp control.StatusReply
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	_ = in.la.until(ctx, callTimeout, control.StatusRequest{}, func(ms peer.Message) (string, bool) {
+	_ = in.lc.call(ctx, callTimeout, control.StatusRequest{}, func(ms peer.Message) (string, bool) {
 		got, ok := ms.(control.StatusReply)
 		if !ok || got.Role != string(quorum.Leader) {
 			return got.Leader, false
@@ -81,7 +81,7 @@
 // Files lists the accepted files.
 func (in *Instance) Files(ctx context.Context) (operator.FilesReply, error) {
 	var fr operator.FilesReply
-	err := in.la.until(ctx, callTimeout, filesRequest{}, func(ms peer.Message) (string, bool) {
+	err := in.lc.call(ctx, callTimeout, filesRequest{}, func(ms peer.Message) (string, bool) {
 		rp, ok := ms.(filesReply)
 		if !ok || !rp.OK {
 			return rp.Leader, false
@@ -100,7 +100,7 @@
 // Status describes the tier as this instance sees it.
 func (in *Instance) Status(ctx context.Context) (operator.Status, error) {
 	vi := in.ce.Load()
-	ss := in.seen()
+	ss := in.threadStatus()
 	ls := in.leaderStatus(ctx)
 	st := operator.Status{
 		Instance:  in.cf.Name,
@@ -156,8 +156,8 @@
 	return out
 }
 
-// services says which snapshot a query of each service would pin, and which
-// shards nobody announces.
+// services returns, for each service, the snapshot that a query would pin and the shards that
+// no server announces.
 func services(vi *view.View) []operator.ServiceStatus {
 	var out []operator.ServiceStatus
 	for name, se := range vi.Configuration.Services {
@@ -202,10 +202,10 @@
 	return out
 }
 
-// Audit lists audit entries, from the leader.
+// Audit returns the leader's audit entries, starting at the given number.
 func (in *Instance) Audit(ctx context.Context, from uint64) (operator.AuditReply, error) {
 	var ar operator.AuditReply
-	err := in.la.until(ctx, callTimeout, control.AuditRequest{From: from, Limit: auditPage}, func(ms peer.Message) (string, bool) {
+	err := in.lc.call(ctx, callTimeout, control.AuditRequest{From: from, Limit: maxAuditEntries}, func(ms peer.Message) (string, bool) {
 		rp, ok := ms.(control.AuditReply)
 		if !ok || !rp.OK {
 			return rp.Leader, false
@@ -231,7 +231,8 @@
 	return oe
 }
 
-// Explain says why something is as it is.
+// Explain returns what this instance knows of a subject: a backend server, a service, a
+// change, a request or the leader.
 func (in *Instance) Explain(ctx context.Context, subject string) (operator.Explanation, error) {
 	ex := operator.Explanation{Subject: subject}
 	vi := in.ce.Load()
@@ -241,7 +242,7 @@
 	ex.Lines = append(ex.Lines, in.explainChange(ctx, subject)...)
 	ex.Lines = append(ex.Lines, in.explainAnswer(subject)...)
 	if len(ex.Lines) == 0 {
-		ex.Lines = []string{"nothing is known of it here: want a backend server, a service, a change id, a request id or \"leader\""}
+		ex.Lines = []string{"unknown subject: want a backend server, a service, a change ID, a request ID or \"leader\""}
 	}
 	return ex, nil
 }
@@ -252,7 +253,7 @@
 	}
 	ls := in.leaderStatus(ctx)
 	if ls.Leader == "" {
-		return []string{"no leader answered: fewer than a majority of the voters reach each other, or an election is running"}
+		return []string{"no leader replied: fewer than a majority of the voters reach each other, or an election is running"}
 	}
 	since := time.Duration(ls.LeaderSinceMillis) * time.Millisecond
 	return []string{
@@ -275,16 +276,16 @@
 			}
 		}
 		st := in.cl.Stats(subject)
-		out = append(out, fmt.Sprintf("%d connections open, %d abandoned as silent, %d closed after a crossed reply", st.Open, st.Silent, st.Mismatched))
+		out = append(out, fmt.Sprintf("%d connections open, %d closed as silent, %d closed after a mismatched reply", st.Open, st.Silent, st.Mismatched))
 		if sv, ok := in.ta.Server(in.ts.Now(), subject); ok {
 			running, held := sv.InFlight()
-			out = append(out, fmt.Sprintf("used as %s %s: %d requests in flight, %d given up but not proved stopped, at most %.1f, latency %s",
+			out = append(out, fmt.Sprintf("state %s %s: %d requests in flight, %d abandoned but not confirmed as stopped, limit %.1f, latency %s",
 				sv.State(), sv.Reason(), running, held, sv.Limit(), sv.Latency()))
 		}
 	}
-	for _, cf := range in.seen().conflicts {
+	for _, cf := range in.threadStatus().conflicts {
 		if cf.Loser == subject {
-			out = append(out, fmt.Sprintf("gets no work: %s claims the same address %s later", cf.Winner, cf.Address))
+			out = append(out, fmt.Sprintf("gets no requests: %s announced the same address %s later", cf.Winner, cf.Address))
 		}
 	}
 	return out
@@ -347,19 +348,19 @@
 		}
 	}
 	in.Stop()
-	return operator.DrainReply{Instance: in.cf.Name, StopsWithinMillis: in.drainWithin().Milliseconds()}, nil
+	return operator.DrainReply{Instance: in.cf.Name, StopsWithinMillis: in.drainTimeout().Milliseconds()}, nil
 }
 
 // ChangeVoters changes the set of voters.
 func (in *Instance) ChangeVoters(ctx context.Context, vr operator.VotersRequest) (operator.VotersReply, error) {
 	var out operator.VotersReply
-	err := in.la.until(ctx, callTimeout, votersRequest{Request: vr}, func(ms peer.Message) (string, bool) {
+	err := in.lc.call(ctx, callTimeout, votersRequest{Request: vr}, func(ms peer.Message) (string, bool) {
 		rp, ok := ms.(votersReply)
 		if !ok || !rp.OK {
 			return rp.Leader, false
 		}
 		out.Detail = rp.Detail
-		out.Voters = in.voters(texts(rp.Voters.Voters), texts(rp.Voters.Learners))
+		out.Voters = in.voters(idStrings(rp.Voters.Voters), idStrings(rp.Voters.Learners))
 		return "", true
 	})
 	return out, err
--- a/instance/proposals.go
+++ b/instance/proposals.go
@@ -10,22 +10,22 @@
 	"balsamwinch.example/result"
 )
 
-// pending is a command that the leader proposed and that is not applied yet.
-type pending struct {
+// pendingProposal is a command that the leader proposed and that is not applied yet.
+type pendingProposal struct {
 	index, term uint64
 	reply       chan<- peer.Message
 }
 
-// waiting is a committed change whose operator waits until it is in force.
-type waiting struct {
-	oc    control.ChangeOutcome
-	pr    control.Progress
-	until time.Time
-	reply chan<- peer.Message
+// waitingChange is a committed change whose operator waits until it is in force.
+type waitingChange struct {
+	oc       control.ChangeOutcome
+	pr       control.Progress
+	deadline time.Time
+	reply    chan<- peer.Message
 }
 
-// answer gives an outcome to the one who waits for the entry, if any.
-func (vo *voter) answer(en quorum.Entry, oc control.Outcome) {
+// replyToProposer sends the outcome of an entry to its proposer, if that is waiting here.
+func (vo *voter) replyToProposer(en quorum.Entry, oc control.Outcome) {
 	for tag, pd := range vo.proposed {
 		if pd.index != en.Index {
 			continue
@@ -35,24 +35,24 @@
 			pd.reply <- control.ProposalReply{Code: result.NotLeader, Leader: nameOf(vo.st.Leader())}
 			continue
 		}
-		vo.deliver(pd.reply, oc)
+		vo.deliverOutcome(pd.reply, oc)
 	}
 }
 
-func (vo *voter) deliver(reply chan<- peer.Message, oc control.Outcome) {
+func (vo *voter) deliverOutcome(reply chan<- peer.Message, oc control.Outcome) {
 	co, ok := oc.(control.ChangeOutcome)
 	if !ok || co.Code != result.Accepted {
 		reply <- outcomeReply(oc)
 		return
 	}
 	now := vo.th.ts.Now()
-	vo.waiting = append(vo.waiting, waiting{
-		oc:    co,
-		pr:    control.NewProgress().WithOutcome(co),
-		until: now.Add(inForceWait),
-		reply: reply,
+	vo.waiting = append(vo.waiting, waitingChange{
+		oc:       co,
+		pr:       control.NewProgress().WithOutcome(co),
+		deadline: now.Add(inForceTimeout),
+		reply:    reply,
 	})
-	vo.settle(now)
+	vo.resolveWaiting(now)
 }
 
 func outcomeReply(oc control.Outcome) control.ProposalReply {
@@ -63,17 +63,16 @@
 	return control.ProposalReply{Code: result.Accepted, Outcome: data}
 }
 
-// settle answers operators whose change is in force by now, or whose patience
-// has run out.
-func (vo *voter) settle(now time.Time) {
+// resolveWaiting replies to operators whose change is in force or whose wait has timed out.
+func (vo *voter) resolveWaiting(now time.Time) {
 	if len(vo.waiting) == 0 {
 		return
 	}
-	vo.waiting = slices.DeleteFunc(vo.waiting, func(wa waiting) bool {
+	vo.waiting = slices.DeleteFunc(vo.waiting, func(wa waitingChange) bool {
 		if all, _ := vo.bo.InForce(now, wa.oc.Revision); all && vo.leads(now) {
 			wa.pr, _ = wa.pr.With(control.EventInForce)
 		}
-		if !wa.pr.Done() && now.Before(wa.until) && vo.role == quorum.Leader {
+		if !wa.pr.Done() && now.Before(wa.deadline) && vo.role == quorum.Leader {
 			return false
 		}
 		wa.reply <- outcomeReply(wa.oc.WithProgress(wa.pr))
@@ -81,7 +80,7 @@
 	})
 }
 
-func (vo *voter) appended(ac quorum.ProposalAppended) {
+func (vo *voter) proposalAppended(ac quorum.ProposalAppended) {
 	pd, ok := vo.proposed[ac.Tag]
 	if !ok {
 		return
@@ -90,7 +89,7 @@
 	vo.proposed[ac.Tag] = pd
 }
 
-func (vo *voter) refused(ac quorum.ProposalRejected) {
+func (vo *voter) proposalRejected(ac quorum.ProposalRejected) {
 	pd, ok := vo.proposed[ac.Tag]
 	if !ok {
 		return
@@ -99,9 +98,10 @@
 	pd.reply <- control.ProposalReply{Code: result.NotLeader, Leader: nameOf(ac.Leader)}
 }
 
-// abandon answers all who wait at a leader that was deposed: their commands may
-// or may not be committed, and they ask the next leader by resending.
-func (vo *voter) abandon() {
+// abandonWaiting replies to all proposers and operators waiting at a leader that lost
+// leadership. Their commands may or may not be committed; they find out by sending them to the
+// next leader.
+func (vo *voter) abandonWaiting() {
 	for tag, pd := range vo.proposed {
 		delete(vo.proposed, tag)
 		pd.reply <- control.ProposalReply{Code: result.NotLeader, Leader: nameOf(vo.leader)}
--- a/instance/recorder.go
+++ b/instance/recorder.go
@@ -9,25 +9,25 @@
 	"balsamwinch.example/result"
 )
 
-// recorder keeps intents in the replicated log.
+// recorder stores intents in the replicated log.
 type recorder struct {
 	name string
-	la   *leaderAsker
+	lc   *leaderClient
 }
 
-// attemptOf names an arrival: the first call of Begin for it makes the name, and
-// Finish must give the same one.
-func (re *recorder) attemptOf() string {
+// newAttemptID returns an identifier for one arrival of a request. The first Begin of an
+// arrival creates it, and Finish must use the same one.
+func (re *recorder) newAttemptID() string {
 	return re.name + "/" + rand.Text()
 }
 
-// Begin records the intent of a not-repeatable request.
+// Begin records the intent of a request that is not repeatable.
 func (re *recorder) Begin(ctx context.Context, in once.Intent) (once.Decision, error) {
 	at := in.Attempt
 	if at == "" {
-		at = re.attemptOf()
+		at = re.newAttemptID()
 	}
-	oc, err := re.la.propose(ctx, intentTimeout, control.BeginIntent{
+	oc, err := re.lc.propose(ctx, intentTimeout, control.BeginIntent{
 		Key:      in.Key,
 		Digest:   in.Digest,
 		Service:  in.Service,
@@ -44,9 +44,9 @@
 	return once.Decision{Status: io.Status, Code: io.Code, Answer: io.Answer}, nil
 }
 
-// Finish records the outcome of a not-repeatable request.
+// Finish records the outcome of a request that is not repeatable.
 func (re *recorder) Finish(ctx context.Context, in once.Intent, code result.Code, answer []byte) error {
-	_, err := re.la.propose(ctx, intentTimeout, control.FinishIntent{
+	_, err := re.lc.propose(ctx, intentTimeout, control.FinishIntent{
 		Key:     in.Key,
 		Digest:  in.Digest,
 		Attempt: in.Attempt,
--- a/instance/snapshots.go
+++ b/instance/snapshots.go
@@ -21,14 +21,15 @@
 	return nil
 }
 
-// firstSnapshot is the same on every voter, so that their logs start equal.
+// firstSnapshot returns the snapshot that a newly formed tier starts with. It is the same on
+// every voter, so that their logs start equal.
 func firstSnapshot(vs quorum.VoterSet) wal.Snapshot {
 	return wal.Snapshot{Index: 1, Term: 1, Voters: vs}
 }
 
-func (vo *voter) snapshot() {
+func (vo *voter) saveSnapshot() {
 	data, err := vo.sm.Encode()
-	if vo.fail(err) {
+	if vo.storageFailed(err) {
 		return
 	}
 	sn := wal.Snapshot{
@@ -37,7 +38,7 @@
 		Voters: vo.st.VotersAt(vo.appliedIndex),
 		Data:   data,
 	}
-	if vo.fail(vo.jo.SaveSnapshot(sn)) {
+	if vo.storageFailed(vo.jo.SaveSnapshot(sn)) {
 		return
 	}
 	vo.changesSince, vo.bytesSince, vo.snapshotSize = 0, 0, len(data)
@@ -46,7 +47,7 @@
 
 func (vo *voter) sendSnapshot(to quorum.ID) {
 	data, err := vo.sm.Encode()
-	if vo.fail(err) {
+	if vo.storageFailed(err) {
 		return
 	}
 	vo.step(quorum.SnapshotReady{
@@ -59,10 +60,10 @@
 	})
 }
 
-func (vo *voter) restore(ac quorum.Restore) {
+func (vo *voter) restoreSnapshot(ac quorum.Restore) {
 	sn := wal.Snapshot{Index: ac.Index, Term: ac.Term, Voters: ac.Voters, Data: ac.Data}
-	if vo.fail(vo.jo.SaveSnapshot(sn)) {
+	if vo.storageFailed(vo.jo.SaveSnapshot(sn)) {
 		return
 	}
-	vo.fail(vo.restoreState(ac.Index, ac.Term, ac.Data))
+	vo.storageFailed(vo.restoreState(ac.Index, ac.Term, ac.Data))
 }
--- a/instance/thread.go
+++ b/instance/thread.go
@@ -18,78 +18,78 @@
 	"balsamwinch.example/view"
 )
 
-// Periods of the control thread.
+// Intervals and limits of the control thread.
 const (
-	tickPeriod   = 20 * time.Millisecond
-	memberPeriod = 500 * time.Millisecond
-	// renounce is how often a backend server should announce itself again.
-	renounce = time.Second
-	// eventRoom is how many events may wait for the thread.
-	eventRoom = 4096
+	tickInterval   = 20 * time.Millisecond
+	memberInterval = 500 * time.Millisecond
+	// announceInterval is how often a backend server should announce itself.
+	announceInterval = time.Second
+	// maxQueuedEvents is the capacity of the thread's event queue.
+	maxQueuedEvents = 4096
 )
 
-// sender sends one-way messages; *peer.Peer is the one in use.
+// sender sends one-way messages; *peer.Peer implements it.
 type sender interface {
 	Send(name, address string, ms peer.Message)
 }
 
-// thread is the one control thread of an instance: it alone changes control
-// state, and publishes what traffic threads need as a view.
+// thread is the control thread of an instance. It alone changes control state, and publishes
+// what request handlers need as a view.
 type thread struct {
-	cf      settings.Instance
-	ce      *view.Cell
-	pe      sender
-	co      *peer.Codec
-	ts      *timer.Service
-	lg      *zap.Logger
-	events  chan event
-	nudge   chan struct{} // nudge wakes the renewals.
-	applied func(*view.View)
+	cf       settings.Instance
+	ce       *view.Cell
+	pe       sender
+	co       *peer.Codec
+	ts       *timer.Service
+	lg       *zap.Logger
+	events   chan event
+	renewNow chan struct{} // triggers a renewal of the lease
+	onView   func(*view.View)
 
-	self       view.Instance
-	vo         *voter // vo is nil without the control role.
-	me         member.State
-	memberTick time.Time
-	cfg        operator.Configuration
-	lease      time.Time
-	leased     bool                    // leased says whether the lease held at the last tick.
-	files      map[string]control.File // files are those in force.
-	roster     atomic.Uint64           // roster is the digest of holders; renewals read it.
-	holders    []view.Instance         // holders are the instances that control last listed.
-	entries    int
-	draining   bool
-	sequence   uint64
-	dirty      bool
-	servers    []backend.Record
-	instances  []view.Instance
-	leader     string
+	self           view.Instance
+	vo             *voter // nil without the control role
+	me             member.State
+	lastMemberTick time.Time
+	cfg            operator.Configuration
+	leaseUntil     time.Time
+	leased         bool                    // whether the lease was valid at the last tick
+	files          map[string]control.File // the files in force
+	rosterDigest   atomic.Uint64           // the digest of leaseHolders; read by the renewer
+	leaseHolders   []view.Instance         // the instances that control listed last
+	entries        int
+	draining       bool
+	sequence       uint64
+	dirty          bool
+	servers        []backend.Record
+	instances      []view.Instance
+	leader         string
 }
 
-// newThread returns a thread that does not run yet.
-func newThread(cf settings.Instance, self view.Instance, ce *view.Cell, co *peer.Codec, ts *timer.Service, lg *zap.Logger, applied func(*view.View)) *thread {
+// newThread returns a thread; Serve runs it.
+func newThread(cf settings.Instance, self view.Instance, ce *view.Cell, co *peer.Codec, ts *timer.Service, lg *zap.Logger, onView func(*view.View)) *thread {
 	now := ts.Now()
 	th := &thread{
-		cf:      cf,
-		ce:      ce,
-		co:      co,
-		ts:      ts,
-		lg:      lg,
-		events:  make(chan event, eventRoom),
-		nudge:   make(chan struct{}, 1),
-		applied: applied,
-		self:    self,
-		me:      member.New(self, uint64(now.UnixNano()), now),
-		dirty:   true,
+		cf:       cf,
+		ce:       ce,
+		co:       co,
+		ts:       ts,
+		lg:       lg,
+		events:   make(chan event, maxQueuedEvents),
+		renewNow: make(chan struct{}, 1),
+		onView:   onView,
+		self:     self,
+		me:       member.New(self, uint64(now.UnixNano()), now),
+		dirty:    true,
 	}
-	th.look()
+	th.refreshMembers()
 	th.publish()
 	return th
 }
 
-// Serve runs the thread until the context ends. A journal that failed ends the
-// whole process, since nothing may be acknowledged after it.
+// Serve runs the thread until the context ends. A failed journal ends the whole process, since
+// nothing may be acknowledged after the failure.
 func (th *thread) Serve(ctx context.Context) error {
-	su := th.ts.Subscribe(tickPeriod)
+	su := th.ts.Subscribe(tickInterval)
 	defer su.Stop()
 	for {
 		select {
@@ -100,7 +100,7 @@
 		case <-su.C:
 			th.tick()
 		}
-		if err := th.failed(); err != nil {
+		if err := th.storageError(); err != nil {
 			th.lg.Error("storage-failed", zap.Error(err))
 			return suture.ErrTerminateSupervisorTree
 		}
@@ -108,14 +108,14 @@
 	}
 }
 
-func (th *thread) failed() error {
+func (th *thread) storageError() error {
 	if th.vo == nil {
 		return nil
 	}
-	return th.vo.failed
+	return th.vo.storageErr
 }
 
-// post hands an event to the thread, unless the context ends first.
+// post queues an event for the thread, unless the context ends first.
 func (th *thread) post(ctx context.Context, ev event) error {
 	select {
 	case th.events <- ev:
@@ -127,19 +127,19 @@
 
 func (th *thread) handle(ev event) {
 	switch ev := ev.(type) {
-	case messaged:
-		th.message(ev)
-	case announced:
-		th.announce(ev)
-	case granted:
-		th.grant(ev)
-	case formed:
-		th.vo.form(ev.vs)
-	case drained:
+	case messageReceived:
+		th.handleMessage(ev)
+	case serverAnnounced:
+		th.handleAnnouncement(ev)
+	case grantReceived:
+		th.handleGrant(ev)
+	case tierFormed:
+		th.vo.bootstrap(ev.vs)
+	case drainStarted:
 		th.drain()
-	case leaving:
+	case leaveRequested:
 		th.leave(ev)
-	case statusAsked:
+	case statusRequested:
 		ev.reply <- th.status()
 	}
 }
@@ -149,39 +149,39 @@
 	if th.vo != nil {
 		th.vo.tick(now)
 	}
-	if now.Before(th.lease) != th.leased {
+	if now.Before(th.leaseUntil) != th.leased {
 		th.leased = !th.leased
 		th.dirty = true
 	}
-	if now.Sub(th.memberTick) < memberPeriod {
+	if now.Sub(th.lastMemberTick) < memberInterval {
 		return
 	}
-	th.memberTick = now
-	th.member(member.Tick{Now: now})
+	th.lastMemberTick = now
+	th.stepMember(member.Tick{Now: now})
 }
 
-// message tells the part that a message belongs to.
-func (th *thread) message(ev messaged) {
+// handleMessage passes a message to the component that handles it.
+func (th *thread) handleMessage(ev messageReceived) {
 	switch ms := ev.ms.(type) {
-	case notice:
+	case revisionNotice:
 		if ms.Revision > th.cfg.Revision {
-			th.wake()
+			th.triggerRenewal()
 		}
-	case routed, formationRequest, control.Renewal, control.Proposal, control.StatusRequest,
+	case routedMessage, formationRequest, control.Renewal, control.Proposal, control.StatusRequest,
 		control.AuditRequest, filesRequest, votersRequest:
 		if th.vo == nil {
 			refuseWithoutControl(ev)
 			return
 		}
-		th.vo.message(ev)
+		th.vo.handleMessage(ev)
 	default:
-		th.member(member.Received{Now: th.ts.Now(), From: ev.from, Message: ev.ms})
+		th.stepMember(member.Received{Now: th.ts.Now(), From: ev.from, Message: ev.ms})
 	}
 }
 
-// refuseWithoutControl answers a call for control at an instance without that
-// role, so that the asker turns to another one at once.
-func refuseWithoutControl(ev messaged) {
+// refuseWithoutControl replies to a call for control at an instance without the control role,
+// so that the sender tries another instance at once.
+func refuseWithoutControl(ev messageReceived) {
 	if ev.reply == nil {
 		return
 	}
@@ -193,8 +193,8 @@
 	}
 }
 
-// send sends a one-way message to an instance. Where control instances are found
-// is the settings' word; others are found where they say.
+// send sends a one-way message to an instance. For control instances the address in the
+// settings takes precedence; other instances are reached at the address that they announced.
 func (th *thread) send(name, address string, ms peer.Message) {
 	for _, vr := range th.cf.Control.Voters {
 		if vr.Name == name {
@@ -213,27 +213,27 @@
 	th.draining = true
 	th.self.Draining = true
 	th.lg.Info("draining")
-	th.member(member.SelfChanged{Now: th.ts.Now(), Self: th.self})
-	th.wake()
+	th.stepMember(member.SelfChanged{Now: th.ts.Now(), Self: th.self})
+	th.triggerRenewal()
 }
 
-func (th *thread) leave(ev leaving) {
-	th.member(member.Leave{Now: th.ts.Now()})
+func (th *thread) leave(ev leaveRequested) {
+	th.stepMember(member.Leave{Now: th.ts.Now()})
 	if th.vo != nil {
 		th.vo.resign()
 	}
 	close(ev.reply)
 }
 
-// wake makes the instance renew its lease at once.
-func (th *thread) wake() {
+// triggerRenewal makes the instance renew its lease at once.
+func (th *thread) triggerRenewal() {
 	select {
-	case th.nudge <- struct{}{}:
+	case th.renewNow <- struct{}{}:
 	default:
 	}
 }
 
-// publish makes the newest view if something in it changed.
+// publish publishes a new view if its content changed.
 func (th *thread) publish() {
 	if !th.dirty {
 		return
@@ -245,13 +245,13 @@
 		Configuration: th.cfg,
 		Instances:     th.instances,
 		Servers:       th.servers,
-		LeaseUntil:    th.lease,
+		LeaseUntil:    th.leaseUntil,
 		Entries:       th.entries,
 		Draining:      th.draining,
 		Sequence:      th.sequence,
 	}
 	th.ce.Store(vi)
-	if th.applied != nil {
-		th.applied(vi)
+	if th.onView != nil {
+		th.onView(vi)
 	}
 }
--- a/instance/voter.go
+++ b/instance/voter.go
@@ -13,38 +13,38 @@
 	"balsamwinch.example/wal"
 )
 
-// Bounds of a voter.
+// Limits and timeouts of a voter.
 const (
-	// snapshotChanges is after how many changes the state is written as a snapshot,
-	// since replaying one costs a merge of all files.
-	snapshotChanges = 500
-	// snapshotBytes is after how many bytes of commands, at least, the state is
-	// written as a snapshot. Writing one costs in proportion to its size, so the
-	// log may grow to the size of the last one first.
-	snapshotBytes = 256 << 10
-	// inForceWait is how long a change waits to be in force before its operator is
-	// told that it is pending.
-	inForceWait = 8 * time.Second
-	// auditPage is how many audit entries one reply carries at most.
-	auditPage = 200
-	// rosterPeriod is how old the list of lease holders in a grant may be.
-	rosterPeriod = 100 * time.Millisecond
-	// replaceAfter is how many election timeouts a disk must have been silent, and
-	// the leader must have led, before another disk of its instance replaces it.
-	replaceAfter = 4
+	// maxChangesSinceSnapshot is the number of changes after which a snapshot is written.
+	// Replaying a change costs a merge of all files.
+	maxChangesSinceSnapshot = 500
+	// minBytesSinceSnapshot is the smallest size of the commands in the log at which a
+	// snapshot is written. Writing a snapshot costs in proportion to its size, so the log may
+	// first grow to the size of the last one.
+	minBytesSinceSnapshot = 256 << 10
+	// inForceTimeout is how long a change waits to be in force before its operator gets the
+	// reply that it is pending.
+	inForceTimeout = 8 * time.Second
+	// maxAuditEntries is the number of audit entries in one reply.
+	maxAuditEntries = 200
+	// rosterTTL is the maximum age of the list of lease holders in a grant.
+	rosterTTL = 100 * time.Millisecond
+	// replaceAfterElectionTimeouts is how many election timeouts a disk must have been silent,
+	// and the leader must have led, before another disk of its instance replaces it.
+	replaceAfterElectionTimeouts = 4
 )
 
-// voter performs what the replicated log decides: it saves, sends and applies.
-// It runs on the control thread.
+// voter runs the replicated log: it persists state, sends messages and applies committed
+// entries. It runs on the control thread.
 type voter struct {
-	th     *thread
-	id     quorum.ID
-	boot   uint64
-	jo     *wal.Journal
-	formed bool
-	st     quorum.State
-	sm     control.State
-	failed error
+	th         *thread
+	id         quorum.ID
+	boot       uint64
+	jo         *wal.Journal
+	formed     bool
+	st         quorum.State
+	sm         control.State
+	storageErr error
 
 	appliedIndex, appliedTerm uint64
 	changesSince, bytesSince  int // since the last snapshot
@@ -54,36 +54,36 @@
 	leaderSince               time.Time
 	bo                        control.LeaseTable
 	roster                    roster
-	tag                       uint64
-	proposed                  map[uint64]pending
-	waiting                   []waiting
-	heard                     map[quorum.ID]time.Time
-	replacing                 map[quorum.ID]quorum.ID // replacing maps a newcomer to the lost disk that it replaces.
+	lastTag                   uint64
+	proposed                  map[uint64]pendingProposal
+	waiting                   []waitingChange
+	lastReceived              map[quorum.ID]time.Time
+	replacing                 map[quorum.ID]quorum.ID // maps a new disk to the lost disk that it replaces
 }
 
-// diskID returns the identity of a voter: the instance's name and its disk.
+// diskID returns the identity of a voter: the instance's name and its disk's ID.
 func diskID(name, disk string) quorum.ID {
 	return quorum.ID(name + "/" + disk)
 }
 
-// nameOf returns the instance's name in a voter's identity.
+// nameOf returns the name of the instance in a voter's identity.
 func nameOf(id quorum.ID) string {
 	name, _, _ := strings.Cut(string(id), "/")
 	return name
 }
 
-// newVoter returns the voter of an opened data folder. It takes part once the
-// tier is formed.
+// newVoter returns the voter of an opened data folder. On an empty disk it takes no part until
+// the tier is formed.
 func newVoter(th *thread, jo *wal.Journal, rc wal.Recovered) (*voter, error) {
 	vo := &voter{
-		th:        th,
-		id:        diskID(th.cf.Name, rc.DiskID),
-		boot:      rc.Boot,
-		jo:        jo,
-		sm:        control.NewState(),
-		proposed:  make(map[uint64]pending),
-		heard:     make(map[quorum.ID]time.Time),
-		replacing: make(map[quorum.ID]quorum.ID),
+		th:           th,
+		id:           diskID(th.cf.Name, rc.DiskID),
+		boot:         rc.Boot,
+		jo:           jo,
+		sm:           control.NewState(),
+		proposed:     make(map[uint64]pendingProposal),
+		lastReceived: make(map[quorum.ID]time.Time),
+		replacing:    make(map[quorum.ID]quorum.ID),
 	}
 	if rc.Snapshot.Index == 0 {
 		return vo, nil
@@ -109,11 +109,12 @@
 	vo.role = vo.st.Role()
 }
 
-// quorumConfig returns what a voter is started with.
+// quorumConfig returns the configuration that a voter is started with.
 //
-// The seed is drawn and not the time: quorum.New mixes the time into it, and a time mixed
-// with itself is the same for all. Voters that drew the same waits stood for election
-// together, term after term; with two left of three the leases ran out meanwhile.
+// The seed is random and not the time: quorum.New mixes the time into the seed, and the time
+// mixed with itself gives the same value on all voters. Voters with equal election timeouts
+// stood for election together, term after term; with two of three voters left, the leases
+// expired meanwhile.
 func quorumConfig(id quorum.ID, boot uint64, election, heartbeat time.Duration) quorum.Config {
 	return quorum.Config{
 		Self:              id,
@@ -124,9 +125,9 @@
 	}
 }
 
-// form starts the replicated log of a fresh disk, with the voters of the tier's
-// first start or, if they are none, as an outsider that waits to be added.
-func (vo *voter) form(vs quorum.VoterSet) {
+// bootstrap starts the replicated log of an empty disk with the voters of the tier's first
+// start. If there are none, the disk starts as a non-member that waits to be added.
+func (vo *voter) bootstrap(vs quorum.VoterSet) {
 	if vo.formed {
 		return
 	}
@@ -135,7 +136,7 @@
 		return
 	}
 	sn := firstSnapshot(vs)
-	if vo.fail(vo.jo.SaveSnapshot(sn)) {
+	if vo.storageFailed(vo.jo.SaveSnapshot(sn)) {
 		return
 	}
 	vo.appliedIndex, vo.appliedTerm = sn.Index, sn.Term
@@ -143,9 +144,9 @@
 	vo.th.lg.Info("control-formed", zap.Any("Voters", vs.Voters))
 }
 
-func (vo *voter) fail(err error) bool {
-	if err != nil && vo.failed == nil {
-		vo.failed = err
+func (vo *voter) storageFailed(err error) bool {
+	if err != nil && vo.storageErr == nil {
+		vo.storageErr = err
 	}
 	return err != nil
 }
@@ -155,23 +156,23 @@
 		return
 	}
 	vo.step(quorum.Tick{Now: now})
-	vo.replace(now)
-	vo.settle(now)
+	vo.removeReplaced(now)
+	vo.resolveWaiting(now)
 }
 
-// step gives an event to the replicated log and performs its actions in order.
-// Where a proposal was appended is noted first: the only voter of a tier commits
-// it in the same step, and its proposer would miss the entry.
+// step passes an event to the replicated log and performs the resulting actions in order.
+// Appended proposals are recorded first: a single voter commits an entry in the same step, and
+// its proposer would otherwise get no reply.
 func (vo *voter) step(ev quorum.Event) {
 	st, acs := quorum.Step(vo.st, ev)
 	vo.st = st
 	for _, ac := range acs {
 		if ap, ok := ac.(quorum.ProposalAppended); ok {
-			vo.appended(ap)
+			vo.proposalAppended(ap)
 		}
 	}
 	for _, ac := range acs {
-		if vo.failed != nil {
+		if vo.storageErr != nil {
 			return
 		}
 		vo.perform(ac)
@@ -181,17 +182,17 @@
 func (vo *voter) perform(ac quorum.Action) {
 	switch ac := ac.(type) {
 	case quorum.Save:
-		vo.fail(vo.jo.Save(ac))
+		vo.storageFailed(vo.jo.Save(ac))
 	case quorum.Send:
 		vo.send(ac)
 	case quorum.Apply:
 		vo.apply(ac.Entries)
 	case quorum.ProposalRejected:
-		vo.refused(ac)
+		vo.proposalRejected(ac)
 	case quorum.NeedSnapshot:
 		vo.sendSnapshot(ac.To)
 	case quorum.Restore:
-		vo.restore(ac)
+		vo.restoreSnapshot(ac)
 	case quorum.RoleChanged:
 		vo.roleChanged(ac)
 	}
@@ -203,20 +204,20 @@
 		vo.th.lg.Error("message-not-encoded", zap.Error(err))
 		return
 	}
-	vo.th.send(nameOf(ac.To), "", routed{From: vo.id, To: ac.To, Frame: frame})
+	vo.th.send(nameOf(ac.To), "", routedMessage{From: vo.id, To: ac.To, Frame: frame})
 }
 
-// message handles what other instances ask of control.
-func (vo *voter) message(ev messaged) {
+// handleMessage handles messages of other instances to control.
+func (vo *voter) handleMessage(ev messageReceived) {
 	switch ms := ev.ms.(type) {
-	case routed:
-		vo.routed(ev.from, ms)
+	case routedMessage:
+		vo.handleRouted(ev.from, ms)
 	case formationRequest:
-		ev.reply <- vo.formation(ev.from, ms)
+		ev.reply <- vo.handleFormation(ev.from, ms)
 	case control.Renewal:
-		ev.reply <- vo.renewal(ms)
+		ev.reply <- vo.handleRenewal(ms)
 	case control.Proposal:
-		vo.proposal(ms, ev.reply)
+		vo.handleProposal(ms, ev.reply)
 	case control.StatusRequest:
 		ev.reply <- vo.status()
 	case control.AuditRequest:
@@ -228,9 +229,9 @@
 	}
 }
 
-// routed passes a message of the replicated log on, if it is meant for this
-// disk and comes from the instance that it names.
-func (vo *voter) routed(from string, ms routed) {
+// handleRouted passes on a message of the replicated log if it is addressed to this disk and
+// its sender belongs to the instance that it came from.
+func (vo *voter) handleRouted(from string, ms routedMessage) {
 	if !vo.formed || ms.To != vo.id || nameOf(ms.From) != from {
 		return
 	}
@@ -240,31 +241,30 @@
 		return
 	}
 	now := vo.th.ts.Now()
-	vo.heard[ms.From] = now
+	vo.lastReceived[ms.From] = now
 	vo.step(quorum.Received{Now: now, From: ms.From, Message: in})
-	vo.settle(now)
+	vo.resolveWaiting(now)
 }
 
-// apply runs committed entries through the state machine and answers those who
-// wait for them.
+// apply applies committed entries to the state machine and replies to their proposers.
 func (vo *voter) apply(ens []quorum.Entry) {
 	for _, en := range ens {
 		vo.appliedIndex, vo.appliedTerm = en.Index, en.Term
 		if en.Type == quorum.EntryCommand {
-			vo.command(en)
+			vo.applyCommand(en)
 		}
 	}
-	if vo.changesSince >= snapshotChanges || vo.bytesSince >= max(snapshotBytes, vo.snapshotSize) {
-		vo.snapshot()
+	if vo.changesSince >= maxChangesSinceSnapshot || vo.bytesSince >= max(minBytesSinceSnapshot, vo.snapshotSize) {
+		vo.saveSnapshot()
 	}
 }
 
-func (vo *voter) command(en quorum.Entry) {
+func (vo *voter) applyCommand(en quorum.Entry) {
 	cm, err := control.Decode(en.Data)
 	if err != nil {
-		// The command was checked before it was proposed, so an unreadable one was
-		// written by a newer version. Going on would let this voter's state differ.
-		vo.fail(&result.Error{Code: result.DamagedState, Op: "read command", Err: err})
+		// The command was checked before it was proposed, so if it cannot be read, a newer
+		// version wrote it. Skipping it would make this voter's state differ.
+		vo.storageFailed(&result.Error{Code: result.DamagedState, Op: "read command", Err: err})
 		return
 	}
 	vo.bytesSince += len(en.Data)
@@ -276,32 +276,32 @@
 	vo.sm = sm
 	if rev := sm.Revision(); rev > before && vo.role == quorum.Leader {
 		vo.bo = vo.bo.WithRevision(vo.th.ts.Now(), rev)
-		vo.notify(rev)
+		vo.notifyHolders(rev)
 	}
-	vo.answer(en, oc)
+	vo.replyToProposer(en, oc)
 }
 
-// notify tells every lease holder of a new revision, so that they don't wait
-// for their next renewal. A lost notice only delays.
-func (vo *voter) notify(revision uint64) {
+// notifyHolders tells every lease holder of a new revision, so that they need not wait for
+// their next renewal. A lost notice only delays the renewal.
+func (vo *voter) notifyHolders(revision uint64) {
 	for _, in := range vo.bo.Instances(vo.th.ts.Now()) {
 		if in.Name == vo.th.self.Name {
-			vo.th.wake()
+			vo.th.triggerRenewal()
 			continue
 		}
-		vo.th.send(in.Name, in.PeerAddress, notice{Revision: revision})
+		vo.th.send(in.Name, in.PeerAddress, revisionNotice{Revision: revision})
 	}
 }
 
-// leads reports whether this voter may act as the leader: no other can exist
-// until its lease ends, and it has applied an entry of its own term, and with it
-// all that earlier leaders committed.
+// leads reports whether this voter may act as the leader: there can be no other leader until
+// its lease expires, and it has applied an entry of its own term and so all entries that
+// earlier leaders committed.
 func (vo *voter) leads(now time.Time) bool {
 	return vo.formed && vo.role == quorum.Leader && vo.appliedTerm == vo.st.Term() && now.Before(vo.st.LeaseExpiry())
 }
 
-// roleChanged starts a new book of leases when this voter becomes the leader,
-// and tells those who wait that the outcome is unknown when it no longer is.
+// roleChanged starts a new lease table when this voter becomes the leader. When it loses
+// leadership, it tells waiting proposers that the outcome is unknown.
 func (vo *voter) roleChanged(ac quorum.RoleChanged) {
 	now := vo.th.ts.Now()
 	if ac.Leader != vo.leader {
@@ -321,7 +321,7 @@
 		return
 	}
 	if was == quorum.Leader && ac.Role != quorum.Leader {
-		vo.abandon()
+		vo.abandonWaiting()
 	}
 }
 
