--- a/link/link.go
+++ b/link/link.go
@@ -1,11 +1,10 @@
-// Package link carries messages between instances over TCP as frames of CBOR:
-// a connection keeps their order, and one that falls silent is found within the
-// time that its settings name. It knows nothing of what the messages mean, and
-// neither authenticates nor encrypts; docs/design/platform.md says where that
-// is good enough.
+// Package link carries messages between instances over TCP as CBOR frames. A connection
+// preserves their order, and one that falls silent is detected within a configured time. The
+// package knows nothing of the messages' meaning, and neither authenticates nor encrypts;
+// docs/design/platform.md says where that is sufficient.
 //
-// A connection that nothing is sent on costs one goroutine, which reads, and one
-// write each Config.Ping. The ping is a frame without content.
+// An idle connection costs one goroutine, which reads, and one write each Config.PingInterval.
+// A ping is an empty frame.
 package link
 
 import (
@@ -25,78 +24,77 @@
 	"balsamwinch.example/timer"
 )
 
-// Bounds of a connection.
+// Sizes and limits of a connection, in bytes.
 const (
-	// prefixBytes is the length of a frame's length prefix.
+	// prefixBytes is the size of a frame's length prefix.
 	prefixBytes = 4
-	// queueBytes bounds what waits to be written. A reader that stalls must not
-	// make the sender's memory grow, so the connection is closed instead.
-	queueBytes = 4 << 20
-	// bufferBytes is the size of the read buffer.
-	bufferBytes = 8 << 10
-	// pieceBytes is the most that is written under one deadline.
-	pieceBytes = 64 << 10
+	// maxQueueBytes bounds the data queued for writing. If the other end stops reading, the
+	// connection is closed instead of letting the sender's memory grow.
+	maxQueueBytes = 4 << 20
+	// readBufferBytes is the size of the read buffer.
+	readBufferBytes = 8 << 10
+	// maxChunkBytes is the most that is written under one deadline.
+	maxChunkBytes = 64 << 10
 )
 
-// pingFrame is the frame without content that keeps a connection without
-// messages from looking silent.
+// pingFrame is an empty frame, which keeps an idle connection from looking silent.
 var pingFrame = make([]byte, prefixBytes)
 
-// Messages returns one zero value of each message of this package, for the
-// codec. There are none: a ping is a frame without a message.
+// Messages returns a zero value of each message of this package, for the codec. There are
+// none: a ping is a frame without a message.
 func Messages() []peer.Message { return nil }
 
-// Config is what connections need.
+// Config holds the settings of connections.
 type Config struct {
-	Codec          *peer.Codec    // Codec knows Messages and all messages that are sent.
-	Timers         *timer.Service // TS gives the time.
-	DialTimeout    time.Duration  // Dial bounds a dial.
-	PingInterval   time.Duration  // Ping is the longest time without a frame sent.
-	SilenceTimeout time.Duration  // Silence without a byte received, or without progress in sending, ends the connection.
-	// Connect opens the connection of a Dial to an address; nil means TCP.
+	Codec          *peer.Codec    // knows Messages and all messages that are sent
+	Timers         *timer.Service // clock and timers
+	DialTimeout    time.Duration  // bounds a dial
+	PingInterval   time.Duration  // the longest time without sending a frame
+	SilenceTimeout time.Duration  // how long to wait for a byte, or for progress in sending, before closing
+	// Connect opens the network connection for Dial; nil means TCP.
 	Connect func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// Packed is a message that is encoded once, to be sent on many connections.
+// PreparedMessage is a message that is encoded once and sent on many connections.
 type PreparedMessage struct{ frame []byte }
 
 // Size returns the number of bytes that the message takes on a connection.
-func (pa PreparedMessage) Size() int { return len(pa.frame) }
+func (pm PreparedMessage) Size() int { return len(pm.frame) }
 
-// Conn is one connection. Send may be called from several goroutines, Receive
-// from one.
+// Conn is a connection. Send may be called from several goroutines, Receive from one at a
+// time.
 type Conn struct {
 	cf Config
 	nc net.Conn
 	rd *bufio.Reader
 
-	heard atomic.Int64 // heard is when a byte came last, in nanoseconds after made.
-	made  time.Time
+	lastReceived atomic.Int64 // when the last byte was received, in nanoseconds since createdAt
+	createdAt    time.Time
 
-	mu      sync.Mutex
-	queue   net.Buffers
-	queued  int       // queued counts the bytes in queue and those being written.
-	writing bool      // writing says that a goroutine takes what is in queue.
-	sent    time.Time // sent is when a write began or ended last.
-	beat    *timer.Timeout
-	err     error
-	done    chan struct{}
+	mu          sync.Mutex
+	queue       net.Buffers
+	queuedBytes int       // the bytes in queue and those being written
+	writing     bool      // whether a goroutine is writing the queue
+	lastWrite   time.Time // when a write last began or ended
+	pingTimer   *timer.Timeout
+	err         error
+	done        chan struct{}
 }
 
-// New takes over an established connection. It must be ended with Close, or by
-// an error of Receive.
+// New takes over an established connection. It must be ended with Close, or by an error of
+// Receive.
 func New(nc net.Conn, cf Config) *Conn {
 	now := cf.Timers.Now()
-	co := &Conn{cf: cf, nc: nc, made: now, sent: now, done: make(chan struct{})}
-	co.rd = bufio.NewReaderSize(silentReader{co}, bufferBytes)
+	co := &Conn{cf: cf, nc: nc, createdAt: now, lastWrite: now, done: make(chan struct{})}
+	co.rd = bufio.NewReaderSize(deadlineReader{co}, readBufferBytes)
 	co.mu.Lock()
 	defer co.mu.Unlock()
-	co.beat = cf.Timers.Timeout(cf.PingInterval, co.ping)
+	co.pingTimer = cf.Timers.Timeout(cf.PingInterval, co.ping)
 	return co
 }
 
-// Dial opens a connection to an address of the form IP:port. The error is a
-// *result.Error with the code ControlUnavailable.
+// Dial opens a connection to an address of the form IP:port. The error is a *result.Error with
+// the code ControlUnavailable.
 func Dial(ctx context.Context, address string, cf Config) (*Conn, error) {
 	connect := cf.Connect
 	if connect == nil {
@@ -114,17 +112,20 @@
 	return New(nc, cf), nil
 }
 
-// Remote returns the other end's address.
+// RemoteAddress returns the address of the other end.
 func (co *Conn) RemoteAddress() string { return co.nc.RemoteAddr().String() }
 
-// Heard returns when a byte came last, or when the connection was made if none has.
-func (co *Conn) LastReceived() time.Time { return co.made.Add(time.Duration(co.heard.Load())) }
+// LastReceived returns when the last byte was received, or when the connection was created if
+// there was none.
+func (co *Conn) LastReceived() time.Time {
+	return co.createdAt.Add(time.Duration(co.lastReceived.Load()))
+}
 
-// Done is closed when the connection has ended.
+// Done returns a channel that is closed when the connection has ended.
 func (co *Conn) Done() <-chan struct{} { return co.done }
 
-// Pack encodes a message for SendPacked on any connection with the same codec.
-// The error is a *peer.Error.
+// Prepare encodes a message for SendPrepared on any connection with the same codec. The error
+// is a *peer.Error.
 func (co *Conn) Prepare(ms peer.Message) (PreparedMessage, error) {
 	body, err := co.cf.Codec.Encode(ms)
 	if err != nil {
@@ -135,30 +136,30 @@
 	return PreparedMessage{frame: append(frame, body...)}, nil
 }
 
-// Send queues a message. It never waits for the other end: a connection whose
-// queue is full is closed. The error is a *peer.Error if the message cannot be
-// encoded, and otherwise the *result.Error that ended the connection.
+// Send queues a message. It never blocks on the other end: a connection whose queue is full is
+// closed. The error is a *peer.Error if the message cannot be encoded, and otherwise the
+// *result.Error that ended the connection.
 func (co *Conn) Send(ms peer.Message) error {
-	pa, err := co.Prepare(ms)
+	pm, err := co.Prepare(ms)
 	if err != nil {
 		return err
 	}
-	return co.SendPrepared(pa)
+	return co.SendPrepared(pm)
 }
 
-// SendPacked queues a message that is already encoded, as Send does.
-func (co *Conn) SendPrepared(pa PreparedMessage) error {
+// SendPrepared queues an encoded message, as Send does.
+func (co *Conn) SendPrepared(pm PreparedMessage) error {
 	co.mu.Lock()
 	if co.err != nil {
 		defer co.mu.Unlock()
 		return co.err
 	}
-	if co.queued > 0 && co.queued+len(pa.frame) > queueBytes {
+	if co.queuedBytes > 0 && co.queuedBytes+len(pm.frame) > maxQueueBytes {
 		co.mu.Unlock()
-		return co.end(errors.New("the other end does not read"))
+		return co.closeWithError(errors.New("send queue full: the other end does not read"))
 	}
-	co.queue = append(co.queue, pa.frame)
-	co.queued += len(pa.frame)
+	co.queue = append(co.queue, pm.frame)
+	co.queuedBytes += len(pm.frame)
 	start := !co.writing
 	co.writing = true
 	co.mu.Unlock()
@@ -168,39 +169,39 @@
 	return nil
 }
 
-// ping sends a frame without content if nothing was sent for the time of
-// Config.Ping, and comes back when that may be the case next.
+// ping sends an empty frame if nothing was sent for Config.PingInterval, and schedules the
+// next check.
 func (co *Conn) ping() {
 	co.mu.Lock()
 	if co.err != nil {
 		co.mu.Unlock()
 		return
 	}
-	if idle := co.cf.Timers.Now().Sub(co.sent); !co.writing && idle < co.cf.PingInterval {
-		co.beat.Reset(co.cf.PingInterval - idle)
+	if idle := co.cf.Timers.Now().Sub(co.lastWrite); !co.writing && idle < co.cf.PingInterval {
+		co.pingTimer.Reset(co.cf.PingInterval - idle)
 		co.mu.Unlock()
 		return
 	}
-	co.beat.Reset(co.cf.PingInterval)
+	co.pingTimer.Reset(co.cf.PingInterval)
 	if co.writing {
 		co.mu.Unlock()
 		return
 	}
 	co.queue = append(co.queue, pingFrame)
-	co.queued += len(pingFrame)
+	co.queuedBytes += len(pingFrame)
 	co.writing = true
 	co.mu.Unlock()
 	co.write()
 }
 
-// write sends what is queued until nothing is left or the connection has ended.
-// One goroutine at a time runs it, which is what the field writing is for.
+// write sends the queue until it is empty or the connection has ended. The field writing
+// ensures that only one goroutine at a time runs it.
 func (co *Conn) write() {
 	written := 0
 	for {
 		co.mu.Lock()
-		co.queued -= written
-		co.sent = co.cf.Timers.Now()
+		co.queuedBytes -= written
+		co.lastWrite = co.cf.Timers.Now()
 		queue := co.queue
 		co.queue = nil
 		if len(queue) == 0 || co.err != nil {
@@ -214,22 +215,22 @@
 			written += len(frame)
 		}
 		if err := co.writeAll(queue); err != nil {
-			co.end(err)
+			co.closeWithError(err)
 			return
 		}
 	}
 }
 
-// writeAll writes the frames in pieces, each under a deadline of its own: a slow
-// link with a large document on it is not a silent one, and neither may a reader
-// that has stopped hold the writer for longer than the silence.
+// writeAll writes the frames in chunks, each under its own deadline. So a slow connection that
+// transfers a large document is not taken for a silent one, and a reader that has stopped
+// blocks the writer for no longer than the silence timeout.
 func (co *Conn) writeAll(queue net.Buffers) error {
 	for len(queue) > 0 {
-		var piece net.Buffers
-		for room := pieceBytes; room > 0 && len(queue) > 0; {
-			size := min(room, len(queue[0]))
-			piece = append(piece, queue[0][:size])
-			room -= size
+		var chunk net.Buffers
+		for remaining := maxChunkBytes; remaining > 0 && len(queue) > 0; {
+			size := min(remaining, len(queue[0]))
+			chunk = append(chunk, queue[0][:size])
+			remaining -= size
 			if queue[0] = queue[0][size:]; len(queue[0]) == 0 {
 				queue = queue[1:]
 			}
@@ -237,19 +238,19 @@
 		if err := co.nc.SetWriteDeadline(co.cf.Timers.Now().Add(co.cf.SilenceTimeout)); err != nil {
 			return err
 		}
-		if err := co.writePiece(piece); err != nil {
+		if err := co.writeChunk(chunk); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (co *Conn) writePiece(piece net.Buffers) error {
-	if len(piece) == 1 {
-		_, err := co.nc.Write(piece[0])
+func (co *Conn) writeChunk(chunk net.Buffers) error {
+	if len(chunk) == 1 {
+		_, err := co.nc.Write(chunk[0])
 		return err
 	}
-	_, err := piece.WriteTo(co.nc)
+	_, err := chunk.WriteTo(co.nc)
 	return err
 }
 
@@ -258,7 +259,7 @@
 	for {
 		ms, err := co.receive()
 		if err != nil {
-			return nil, co.end(err)
+			return nil, co.closeWithError(err)
 		}
 		if ms != nil {
 			return ms, nil
@@ -286,49 +287,47 @@
 	return co.cf.Codec.Decode(frame)
 }
 
-// silentReader reads from the connection and fails once nothing came for the
-// time of Config.Silence. The deadline is set anew for each read: an end that was
-// cut off without a reset sends nothing more, and only the silence shows it. A
-// process that was frozen finds its deadline passed when it wakes, though the
-// other end may have sent all the while; that costs a new connection and nothing
-// else, since the other end has most often given this one up as well.
-type silentReader struct{ co *Conn }
+// deadlineReader reads from the connection and fails if nothing is received for
+// Config.SilenceTimeout. The deadline is renewed for each read: an end that was cut off
+// without a reset sends nothing more, and only the silence shows it. A process that was frozen
+// finds the deadline expired when it resumes, even if the other end kept sending. That only
+// costs a new connection; usually the other end has given this one up too.
+type deadlineReader struct{ co *Conn }
 
-// Read reads what has come.
-func (sr silentReader) Read(buf []byte) (int, error) {
-	co := sr.co
+// Read implements io.Reader.
+func (dr deadlineReader) Read(buf []byte) (int, error) {
+	co := dr.co
 	if err := co.nc.SetReadDeadline(co.cf.Timers.Now().Add(co.cf.SilenceTimeout)); err != nil {
 		return 0, err
 	}
 	count, err := co.nc.Read(buf)
 	if count > 0 {
-		co.heard.Store(int64(co.cf.Timers.Now().Sub(co.made)))
+		co.lastReceived.Store(int64(co.cf.Timers.Now().Sub(co.createdAt)))
 	}
 	return count, err
 }
 
-// Close ends the connection; what is queued may be lost.
-func (co *Conn) Close() { co.end(net.ErrClosed) }
+// Close ends the connection. Queued messages may be lost.
+func (co *Conn) Close() { co.closeWithError(net.ErrClosed) }
 
-// end closes the connection once and returns why it ended.
-func (co *Conn) end(err error) error {
+// closeWithError closes the connection once and returns the reason for which it ended.
+func (co *Conn) closeWithError(err error) error {
 	co.mu.Lock()
 	defer co.mu.Unlock()
 	if co.err != nil {
 		return co.err
 	}
 	co.err = &result.Error{Code: result.ControlUnavailable, Op: "link", Detail: co.RemoteAddress(), Err: err}
-	co.beat.Stop()
+	co.pingTimer.Stop()
 	co.queue = nil
 	close(co.done)
 	_ = co.nc.Close()
 	return co.err
 }
 
-// Serve accepts connections until the context ends and gives each to the
-// handler on a goroutine of its own, which closes it when the handler returns.
-// A handler that waits in Receive does not see the context end; it must close
-// the connection for that.
+// Serve accepts connections until the context ends. It runs the handler of each on its own
+// goroutine and closes the connection when the handler returns. A handler blocked in Receive
+// does not notice the end of the context; to stop it, close the connection.
 func Serve(ctx context.Context, li net.Listener, cf Config, handle func(context.Context, *Conn)) error {
 	stop := context.AfterFunc(ctx, func() { _ = li.Close() })
 	defer stop()
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -21,15 +21,15 @@
 	"balsamwinch.example/timer"
 )
 
-// Times of the connections in these tests.
+// Timing of the connections in these tests.
 const (
-	ping    = 300 * time.Millisecond
-	silence = time.Second
-	// pieceBytes is the most that a connection writes under one deadline.
-	pieceBytes = 64 << 10
+	pingInterval   = 300 * time.Millisecond
+	silenceTimeout = time.Second
+	// maxChunkBytes is the most that a connection writes under one deadline.
+	maxChunkBytes = 64 << 10
 )
 
-// note is the message of these tests.
+// note is the test message.
 type note struct {
 	Number int    `cbor:"1,keyasint"`
 	Text   []byte `cbor:"2,keyasint,omitempty"`
@@ -37,72 +37,72 @@
 
 func (note) Kind() peer.Kind { return peer.KindMember + 1 }
 
-// stranger is a message that the codec does not know.
-type stranger struct{}
+// unknownMessage is a message that the codec does not know.
+type unknownMessage struct{}
 
-func (stranger) Kind() peer.Kind { return peer.KindMember + 2 }
+func (unknownMessage) Kind() peer.Kind { return peer.KindMember + 2 }
 
 func config() link.Config {
 	return link.Config{
 		Codec:  peer.NewCodec(link.Messages(), []peer.Message{note{}}),
-		Timers: timer.New(), DialTimeout: silence, PingInterval: ping, SilenceTimeout: silence,
+		Timers: timer.New(), DialTimeout: silenceTimeout, PingInterval: pingInterval, SilenceTimeout: silenceTimeout,
 	}
 }
 
-// wire is one end of a pipe. It counts what is written.
-type wire struct {
+// recordingConn is one end of a pipe. It records the writes and can simulate failures.
+type recordingConn struct {
 	net.Conn
-	mu      sync.Mutex
-	times   []time.Time   // times are those of the writes.
-	sizes   []int         // sizes are those of the writes.
-	swallow atomic.Bool   // swallow makes what is written vanish.
-	late    atomic.Bool   // late makes the next read find its deadline passed.
-	pause   time.Duration // pause is how long a write of pieceBytes takes.
-}
-
-func (wi *wire) Write(buf []byte) (int, error) {
-	wi.mu.Lock()
-	wi.times = append(wi.times, time.Now())
-	wi.sizes = append(wi.sizes, len(buf))
-	wi.mu.Unlock()
-	if wi.swallow.Load() {
+	mu             sync.Mutex
+	times          []time.Time   // when each write took place
+	sizes          []int         // the size of each write
+	dropWrites     atomic.Bool   // discards what is written
+	expireNextRead atomic.Bool   // makes the next read fail with an expired deadline
+	writeDelay     time.Duration // the time that a write of maxChunkBytes takes
+}
+
+func (rc *recordingConn) Write(buf []byte) (int, error) {
+	rc.mu.Lock()
+	rc.times = append(rc.times, time.Now())
+	rc.sizes = append(rc.sizes, len(buf))
+	rc.mu.Unlock()
+	if rc.dropWrites.Load() {
 		return len(buf), nil
 	}
-	time.Sleep(wi.pause * time.Duration(len(buf)) / pieceBytes)
-	return wi.Conn.Write(buf)
+	time.Sleep(rc.writeDelay * time.Duration(len(buf)) / maxChunkBytes)
+	return rc.Conn.Write(buf)
 }
 
-func (wi *wire) Read(buf []byte) (int, error) {
-	if wi.late.CompareAndSwap(true, false) {
+func (rc *recordingConn) Read(buf []byte) (int, error) {
+	if rc.expireNextRead.CompareAndSwap(true, false) {
 		return 0, os.ErrDeadlineExceeded
 	}
-	return wi.Conn.Read(buf)
+	return rc.Conn.Read(buf)
 }
 
 // writes returns the times and sizes of the writes so far.
-func (wi *wire) writes() ([]time.Time, []int) {
-	wi.mu.Lock()
-	defer wi.mu.Unlock()
-	return wi.times, wi.sizes
+func (rc *recordingConn) writes() ([]time.Time, []int) {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	return rc.times, rc.sizes
 }
 
 // pair returns the two ends of a pipe.
-func pair() (*wire, *wire) {
+func pair() (*recordingConn, *recordingConn) {
 	a, b := net.Pipe()
-	return &wire{Conn: a}, &wire{Conn: b}
+	return &recordingConn{Conn: a}, &recordingConn{Conn: b}
 }
 
-// received is what came on a connection, and when and why it ended.
-type received struct {
+// receivedNotes holds what a connection received, and when and why it ended.
+type receivedNotes struct {
 	notes []note
 	err   error
 	at    time.Time
 }
 
-// inbox receives on a connection until it ends.
+// inbox receives from a connection until it ends.
 type inbox struct {
 	mu sync.Mutex
-	re received
+	re receivedNotes
 }
 
 func receive(co *link.Conn) *inbox {
@@ -123,7 +123,7 @@
 	return in
 }
 
-func (in *inbox) get() received {
+func (in *inbox) get() receivedNotes {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return in.re
@@ -136,8 +136,8 @@
 	return re.Code
 }
 
-// equal compares notes. Their texts are long, which takes DeepEquals minutes.
-func equal(c *qt.C, got, want []note) {
+// assertNotes compares notes. Their texts are long, and DeepEquals would take minutes.
+func assertNotes(c *qt.C, got, want []note) {
 	c.Helper()
 	c.Assert(len(got), qt.Equals, len(want))
 	for ii := range want {
@@ -146,15 +146,14 @@
 	}
 }
 
-// bubble runs a test under a clock of its own.
-func bubble(t *testing.T, fn func(c *qt.C)) {
+// runSynctest runs a test with a simulated clock.
+func runSynctest(t *testing.T, fn func(c *qt.C)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { fn(qt.New(t)) })
 }
 
-// A connection hands over every message whole and in order, however large, in
-// both directions at once.
-func TestOrder(t *testing.T) {
+// Messages of all sizes must arrive whole and in order, in both directions at once.
+func TestMessagesArriveWholeAndInOrder(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		count int
@@ -167,7 +166,7 @@
 		{"just one larger than the queue", 1, 5 << 20},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			bubble(t, func(c *qt.C) {
+			runSynctest(t, func(c *qt.C) {
 				aw, bw := pair()
 				cf := config()
 				a, b := link.New(aw, cf), link.New(bw, cf)
@@ -187,16 +186,16 @@
 				}
 				synctest.Wait()
 				c.Assert(ai.get().err, qt.IsNil)
-				equal(c, ai.get().notes, want)
-				equal(c, bi.get().notes, want)
+				assertNotes(c, ai.get().notes, want)
+				assertNotes(c, bi.get().notes, want)
 			})
 		})
 	}
 }
 
-// Many goroutines may send on one connection.
+// Messages of concurrent senders all arrive.
 func TestConcurrentSend(t *testing.T) {
-	bubble(t, func(c *qt.C) {
+	runSynctest(t, func(c *qt.C) {
 		aw, bw := pair()
 		a, b := link.New(aw, config()), link.New(bw, config())
 		defer a.Close()
@@ -226,10 +225,10 @@
 	})
 }
 
-// A connection on which nobody has anything to say stands for as long as both
-// ends live, and no end writes more often than it has to.
-func TestIdle(t *testing.T) {
-	bubble(t, func(c *qt.C) {
+// An idle connection must stay open as long as both ends live, and each end may write no more
+// than one ping per interval.
+func TestIdleConnectionSendsOnlyPings(t *testing.T) {
+	runSynctest(t, func(c *qt.C) {
 		aw, bw := pair()
 		a, b := link.New(aw, config()), link.New(bw, config())
 		defer a.Close()
@@ -240,10 +239,10 @@
 		synctest.Wait()
 		c.Assert(ai.get().err, qt.IsNil)
 		c.Assert(bi.get().err, qt.IsNil)
-		for _, wi := range []*wire{aw, bw} {
-			times, sizes := wi.writes()
-			c.Assert(len(times), qt.Equals, int(time.Minute/ping))
-			c.Assert(times[0].Sub(start), qt.Equals, ping)
+		for _, rc := range []*recordingConn{aw, bw} {
+			times, sizes := rc.writes()
+			c.Assert(len(times), qt.Equals, int(time.Minute/pingInterval))
+			c.Assert(times[0].Sub(start), qt.Equals, pingInterval)
 			for _, size := range sizes {
 				c.Assert(size, qt.Equals, 4)
 			}
@@ -251,16 +250,16 @@
 	})
 }
 
-// Between a message and what follows it no more than the time of a ping passes,
-// whenever the message is sent. A ping that came at its own beat whether or not
-// there was a message let up to two such times pass, and with a ping of half the
-// silence a healthy connection would have ended.
-func TestPingAfterMessage(t *testing.T) {
+// No more than the ping interval may pass between a message and the next write, whenever the
+// message is sent. Pings at fixed times, independent of messages, would leave gaps of up to
+// two intervals, and with a ping interval of half the silence timeout a healthy connection
+// would end.
+func TestPingIntervalAfterMessage(t *testing.T) {
 	for _, at := range []time.Duration{
-		time.Millisecond, ping / 2, ping - time.Millisecond, ping, ping + time.Millisecond, 5 * ping / 2,
+		time.Millisecond, pingInterval / 2, pingInterval - time.Millisecond, pingInterval, pingInterval + time.Millisecond, 5 * pingInterval / 2,
 	} {
 		t.Run(at.String(), func(t *testing.T) {
-			bubble(t, func(c *qt.C) {
+			runSynctest(t, func(c *qt.C) {
 				aw, bw := pair()
 				a, b := link.New(aw, config()), link.New(bw, config())
 				defer a.Close()
@@ -270,11 +269,11 @@
 				last := time.Now()
 				time.Sleep(at)
 				c.Assert(a.Send(note{Number: 1}), qt.IsNil)
-				time.Sleep(10 * ping)
+				time.Sleep(10 * pingInterval)
 				synctest.Wait()
 				times, _ := aw.writes()
 				for _, ti := range times {
-					c.Assert(ti.Sub(last) <= ping, qt.IsTrue, qt.Commentf("%v", ti.Sub(last)))
+					c.Assert(ti.Sub(last) <= pingInterval, qt.IsTrue, qt.Commentf("%v", ti.Sub(last)))
 					last = ti
 				}
 				c.Assert(len(times) <= 13, qt.IsTrue, qt.Commentf("%d writes", len(times)))
@@ -284,10 +283,10 @@
 	}
 }
 
-// The other end's machine loses power or a cable is cut: nothing comes and
-// nothing is reset. The connection must end after the silence that is set, since
-// what waits for its end is a new one.
-func TestSilence(t *testing.T) {
+// The other end's machine loses power or a cable is cut: nothing is received and the
+// connection is not reset. It must end after the silence timeout, since only then is a new one
+// opened.
+func TestSilenceTimeoutEndsConnection(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		both bool
@@ -296,26 +295,27 @@
 		{"cut in both directions", true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			bubble(t, func(c *qt.C) {
+			runSynctest(t, func(c *qt.C) {
 				aw, bw := pair()
 				a, b := link.New(aw, config()), link.New(bw, config())
 				defer a.Close()
 				defer b.Close()
 				ai, bi := receive(a), receive(b)
 				c.Assert(b.Send(note{Number: 1}), qt.IsNil)
-				time.Sleep(2*time.Second + ping/2)
+				time.Sleep(2*time.Second + pingInterval/2)
 				cut := time.Now()
-				aw.swallow.Store(tc.both)
-				bw.swallow.Store(true)
+				aw.dropWrites.Store(tc.both)
+				bw.dropWrites.Store(true)
 				time.Sleep(10 * time.Second)
 				synctest.Wait()
 				for _, in := range []*inbox{ai, bi} {
 					re := in.get()
 					c.Assert(code(c, re.err), qt.Equals, result.ControlUnavailable)
-					c.Assert(re.at.Sub(cut) <= silence, qt.IsTrue, qt.Commentf("%v", re.at.Sub(cut)))
-					c.Assert(re.at.Sub(cut) >= silence-ping, qt.IsTrue, qt.Commentf("%v", re.at.Sub(cut)))
+					c.Assert(re.at.Sub(cut) <= silenceTimeout, qt.IsTrue, qt.Commentf("%v", re.at.Sub(cut)))
+					c.Assert(re.at.Sub(cut) >= silenceTimeout-pingInterval, qt.IsTrue, qt.Commentf("%v", re.at.Sub(cut)))
 				}
-				// The second of two ends that fall silent together may see the first one close.
+				// If both ends fall silent together, the second may see the first one close
+				// the connection.
 				c.Assert(tc.both || errors.Is(ai.get().err, os.ErrDeadlineExceeded), qt.IsTrue)
 				c.Assert(code(c, a.Send(note{})), qt.Equals, result.ControlUnavailable)
 				<-a.Done()
@@ -324,41 +324,42 @@
 	}
 }
 
-// The other end hangs, and its connection stands until the silence ends it. Who sends
-// what others wait for looks when a byte came last, and takes another way meanwhile.
-func TestHeard(t *testing.T) {
-	bubble(t, func(c *qt.C) {
+// The other end hangs, and its connection stays open until the silence timeout. LastReceived
+// must show the silence earlier, so that a sender of urgent messages can use another
+// connection meanwhile.
+func TestLastReceived(t *testing.T) {
+	runSynctest(t, func(c *qt.C) {
 		aw, bw := pair()
 		a, b := link.New(aw, config()), link.New(bw, config())
 		defer a.Close()
 		defer b.Close()
 		_, _ = receive(a), receive(b)
 		c.Assert(a.LastReceived(), qt.Equals, time.Now())
-		time.Sleep(2*time.Second + ping/2)
-		c.Assert(time.Since(a.LastReceived()) <= ping, qt.IsTrue)
-		bw.swallow.Store(true)
+		time.Sleep(2*time.Second + pingInterval/2)
+		c.Assert(time.Since(a.LastReceived()) <= pingInterval, qt.IsTrue)
+		bw.dropWrites.Store(true)
 		cut := time.Now()
-		time.Sleep(2 * ping)
+		time.Sleep(2 * pingInterval)
 		c.Assert(a.LastReceived().After(cut), qt.IsFalse)
 		c.Assert(b.LastReceived().After(cut), qt.IsTrue)
 	})
 }
 
-// A large configuration comes over a slow link: it takes seconds, but bytes keep
-// coming. That must not look like silence, or the link would be opened again and
-// again and never get the configuration across.
-func TestSlowTransfer(t *testing.T) {
-	bubble(t, func(c *qt.C) {
+// A large configuration is transferred over a slow connection: it takes seconds, but bytes
+// keep arriving. That must not count as silence, or the connection would be reopened again and
+// again and the configuration would never arrive.
+func TestSlowTransferKeepsConnection(t *testing.T) {
+	runSynctest(t, func(c *qt.C) {
 		aw, bw := pair()
-		aw.pause = silence / 2
+		aw.writeDelay = silenceTimeout / 2
 		a, b := link.New(aw, config()), link.New(bw, config())
-		defer time.Sleep(silence) // The last write ends.
+		defer time.Sleep(silenceTimeout) // lets the last write end
 		defer a.Close()
 		defer b.Close()
 		ai, bi := receive(a), receive(b)
 		c.Assert(a.Send(note{Text: make([]byte, 1<<20)}), qt.IsNil)
 		c.Assert(a.Send(note{Number: 2}), qt.IsNil)
-		time.Sleep(5 * silence)
+		time.Sleep(5 * silenceTimeout)
 		synctest.Wait()
 		c.Assert(len(bi.get().notes), qt.Equals, 0)
 		time.Sleep(time.Minute)
@@ -369,21 +370,20 @@
 	})
 }
 
-// The other end stops reading, as a frozen process does, while its machine still
-// takes bytes for a while. Send must neither wait nor pile up without bound: the
-// connection ends.
-func TestReaderThatStalls(t *testing.T) {
+// The other end stops reading, as a frozen process does, while its machine still accepts bytes
+// for a while. Send must neither block nor queue without bound: the connection ends.
+func TestStalledReaderEndsConnection(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		bytes int
 		count int
-		at    time.Duration // at is when the connection ends.
+		at    time.Duration // when the connection ends
 	}{
-		{"few messages, found by time", 100, 10, silence},
-		{"many messages, found by the queue", 1 << 20, 10, 0},
+		{"few messages, silence timeout", 100, 10, silenceTimeout},
+		{"many messages, queue full", 1 << 20, 10, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			bubble(t, func(c *qt.C) {
+			runSynctest(t, func(c *qt.C) {
 				aw, bw := pair()
 				a := link.New(aw, config())
 				defer a.Close()
@@ -405,22 +405,22 @@
 	}
 }
 
-// A process is frozen for seconds. When it wakes, the deadline of its read has
-// passed although the other end may have sent all the while. This costs the
-// connection; a new one to the same end works at once.
-func TestFrozen(t *testing.T) {
-	bubble(t, func(c *qt.C) {
+// A process is frozen for seconds. When it resumes, its read deadline has expired although the
+// other end may have kept sending. The connection ends, but a new one to the same end must
+// work at once.
+func TestFrozenProcessReconnects(t *testing.T) {
+	runSynctest(t, func(c *qt.C) {
 		cf := config()
-		var far []*link.Conn
+		var farConns []*link.Conn
 		cf.Connect = func(context.Context, string) (net.Conn, error) {
 			aw, bw := pair()
-			aw.late.Store(len(far) == 0)
+			aw.expireNextRead.Store(len(farConns) == 0)
 			co := link.New(bw, config())
 			_ = receive(co)
-			if err := co.Send(note{Number: len(far)}); err != nil {
+			if err := co.Send(note{Number: len(farConns)}); err != nil {
 				return nil, err
 			}
-			far = append(far, co)
+			farConns = append(farConns, co)
 			return aw, nil
 		}
 		first, err := link.Dial(context.Background(), "frozen", cf)
@@ -434,15 +434,15 @@
 		c.Assert(err, qt.IsNil)
 		c.Assert(ms, qt.DeepEquals, peer.Message(note{Number: 1}))
 		second.Close()
-		for _, co := range far {
+		for _, co := range farConns {
 			co.Close()
 		}
 	})
 }
 
-// The two ends' programs may differ by a version, and anybody may connect to a
-// port: what cannot be read ends the connection and nothing else.
-func TestUnreadable(t *testing.T) {
+// The two ends may run different versions of the program, and anybody may connect to the port:
+// unreadable bytes must end the connection and have no other effect.
+func TestUnreadableFrameEndsConnection(t *testing.T) {
 	frame := func(size uint32, body ...byte) []byte {
 		return append(binary.BigEndian.AppendUint32(nil, size), body...)
 	}
@@ -457,7 +457,7 @@
 		{"end within the prefix", []byte{0, 0}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			bubble(t, func(c *qt.C) {
+			runSynctest(t, func(c *qt.C) {
 				aw, bw := pair()
 				a := link.New(aw, config())
 				defer a.Close()
@@ -475,10 +475,10 @@
 	}
 }
 
-// A message that the codec does not know is the sender's fault: it is refused
-// and the connection stands.
-func TestUnknownMessage(t *testing.T) {
-	bubble(t, func(c *qt.C) {
+// Sending a message that the codec does not know is the sender's error: it is rejected and the
+// connection stays open.
+func TestUnknownMessageIsRejected(t *testing.T) {
+	runSynctest(t, func(c *qt.C) {
 		aw, bw := pair()
 		a, b := link.New(aw, config()), link.New(bw, config())
 		defer a.Close()
@@ -486,8 +486,8 @@
 		in := receive(b)
 		_ = receive(a)
 		var pe *peer.Error
-		c.Assert(errors.As(a.Send(stranger{}), &pe), qt.IsTrue)
-		_, err := a.Prepare(stranger{})
+		c.Assert(errors.As(a.Send(unknownMessage{}), &pe), qt.IsTrue)
+		_, err := a.Prepare(unknownMessage{})
 		c.Assert(errors.As(err, &pe), qt.IsTrue)
 		c.Assert(a.Send(note{Number: 1}), qt.IsNil)
 		synctest.Wait()
@@ -495,9 +495,9 @@
 	})
 }
 
-// A message that goes to many is encoded once.
-func TestPacked(t *testing.T) {
-	bubble(t, func(c *qt.C) {
+// A message for several connections is encoded once.
+func TestPreparedMessage(t *testing.T) {
+	runSynctest(t, func(c *qt.C) {
 		var conns []*link.Conn
 		var ins []*inbox
 		for range 3 {
@@ -509,23 +509,23 @@
 			conns, ins = append(conns, a), append(ins, receive(b))
 		}
 		want := note{Number: 7, Text: make([]byte, 200<<10)}
-		pa, err := conns[0].Prepare(want)
+		pm, err := conns[0].Prepare(want)
 		c.Assert(err, qt.IsNil)
-		c.Assert(pa.Size() > 200<<10, qt.IsTrue)
+		c.Assert(pm.Size() > 200<<10, qt.IsTrue)
 		for _, co := range conns {
-			c.Assert(co.SendPrepared(pa), qt.IsNil)
-			c.Assert(co.SendPrepared(pa), qt.IsNil)
+			c.Assert(co.SendPrepared(pm), qt.IsNil)
+			c.Assert(co.SendPrepared(pm), qt.IsNil)
 		}
 		synctest.Wait()
 		for _, in := range ins {
-			equal(c, in.get().notes, []note{want, want})
+			assertNotes(c, in.get().notes, []note{want, want})
 		}
 	})
 }
 
-// Closing ends both ends, and twice is as good as once.
-func TestClose(t *testing.T) {
-	bubble(t, func(c *qt.C) {
+// Close ends the connection at both ends, and may be called twice.
+func TestCloseEndsBothSides(t *testing.T) {
+	runSynctest(t, func(c *qt.C) {
 		aw, bw := pair()
 		a, b := link.New(aw, config()), link.New(bw, config())
 		in := receive(b)
@@ -541,8 +541,8 @@
 	})
 }
 
-// A dial that gets no answer ends after the time that is set for it.
-func TestDial(t *testing.T) {
+// A dial without a reply must end after DialTimeout.
+func TestDialErrors(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		connect func(ctx context.Context, address string) (net.Conn, error)
@@ -553,10 +553,10 @@
 		{"no answer", func(ctx context.Context, _ string) (net.Conn, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
-		}, context.DeadlineExceeded, silence},
+		}, context.DeadlineExceeded, silenceTimeout},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			bubble(t, func(c *qt.C) {
+			runSynctest(t, func(c *qt.C) {
 				cf := config()
 				cf.Connect = tc.connect
 				start := time.Now()
@@ -569,8 +569,8 @@
 	}
 }
 
-// The same over TCP: a listener gives each connection to the handler, closes it
-// when the handler returns, and ends with its context.
+// Over TCP, Serve must run the handler for each connection, close the connection when the
+// handler returns, and stop with its context.
 func TestServe(t *testing.T) {
 	c := qt.New(t)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -598,7 +598,7 @@
 		c.Assert(co.Send(want), qt.IsNil)
 		ms, err := co.Receive()
 		c.Assert(err, qt.IsNil)
-		equal(c, []note{ms.(note)}, []note{want})
+		assertNotes(c, []note{ms.(note)}, []note{want})
 		c.Assert(co.RemoteAddress(), qt.Equals, li.Addr().String())
 		c.Assert(co.Send(note{Number: -1}), qt.IsNil)
 		_, err = co.Receive()
@@ -610,12 +610,13 @@
 	c.Assert(code(c, err), qt.Equals, result.ControlUnavailable)
 }
 
-// The listener runs out of descriptors for a moment: it goes on afterwards.
-func TestServeGoesOn(t *testing.T) {
-	bubble(t, func(c *qt.C) {
+// The listener fails because the process has run out of file descriptors. Serve must accept
+// connections again afterwards.
+func TestServeContinuesAfterAcceptErrors(t *testing.T) {
+	runSynctest(t, func(c *qt.C) {
 		ctx, cancel := context.WithCancel(context.Background())
 		aw, bw := pair()
-		li := &faulty{conns: make(chan net.Conn, 1), faults: 3}
+		li := &failingListener{conns: make(chan net.Conn, 1), numErrors: 3}
 		li.conns <- bw
 		handled := make(chan struct{})
 		served := make(chan error, 1)
@@ -625,39 +626,39 @@
 		<-handled
 		synctest.Wait()
 		_, err := aw.Read(make([]byte, 1))
-		c.Assert(err, qt.IsNotNil) // The connection is closed when the handler has returned.
+		c.Assert(err, qt.IsNotNil) // closed because the handler has returned
 		cancel()
 		c.Assert(<-served, qt.Equals, context.Canceled)
 	})
 }
 
-// faulty is a listener whose first accepts fail.
-type faulty struct {
-	conns  chan net.Conn
-	faults int
-	once   sync.Once
+// failingListener is a listener whose first accepts fail.
+type failingListener struct {
+	conns     chan net.Conn
+	numErrors int
+	once      sync.Once
 }
 
-func (fa *faulty) Accept() (net.Conn, error) {
-	if fa.faults > 0 {
-		fa.faults--
+func (fl *failingListener) Accept() (net.Conn, error) {
+	if fl.numErrors > 0 {
+		fl.numErrors--
 		return nil, errors.New("too many open files")
 	}
-	nc, ok := <-fa.conns
+	nc, ok := <-fl.conns
 	if !ok {
 		return nil, net.ErrClosed
 	}
 	return nc, nil
 }
 
-func (fa *faulty) Close() error {
-	fa.once.Do(func() { close(fa.conns) })
+func (fl *failingListener) Close() error {
+	fl.once.Do(func() { close(fl.conns) })
 	return nil
 }
 
-func (fa *faulty) Addr() net.Addr { return &net.TCPAddr{} }
+func (fl *failingListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// BenchmarkExchange sends a small message over TCP and waits for the answer.
+// BenchmarkExchange sends a small message over TCP and waits for the reply.
 func BenchmarkExchange(b *testing.B) {
 	c := qt.New(b)
 	li, err := net.Listen("tcp4", "127.0.0.1:0")
