--- a/peer/bench_test.go
+++ b/peer/bench_test.go
@@ -16,11 +16,11 @@
 	"balsamwinch.example/timer"
 )
 
-// payload is as long as the entry of a backend server on the wire.
+// payload is as large as the encoded entry of a backend server.
 var payload = note{strings.Repeat("x", 130)}
 
-// listen returns a peer at a free port of the loopback interface.
-func listen(b *testing.B, au *keys.Authority, name string, ha Handler) *Peer {
+// startPeer starts a peer on a free port of the loopback interface.
+func startPeer(b *testing.B, au *keys.Authority, name string, ha Handler) *Peer {
 	pa, err := au.Issue(keys.Subject{Name: name, IPs: []net.IP{net.IPv4(127, 0, 0, 1)}})
 	if err != nil {
 		b.Fatal(err)
@@ -47,13 +47,13 @@
 	return pe
 }
 
-// pair returns two peers with a connection from the first to the second.
+// pair returns two peers and a connection from the first to the second.
 func pair(b *testing.B, ha Handler) (pa, pb *Peer) {
 	au, err := keys.NewAuthority()
 	if err != nil {
 		b.Fatal(err)
 	}
-	pa, pb = listen(b, au, "a", ha), listen(b, au, "b", ha)
+	pa, pb = startPeer(b, au, "a", ha), startPeer(b, au, "b", ha)
 	if _, err := pa.Call(bg, "b", pb.Address(), payload); err != nil {
 		b.Fatal(err)
 	}
@@ -62,7 +62,7 @@
 
 func echo(_ context.Context, _ string, ms Message) (Message, error) { return ms, nil }
 
-// processorTime returns the processor time that the process has used.
+// processorTime returns the CPU time that the process has used.
 func processorTime() time.Duration {
 	var ru syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &ru); err != nil {
@@ -71,8 +71,9 @@
 	return time.Duration(ru.Utime.Nano() + ru.Stime.Nano())
 }
 
-// wire returns the bytes in UDP packets and the packets of a peer's connections.
-func wire(pe *Peer) (bytes, packets uint64) {
+// udpTraffic returns the bytes and the number of UDP packets that a peer's connections have
+// sent and received.
+func udpTraffic(pe *Peer) (bytes, packets uint64) {
 	for _, qc := range pe.connections() {
 		st := qc.ConnectionStats()
 		bytes += st.BytesSent + st.BytesReceived
@@ -81,20 +82,21 @@
 	return bytes, packets
 }
 
-// report gives what n messages cost both ends together since the readings.
+// report reports the cost of n messages at both ends together, given the readings at the
+// start.
 func report(b *testing.B, pe *Peer, n int, start time.Duration, bytes, packets uint64) {
 	cpu := processorTime() - start
-	by, pk := wire(pe)
+	by, pk := udpTraffic(pe)
 	b.ReportMetric(float64(cpu.Nanoseconds())/1e3/float64(n), "cpu-µs/message")
 	b.ReportMetric(float64(by-bytes)/float64(n), "UDP-B/message")
 	b.ReportMetric(float64(pk-packets)/float64(n), "packets/message")
 }
 
-// BenchmarkCall gives the latency and the cost of both ends of a Call of 130
-// bytes each way over a connection in use.
+// BenchmarkCall measures the latency of a Call of 130 bytes each way over an open connection,
+// and its cost at both ends.
 func BenchmarkCall(b *testing.B) {
 	pa, pb := pair(b, echo)
-	bytes, packets := wire(pa)
+	bytes, packets := udpTraffic(pa)
 	start := processorTime()
 	for b.Loop() {
 		if _, err := pa.Call(bg, "b", pb.Address(), payload); err != nil {
@@ -104,8 +106,8 @@
 	report(b, pa, b.N, start, bytes, packets)
 }
 
-// BenchmarkSend gives the cost of both ends of a one-way message of 130 bytes,
-// when each is alone and when many are queued at a time.
+// BenchmarkSend measures the cost at both ends of a one-way message of 130 bytes, sent alone
+// and with many queued at once.
 func BenchmarkSend(b *testing.B) {
 	for _, batch := range []int{1, 10, 100, 1000} {
 		b.Run(fmt.Sprintf("queued=%d", batch), func(b *testing.B) {
@@ -115,7 +117,7 @@
 				return nil, nil
 			})
 			<-got
-			bytes, packets := wire(pa)
+			bytes, packets := udpTraffic(pa)
 			start := processorTime()
 			for b.Loop() {
 				for range batch {
@@ -130,11 +132,10 @@
 	}
 }
 
-// BenchmarkDial gives the cost of both ends of a new connection and the first
-// Call over it.
+// BenchmarkDial measures the cost at both ends of a new connection and the first Call over it.
 func BenchmarkDial(b *testing.B) {
 	pa, pb := pair(b, echo)
-	lk := pa.hold(target{"b", pb.Address()})
+	lk := pa.acquireLink(target{"b", pb.Address()})
 	start := processorTime()
 	for b.Loop() {
 		lk.retire(lk.cn)
@@ -145,8 +146,8 @@
 	b.ReportMetric(float64((processorTime()-start).Microseconds())/float64(b.N), "cpu-µs/connection")
 }
 
-// BenchmarkConnectionMemory gives the memory that both ends of a connection at
-// rest hold together.
+// BenchmarkConnectionMemory measures the memory that both ends of an idle connection use
+// together.
 func BenchmarkConnectionMemory(b *testing.B) {
 	pa, pb := pair(b, echo)
 	heap := func() float64 {
--- a/peer/codec.go
+++ b/peer/codec.go
@@ -10,26 +10,26 @@
 	"balsamwinch.example/result"
 )
 
-// Version is the version of the frames that this package writes and the only
-// one that it reads.
+// Version is the version of the frames that this package writes, and the only one that it
+// reads.
 const Version = 1
 
-// FrameLimit is the size of the largest frame in bytes.
+// MaxFrameBytes is the maximum size of a frame in bytes.
 const MaxFrameBytes = 16 << 20
 
-// The kinds that the package itself uses.
+// Kinds reserved for this package.
 const (
-	kindEmpty   Kind = 1 // kindEmpty is the reply of a handler that returned no message.
-	kindFailure Kind = 2 // kindFailure carries the error of a handler.
+	kindEmpty   Kind = 1 // the reply of a handler that returned no message
+	kindFailure Kind = 2 // the error of a handler
 )
 
-// envelope is the frame around a message. Its first two fields never change
-// their meaning, so that a later version can be told apart and answered.
+// envelope is the frame around a message. The meaning of its first two fields never changes,
+// so that a frame of a later version can be recognised and answered.
 type envelope struct {
 	Version uint64          `cbor:"1,keyasint"`
 	Kind    Kind            `cbor:"2,keyasint"`
 	Body    cbor.RawMessage `cbor:"3,keyasint,omitempty"`
-	Reply   bool            `cbor:"4,keyasint,omitempty"` // Reply says that the sender waits for a reply.
+	Reply   bool            `cbor:"4,keyasint,omitempty"` // whether the sender waits for a reply
 }
 
 // failure is the body of kindFailure.
@@ -40,17 +40,16 @@
 	Op     string       `cbor:"4,keyasint,omitempty"`
 }
 
-// Codec translates messages of a closed set of types to frames and back. It is
-// safe for concurrent use.
+// Codec encodes and decodes messages of a fixed set of types. It is safe for concurrent use.
 type Codec struct {
 	en    cbor.EncMode
 	de    cbor.DecMode
 	types map[Kind]reflect.Type
 }
 
-// NewCodec returns a codec of the types of the given messages. Messages come
-// out of it in the type that was given, value or pointer. It panics if two
-// types have the same kind, which is a fault of the program.
+// NewCodec returns a codec for the types of the given messages. Decode returns each type as it
+// was given, as a value or a pointer. NewCodec panics if two types have the same kind, which
+// is a programming error.
 func NewCodec(ms ...[]Message) *Codec {
 	eo := cbor.CoreDetEncOptions()
 	eo.Time = cbor.TimeRFC3339Nano
@@ -66,7 +65,7 @@
 	for _, list := range ms {
 		for _, me := range list {
 			if ot, ok := co.types[me.Kind()]; ok {
-				panic(fmt.Sprintf("peer: kind %d is of both %T and %v", me.Kind(), me, ot))
+				panic(fmt.Sprintf("peer: kind %d is used by both %T and %v", me.Kind(), me, ot))
 			}
 			co.types[me.Kind()] = reflect.TypeOf(me)
 		}
@@ -74,33 +73,33 @@
 	return co
 }
 
-// Encode returns the frame of a message. It returns an *Error if the message is
-// of no known type or too large.
+// Encode returns the frame of a message. It returns an *Error if the type of the message is
+// unknown or the message is too large.
 func (co *Codec) Encode(ms Message) ([]byte, error) {
 	return co.encode(ms, false)
 }
 
-// Decode returns the message in a frame. It returns an *Error of the kind
-// WrongVersion or Malformed if the frame cannot be read.
+// Decode returns the message in a frame. It returns an *Error of kind WrongVersion or
+// Malformed if the frame cannot be read.
 func (co *Codec) Decode(frame []byte) (Message, error) {
-	en, rest, err := co.open(frame)
+	en, rest, err := co.decodeEnvelope(frame)
 	if err != nil {
 		return nil, err
 	}
 	if len(rest) > 0 {
-		return nil, &Error{Kind: Malformed, Detail: fmt.Sprintf("%d bytes after the frame", len(rest))}
+		return nil, &Error{Kind: Malformed, Detail: fmt.Sprintf("%d extra bytes after the frame", len(rest))}
 	}
 	return co.message(en)
 }
 
 func (co *Codec) encode(ms Message, reply bool) ([]byte, error) {
 	if co.types[ms.Kind()] != reflect.TypeOf(ms) {
-		return nil, &Error{Kind: Malformed, Detail: fmt.Sprintf("type %T is not known to the codec", ms)}
+		return nil, &Error{Kind: Malformed, Detail: fmt.Sprintf("unknown message type %T", ms)}
 	}
-	return co.seal(ms.Kind(), ms, reply)
+	return co.encodeEnvelope(ms.Kind(), ms, reply)
 }
 
-func (co *Codec) seal(ki Kind, body any, reply bool) ([]byte, error) {
+func (co *Codec) encodeEnvelope(ki Kind, body any, reply bool) ([]byte, error) {
 	en := envelope{Version: Version, Kind: ki, Reply: reply}
 	if body != nil {
 		var err error
@@ -113,20 +112,20 @@
 		return nil, &Error{Kind: Malformed, Detail: fmt.Sprintf("kind %d", ki), Err: err}
 	}
 	if len(frame) > MaxFrameBytes {
-		return nil, &Error{Kind: TooLarge, Detail: fmt.Sprintf("kind %d: %d bytes, at most %d", ki, len(frame), MaxFrameBytes)}
+		return nil, &Error{Kind: TooLarge, Detail: fmt.Sprintf("kind %d: %d bytes, want at most %d", ki, len(frame), MaxFrameBytes)}
 	}
 	return frame, nil
 }
 
-// open reads the first envelope of data and returns what follows it.
-func (co *Codec) open(data []byte) (envelope, []byte, error) {
+// decodeEnvelope decodes the first envelope in data and returns the remaining bytes.
+func (co *Codec) decodeEnvelope(data []byte) (envelope, []byte, error) {
 	var en envelope
 	rest, err := co.de.UnmarshalFirst(data, &en)
 	if err != nil {
 		return en, nil, &Error{Kind: Malformed, Detail: "frame", Err: err}
 	}
 	if en.Version != Version {
-		detail := fmt.Sprintf("frame of version %d, this instance speaks %d", en.Version, Version)
+		detail := fmt.Sprintf("frame has version %d, this instance supports %d", en.Version, Version)
 		return en, rest, &Error{Kind: WrongVersion, Detail: detail}
 	}
 	return en, rest, nil
@@ -135,7 +134,7 @@
 func (co *Codec) message(en envelope) (Message, error) {
 	ty, ok := co.types[en.Kind]
 	if !ok {
-		return nil, &Error{Kind: Malformed, Detail: fmt.Sprintf("kind %d is not known", en.Kind)}
+		return nil, &Error{Kind: Malformed, Detail: fmt.Sprintf("unknown kind %d", en.Kind)}
 	}
 	el := ty
 	if ty.Kind() == reflect.Pointer {
@@ -151,28 +150,28 @@
 	return pt.Interface().(Message), nil
 }
 
-// sealReply returns the frame of what a handler returned.
-func (co *Codec) sealReply(ms Message, err error) ([]byte, error) {
+// encodeReply returns the frame of a handler's result.
+func (co *Codec) encodeReply(ms Message, err error) ([]byte, error) {
 	switch {
 	case err != nil:
-		return co.seal(kindFailure, failureOf(err), false)
+		return co.encodeEnvelope(kindFailure, newFailure(err), false)
 	case ms == nil:
-		return co.seal(kindEmpty, nil, false)
+		return co.encodeEnvelope(kindEmpty, nil, false)
 	default:
 		return co.encode(ms, false)
 	}
 }
 
-// openReply returns the message or the error that a reply holds. A failure is
-// read before the version is judged: it is how another version says so.
-func (co *Codec) openReply(data []byte) (Message, error) {
-	en, _, err := co.open(data)
+// decodeReply returns the message or the error in a reply. A failure is decoded even if the
+// version differs, because a peer of another version reports the mismatch as a failure.
+func (co *Codec) decodeReply(data []byte) (Message, error) {
+	en, _, err := co.decodeEnvelope(data)
 	if en.Kind == kindFailure {
 		var fa failure
 		if err := co.de.Unmarshal(en.Body, &fa); err != nil {
 			return nil, &Error{Kind: Malformed, Detail: "failure", Err: err}
 		}
-		return nil, fa.error()
+		return nil, fa.toError()
 	}
 	if err != nil {
 		return nil, err
@@ -183,7 +182,7 @@
 	return co.message(en)
 }
 
-func failureOf(err error) failure {
+func newFailure(err error) failure {
 	var re *result.Error
 	var pe *Error
 	switch {
@@ -196,7 +195,7 @@
 	}
 }
 
-func (fa failure) error() *Error {
+func (fa failure) toError() *Error {
 	if fa.Code == nil {
 		return &Error{Kind: fa.Kind, Detail: fa.Detail}
 	}
--- a/peer/conn.go
+++ b/peer/conn.go
@@ -8,7 +8,7 @@
 	"github.com/quic-go/quic-go"
 )
 
-// conn is a connection that this instance made.
+// conn is a connection that this instance dialled.
 type conn struct {
 	pe     *Peer
 	qc     *quic.Conn
@@ -23,7 +23,8 @@
 	return &conn{pe: pe, qc: qc}
 }
 
-// acquire takes a share in the connection unless it is broken or out of use.
+// acquire adds a user to the connection. It returns false if the connection is broken or
+// retired.
 func (cn *conn) acquire() bool {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
@@ -38,24 +39,24 @@
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
 	cn.users--
-	cn.closeLocked()
+	cn.closeIfUnusedLocked()
 }
 
 func (cn *conn) retire() {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
 	cn.retired = true
-	cn.closeLocked()
+	cn.closeIfUnusedLocked()
 }
 
-func (cn *conn) closeLocked() {
+func (cn *conn) closeIfUnusedLocked() {
 	if cn.retired && cn.users == 0 {
 		cn.qc.CloseWithError(connectionClosed, "out of use")
 	}
 }
 
-// exchange sends a request over a stream of its own and reads what comes back
-// until the other end closes the stream, which says that it handled it all.
+// exchange sends a request over its own stream and reads the reply until the other end closes
+// the stream, which confirms that the whole request was handled.
 func (cn *conn) exchange(ctx context.Context, request []byte) ([]byte, *Error) {
 	st, err := cn.qc.OpenStreamSync(ctx)
 	if err != nil {
@@ -66,7 +67,7 @@
 		st.CancelWrite(streamAbandoned)
 	})
 	defer stop()
-	unwatch := cn.watch()
+	unwatch := cn.watchSilence()
 	defer unwatch()
 	if _, err := st.Write(request); err != nil {
 		return nil, cn.error(ctx, err)
@@ -86,22 +87,21 @@
 	return transportError(ctx, err, Lost)
 }
 
-// watch closes the connection if it goes silent while somebody waits for an
-// answer on it. It returns a function that ends the watch.
+// watchSilence closes the connection if it goes silent while a reply is awaited. It returns a
+// function that ends the watch.
 //
-// It guards against a connection of which something between the two ends has
-// lost track: packets vanish for good while a new connection would work, and a
-// message waits for its whole deadline or is lost. The other end's QUIC
-// confirms whatever it gets within milliseconds, also while its handler is
-// busy, so a connection on which nothing at all came back for a while after a
-// write is not worth waiting on.
-func (cn *conn) watch() func() {
+// It guards against connections that something between the two ends has lost track of: all
+// packets are dropped while a new connection would work, and each message waits for its whole
+// deadline or is lost. QUIC acknowledges what it receives within milliseconds, even while the
+// handler is busy, so a connection that receives nothing at all for a while after a write is
+// given up.
+func (cn *conn) watchSilence() func() {
 	done := make(chan struct{})
 	go func() {
-		su := cn.pe.ts.Subscribe(silence)
+		su := cn.pe.ts.Subscribe(silenceTimeout)
 		defer su.Stop()
-		seen := cn.received()
-		probed := true // The request itself is the first probe.
+		last := cn.packetsReceived()
+		probed := true // the request itself is the first probe
 		for {
 			select {
 			case <-done:
@@ -110,10 +110,10 @@
 				return
 			case <-su.C:
 			}
-			now := cn.received()
+			now := cn.packetsReceived()
 			switch {
-			case now != seen:
-				seen, probed = now, false
+			case now != last:
+				last, probed = now, false
 			case !probed:
 				cn.probe()
 				probed = true
@@ -127,11 +127,11 @@
 	return func() { close(done) }
 }
 
-func (cn *conn) received() uint64 {
+func (cn *conn) packetsReceived() uint64 {
 	return cn.qc.ConnectionStats().PacketsReceived
 }
 
-// probe makes the other end answer by an empty stream.
+// probe opens and closes an empty stream, which the other end acknowledges.
 func (cn *conn) probe() {
 	st, err := cn.qc.OpenStream()
 	if err != nil {
--- a/peer/counters.go
+++ b/peer/counters.go
@@ -2,8 +2,7 @@
 
 import "sync/atomic"
 
-// Traffic counts messages and the bytes of their frames. Headers of QUIC, UDP
-// and IP are not in it.
+// Traffic counts messages and the bytes of their frames, without QUIC, UDP and IP headers.
 type Traffic struct {
 	MessagesIn  uint64
 	MessagesOut uint64
@@ -11,14 +10,14 @@
 	BytesOut    uint64
 }
 
-// Counters counts traffic by range of kinds since the start.
+// Counters counts the traffic since the start, by range of kinds.
 type Counters struct {
 	Quorum  Traffic
 	Control Traffic
 	Member  Traffic
 	Other   Traffic
-	Dropped uint64 // Dropped counts one-way messages that were given up.
-	Dialled uint64 // Dialled counts connections that were made.
+	Dropped uint64 // one-way messages that were dropped
+	Dialled uint64 // connections that this instance established
 }
 
 // Ranges of kinds, in the order of the fields of Counters.
@@ -27,7 +26,7 @@
 	rangeControl
 	rangeMember
 	rangeOther
-	ranges
+	numRanges
 )
 
 func rangeOf(ki Kind) int {
@@ -48,17 +47,17 @@
 }
 
 type counters struct {
-	traffic          [ranges]trafficCounter
+	traffic          [numRanges]trafficCounter
 	dropped, dialled atomic.Uint64
 }
 
-func (cs *counters) in(ki Kind, bytes int) {
+func (cs *counters) countIn(ki Kind, bytes int) {
 	tc := &cs.traffic[rangeOf(ki)]
 	tc.messagesIn.Add(1)
 	tc.bytesIn.Add(uint64(bytes))
 }
 
-func (cs *counters) out(ki Kind, bytes int) {
+func (cs *counters) countOut(ki Kind, bytes int) {
 	tc := &cs.traffic[rangeOf(ki)]
 	tc.messagesOut.Add(1)
 	tc.bytesOut.Add(uint64(bytes))
--- a/peer/error.go
+++ b/peer/error.go
@@ -11,45 +11,45 @@
 	"balsamwinch.example/result"
 )
 
-// ErrorKind says what went wrong with a message.
+// ErrorKind is the kind of an Error.
 type ErrorKind string
 
-// The kinds of errors.
+// Kinds of errors.
 const (
-	// Unreachable says that no connection could be made: the message was not sent.
+	// Unreachable means that no connection could be established: the message was not sent.
 	Unreachable ErrorKind = "Unreachable"
-	// BadKey says that one side did not accept the other's key or name: the
-	// message was not handled. The cause is a *result.Error of the same code.
+	// BadKey means that one side rejected the other's key or name: the message was not
+	// handled. The cause is a *result.Error with the same code.
 	BadKey ErrorKind = "BadKey"
-	// Lost says that the connection broke; the message may have been handled.
+	// Lost means that the connection broke; the message may have been handled.
 	Lost ErrorKind = "Lost"
-	// Silent says that nothing came back over the connection although it was
-	// used; the message may have been handled.
+	// Silent means that nothing was received over the connection although it was in use; the
+	// message may have been handled.
 	Silent ErrorKind = "Silent"
-	// TimedOut says that the deadline passed; the message may have been handled.
+	// TimedOut means that the deadline expired; the message may have been handled.
 	TimedOut ErrorKind = "TimedOut"
-	// Cancelled says that the caller gave up; the message may have been handled.
+	// Cancelled means that the context was cancelled; the message may have been handled.
 	Cancelled ErrorKind = "Cancelled"
-	// Closing says that the peer is stopping and did not handle the message.
+	// Closing means that the peer is stopping and did not handle the message.
 	Closing ErrorKind = "Closing"
-	// Refused says that the peer's handler returned an error. The cause is a
-	// *result.Error if the handler gave one.
+	// Refused means that the peer's handler returned an error. The cause is a *result.Error if
+	// the handler returned one.
 	Refused ErrorKind = "Refused"
-	// WrongVersion says that the two sides speak different versions.
+	// WrongVersion means that the two sides use different versions.
 	WrongVersion ErrorKind = "WrongVersion"
-	// Malformed says that a frame could not be read or holds an unknown kind.
+	// Malformed means that a frame could not be read or contains an unknown kind.
 	Malformed ErrorKind = "Malformed"
-	// TooLarge says that a message does not fit in FrameLimit.
+	// TooLarge means that a message exceeds MaxFrameBytes.
 	TooLarge ErrorKind = "TooLarge"
 )
 
 // Error is an error of a message to or from a peer.
 type Error struct {
 	Kind    ErrorKind
-	Name    string // Name is the peer's name; empty if any instance was meant.
-	Address string // Address is the peer's address; empty where no peer is concerned.
+	Name    string // the peer's name; empty if any instance was meant
+	Address string // the peer's address; empty if the error concerns no peer
 	Detail  string
-	Err     error // Err is the cause, if any.
+	Err     error // the cause; may be nil
 }
 
 // Error returns the peer, kind, detail and cause in one line.
@@ -85,15 +85,15 @@
 	return ""
 }
 
-// alertNoProtocol is the TLS alert of an endpoint that speaks none of the
-// application protocols offered to it.
+// alertNoProtocol is the TLS alert of an endpoint that supports none of the application
+// protocols offered.
 const alertNoProtocol = 120
 
-// cryptoErrors is the QUIC error code to which TLS alerts are added.
-const cryptoErrors quic.TransportErrorCode = 0x100
+// cryptoErrorBase is the QUIC error code to which TLS alerts are added.
+const cryptoErrorBase quic.TransportErrorCode = 0x100
 
-// transportError returns the error for what quic-go returned. fallback is the
-// kind of an error that is about the connection as such.
+// transportError converts an error of quic-go. fallback is the kind of errors that concern the
+// connection itself.
 func transportError(ctx context.Context, err error, fallback ErrorKind) *Error {
 	var own *Error
 	if errors.As(err, &own) {
@@ -108,12 +108,12 @@
 		return &Error{Kind: Cancelled, Err: err}
 	case errors.As(err, &se) && se.ErrorCode == streamClosing:
 		return &Error{Kind: Closing}
-	case errors.As(err, &te) && te.ErrorCode == cryptoErrors+alertNoProtocol:
+	case errors.As(err, &te) && te.ErrorCode == cryptoErrorBase+alertNoProtocol:
 		return &Error{Kind: WrongVersion, Err: err}
 	case errors.As(err, &te) && te.ErrorCode.IsCryptoError():
-		detail := "this instance's key or name was refused"
+		detail := "this instance's key or name was rejected"
 		if !te.Remote {
-			detail = "the key or name shown is wrong: " + shownName(err)
+			detail = "the peer's key or name is invalid: " + describeCertificate(err)
 		}
 		return &Error{Kind: BadKey, Err: &result.Error{Code: result.BadKey, Op: "peer.handshake", Detail: detail, Err: err}}
 	default:
@@ -121,11 +121,11 @@
 	}
 }
 
-// shownName describes the certificate that failed to be verified.
-func shownName(err error) string {
+// describeCertificate describes the certificate whose verification failed.
+func describeCertificate(err error) string {
 	var ve *tls.CertificateVerificationError
 	if !errors.As(err, &ve) || len(ve.UnverifiedCertificates) == 0 {
-		return "no certificate that could be read"
+		return "no readable certificate"
 	}
-	return fmt.Sprintf("certificate of %q", ve.UnverifiedCertificates[0].Subject.CommonName)
+	return fmt.Sprintf("certificate for %q", ve.UnverifiedCertificates[0].Subject.CommonName)
 }
--- a/peer/link.go
+++ b/peer/link.go
@@ -16,54 +16,53 @@
 )
 
 const (
-	// queueMessages and queueBytes bound the messages that wait for one peer.
-	queueMessages = 1024
-	queueBytes    = 32 << 20
-	// batchBytes is how much is sent before the peer confirms it.
-	batchBytes = 1 << 20
+	// maxQueueMessages and maxQueueBytes bound the queue of messages to one peer.
+	maxQueueMessages = 1024
+	maxQueueBytes    = 32 << 20
+	// maxBatchBytes is how much is sent before the peer must acknowledge it.
+	maxBatchBytes = 1 << 20
 	// batchTimeout bounds the sending of one batch.
 	batchTimeout = 30 * time.Second
-	// redialPause is the time between attempts to reach a peer by Send.
-	redialPause = 250 * time.Millisecond
+	// redialDelay is the delay between attempts of Send to reach a peer.
+	redialDelay = 250 * time.Millisecond
 )
 
-// target is whom messages are sent to.
+// target identifies the receiver of messages.
 type target struct {
 	name    string
 	address string
 }
 
-// link is what a Peer holds for one target: at most one connection in use and
-// the queue of one-way messages.
+// link is the state of a Peer for one target: at most one connection in use and the queue of
+// one-way messages.
 type link struct {
 	pe *Peer
 	ta target
-	// holders counts, under the lock of the Peer, the calls, the sender, the
-	// attempt to connect and the connections that need the link.
-	holders int
+	// refs counts the calls, the sender, the dial attempt and the connections that use the
+	// link. It is guarded by Peer.mu.
+	refs int
 
-	mu      sync.Mutex
-	cn      *conn    // cn is the connection in use, if any.
-	di      *dialing // di is the attempt under way, if any.
-	queue   [][]byte
-	queued  int // queued is the size of the queue in bytes.
-	sending bool
-	warned  ErrorKind // warned is the last failure that was logged since a success.
+	mu          sync.Mutex
+	cn          *conn        // the connection in use, or nil
+	di          *dialAttempt // the dial in progress, or nil
+	queue       [][]byte
+	queuedBytes int // the size of the queue
+	sending     bool
+	lastWarned  ErrorKind // the last failure logged since a success
 }
 
-// dialing is an attempt to make a connection, shared by all who wait for it.
-type dialing struct {
+// dialAttempt is a dial in progress, shared by all calls that wait for it.
+type dialAttempt struct {
 	done chan struct{}
 	cn   *conn
 	err  *Error
 }
 
-// Call sends a message and returns the reply, which is nil if the handler gave
-// none. The name must be the one in the peer's certificate; with an empty name
-// any instance that owns the address will do. A Call over a connection that
-// turns out to be broken is made once more over a new one, so a message may be
-// handled twice. When the deadline passes, the connection is given up as well:
-// it may be one that has gone silent for good. Errors are of type *Error.
+// Call sends a message and returns the reply, which is nil if the handler returned none. The
+// name must match the peer's certificate; with an empty name any instance with that address is
+// accepted. If a reused connection turns out to be broken, the call is retried over a new one,
+// so a message may be handled twice. When the deadline expires, the connection is taken out
+// of use, since it may be silent for good. Errors are of type *Error.
 func (pe *Peer) Call(ctx context.Context, name, address string, ms Message) (Message, error) {
 	if _, ok := ctx.Deadline(); !ok {
 		var cancel context.CancelFunc
@@ -74,49 +73,48 @@
 	if err != nil {
 		return nil, err
 	}
-	if !pe.begin() {
+	if !pe.beginWork() {
 		return nil, &Error{Kind: Closing, Name: name, Address: address, Detail: "this instance is closing"}
 	}
-	defer pe.busy.Done()
-	pe.cs.out(ms.Kind(), len(frame))
-	lk := pe.hold(target{name, address})
-	defer pe.drop(lk)
+	defer pe.inFlight.Done()
+	pe.cs.countOut(ms.Kind(), len(frame))
+	lk := pe.acquireLink(target{name, address})
+	defer pe.releaseLink(lk)
 	data, er := lk.exchange(ctx, frame)
 	if er != nil {
-		return nil, lk.named(er)
+		return nil, lk.withTarget(er)
 	}
-	reply, err := pe.co.openReply(data)
+	reply, err := pe.co.decodeReply(data)
 	if err != nil {
-		return nil, lk.named(transportError(ctx, err, Malformed))
+		return nil, lk.withTarget(transportError(ctx, err, Malformed))
 	}
 	if reply != nil {
-		pe.cs.in(reply.Kind(), len(data))
+		pe.cs.countIn(reply.Kind(), len(data))
 	}
 	return reply, nil
 }
 
-// Send queues a one-way message and returns at once. The messages to one peer
-// arrive in their order, at most twice; when too many wait or the peer cannot
-// be reached, the oldest are dropped.
+// Send queues a one-way message and returns at once. Messages to one peer arrive in order,
+// each at most twice. If the queue is full or the peer cannot be reached, the oldest are
+// dropped.
 func (pe *Peer) Send(name, address string, ms Message) {
 	frame, err := pe.co.Encode(ms)
 	if err != nil {
 		pe.lg.Error("message not sent", zap.String("peer", name), zap.Error(err))
 		return
 	}
-	pe.cs.out(ms.Kind(), len(frame))
-	lk := pe.hold(target{name, address})
-	if !lk.push(frame) {
-		pe.drop(lk)
+	pe.cs.countOut(ms.Kind(), len(frame))
+	lk := pe.acquireLink(target{name, address})
+	if !lk.enqueue(frame) {
+		pe.releaseLink(lk)
 		return
 	}
-	go lk.drain()
+	go lk.sendQueue()
 }
 
-// hold returns the link of a target and takes a share in it. A link without
-// shares is dropped, so that addresses of instances that were replaced do not
-// add up.
-func (pe *Peer) hold(ta target) *link {
+// acquireLink returns the link of a target and adds a reference to it. A link without
+// references is deleted, so that links to replaced instances do not accumulate.
+func (pe *Peer) acquireLink(ta target) *link {
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
 	lk, ok := pe.links[ta]
@@ -124,36 +122,36 @@
 		lk = &link{pe: pe, ta: ta}
 		pe.links[ta] = lk
 	}
-	lk.holders++
+	lk.refs++
 	return lk
 }
 
-// share takes one more share in a link that is held.
-func (pe *Peer) share(lk *link) {
+// retainLink adds a reference to a link that is already held.
+func (pe *Peer) retainLink(lk *link) {
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
-	lk.holders++
+	lk.refs++
 }
 
-// drop gives a share in a link back.
-func (pe *Peer) drop(lk *link) {
+// releaseLink drops a reference to a link.
+func (pe *Peer) releaseLink(lk *link) {
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
-	lk.holders--
-	if lk.holders == 0 {
+	lk.refs--
+	if lk.refs == 0 {
 		delete(pe.links, lk.ta)
 	}
 }
 
-func (lk *link) named(er *Error) *Error {
+func (lk *link) withTarget(er *Error) *Error {
 	cp := *er
 	cp.Name, cp.Address = lk.ta.name, lk.ta.address
 	return &cp
 }
 
-// exchange sends a request and returns what comes back. A connection that broke
-// before its answer came is replaced once if it had been used before: the peer
-// may have restarted, and must not appear unreachable for that.
+// exchange sends a request and returns the reply. If a reused connection breaks before the
+// reply arrives, it is replaced and the request is retried: a peer that has restarted must not
+// appear unreachable.
 func (lk *link) exchange(ctx context.Context, request []byte) ([]byte, *Error) {
 	for {
 		cn, reused, er := lk.connection(ctx)
@@ -163,7 +161,7 @@
 		data, er := cn.exchange(ctx, request)
 		cn.release()
 		if er == nil {
-			lk.succeeded()
+			lk.resetWarned()
 			return data, nil
 		}
 		broken := er.Kind == Lost || er.Kind == Silent
@@ -176,15 +174,15 @@
 	}
 }
 
-// succeeded makes the next failure worth a line in the log again.
-func (lk *link) succeeded() {
+// resetWarned makes the next failure be logged again.
+func (lk *link) resetWarned() {
 	lk.mu.Lock()
-	lk.warned = ""
+	lk.lastWarned = ""
 	lk.mu.Unlock()
 }
 
-// connection returns the connection in use and whether it was used before, or
-// makes one.
+// connection returns the connection in use, or dials a new one. The boolean reports whether
+// the connection was used before.
 func (lk *link) connection(ctx context.Context) (*conn, bool, *Error) {
 	lk.mu.Lock()
 	if lk.cn != nil && lk.cn.acquire() {
@@ -193,8 +191,8 @@
 		return cn, true, nil
 	}
 	if lk.di == nil {
-		lk.di = &dialing{done: make(chan struct{})}
-		lk.pe.share(lk)
+		lk.di = &dialAttempt{done: make(chan struct{})}
+		lk.pe.retainLink(lk)
 		go lk.dial(lk.di)
 	}
 	di := lk.di
@@ -202,7 +200,7 @@
 	select {
 	case <-di.done:
 	case <-ctx.Done():
-		return nil, false, &Error{Kind: Unreachable, Detail: "no connection by the deadline", Err: ctx.Err()}
+		return nil, false, &Error{Kind: Unreachable, Detail: "not connected before the deadline", Err: ctx.Err()}
 	}
 	if di.err != nil {
 		return nil, false, di.err
@@ -213,9 +211,9 @@
 	return di.cn, false, nil
 }
 
-// dial makes a connection and hands it to all who wait for the attempt. The
-// share of the attempt in the link passes to the connection.
-func (lk *link) dial(di *dialing) {
+// dial dials the target and gives the result to all that wait for the attempt. The attempt's
+// reference to the link passes to the connection.
+func (lk *link) dial(di *dialAttempt) {
 	qc, err := lk.pe.dial(lk.ta)
 	lk.mu.Lock()
 	lk.di = nil
@@ -229,14 +227,14 @@
 	lk.mu.Unlock()
 	close(di.done)
 	if err != nil {
-		lk.pe.drop(lk)
+		lk.pe.releaseLink(lk)
 		return
 	}
-	context.AfterFunc(qc.Context(), func() { lk.ended(di.cn) })
+	context.AfterFunc(qc.Context(), func() { lk.onConnectionClosed(di.cn) })
 }
 
-// ended runs when a connection is closed by either side.
-func (lk *link) ended(cn *conn) {
+// onConnectionClosed runs when either side has closed a connection.
+func (lk *link) onConnectionClosed(cn *conn) {
 	lk.retire(cn)
 	er := transportError(lk.pe.ctx, context.Cause(cn.qc.Context()), Lost)
 	if er.Kind == BadKey || er.Kind == WrongVersion {
@@ -244,11 +242,11 @@
 		lk.warnLocked(er)
 		lk.mu.Unlock()
 	}
-	lk.pe.drop(lk)
+	lk.pe.releaseLink(lk)
 }
 
-// retire takes a connection out of use. Those who wait on it may still get
-// their answers; the last one closes it.
+// retire takes a connection out of use. Exchanges in flight may still complete; the last one
+// closes the connection.
 func (lk *link) retire(cn *conn) {
 	lk.mu.Lock()
 	if lk.cn == cn {
@@ -258,21 +256,21 @@
 	cn.retire()
 }
 
-// warnLocked logs a failure unless it was the last one as well.
+// warnLocked logs a failure unless its kind equals that of the last one logged.
 func (lk *link) warnLocked(er *Error) {
-	if er.Kind == lk.warned || er.Kind == Cancelled {
+	if er.Kind == lk.lastWarned || er.Kind == Cancelled {
 		return
 	}
-	lk.warned = er.Kind
-	lk.pe.lg.Warn("peer not reached", zap.String("peer", lk.ta.name), zap.String("address", lk.ta.address),
+	lk.lastWarned = er.Kind
+	lk.pe.lg.Warn("connection to peer failed", zap.String("peer", lk.ta.name), zap.String("address", lk.ta.address),
 		zap.String("kind", string(er.Kind)), zap.Error(er.Err))
 }
 
-// dial makes a connection to the target and verifies who answers.
+// dial connects to the target and verifies its identity.
 func (pe *Peer) dial(ta target) (*quic.Conn, error) {
 	ap, err := netip.ParseAddrPort(ta.address)
 	if err != nil {
-		return nil, &Error{Kind: Unreachable, Detail: "want an IP number and port", Err: err}
+		return nil, &Error{Kind: Unreachable, Detail: "want an IP address and port", Err: err}
 	}
 	ctx, cancel := context.WithTimeout(pe.ctx, dialTimeout)
 	defer cancel()
@@ -285,9 +283,9 @@
 	return qc, nil
 }
 
-// clientTLS returns the settings for a connection to the named instance. DNS
-// names are compared without regard to case, so the name is compared once more:
-// it decides whose word a message is taken for.
+// clientTLS returns the TLS configuration for a connection to the named instance. TLS compares
+// DNS names case-insensitively, so the name is compared again exactly: it decides which
+// instance a reply is attributed to.
 func clientTLS(tc *tls.Config, name string, ap netip.AddrPort) *tls.Config {
 	tc = tc.Clone()
 	if name == "" {
@@ -297,7 +295,7 @@
 	tc.ServerName = name
 	tc.VerifyConnection = func(cs tls.ConnectionState) error {
 		if got := keys.Name(cs); got != name {
-			return fmt.Errorf("certificate is of %q, want %q", got, name)
+			return fmt.Errorf("certificate is for %q, want %q", got, name)
 		}
 		return nil
 	}
--- a/peer/message.go
+++ b/peer/message.go
@@ -1,12 +1,11 @@
-// Package peer carries messages between instances over QUIC with mutual TLS.
-// It knows nothing of what the messages mean.
+// Package peer carries messages between instances over QUIC with mutual TLS. It knows nothing
+// of the messages' meaning.
 package peer
 
-// Kind numbers a type of message on the wire. A number is never used again for
-// another type.
+// Kind identifies a message type on the wire. A number is never reused for another type.
 type Kind uint16
 
-// The ranges of kinds, by the package whose messages they are.
+// First kinds of the ranges, one for each package with messages.
 const (
 	KindQuorum  Kind = 100
 	KindControl Kind = 200
@@ -16,7 +15,7 @@
 	KindFeed    Kind = 600
 )
 
-// Message is a typed message; its fields travel as CBOR.
+// Message is a typed message, encoded as CBOR.
 type Message interface {
 	Kind() Kind
 }
--- a/peer/network_test.go
+++ b/peer/network_test.go
@@ -17,30 +17,30 @@
 	"balsamwinch.example/timer"
 )
 
-// note is the message of these tests.
+// note is the test message.
 type note struct{ Text string }
 
 func (note) Kind() Kind { return KindMember + 1 }
 
-// network carries packets between peers under the clock of a synctest bubble.
+// network carries packets between peers under the simulated clock of a synctest bubble.
 type network struct {
 	c  *qt.C
 	au *keys.Authority
 
-	mu    sync.Mutex
-	nodes map[string]simnet.PacketReceiver
-	seen  map[string]bool // seen are the connection IDs of packets after the handshake.
-	lost  map[string]bool // lost are the connection IDs that the network lost track of.
+	mu         sync.Mutex
+	nodes      map[string]simnet.PacketReceiver
+	knownIDs   map[string]bool // connection IDs of packets after the handshake
+	droppedIDs map[string]bool // connection IDs whose packets are dropped
 }
 
-func run(t *testing.T, fn func(c *qt.C, nw *network)) {
+func runNetwork(t *testing.T, fn func(c *qt.C, nw *network)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		au, err := keys.NewAuthority()
 		c.Assert(err, qt.IsNil)
 		fn(c, &network{
 			c: c, au: au, nodes: make(map[string]simnet.PacketReceiver),
-			seen: make(map[string]bool), lost: make(map[string]bool),
+			knownIDs: make(map[string]bool), droppedIDs: make(map[string]bool),
 		})
 	})
 }
@@ -51,15 +51,15 @@
 	nw.nodes[addr.String()] = pr
 }
 
-// SendPacket delivers a packet unless its connection is lost. The first bit of
-// a packet is unset after the handshake; the next four bytes are then the ID.
+// SendPacket delivers a packet unless its connection is dropped. The first bit of a packet is
+// zero after the handshake; the next four bytes are then the connection ID.
 func (nw *network) SendPacket(pk simnet.Packet) error {
 	nw.mu.Lock()
 	pr := nw.nodes[pk.To.String()]
 	if pk.Data[0]&0x80 == 0 {
 		id := string(pk.Data[1:5])
-		nw.seen[id] = true
-		if nw.lost[id] {
+		nw.knownIDs[id] = true
+		if nw.droppedIDs[id] {
 			pr = nil
 		}
 	}
@@ -70,16 +70,16 @@
 	return nil
 }
 
-// loseConnections makes the network drop what belongs to connections of today.
-func (nw *network) loseConnections() {
+// dropConnections makes the network drop the packets of all existing connections.
+func (nw *network) dropConnections() {
 	nw.mu.Lock()
 	defer nw.mu.Unlock()
-	for id := range nw.seen {
-		nw.lost[id] = true
+	for id := range nw.knownIDs {
+		nw.droppedIDs[id] = true
 	}
 }
 
-// host is a peer in a network.
+// host is a peer on a network.
 type host struct {
 	*Peer
 	nw     *network
@@ -88,7 +88,7 @@
 	killed bool
 }
 
-// start makes a peer with a key of the authority; a nil handler echoes.
+// start starts a peer with a key of the authority; a nil handler echoes.
 func (nw *network) start(au *keys.Authority, name, address string, ha Handler) *host {
 	ap, err := net.ResolveUDPAddr("udp", address)
 	nw.c.Assert(err, qt.IsNil)
@@ -123,7 +123,7 @@
 	return ho
 }
 
-// kill ends a peer without a word to the others, as kill -9 does.
+// kill ends a peer without notifying the others, as kill -9 does.
 func (ho *host) kill() {
 	ho.nw.mu.Lock()
 	delete(ho.nw.nodes, ho.Address())
@@ -133,7 +133,8 @@
 	ho.stop()
 }
 
-// lines returns the logged lines with their fields' names and errors.
+// lines returns the logged messages with the values of their peer, address, kind and error
+// fields.
 func (ho *host) lines() []string {
 	var ls []string
 	for _, en := range ho.logs.All() {
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -22,60 +22,58 @@
 )
 
 const (
-	// idleTimeout is how long a connection is kept that nobody uses.
+	// idleTimeout is how long an unused connection is kept.
 	idleTimeout = 30 * time.Second
-	// dialTimeout bounds one attempt to make a connection.
+	// dialTimeout bounds one attempt to establish a connection.
 	dialTimeout = 2 * time.Second
-	// maxStreams is how many messages of one connection are handled at a time.
+	// maxStreams is the number of messages of one connection that are handled concurrently.
 	maxStreams = 256
-	// creditBatch is how many streams end before the other end is told that it
-	// may open as many new ones. Told one by one, it would get and confirm a
-	// packet more for each message.
-	creditBatch = 16
-	// silence is how long nothing at all may come back over a connection in use.
-	silence = time.Second
+	// streamCreditBatch is how many streams end before the other end is allowed to open as
+	// many new ones. Credit for single streams would cost it one more packet to receive and
+	// acknowledge for each message.
+	streamCreditBatch = 16
+	// silenceTimeout is how long a connection in use may receive nothing at all.
+	silenceTimeout = time.Second
 	// defaultCallTimeout bounds a Call whose context has no deadline.
 	defaultCallTimeout = 10 * time.Second
-	// closeGrace is how long a closing Peer waits for messages under way.
-	closeGrace = 2 * time.Second
-	// minLinger, maxLinger and lingerRounds, in round trips, are how long the
-	// last replies are given to leave.
-	minLinger    = 50 * time.Millisecond
-	maxLinger    = 500 * time.Millisecond
-	lingerRounds = 3
-	// refusalLogs is how many refused connections are logged a second.
-	refusalLogs = 10
-	// resetLabel sets the key of stateless resets apart from other uses of the
-	// private key that it is derived from.
-	resetLabel = "balsamwinch stateless reset"
+	// closeTimeout is how long a closing Peer waits for messages in flight.
+	closeTimeout = 2 * time.Second
+	// minLinger, maxLinger and lingerRTTs (in round-trip times) determine how long a closing
+	// Peer waits for its last replies to arrive.
+	minLinger  = 50 * time.Millisecond
+	maxLinger  = 500 * time.Millisecond
+	lingerRTTs = 3
+	// maxRefusalLogs is the number of rejected connections that are logged per second.
+	maxRefusalLogs = 10
+	// resetKeyLabel separates the key for stateless resets from other uses of the private key
+	// that it is derived from.
+	resetKeyLabel = "balsamwinch stateless reset"
 )
 
 // Error codes of streams and connections on the wire.
 const (
-	streamAbandoned quic.StreamErrorCode = 1 // streamAbandoned says that the sender no longer waits.
-	streamClosing   quic.StreamErrorCode = 2 // streamClosing says that the peer is stopping.
+	streamAbandoned quic.StreamErrorCode = 1 // the sender no longer waits
+	streamClosing   quic.StreamErrorCode = 2 // the peer is stopping
 
 	connectionClosed quic.ApplicationErrorCode = 0
 )
 
-// Handler handles a message from the instance with the given name, which its
-// certificate proves. A message may arrive twice if a connection breaks, so
-// handling must be idempotent. The returned message is the reply to a Call;
-// what a handler returns for a message of Send is dropped. Handlers run
-// concurrently. Messages of Send from one instance come one after the other, so
-// a handler that blocks delays the sender and in the end makes it drop the
-// oldest.
+// Handler handles a message from the named instance; the name is verified by its certificate.
+// A message may arrive twice if a connection breaks, so handling must be idempotent. The
+// returned message is the reply to a Call; for a message of Send it is ignored. Handlers run
+// concurrently, but messages of Send from one instance are handled one at a time: a handler
+// that blocks delays the sender, whose queue finally drops the oldest messages.
 type Handler func(ctx context.Context, from string, ms Message) (Message, error)
 
 // Config holds the settings of a Peer.
 type Config struct {
-	Self    string      // Self is the instance's name; it must be the one in the certificate.
-	Address string      // Address is the IP number and port to listen at; port 0 takes a free one.
-	TLS     *tls.Config // TLS comes from keys.Load.
+	Self    string      // the instance's name; must match the certificate
+	Address string      // the IP address and port to listen on; port 0 selects a free one
+	TLS     *tls.Config // from package keys
 }
 
-// Peer speaks with the other instances. A connection carries messages from the
-// instance that made it and the replies to them.
+// Peer exchanges messages with other instances. A connection carries the messages of the
+// instance that dialled it and the replies to them.
 type Peer struct {
 	cf Config
 	co *Codec
@@ -84,33 +82,33 @@
 	lg *zap.Logger
 	cs counters
 
-	pc       net.PacketConn
-	tr       *quic.Transport
-	ln       *quic.EarlyListener
-	qc       *quic.Config
-	refusals *rate.Sometimes
+	pc             net.PacketConn
+	tr             *quic.Transport
+	ln             *quic.EarlyListener
+	qc             *quic.Config
+	refusalLimiter *rate.Sometimes
 
-	ctx    context.Context // ctx ends when the last connection is closed.
+	ctx    context.Context // ends when the last connection is closed
 	cancel context.CancelFunc
 
-	mu      sync.Mutex
-	closing bool
-	busy    sync.WaitGroup // busy counts streams being served and queues being sent.
-	links   map[target]*link
-	live    map[*quic.Conn]struct{}
+	mu       sync.Mutex
+	closing  bool
+	inFlight sync.WaitGroup // calls, streams being served and queues being sent
+	links    map[target]*link
+	conns    map[*quic.Conn]struct{}
 }
 
-// New returns a Peer that listens already; it answers once Serve runs. It
-// returns a *result.Error if the settings are wrong or the address is taken.
+// New returns a Peer that already listens; messages are handled once Serve runs. It returns a
+// *result.Error if the settings are invalid or the address is in use.
 func New(cf Config, co *Codec, ha Handler, ts *timer.Service, lg *zap.Logger) (*Peer, error) {
 	const op = "peer.New"
 	if name := keys.Self(cf.TLS); name != cf.Self {
-		detail := fmt.Sprintf("the certificate is of %q, the settings name %q", name, cf.Self)
+		detail := fmt.Sprintf("the certificate is for %q, the settings name %q", name, cf.Self)
 		return nil, &result.Error{Code: result.BadKey, Op: op, Detail: detail}
 	}
 	ap, err := netip.ParseAddrPort(cf.Address)
 	if err != nil {
-		return nil, &result.Error{Code: result.BadSettings, Op: op, Detail: "want an IP number and port", Err: err}
+		return nil, &result.Error{Code: result.BadSettings, Op: op, Detail: "want an IP address and port", Err: err}
 	}
 	pc, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(ap))
 	if err != nil {
@@ -138,9 +136,9 @@
 			MaxIdleTimeout: idleTimeout, HandshakeIdleTimeout: dialTimeout,
 			MaxIncomingStreams: maxStreams, RequireStreamCreditRelease: true,
 		},
-		refusals: &rate.Sometimes{First: refusalLogs, Interval: time.Second / refusalLogs},
-		links:    make(map[target]*link),
-		live:     make(map[*quic.Conn]struct{}),
+		refusalLimiter: &rate.Sometimes{First: maxRefusalLogs, Interval: time.Second / maxRefusalLogs},
+		links:          make(map[target]*link),
+		conns:          make(map[*quic.Conn]struct{}),
 	}
 	pe.ctx, pe.cancel = context.WithCancel(context.Background())
 	if pe.ln, err = pe.tr.ListenEarly(cf.TLS, pe.qc); err != nil {
@@ -149,30 +147,29 @@
 	return pe, nil
 }
 
-// resetKey derives the key of stateless resets from the instance's private key.
+// resetKey derives the key for stateless resets from the instance's private key.
 //
-// It guards against a restarted peer that stays unreachable: others go on
-// sending over a connection of which the new process knows nothing, and find
-// out only when it has been silent for long. With a key that is the same after
-// the restart, the new process can tell them at their first packet that the
-// connection is gone.
+// Without it a restarted peer stays unreachable for a while: the others keep sending over
+// connections that the new process does not know, and notice only after a long silence. With a
+// key that survives the restart, the new process can reset such a connection at its first
+// packet.
 func resetKey(tc *tls.Config) (*quic.StatelessResetKey, error) {
 	der, err := x509.MarshalPKCS8PrivateKey(tc.Certificates[0].PrivateKey)
 	if err != nil {
 		return nil, &result.Error{Code: result.BadKey, Op: "peer.New", Err: err}
 	}
-	key := quic.StatelessResetKey(sha256.Sum256(append([]byte(resetLabel), der...)))
+	key := quic.StatelessResetKey(sha256.Sum256(append([]byte(resetKeyLabel), der...)))
 	return &key, nil
 }
 
-// Address returns the IP number and port that the Peer listens at.
+// Address returns the IP address and port that the Peer listens on.
 func (pe *Peer) Address() string {
 	return pe.pc.LocalAddr().String()
 }
 
-// Serve accepts connections and handles messages until the context ends. It
-// then lets messages under way finish, sends what is queued, tells the other
-// ends and closes the socket. A Peer serves once.
+// Serve accepts connections and handles messages until the context ends. Then it waits for
+// messages in flight, sends the queued messages, closes the connections and closes the socket.
+// A Peer serves only once.
 func (pe *Peer) Serve(ctx context.Context) error {
 	defer pe.close()
 	for {
@@ -194,15 +191,15 @@
 	pe.ln.Close()
 	done := make(chan struct{})
 	go func() {
-		pe.busy.Wait()
+		pe.inFlight.Wait()
 		close(done)
 	}()
-	grace, cancel := context.WithTimeout(pe.ctx, closeGrace)
+	grace, cancel := context.WithTimeout(pe.ctx, closeTimeout)
 	defer cancel()
 	select {
 	case <-done:
 	case <-grace.Done():
-		pe.lg.Warn("peer closes with messages under way")
+		pe.lg.Warn("closing with messages in flight")
 	}
 	pe.linger()
 	pe.cancel()
@@ -213,38 +210,37 @@
 	pe.pc.Close()
 }
 
-// linger lets the last replies leave. Closing a connection drops what its
-// streams still hold, and a caller whose request was handled would be told that
-// the connection broke. quic-go does not say when data has arrived, so some
-// round trips are waited for.
+// linger waits until the last replies have probably arrived. Closing a connection drops the
+// data that its streams still hold, and the sender of a handled request would get the error
+// that the connection broke. quic-go does not report when data has arrived, so linger waits
+// for a few round-trip times.
 func (pe *Peer) linger() {
 	wait := time.Duration(0)
 	for _, qc := range pe.connections() {
-		wait = max(wait, minLinger, lingerRounds*qc.ConnectionStats().SmoothedRTT)
+		wait = max(wait, minLinger, lingerRTTs*qc.ConnectionStats().SmoothedRTT)
 	}
 	_ = pe.ts.Sleep(pe.ctx, min(wait, maxLinger))
 }
 
-// begin notes a piece of work that close waits for. It returns false if the
-// Peer is closing.
-func (pe *Peer) begin() bool {
+// beginWork adds a task that close waits for. It returns false if the Peer is closing.
+func (pe *Peer) beginWork() bool {
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
 	if pe.closing {
 		return false
 	}
-	pe.busy.Add(1)
+	pe.inFlight.Add(1)
 	return true
 }
 
 // track keeps a connection in the list of those to close until it ends.
 func (pe *Peer) track(qc *quic.Conn) {
 	pe.mu.Lock()
-	pe.live[qc] = struct{}{}
+	pe.conns[qc] = struct{}{}
 	pe.mu.Unlock()
 	context.AfterFunc(qc.Context(), func() {
 		pe.mu.Lock()
-		delete(pe.live, qc)
+		delete(pe.conns, qc)
 		pe.mu.Unlock()
 	})
 }
@@ -253,15 +249,15 @@
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
 	var qcs []*quic.Conn
-	for qc := range pe.live {
+	for qc := range pe.conns {
 		qcs = append(qcs, qc)
 	}
 	return qcs
 }
 
-// serveConn handles the messages of a connection that another instance made. No
-// stream is accepted before the handshake is complete, so a peer without a key
-// signed by the authority is heard by no handler.
+// serveConn handles the messages of a connection that another instance dialled. No stream is
+// accepted before the handshake is complete, so messages of a peer without a key signed by the
+// authority reach no handler.
 func (pe *Peer) serveConn(qc *quic.Conn) {
 	pe.track(qc)
 	select {
@@ -271,13 +267,13 @@
 		return
 	}
 	from := keys.Name(qc.ConnectionState().TLS)
-	var ended credit
+	var ended streamCredits
 	for {
 		st, err := qc.AcceptStream(pe.ctx)
 		if err != nil {
 			return
 		}
-		if !pe.begin() {
+		if !pe.beginWork() {
 			st.CancelRead(streamClosing)
 			st.CancelWrite(streamClosing)
 			ended.add(st)
@@ -290,17 +286,17 @@
 	}
 }
 
-// credit holds streams that have ended until their credit is released together.
-type credit struct {
+// streamCredits collects finished streams and releases their credit in batches.
+type streamCredits struct {
 	mu  sync.Mutex
 	sts []*quic.Stream
 }
 
-func (cr *credit) add(st *quic.Stream) {
+func (cr *streamCredits) add(st *quic.Stream) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	cr.sts = append(cr.sts, st)
-	if len(cr.sts) < creditBatch {
+	if len(cr.sts) < streamCreditBatch {
 		return
 	}
 	for _, st := range cr.sts {
@@ -309,22 +305,22 @@
 	cr.sts = nil
 }
 
-// logRefusal says who was refused; the log must not be flooded by one that
-// tries again and again.
+// logRefusal logs a rejected connection. The rate is limited, so that a peer that retries does
+// not flood the log.
 func (pe *Peer) logRefusal(qc *quic.Conn) {
 	er := transportError(context.Background(), context.Cause(qc.Context()), Lost)
 	if er.Kind != BadKey {
 		return
 	}
-	pe.refusals.Do(func() {
-		pe.lg.Warn("peer refused: no key or a wrong one",
+	pe.refusalLimiter.Do(func() {
+		pe.lg.Warn("connection rejected: missing or invalid key",
 			zap.String("address", qc.RemoteAddr().String()), zap.Error(er.Err))
 	})
 }
 
-// serveStream handles the messages of one stream in their order.
+// serveStream handles the messages of one stream in order.
 func (pe *Peer) serveStream(from string, st *quic.Stream) {
-	defer pe.busy.Done()
+	defer pe.inFlight.Done()
 	data, err := readLimited(st)
 	if err != nil {
 		st.CancelRead(streamAbandoned)
@@ -337,44 +333,44 @@
 	st.Close()
 }
 
-// serveFrame handles the first message of data and returns the rest.
+// serveFrame handles the first message in data and returns the remaining bytes.
 func (pe *Peer) serveFrame(from string, st *quic.Stream, data []byte) []byte {
-	en, rest, err := pe.co.open(data)
-	pe.cs.in(en.Kind, len(data)-len(rest))
+	en, rest, err := pe.co.decodeEnvelope(data)
+	pe.cs.countIn(en.Kind, len(data)-len(rest))
 	var ms, reply Message
 	if err == nil {
 		ms, err = pe.co.message(en)
 	}
 	if err != nil {
-		pe.lg.Warn("message not understood", zap.String("from", from), zap.Error(err))
+		pe.lg.Warn("message not decoded", zap.String("from", from), zap.Error(err))
 	} else {
 		reply, err = pe.ha(st.Context(), from, ms)
 	}
 	if en.Reply {
-		pe.reply(from, st, reply, err)
+		pe.sendReply(from, st, reply, err)
 	} else if err != nil {
-		pe.lg.Debug("message not handled", zap.String("from", from), zap.Error(err))
+		pe.lg.Debug("message handler failed", zap.String("from", from), zap.Error(err))
 	}
 	return rest
 }
 
-func (pe *Peer) reply(from string, st *quic.Stream, ms Message, err error) {
-	frame, serr := pe.co.sealReply(ms, err)
-	if serr != nil {
-		pe.lg.Error("reply not sent", zap.String("to", from), zap.Error(serr))
-		frame, _ = pe.co.sealReply(nil, serr)
+func (pe *Peer) sendReply(from string, st *quic.Stream, ms Message, err error) {
+	frame, encodeErr := pe.co.encodeReply(ms, err)
+	if encodeErr != nil {
+		pe.lg.Error("reply not sent", zap.String("to", from), zap.Error(encodeErr))
+		frame, _ = pe.co.encodeReply(nil, encodeErr)
 	}
 	ki := kindFailure
-	if err == nil && serr == nil && ms != nil {
+	if err == nil && encodeErr == nil && ms != nil {
 		ki = ms.Kind()
 	}
-	pe.cs.out(ki, len(frame))
-	// A caller that has gone makes the write fail; nobody is left to be told.
+	pe.cs.countOut(ki, len(frame))
+	// The write fails if the sender has gone; there is nobody left to tell.
 	_, _ = st.Write(frame)
 }
 
-// readLimited reads a stream to its end. More than FrameLimit is refused before
-// it is held in memory.
+// readLimited reads a stream to its end. It reads at most one byte more than MaxFrameBytes
+// before it returns an error.
 func readLimited(st *quic.Stream) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(st, MaxFrameBytes+1))
 	if err != nil {
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -22,7 +22,7 @@
 
 var bg = context.Background()
 
-func TestCodec(t *testing.T) {
+func TestCodecRoundTripAndErrors(t *testing.T) {
 	c := qt.New(t)
 	co := NewCodec([]Message{note{}})
 	frame, err := co.Encode(note{"hello"})
@@ -39,10 +39,10 @@
 		frame []byte
 		want  string
 	}{
-		{"Newer", newer, `peer: WrongVersion: frame of version 2, this instance speaks 1`},
-		{"Unknown", unknown, `peer: Malformed: kind 999 is not known`},
-		{"Cut", frame[:len(frame)-1], `peer: Malformed: frame: .*`},
-		{"Longer", append(frame, 0), `peer: Malformed: 1 bytes after the frame`},
+		{"newer version", newer, `peer: WrongVersion: frame has version 2, this instance supports 1`},
+		{"unknown kind", unknown, `peer: Malformed: unknown kind 999`},
+		{"truncated", frame[:len(frame)-1], `peer: Malformed: frame: .*`},
+		{"extra bytes", append(frame, 0), `peer: Malformed: 1 extra bytes after the frame`},
 	} {
 		c.Run(tt.name, func(c *qt.C) {
 			_, err := co.Decode(tt.frame)
@@ -52,12 +52,12 @@
 	_, err = co.Encode(note{strings.Repeat("x", MaxFrameBytes)})
 	c.Assert(err, qt.ErrorMatches, `peer: TooLarge: kind 301: .*`)
 	_, err = co.Encode(&note{})
-	c.Assert(err, qt.ErrorMatches, `peer: Malformed: type \*peer.note is not known.*`)
+	c.Assert(err, qt.ErrorMatches, `peer: Malformed: unknown message type \*peer.note`)
 	c.Assert(func() { NewCodec([]Message{note{}, note{}}) }, qt.PanicMatches, `peer: kind 301 .*`)
 }
 
 func TestCall(t *testing.T) {
-	run(t, func(c *qt.C, nw *network) {
+	runNetwork(t, func(c *qt.C, nw *network) {
 		pa := nw.start(nw.au, "a", addressA, nil)
 		pb := nw.start(nw.au, "b", addressB, func(_ context.Context, from string, ms Message) (Message, error) {
 			switch text := ms.(note).Text; text {
@@ -91,35 +91,33 @@
 	})
 }
 
-// A newer instance sends a frame that an older one cannot read. The sender must
-// be told which versions met; a frame that is merely dropped looks like a peer
-// that is down.
-func TestCallOfOtherVersion(t *testing.T) {
-	run(t, func(c *qt.C, nw *network) {
+// A newer instance sends a frame that an older one cannot read. The sender must get an error
+// with both versions; if the frame were just dropped, the peer would appear to be down.
+func TestCallReportsVersionMismatch(t *testing.T) {
+	runNetwork(t, func(c *qt.C, nw *network) {
 		pa := nw.start(nw.au, "a", addressA, nil)
 		nw.start(nw.au, "b", addressB, nil)
 		frame, err := pa.co.en.Marshal(envelope{Version: 2, Kind: 301, Reply: true})
 		c.Assert(err, qt.IsNil)
-		data, er := pa.hold(target{"b", addressB}).exchange(bg, frame)
+		data, er := pa.acquireLink(target{"b", addressB}).exchange(bg, frame)
 		c.Assert(er == nil, qt.IsTrue, qt.Commentf("%v", er))
-		_, err = pa.co.openReply(data)
-		c.Assert(err, qt.ErrorMatches, `.*WrongVersion: .*frame of version 2, this instance speaks 1`)
+		_, err = pa.co.decodeReply(data)
+		c.Assert(err, qt.ErrorMatches, `.*WrongVersion: .*frame has version 2, this instance supports 1`)
 	})
 }
 
-// A machine without a key, with a key of another tier, or with the key of
-// another instance connects and speaks. Nothing it says may reach a handler,
-// and operators must find in the log who tried.
-func TestWrongKeys(t *testing.T) {
-	run(t, func(c *qt.C, nw *network) {
+// A machine without a key, with a key of another tier, or with the key of another instance
+// connects and sends messages. They must not reach a handler, and the log must say who tried.
+func TestWrongKeysAreRejected(t *testing.T) {
+	runNetwork(t, func(c *qt.C, nw *network) {
 		handled := 0
 		count := func(context.Context, string, Message) (Message, error) { handled++; return nil, nil }
 		pb := nw.start(nw.au, "b", addressB, count)
-		stranger, err := keys.NewAuthority()
+		otherAuthority, err := keys.NewAuthority()
 		c.Assert(err, qt.IsNil)
 
-		// The stranger trusts b, but b does not know its authority.
-		pa := nw.start(stranger, "a", addressA, nil)
+		// Peer a trusts b, but b does not trust the authority of a.
+		pa := nw.start(otherAuthority, "a", addressA, nil)
 		pa.cf.TLS.RootCAs = pb.cf.TLS.RootCAs
 		_, err = pa.Call(bg, "b", addressB, note{"let me in"})
 		c.Assert(errorKind(c, err), qt.Equals, BadKey)
@@ -129,9 +127,9 @@
 		synctest.Wait()
 		c.Assert(handled, qt.Equals, 0)
 		c.Assert(pb.lines(), qt.HasLen, 2)
-		c.Assert(pb.lines()[0], qt.Matches, `peer refused: no key or a wrong one 10.0.0.1:7000 .*certificate of "a".*`)
-		c.Assert(pb.lines()[1], qt.Matches, `peer refused: no key or a wrong one 10.0.0.1:7000 .*didn't provide a certificate.*`)
-		c.Assert(pa.lines()[0], qt.Matches, `peer not reached b 10.0.0.2:7000 BadKey .*`)
+		c.Assert(pb.lines()[0], qt.Matches, `connection rejected: missing or invalid key 10.0.0.1:7000 .*certificate for "a".*`)
+		c.Assert(pb.lines()[1], qt.Matches, `connection rejected: missing or invalid key 10.0.0.1:7000 .*didn't provide a certificate.*`)
+		c.Assert(pa.lines()[0], qt.Matches, `connection to peer failed b 10.0.0.2:7000 BadKey .*`)
 
 		// Another instance of the tier answers at the address.
 		pc := nw.start(nw.au, "c", "10.0.0.3:7000", nil)
@@ -143,11 +141,11 @@
 	})
 }
 
-// An instance is killed and started again at the same address. The others still
-// hold connections of which the new process knows nothing: what they send is
-// lost, and they find out only when the connection has been silent for long.
-func TestRestartIsReachableAtOnce(t *testing.T) {
-	run(t, func(c *qt.C, nw *network) {
+// An instance is killed and restarted at the same address. The others still hold connections
+// that the new process does not know. Without stateless resets, what they send is lost until
+// the silence timeout.
+func TestRestartedPeerIsReachableAtOnce(t *testing.T) {
+	runNetwork(t, func(c *qt.C, nw *network) {
 		key, err := nw.au.Issue(keys.Subject{Name: "b"})
 		c.Assert(err, qt.IsNil)
 		pa := nw.start(nw.au, "a", addressA, nil)
@@ -163,21 +161,21 @@
 		start := time.Now()
 		pa.Send("b", addressB, note{"after"})
 		c.Assert(<-got, qt.Equals, note{"after"})
-		c.Assert(time.Since(start) < silence, qt.IsTrue, qt.Commentf("took %v", time.Since(start)))
+		c.Assert(time.Since(start) < silenceTimeout, qt.IsTrue, qt.Commentf("took %v", time.Since(start)))
 		c.Assert(pa.Counters().Dropped, qt.Equals, uint64(0))
 	})
 }
 
-// Something between two instances loses track of a connection: every packet on
-// it vanishes for good while a new connection would work. Without a guard, each
-// message over it waits for its whole deadline or is lost.
+// A network device between two instances loses track of a connection: all its packets are
+// dropped while a new connection would work. Without silence detection, each message over it
+// waits for its whole deadline or is lost.
 func TestSilentConnectionIsReplaced(t *testing.T) {
-	run(t, func(c *qt.C, nw *network) {
+	runNetwork(t, func(c *qt.C, nw *network) {
 		pa := nw.start(nw.au, "a", addressA, nil)
 		nw.start(nw.au, "b", addressB, nil)
 		_, err := pa.Call(bg, "b", addressB, note{"before"})
 		c.Assert(err, qt.IsNil)
-		nw.loseConnections()
+		nw.dropConnections()
 		ctx, cancel := context.WithTimeout(bg, 5*time.Second)
 		defer cancel()
 		_, err = pa.Call(ctx, "b", addressB, note{"after"})
@@ -185,10 +183,10 @@
 	})
 }
 
-// The connection goes silent while a handler takes its time over a Call. The
-// request was confirmed, so only a probe can find out.
-func TestSilenceDuringCall(t *testing.T) {
-	run(t, func(c *qt.C, nw *network) {
+// The connection goes silent while the handler of a Call is still running. The request was
+// acknowledged, so only a probe can detect the silence.
+func TestConnectionSilentDuringCallIsReplaced(t *testing.T) {
+	runNetwork(t, func(c *qt.C, nw *network) {
 		pa := nw.start(nw.au, "a", addressA, nil)
 		nw.start(nw.au, "b", addressB, func(ctx context.Context, _ string, ms Message) (Message, error) {
 			select {
@@ -202,17 +200,17 @@
 		c.Assert(err, qt.IsNil)
 		c.Assert(pa.Counters().Dialled, qt.Equals, uint64(1))
 		c.Assert(time.Since(start) < 5*time.Second, qt.IsTrue)
-		time.AfterFunc(1500*time.Millisecond, nw.loseConnections)
+		time.AfterFunc(1500*time.Millisecond, nw.dropConnections)
 		_, err = pa.Call(bg, "b", addressB, note{"slow"})
 		c.Assert(err, qt.IsNil)
 		c.Assert(pa.Counters().Dialled, qt.Equals, uint64(2))
 	})
 }
 
-// A Call that ran into its deadline may have been on a connection that is silent
-// in a way QUIC cannot see. The next Call must not share its fate.
-func TestDeadlineGivesConnectionUp(t *testing.T) {
-	run(t, func(c *qt.C, nw *network) {
+// A Call that timed out may have used a connection that is silent in a way that QUIC cannot
+// detect. The next Call must not use it.
+func TestTimedOutCallRetiresConnection(t *testing.T) {
+	runNetwork(t, func(c *qt.C, nw *network) {
 		pa := nw.start(nw.au, "a", addressA, nil)
 		calls := 0
 		nw.start(nw.au, "b", addressB, func(ctx context.Context, _ string, ms Message) (Message, error) {
@@ -235,39 +233,39 @@
 	})
 }
 
-// An instance stops taking messages while others keep sending. Their memory must
-// stay bounded, and what they keep must be the newest.
+// An instance stops handling messages while others keep sending. The senders' queues must stay
+// bounded and keep the newest messages.
 func TestQueueDropsOldest(t *testing.T) {
-	run(t, func(c *qt.C, nw *network) {
+	runNetwork(t, func(c *qt.C, nw *network) {
 		pa := nw.start(nw.au, "a", addressA, nil)
-		gate := make(chan struct{})
-		got := make(chan string, 2*queueMessages)
+		unblock := make(chan struct{})
+		got := make(chan string, 2*maxQueueMessages)
 		nw.start(nw.au, "b", addressB, func(_ context.Context, _ string, ms Message) (Message, error) {
-			<-gate
+			<-unblock
 			got <- ms.(note).Text
 			return nil, nil
 		})
 		pa.Send("b", addressB, note{"first"})
 		synctest.Wait()
 		const extra = 10
-		for ix := range queueMessages + extra {
+		for ix := range maxQueueMessages + extra {
 			pa.Send("b", addressB, note{fmt.Sprint(ix)})
 		}
 		c.Assert(pa.Counters().Dropped, qt.Equals, uint64(extra))
-		close(gate)
+		close(unblock)
 		c.Assert(<-got, qt.Equals, "first")
-		for ix := range queueMessages {
+		for ix := range maxQueueMessages {
 			c.Assert(<-got, qt.Equals, fmt.Sprint(extra+ix))
 		}
 	})
 }
 
-// An instance says that it leaves and stops at once. If closing dropped what is
-// queued or being handled, the others would go on sending it work.
-func TestCloseFinishesWhatIsUnderWay(t *testing.T) {
-	run(t, func(c *qt.C, nw *network) {
+// An instance announces that it leaves and stops at once. If closing dropped queued messages
+// or messages being handled, the others would keep sending it requests.
+func TestCloseFinishesMessagesInFlight(t *testing.T) {
+	runNetwork(t, func(c *qt.C, nw *network) {
 		pa := nw.start(nw.au, "a", addressA, func(_ context.Context, _ string, ms Message) (Message, error) {
-			time.Sleep(closeGrace / 2)
+			time.Sleep(closeTimeout / 2)
 			return ms, nil
 		})
 		var got []Message
--- a/peer/queue.go
+++ b/peer/queue.go
@@ -2,21 +2,21 @@
 
 import "context"
 
-// push queues a frame and drops the oldest if too much waits. It returns true if
-// nobody sends the queue yet, so that the caller must start to.
-func (lk *link) push(frame []byte) bool {
+// enqueue queues a frame, dropping the oldest ones if the queue exceeds its limits. It returns
+// true if no goroutine is sending the queue, so that the caller must start one.
+func (lk *link) enqueue(frame []byte) bool {
 	lk.mu.Lock()
 	lk.queue = append(lk.queue, frame)
-	lk.queued += len(frame)
-	for len(lk.queue) > queueMessages || (lk.queued > queueBytes && len(lk.queue) > 1) {
-		lk.queued -= len(lk.queue[0])
+	lk.queuedBytes += len(frame)
+	for len(lk.queue) > maxQueueMessages || (lk.queuedBytes > maxQueueBytes && len(lk.queue) > 1) {
+		lk.queuedBytes -= len(lk.queue[0])
 		lk.queue = lk.queue[1:]
 		lk.pe.cs.dropped.Add(1)
 	}
 	idle := !lk.sending
 	lk.sending = true
 	lk.mu.Unlock()
-	if idle && !lk.pe.begin() {
+	if idle && !lk.pe.beginWork() {
 		lk.discard()
 		return false
 	}
@@ -28,17 +28,17 @@
 	lk.mu.Lock()
 	defer lk.mu.Unlock()
 	lk.pe.cs.dropped.Add(uint64(len(lk.queue)))
-	lk.queue, lk.queued, lk.sending = nil, 0, false
+	lk.queue, lk.queuedBytes, lk.sending = nil, 0, false
 }
 
-// drain sends the queue batch by batch until it is empty. One batch is under
-// way at a time, so messages arrive in their order and a peer that handles them
-// slowly fills the queue here and not its own memory.
-func (lk *link) drain() {
-	defer lk.pe.busy.Done()
-	defer lk.pe.drop(lk)
+// sendQueue sends the queue batch by batch until it is empty. One batch is in flight at a
+// time, so messages arrive in order, and if the peer handles them slowly, they queue up here
+// and not in the peer's memory.
+func (lk *link) sendQueue() {
+	defer lk.pe.inFlight.Done()
+	defer lk.pe.releaseLink(lk)
 	for {
-		batch, count := lk.take()
+		batch, count := lk.nextBatch()
 		if count == 0 {
 			return
 		}
@@ -49,28 +49,28 @@
 			continue
 		}
 		lk.pe.cs.dropped.Add(uint64(count))
-		// A peer that cannot be reached is tried again by the next message, but
-		// not so often that the handshakes cost more than the messages.
-		_ = lk.pe.ts.Sleep(lk.pe.ctx, redialPause)
+		// The next message tries to reach the peer again, but not so often that the handshakes
+		// cost more than the messages.
+		_ = lk.pe.ts.Sleep(lk.pe.ctx, redialDelay)
 	}
 }
 
-// take removes the oldest messages that fit in one batch. When there are none,
-// the sender is done.
-func (lk *link) take() ([]byte, int) {
+// nextBatch removes the oldest messages that fit in one batch. If there are none, it marks the
+// sender as finished.
+func (lk *link) nextBatch() ([]byte, int) {
 	lk.mu.Lock()
 	defer lk.mu.Unlock()
 	var batch []byte
 	count := 0
 	for _, frame := range lk.queue {
-		if count > 0 && len(batch)+len(frame) > batchBytes {
+		if count > 0 && len(batch)+len(frame) > maxBatchBytes {
 			break
 		}
 		batch = append(batch, frame...)
 		count++
 	}
 	lk.queue = lk.queue[count:]
-	lk.queued -= len(batch)
+	lk.queuedBytes -= len(batch)
 	if count == 0 {
 		lk.queue, lk.sending = nil, false
 	}
