--- a/emulate/announce.go
+++ b/emulate/announce.go
@@ -72,7 +72,7 @@
 }
 
 // Newest returns the newest accepted configuration.
-func (co *Control) Newest(ctx context.Context) ([]byte, error) {
+func (co *Control) LatestConfiguration(ctx context.Context) ([]byte, error) {
 	return co.call(ctx, http.MethodGet, "/configuration", nil)
 }
 
--- a/emulate/emulate_test.go
+++ b/emulate/emulate_test.go
@@ -300,7 +300,7 @@
 	data := testConfiguration(7).Encode()
 	qt.Assert(t, co.Configure(t.Context(), data), qt.IsNil)
 	qt.Assert(t, cs.version, qt.Equals, uint64(7))
-	got, err := co.Newest(t.Context())
+	got, err := co.LatestConfiguration(t.Context())
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, string(got), qt.Equals, string(data))
 	qt.Assert(t, co.Configure(t.Context(), data[:len(data)-1]), qt.ErrorMatches, "(?s).*configuration:.*")
--- a/emulate/soak/operator.go
+++ b/emulate/soak/operator.go
@@ -185,7 +185,7 @@
 	defer cancel()
 	for {
 		before := op.ju.Newest()
-		data, err := op.co.Newest(ctx)
+		data, err := op.co.LatestConfiguration(ctx)
 		if err == nil {
 			var he struct{ Version uint64 }
 			_ = json.Unmarshal(data, &he) // What can't be read has version 0 and is a breach.
