--- a/emulate/announce.go
+++ b/emulate/announce.go
@@ -83,7 +83,7 @@
 }
 
 // Withdraw has an evacuation withdrawn.
-func (co *Control) Withdraw(ctx context.Context, dataCentre string) error {
+func (co *Control) WithdrawEvacuation(ctx context.Context, dataCentre string) error {
 	_, err := co.call(ctx, http.MethodDelete, "/evacuations/"+url.PathEscape(dataCentre), nil)
 	return err
 }
--- a/emulate/soak/player.go
+++ b/emulate/soak/player.go
@@ -192,7 +192,7 @@
 	}
 	pl.last(ctx, fa)
 	pl.ju.Returning(dc)
-	return errors.Join(err, pl.op.order(context.Background(), func(ctx context.Context) error { return pl.op.co.Withdraw(ctx, dc) }))
+	return errors.Join(err, pl.op.order(context.Background(), func(ctx context.Context) error { return pl.op.co.WithdrawEvacuation(ctx, dc) }))
 }
 
 // crash ends servers at once, and has others come back in their positions.
