--- a/emulate/caller.go
+++ b/emulate/caller.go
@@ -54,7 +54,7 @@
 
 // Ask sends a request to the entry instance at the address. An answer of any
 // status is no error.
-func (ca *Caller) Ask(ctx context.Context, address string, qu Question) (Answer, error) {
+func (ca *Caller) Send(ctx context.Context, address string, qu Question) (Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, qu.Timeout)
 	defer cancel()
 	rq, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+qu.Path, nil)
@@ -120,7 +120,7 @@
 	for nth := 0; ; nth++ {
 		again := qu
 		again.ID = qu.ID + "-" + strconv.Itoa(nth)
-		an, err := ca.Ask(ctx, address, again)
+		an, err := ca.Send(ctx, address, again)
 		if err == nil && an.Status == http.StatusOK && an.Missing == 0 {
 			return an, ex.Check(again, an)
 		}
--- a/emulate/emulate_test.go
+++ b/emulate/emulate_test.go
@@ -153,7 +153,7 @@
 			defer stop()
 			ca := NewCaller()
 			defer ca.Close()
-			_, err := ca.Ask(t.Context(), se.Address(), Question{ID: "r1", Host: "h", Path: "/x", Timeout: patience})
+			_, err := ca.Send(t.Context(), se.Address(), Question{ID: "r1", Host: "h", Path: "/x", Timeout: patience})
 			qt.Assert(t, err, qt.IsNotNil)
 		})
 	}
@@ -188,7 +188,7 @@
 	ca := NewCaller()
 	defer ca.Close()
 	for {
-		an, err := ca.Ask(t.Context(), se.Address(), Question{ID: "r", Path: "/x", Timeout: patience})
+		an, err := ca.Send(t.Context(), se.Address(), Question{ID: "r", Path: "/x", Timeout: patience})
 		if err == nil {
 			qt.Assert(t, an.Status, qt.Equals, http.StatusOK)
 			return
--- a/emulate/experiment/run.go
+++ b/emulate/experiment/run.go
@@ -195,7 +195,7 @@
 	ce := ru.cells[ar.Name][group]
 	lag := ru.ts.Now().Sub(intended)
 	qu := ru.question(ar, group, strconv.FormatUint(at.Seed, 16), fmt.Sprintf("%s-%d-%x", ar.Name, turn, at.Seed))
-	an, err := ru.ca.Ask(ctx, ru.at[at.Seed%uint64(len(ru.at))], qu)
+	an, err := ru.ca.Send(ctx, ru.at[at.Seed%uint64(len(ru.at))], qu)
 	ce.note(qu, an, err, nth, lag, ru.ts.Now().Sub(intended))
 }
 
--- a/emulate/soak/run.go
+++ b/emulate/soak/run.go
@@ -183,7 +183,7 @@
 	}
 	ru.st.sent(ru.ts.Now().Sub(intended))
 	ru.ju.Sent(rq)
-	an, err := ru.ca.Ask(ctx, rq.Entry, emulate.Question{ID: rq.ID, Host: host, Path: rq.Path, Timeout: ru.timeout(group)})
+	an, err := ru.ca.Send(ctx, rq.Entry, emulate.Question{ID: rq.ID, Host: host, Path: rq.Path, Timeout: ru.timeout(group)})
 	now := ru.ts.Now()
 	if err == nil {
 		ru.ju.Answered(now, rq.ID, an)
