--- a/cmd/balsamwinch/demo_routed.go
+++ b/cmd/balsamwinch/demo_routed.go
@@ -95,7 +95,7 @@
 	ca := emulate.NewCaller()
 	defer ca.Close()
 	address := lo.Callers()[0]
-	an, err := ca.Await(ready, ts, address,
+	an, err := ca.AwaitComplete(ready, ts, address,
 		emulate.Question{ID: "demo", Host: routedHost, Path: routedPath, Timeout: routedTimeout},
 		emulate.Expectation{Services: demoShardNames[:], Service: ss.Service, Records: routedRecords, TopK: routedTopK})
 	if err != nil {
--- a/emulate/caller.go
+++ b/emulate/caller.go
@@ -116,7 +116,7 @@
 
 // Await asks until an answer lacks no part, and returns it. An answer that is
 // wrong is an error at once.
-func (ca *Caller) Await(ctx context.Context, ts *timer.Service, address string, qu Question, ex Expectation) (Answer, error) {
+func (ca *Caller) AwaitComplete(ctx context.Context, ts *timer.Service, address string, qu Question, ex Expectation) (Answer, error) {
 	for nth := 0; ; nth++ {
 		again := qu
 		again.ID = qu.ID + "-" + strconv.Itoa(nth)
--- a/emulate/emulate_test.go
+++ b/emulate/emulate_test.go
@@ -410,7 +410,7 @@
 	} {
 		path := map[int]string{1: "/one/x", 2: "/all/x"}[len(ex.Services)]
 		for _, address := range lo.Callers() {
-			_, err := ca.Await(ctx, ts, address, Question{ID: "r", Host: "a.example", Path: path, Timeout: 5 * time.Second}, ex)
+			_, err := ca.AwaitComplete(ctx, ts, address, Question{ID: "r", Host: "a.example", Path: path, Timeout: 5 * time.Second}, ex)
 			qt.Assert(t, err, qt.IsNil)
 		}
 	}
--- a/emulate/experiment/run.go
+++ b/emulate/experiment/run.go
@@ -148,7 +148,7 @@
 		for _, ar := range ru.ex.Arms {
 			for _, gr := range groups {
 				qu := ru.question(ar, gr, "ready", fmt.Sprintf("ready-%d-%s-%s", ix, ar.Name, gr))
-				if _, err := ru.ca.Await(ctx, ru.ts, address, qu, ru.cells[ar.Name][gr].expect); err != nil {
+				if _, err := ru.ca.AwaitComplete(ctx, ru.ts, address, qu, ru.cells[ar.Name][gr].expect); err != nil {
 					return err
 				}
 			}
--- a/emulate/soak/run.go
+++ b/emulate/soak/run.go
@@ -122,7 +122,7 @@
 				ex.TopK = ru.cf.Merged.TopK
 			}
 			qu := emulate.Question{ID: fmt.Sprintf("ready-%d-%s", ix, gr), Host: host, Path: "/" + gr + "/ready", Timeout: ru.timeout(gr)}
-			if _, err := ru.ca.Await(ctx, ru.ts, address, qu, ex); err != nil {
+			if _, err := ru.ca.AwaitComplete(ctx, ru.ts, address, qu, ex); err != nil {
 				return err
 			}
 		}
