--- a/emulate/caller.go
+++ b/emulate/caller.go
@@ -95,7 +95,7 @@
 
 // Addresses asks a control instance at its address for such calls which entry
 // instances to use, those of the data centre first.
-func (ca *Caller) Addresses(ctx context.Context, address, dataCentre string) ([]string, time.Duration, error) {
+func (ca *Caller) EntryAddresses(ctx context.Context, address, dataCentre string) ([]string, time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, controlWithin)
 	defer cancel()
 	rq, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/addresses?DataCentre="+url.QueryEscape(dataCentre), nil)
--- a/emulate/soak/run.go
+++ b/emulate/soak/run.go
@@ -165,7 +165,7 @@
 	at := ru.lo.Addresses()
 	for nth := 0; ctx.Err() == nil; nth++ {
 		dc := ru.cf.Tier.DataCentres[nth%len(ru.cf.Tier.DataCentres)]
-		if list, _, err := ru.ca.Addresses(ctx, at[nth%len(at)], dc); err == nil && len(list) > 0 {
+		if list, _, err := ru.ca.EntryAddresses(ctx, at[nth%len(at)], dc); err == nil && len(list) > 0 {
 			ru.at.Store(&list)
 		}
 		_ = ru.ts.Sleep(ctx, lookUpEvery)
