--- a/emulate/fault_test.go
+++ b/emulate/fault_test.go
@@ -82,7 +82,7 @@
 
 func TestSeen(t *testing.T) {
 	var sb seenBy
-	se := newServer(t, Config{ID: "a", Service: "s", Note: sb.note}, newHeard())
+	se := newServer(t, Config{ID: "a", Service: "s", OnEvent: sb.note}, newHeard())
 	ask(se, "/x", headerRequestID, "r1", headerExpect, "a")
 	ask(se, "/x", headerRequestID, "r2", headerExpect, "b")
 	qt.Assert(t, sb.kinds(), qt.DeepEquals, []SeenKind{SeenArrived, SeenRan, SeenArrived, SeenNotRun})
@@ -132,7 +132,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var sb seenBy
 		se := &Server{
-			cf: Config{ID: "a", Slots: 1, Pace: 1, Note: sb.note}, ts: timer.New(), slots: make(chan struct{}, 1), counts: make(map[string]Counts),
+			cf: Config{ID: "a", Slots: 1, Pace: 1, OnEvent: sb.note}, ts: timer.New(), slots: make(chan struct{}, 1), counts: make(map[string]Counts),
 			ps: newPauses(Pause{}, 1, time.Now()), rd: newPauses(Pause{}, 1, time.Now()).rd,
 		}
 		se.SetTrouble(Trouble{Late: 1})
--- a/emulate/seen.go
+++ b/emulate/seen.go
@@ -33,12 +33,12 @@
 
 // note tells what was seen; rq is nil for what is no request.
 func (se *Server) note(kind SeenKind, rq *http.Request) {
-	if se.cf.Note == nil {
+	if se.cf.OnEvent == nil {
 		return
 	}
 	sn := Seen{Kind: kind, At: se.ts.Now(), Server: se.cf.ID, Service: se.cf.Service}
 	if rq != nil {
 		sn.Request, sn.Path, sn.Expected = rq.Header.Get(headerRequestID), rq.URL.Path, rq.Header.Get(headerExpect)
 	}
-	se.cf.Note(sn)
+	se.cf.OnEvent(sn)
 }
--- a/emulate/server.go
+++ b/emulate/server.go
@@ -51,7 +51,7 @@
 	DrainFor       time.Duration // DrainFor is how long a draining server goes on serving.
 	IdleTimeout    time.Duration // IdleTimeout is when an idle connection is closed; default 30 s.
 	Seed           uint64        // Seed makes work, pauses and faults repeatable.
-	Note           func(Seen)    // Note is told what the server sees, by many goroutines at once; may be nil.
+	OnEvent        func(Seen)    // Note is told what the server sees, by many goroutines at once; may be nil.
 	// Ended is called once the server has ended under a request with FatalText in its
 	// path; nil: it doesn't end under any.
 	Ended func(se *Server)
