--- a/emulate/server.go
+++ b/emulate/server.go
@@ -54,7 +54,7 @@
 	OnEvent        func(Seen)    // Note is told what the server sees, by many goroutines at once; may be nil.
 	// Ended is called once the server has ended under a request with FatalText in its
 	// path; nil: it doesn't end under any.
-	Ended func(se *Server)
+	OnCrash func(se *Server)
 }
 
 const (
@@ -148,13 +148,13 @@
 // endsUnder ends the server if the request is one that does that: all its connections at
 // once, and without a word to control.
 func (se *Server) endsUnder(rq *http.Request) {
-	if se.cf.Ended == nil || !strings.Contains(rq.URL.Path, FatalText) {
+	if se.cf.OnCrash == nil || !strings.Contains(rq.URL.Path, FatalText) {
 		return
 	}
 	if !se.ended.Swap(true) {
 		se.note(SeenEnded, rq)
 		_ = se.hs.Close()
-		se.cf.Ended(se)
+		se.cf.OnCrash(se)
 	}
 	panic(http.ErrAbortHandler)
 }
--- a/emulate/soak/fleet.go
+++ b/emulate/soak/fleet.go
@@ -74,7 +74,7 @@
 		Slots:      se.Slots, Queue: se.Queue, Connections: se.Connections, ConnectionCost: se.ConnectionCost,
 		Work: se.Work, Pause: se.Pause, Records: se.Records, ReportLoad: true,
 		DrainFor: fl.cf.Checks.Drain + lingerFor, Seed: fl.cf.Seed*mostServers + uint64(number), OnEvent: fl.ju.Saw,
-		Ended: func(se *emulate.Server) { fl.noteCrash(nth, se) },
+		OnCrash: func(se *emulate.Server) { fl.noteCrash(nth, se) },
 	}
 	if len(se.Paces) > 0 {
 		cf.Pace = se.Paces[nth%len(se.Paces)]
