--- a/emulate/experiment/experiment.go
+++ b/emulate/experiment/experiment.go
@@ -184,7 +184,7 @@
 				Seed: ex.Seed*mostServers + uint64(len(out)),
 			}
 			if len(se.Paces) > 0 {
-				cf.Pace = se.Paces[nth%len(se.Paces)]
+				cf.ServiceTimeFactor = se.Paces[nth%len(se.Paces)]
 			}
 			out = append(out, cf)
 		}
--- a/emulate/fault_test.go
+++ b/emulate/fault_test.go
@@ -132,7 +132,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var sb seenBy
 		se := &Server{
-			cf: Config{ID: "a", Slots: 1, Pace: 1, OnEvent: sb.note}, ts: timer.New(), slots: make(chan struct{}, 1), counts: make(map[string]Counts),
+			cf: Config{ID: "a", Slots: 1, ServiceTimeFactor: 1, OnEvent: sb.note}, ts: timer.New(), slots: make(chan struct{}, 1), counts: make(map[string]Counts),
 			ps: newPauses(Pause{}, 1, time.Now()), rd: newPauses(Pause{}, 1, time.Now()).rd,
 		}
 		se.SetTrouble(Trouble{Late: 1})
--- a/emulate/serve.go
+++ b/emulate/serve.go
@@ -134,7 +134,7 @@
 	se.mu.Lock()
 	took := se.cf.Work.draw(se.rd)
 	se.mu.Unlock()
-	factor := se.cf.Pace
+	factor := se.cf.ServiceTimeFactor
 	if tr.Slow > 0 {
 		factor *= tr.Slow
 	}
--- a/emulate/server.go
+++ b/emulate/server.go
@@ -39,19 +39,19 @@
 	Connections int
 	// ConnectionCost is how much longer the first request of a connection holds its
 	// slot.
-	ConnectionCost time.Duration
-	Work           Work
-	Pause          Pause
-	Pace           float64       // Pace multiplies all work; default 1.
-	Warm           time.Duration // Warm is for how long after its start the server is slow.
-	WarmFactor     float64       // WarmFactor is how slow it is then; default 1.
-	Records        int           // Records is how many records an answer has.
-	ReportLoad     bool          // ReportLoad adds the load to each answer.
-	Announcement   time.Duration // Announcement is the time between two announcements; default 1 s.
-	DrainFor       time.Duration // DrainFor is how long a draining server goes on serving.
-	IdleTimeout    time.Duration // IdleTimeout is when an idle connection is closed; default 30 s.
-	Seed           uint64        // Seed makes work, pauses and faults repeatable.
-	OnEvent        func(Seen)    // Note is told what the server sees, by many goroutines at once; may be nil.
+	ConnectionCost    time.Duration
+	Work              Work
+	Pause             Pause
+	ServiceTimeFactor float64       // Pace multiplies all work; default 1.
+	Warm              time.Duration // Warm is for how long after its start the server is slow.
+	WarmFactor        float64       // WarmFactor is how slow it is then; default 1.
+	Records           int           // Records is how many records an answer has.
+	ReportLoad        bool          // ReportLoad adds the load to each answer.
+	Announcement      time.Duration // Announcement is the time between two announcements; default 1 s.
+	DrainFor          time.Duration // DrainFor is how long a draining server goes on serving.
+	IdleTimeout       time.Duration // IdleTimeout is when an idle connection is closed; default 30 s.
+	Seed              uint64        // Seed makes work, pauses and faults repeatable.
+	OnEvent           func(Seen)    // Note is told what the server sees, by many goroutines at once; may be nil.
 	// Ended is called once the server has ended under a request with FatalText in its
 	// path; nil: it doesn't end under any.
 	OnCrash func(se *Server)
@@ -68,8 +68,8 @@
 		cf.Address = anyAddress
 	}
 	cf.Slots = max(1, cf.Slots)
-	if cf.Pace <= 0 {
-		cf.Pace = 1
+	if cf.ServiceTimeFactor <= 0 {
+		cf.ServiceTimeFactor = 1
 	}
 	if cf.WarmFactor <= 0 {
 		cf.WarmFactor = 1
--- a/emulate/soak/fleet.go
+++ b/emulate/soak/fleet.go
@@ -77,7 +77,7 @@
 		OnCrash: func(se *emulate.Server) { fl.noteCrash(nth, se) },
 	}
 	if len(se.Paces) > 0 {
-		cf.Pace = se.Paces[nth%len(se.Paces)]
+		cf.ServiceTimeFactor = se.Paces[nth%len(se.Paces)]
 	}
 	fl.ju.ServerStarted(cf.ID, service, cf.DataCentre)
 	return fl.ss.Start(cf)
