--- a/emulate/emulate_test.go
+++ b/emulate/emulate_test.go
@@ -420,7 +420,7 @@
 func TestAnnouncements(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		he := newHeard()
-		se := &Server{cf: Config{ID: "a", Warm: 1500 * time.Millisecond, Announcement: time.Second}, an: he, ts: timer.New(), lg: zap.NewNop(), started: time.Now()}
+		se := &Server{cf: Config{ID: "a", Warmup: 1500 * time.Millisecond, Announcement: time.Second}, an: he, ts: timer.New(), lg: zap.NewNop(), started: time.Now()}
 		se.li = newListener(fakeListener{}, 0)
 		ctx, cancel := context.WithTimeout(t.Context(), 2500*time.Millisecond)
 		defer cancel()
--- a/emulate/serve.go
+++ b/emulate/serve.go
@@ -138,7 +138,7 @@
 	if tr.Slow > 0 {
 		factor *= tr.Slow
 	}
-	if se.ts.Now().Sub(se.started) < se.cf.Warm {
+	if se.ts.Now().Sub(se.started) < se.cf.Warmup {
 		factor *= se.cf.WarmFactor
 	}
 	return time.Duration(factor * float64(took))
--- a/emulate/server.go
+++ b/emulate/server.go
@@ -43,7 +43,7 @@
 	Work              Work
 	Pause             Pause
 	ServiceTimeFactor float64       // Pace multiplies all work; default 1.
-	Warm              time.Duration // Warm is for how long after its start the server is slow.
+	Warmup            time.Duration // Warm is for how long after its start the server is slow.
 	WarmFactor        float64       // WarmFactor is how slow it is then; default 1.
 	Records           int           // Records is how many records an answer has.
 	ReportLoad        bool          // ReportLoad adds the load to each answer.
@@ -221,7 +221,7 @@
 }
 
 func (se *Server) announce(ctx context.Context) error {
-	warm := max(0, se.cf.Warm-se.ts.Now().Sub(se.started))
+	warm := max(0, se.cf.Warmup-se.ts.Now().Sub(se.started))
 	state := registry.State(se.state.Load())
 	err := se.an.Announce(ctx, registry.Server{
 		ID: se.cf.ID, Service: se.cf.Service, Address: se.Address(), DataCentre: se.cf.DataCentre, Version: se.cf.Version,
