--- a/emulate/serve.go
+++ b/emulate/serve.go
@@ -139,7 +139,7 @@
 		factor *= tr.Slow
 	}
 	if se.ts.Now().Sub(se.started) < se.cf.Warmup {
-		factor *= se.cf.WarmFactor
+		factor *= se.cf.WarmupFactor
 	}
 	return time.Duration(factor * float64(took))
 }
--- a/emulate/server.go
+++ b/emulate/server.go
@@ -44,7 +44,7 @@
 	Pause             Pause
 	ServiceTimeFactor float64       // Pace multiplies all work; default 1.
 	Warmup            time.Duration // Warm is for how long after its start the server is slow.
-	WarmFactor        float64       // WarmFactor is how slow it is then; default 1.
+	WarmupFactor      float64       // WarmFactor is how slow it is then; default 1.
 	Records           int           // Records is how many records an answer has.
 	ReportLoad        bool          // ReportLoad adds the load to each answer.
 	Announcement      time.Duration // Announcement is the time between two announcements; default 1 s.
@@ -71,8 +71,8 @@
 	if cf.ServiceTimeFactor <= 0 {
 		cf.ServiceTimeFactor = 1
 	}
-	if cf.WarmFactor <= 0 {
-		cf.WarmFactor = 1
+	if cf.WarmupFactor <= 0 {
+		cf.WarmupFactor = 1
 	}
 	if cf.Announcement <= 0 {
 		cf.Announcement = defaultAnnouncement
