--- a/cmd/balsamwinch/demo_routed.go
+++ b/cmd/balsamwinch/demo_routed.go
@@ -68,7 +68,7 @@
 			cfs = append(cfs, emulate.Config{
 				ID: fmt.Sprintf("%s-%d", sh, nth+1), Service: sh, DataCentre: "miraflores", Slots: 6, Queue: 6, Connections: 110,
 				Work: emulate.Work{Median: 5 * time.Millisecond, Sigma: 0.3}, Records: routedRecords, ReportLoad: true,
-				Announcement: 300 * time.Millisecond, Seed: uint64(len(cfs)),
+				AnnounceInterval: 300 * time.Millisecond, Seed: uint64(len(cfs)),
 			})
 		}
 	}
--- a/emulate/emulate_test.go
+++ b/emulate/emulate_test.go
@@ -234,7 +234,7 @@
 // growing sequence numbers, and ends for good. A server that nobody hears ends too.
 func TestDrain(t *testing.T) {
 	for _, he := range []*heard{newHeard(), {told: make(chan struct{}, 1000), err: errors.New("nobody")}} {
-		se := newServer(t, Config{ID: "a", Service: "s", DataCentre: "d", Slots: 2, Announcement: time.Hour}, he)
+		se := newServer(t, Config{ID: "a", Service: "s", DataCentre: "d", Slots: 2, AnnounceInterval: time.Hour}, he)
 		done := make(chan error, 1)
 		go func() { done <- se.Serve(t.Context()) }()
 		<-he.told
@@ -420,7 +420,7 @@
 func TestAnnouncements(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		he := newHeard()
-		se := &Server{cf: Config{ID: "a", Warmup: 1500 * time.Millisecond, Announcement: time.Second}, an: he, ts: timer.New(), lg: zap.NewNop(), started: time.Now()}
+		se := &Server{cf: Config{ID: "a", Warmup: 1500 * time.Millisecond, AnnounceInterval: time.Second}, an: he, ts: timer.New(), lg: zap.NewNop(), started: time.Now()}
 		se.li = newListener(fakeListener{}, 0)
 		ctx, cancel := context.WithTimeout(t.Context(), 2500*time.Millisecond)
 		defer cancel()
--- a/emulate/server.go
+++ b/emulate/server.go
@@ -47,7 +47,7 @@
 	WarmupFactor      float64       // WarmFactor is how slow it is then; default 1.
 	Records           int           // Records is how many records an answer has.
 	ReportLoad        bool          // ReportLoad adds the load to each answer.
-	Announcement      time.Duration // Announcement is the time between two announcements; default 1 s.
+	AnnounceInterval  time.Duration // Announcement is the time between two announcements; default 1 s.
 	DrainFor          time.Duration // DrainFor is how long a draining server goes on serving.
 	IdleTimeout       time.Duration // IdleTimeout is when an idle connection is closed; default 30 s.
 	Seed              uint64        // Seed makes work, pauses and faults repeatable.
@@ -74,8 +74,8 @@
 	if cf.WarmupFactor <= 0 {
 		cf.WarmupFactor = 1
 	}
-	if cf.Announcement <= 0 {
-		cf.Announcement = defaultAnnouncement
+	if cf.AnnounceInterval <= 0 {
+		cf.AnnounceInterval = defaultAnnouncement
 	}
 	if cf.IdleTimeout <= 0 {
 		cf.IdleTimeout = defaultIdleTimeout
@@ -216,7 +216,7 @@
 		if err := se.announce(ctx); err != nil && ctx.Err() == nil {
 			se.lg.Warn("announcement-failed", zap.String("Server", se.cf.ID), zap.Error(err))
 		}
-		_ = se.ts.Sleep(ctx, se.cf.Announcement)
+		_ = se.ts.Sleep(ctx, se.cf.AnnounceInterval)
 	}
 }
 
