--- a/emulate/server.go
+++ b/emulate/server.go
@@ -48,7 +48,7 @@
 	Records           int           // Records is how many records an answer has.
 	ReportLoad        bool          // ReportLoad adds the load to each answer.
 	AnnounceInterval  time.Duration // Announcement is the time between two announcements; default 1 s.
-	DrainFor          time.Duration // DrainFor is how long a draining server goes on serving.
+	DrainDelay        time.Duration // DrainFor is how long a draining server goes on serving.
 	IdleTimeout       time.Duration // IdleTimeout is when an idle connection is closed; default 30 s.
 	Seed              uint64        // Seed makes work, pauses and faults repeatable.
 	OnEvent           func(Seen)    // Note is told what the server sees, by many goroutines at once; may be nil.
@@ -242,7 +242,7 @@
 func (se *Server) Drain(ctx context.Context) error {
 	se.state.Store(int64(registry.Draining))
 	told := se.announce(ctx)
-	_ = se.ts.Sleep(ctx, se.cf.DrainFor)
+	_ = se.ts.Sleep(ctx, se.cf.DrainDelay)
 	se.state.Store(int64(registry.Gone))
 	told = errors.Join(told, se.an.Leave(ctx, se.cf.ID))
 	return errors.Join(told, se.hs.Shutdown(ctx))
