--- a/emulate/experiment/experiment.go
+++ b/emulate/experiment/experiment.go
@@ -180,7 +180,7 @@
 			cf := emulate.Config{
 				ID: fmt.Sprintf("%s-%d", name, nth+1), Service: name, DataCentre: ex.Tier.DataCentres[nth%len(ex.Tier.DataCentres)],
 				Slots: se.Slots, Queue: se.Queue, Connections: se.Connections, ConnectionCost: se.ConnectionCost,
-				Work: se.Work, Pause: se.Pause, Records: se.Records, ReportLoad: true,
+				ServiceTime: se.Work, Pause: se.Pause, Records: se.Records, ReportLoad: true,
 				Seed: ex.Seed*mostServers + uint64(len(out)),
 			}
 			if len(se.Paces) > 0 {
--- a/emulate/serve.go
+++ b/emulate/serve.go
@@ -132,7 +132,7 @@
 // work draws how long the work for one request takes.
 func (se *Server) work(tr Trouble) time.Duration {
 	se.mu.Lock()
-	took := se.cf.Work.draw(se.rd)
+	took := se.cf.ServiceTime.draw(se.rd)
 	se.mu.Unlock()
 	factor := se.cf.ServiceTimeFactor
 	if tr.Slow > 0 {
--- a/emulate/soak/fleet.go
+++ b/emulate/soak/fleet.go
@@ -72,7 +72,7 @@
 		ID: id, Service: service, Address: address, Born: fl.ts.Now().UnixMilli(),
 		DataCentre: fl.cf.Tier.DataCentres[nth%len(fl.cf.Tier.DataCentres)],
 		Slots:      se.Slots, Queue: se.Queue, Connections: se.Connections, ConnectionCost: se.ConnectionCost,
-		Work: se.Work, Pause: se.Pause, Records: se.Records, ReportLoad: true,
+		ServiceTime: se.Work, Pause: se.Pause, Records: se.Records, ReportLoad: true,
 		DrainDelay: fl.cf.Checks.Drain + lingerFor, Seed: fl.cf.Seed*mostServers + uint64(number), OnEvent: fl.ju.Saw,
 		OnCrash: func(se *emulate.Server) { fl.noteCrash(nth, se) },
 	}
