--- a/emulate/serve.go
+++ b/emulate/serve.go
@@ -135,8 +135,8 @@
 	took := se.cf.ServiceTime.draw(se.rd)
 	se.mu.Unlock()
 	factor := se.cf.ServiceTimeFactor
-	if tr.Slow > 0 {
-		factor *= tr.Slow
+	if tr.SlowFactor > 0 {
+		factor *= tr.SlowFactor
 	}
 	if se.ts.Now().Sub(se.started) < se.cf.Warmup {
 		factor *= se.cf.WarmupFactor
--- a/emulate/soak/player.go
+++ b/emulate/soak/player.go
@@ -258,7 +258,7 @@
 	case ServerSilent:
 		return emulate.Trouble{Silent: 1}
 	case ServerSlow:
-		return emulate.Trouble{Slow: slowLeast + slowMore*fa.Value}
+		return emulate.Trouble{SlowFactor: slowLeast + slowMore*fa.Value}
 	case ServiceShed:
 		return emulate.Trouble{Shed: 1}
 	case ServerShed:
