--- a/emulate/fault_test.go
+++ b/emulate/fault_test.go
@@ -106,7 +106,7 @@
 	qt.Check(t, wr.Header().Get(headerRequestID), qt.Equals, "r1-other")
 	qt.Check(t, wr.Header().Get(headerStamp), qt.Equals, Stamp("a", "r1-other"))
 	qt.Check(t, wr.Body.Bytes(), qt.DeepEquals, Records("s", "/x-other", 1))
-	se.SetTrouble(Trouble{Twice: 1})
+	se.SetTrouble(Trouble{Duplicate: 1})
 	hs := httptest.NewServer(se)
 	defer hs.Close()
 	nc, err := net.Dial("tcp4", hs.Listener.Addr().String())
--- a/emulate/serve.go
+++ b/emulate/serve.go
@@ -199,7 +199,7 @@
 		wr.Header().Set(headerRequestID, id)
 	}
 	body := Records(se.cf.Service, path, se.cf.Records)
-	if se.chance(tr.Twice) {
+	if se.chance(tr.Duplicate) {
 		se.sendTwice(wr, id, body)
 		return
 	}
--- a/emulate/soak/player.go
+++ b/emulate/soak/player.go
@@ -264,7 +264,7 @@
 	case ServerShed:
 		return emulate.Trouble{Shed: part}
 	case ReplyTwice:
-		return emulate.Trouble{Twice: part}
+		return emulate.Trouble{Duplicate: part}
 	case ReplyLate:
 		return emulate.Trouble{Late: part}
 	case ReplyCut:
--- a/emulate/work.go
+++ b/emulate/work.go
@@ -46,7 +46,7 @@
 	Garble     float64 // Garble is the share of requests that run and are answered with bytes that are not HTTP.
 	Truncate   float64 // Truncate is the share of answers that end in the middle.
 	Silent     float64 // Silent is the share of requests that run and are never answered.
-	Twice      float64 // Twice is the share of answers that are sent twice on the connection, which stays open for a while.
+	Duplicate  float64 // Twice is the share of answers that are sent twice on the connection, which stays open for a while.
 	Late       float64 // Late is the share of answers that come some 50 to 400 ms later, whatever the deadline.
 	Other      float64 // Other is the share of answers that are those to another request.
 }
