--- a/emulate/fault_test.go
+++ b/emulate/fault_test.go
@@ -101,7 +101,7 @@
 // twice stands twice on the connection.
 func TestOtherAndTwice(t *testing.T) {
 	se := newServer(t, Config{ID: "a", Service: "s", Records: 1}, newHeard())
-	se.SetTrouble(Trouble{Other: 1})
+	se.SetTrouble(Trouble{WrongRequest: 1})
 	wr := ask(se, "/x", headerRequestID, "r1")
 	qt.Check(t, wr.Header().Get(headerRequestID), qt.Equals, "r1-other")
 	qt.Check(t, wr.Header().Get(headerStamp), qt.Equals, Stamp("a", "r1-other"))
--- a/emulate/serve.go
+++ b/emulate/serve.go
@@ -194,7 +194,7 @@
 		return
 	}
 	path := rq.URL.Path
-	if se.chance(tr.Other) {
+	if se.chance(tr.WrongRequest) {
 		id, path = id+otherSuffix, path+otherSuffix
 		wr.Header().Set(headerRequestID, id)
 	}
--- a/emulate/soak/player.go
+++ b/emulate/soak/player.go
@@ -270,7 +270,7 @@
 	case ReplyCut:
 		return emulate.Trouble{Cut: part / 2, Truncate: part / 2, Garble: part / 2}
 	case ReplyOther:
-		return emulate.Trouble{Other: part}
+		return emulate.Trouble{WrongRequest: part}
 	default:
 		return emulate.Trouble{}
 	}
--- a/emulate/work.go
+++ b/emulate/work.go
@@ -39,16 +39,16 @@
 
 // Trouble is what goes wrong at a server that seems well. Shares are from 0 to 1.
 type Trouble struct {
-	SlowFactor float64 // Slow multiplies the work; 0 means 1.
-	Shed       float64 // Shed is the share of requests that are refused though there is room.
-	Fail       float64 // Fail is the share of requests that run and are answered with status 500.
-	Cut        float64 // Cut is the share of requests that run and whose connection is closed instead of an answer.
-	Garble     float64 // Garble is the share of requests that run and are answered with bytes that are not HTTP.
-	Truncate   float64 // Truncate is the share of answers that end in the middle.
-	Silent     float64 // Silent is the share of requests that run and are never answered.
-	Duplicate  float64 // Twice is the share of answers that are sent twice on the connection, which stays open for a while.
-	Late       float64 // Late is the share of answers that come some 50 to 400 ms later, whatever the deadline.
-	Other      float64 // Other is the share of answers that are those to another request.
+	SlowFactor   float64 // Slow multiplies the work; 0 means 1.
+	Shed         float64 // Shed is the share of requests that are refused though there is room.
+	Fail         float64 // Fail is the share of requests that run and are answered with status 500.
+	Cut          float64 // Cut is the share of requests that run and whose connection is closed instead of an answer.
+	Garble       float64 // Garble is the share of requests that run and are answered with bytes that are not HTTP.
+	Truncate     float64 // Truncate is the share of answers that end in the middle.
+	Silent       float64 // Silent is the share of requests that run and are never answered.
+	Duplicate    float64 // Twice is the share of answers that are sent twice on the connection, which stays open for a while.
+	Late         float64 // Late is the share of answers that come some 50 to 400 ms later, whatever the deadline.
+	WrongRequest float64 // Other is the share of answers that are those to another request.
 }
 
 // span is a time in which a server stands still.
