--- a/emulate/emulate_test.go
+++ b/emulate/emulate_test.go
@@ -92,7 +92,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			se := newServer(t, Config{ID: "a", Service: "s", Records: 3, ReportLoad: true, Slots: 2}, newHeard())
-			se.SetTrouble(tt.tr)
+			se.SetFaults(tt.tr)
 			wr := ask(se, "/arm/x", tt.header...)
 			qt.Check(t, wr.Code, qt.Equals, tt.status)
 			qt.Check(t, wr.Header().Get(headerNotRun), qt.Equals, tt.notRun)
@@ -148,7 +148,7 @@
 	for name, tr := range map[string]Trouble{"cut": {Cut: 1}, "garble": {Garble: 1}, "truncate": {Truncate: 1}} {
 		t.Run(name, func(t *testing.T) {
 			se := newServer(t, Config{ID: "a", Records: 4}, newHeard())
-			se.SetTrouble(tr)
+			se.SetFaults(tr)
 			stop := serve(t, se)
 			defer stop()
 			ca := NewCaller()
--- a/emulate/server.go
+++ b/emulate/server.go
@@ -169,7 +169,7 @@
 func (se *Server) Address() string { return se.li.Addr().String() }
 
 // SetTrouble makes the server suffer from a trouble from now on.
-func (se *Server) SetTrouble(tr Trouble) { se.tr.Store(&tr) }
+func (se *Server) SetFaults(tr Trouble) { se.tr.Store(&tr) }
 
 // Halt makes the server stand still for a time from now on, whatever it is asked.
 // Work that was begun before goes on.
--- a/emulate/soak/player.go
+++ b/emulate/soak/player.go
@@ -237,11 +237,11 @@
 		if fa.Kind == ServerHalt {
 			se.Halt(fa.For)
 		}
-		se.SetTrouble(fa.trouble())
+		se.SetFaults(fa.trouble())
 	}
 	pl.last(ctx, fa)
 	for _, se := range ses {
-		se.SetTrouble(emulate.Trouble{})
+		se.SetFaults(emulate.Trouble{})
 	}
 }
 
