--- a/emulate/emulate_test.go
+++ b/emulate/emulate_test.go
@@ -183,7 +183,7 @@
 		qt.Assert(t, second.Close(), qt.IsNil)
 	}
 	qt.Assert(t, err, qt.IsNotNil)
-	qt.Assert(t, se.OverLimit(), qt.Equals, 1)
+	qt.Assert(t, se.RejectedConnections(), qt.Equals, 1)
 	qt.Assert(t, first.Close(), qt.IsNil)
 	ca := NewCaller()
 	defer ca.Close()
--- a/emulate/server.go
+++ b/emulate/server.go
@@ -187,7 +187,7 @@
 }
 
 // OverLimit counts the connections that were reset as beyond the limit.
-func (se *Server) OverLimit() int { return int(se.li.over.Load()) }
+func (se *Server) RejectedConnections() int { return int(se.li.over.Load()) }
 
 // Serve answers requests and announces the server until the context ends; then
 // all connections are closed at once, as in a crash. It returns
--- a/emulate/servers.go
+++ b/emulate/servers.go
@@ -111,7 +111,7 @@
 func (ss *Servers) OverLimit() int {
 	out := 0
 	for _, se := range ss.All() {
-		out += se.OverLimit()
+		out += se.RejectedConnections()
 	}
 	return out
 }
