--- a/emulate/experiment/run.go
+++ b/emulate/experiment/run.go
@@ -119,13 +119,13 @@
 	for _, ar := range ru.ex.Arms {
 		before[ar.Name] = ru.ss.Counts(ar.Name)
 	}
-	over := ru.ss.OverLimit()
+	over := ru.ss.RejectedConnections()
 	ru.reset(ru.ex.Turns())
 	dropped, err := ru.turns(ctx, warm, ru.ex.Turns())
 	if err != nil {
 		return re, err
 	}
-	re.Dropped, re.OverLimit = dropped, ru.ss.OverLimit()-over
+	re.Dropped, re.OverLimit = dropped, ru.ss.RejectedConnections()-over
 	for _, ar := range ru.ex.Arms {
 		re.add(ar, ru.cells[ar.Name], before[ar.Name], ru.ss.Counts(ar.Name))
 	}
--- a/emulate/servers.go
+++ b/emulate/servers.go
@@ -108,7 +108,7 @@
 }
 
 // OverLimit counts the connections that were reset as beyond a server's limit.
-func (ss *Servers) OverLimit() int {
+func (ss *Servers) RejectedConnections() int {
 	out := 0
 	for _, se := range ss.All() {
 		out += se.RejectedConnections()
