--- a/cmd/balsamwinch/demo_routed.go
+++ b/cmd/balsamwinch/demo_routed.go
@@ -42,7 +42,7 @@
 	ready, cancel := context.WithTimeout(ctx, demoReady)
 	defer cancel()
 	lo, err := emulate.StartLocal(ready, emulate.LocalConfig{
-		Entries: routedEntries, Controls: routedControls, Folder: folder, StopWithin: routedStopWithin,
+		Entries: routedEntries, Controls: routedControls, Folder: folder, StopTimeout: routedStopWithin,
 		DataCentres: []string{"miraflores", "surquillo", "san-isidro"},
 	}, ts, lg)
 	if err != nil {
--- a/emulate/local.go
+++ b/emulate/local.go
@@ -25,7 +25,7 @@
 	Controls    int      // Controls is how many control instances there are.
 	DataCentres []string // DataCentres are filled in turn.
 	Folder      string   // Folder gets a data folder for each control instance.
-	StopWithin  time.Duration
+	StopTimeout time.Duration
 	// Program runs each instance in a process of its own, which calls ServeInstance
 	// with its standard input; only such an instance can be killed. None: all run in
 	// this process.
@@ -118,8 +118,8 @@
 		se.DataCentre, se.Address, se.LinkPort = cf.DataCentres[ix%len(cf.DataCentres)], ip, port
 		se.FirstStart = true
 		se.Limits.MemoryMegabytes = localMegabytes
-		if cf.StopWithin > 0 {
-			se.Timing.StopWithin = cf.StopWithin
+		if cf.StopTimeout > 0 {
+			se.Timing.StopWithin = cf.StopTimeout
 		}
 		one, two := ho.hold(ip), ho.hold(ip)
 		if ix < cf.Controls {
