--- a/emulate/fault_test.go
+++ b/emulate/fault_test.go
@@ -41,7 +41,7 @@
 	program, err := os.Executable()
 	qt.Assert(t, err, qt.IsNil)
 	lo, err := StartLocal(ctx, LocalConfig{
-		Entries: 1, Controls: 3, DataCentres: []string{"x"}, Folder: t.TempDir(), StopTimeout: 2 * time.Second, Program: []string{program}, Logs: t.TempDir(),
+		Entries: 1, Controls: 3, DataCentres: []string{"x"}, Folder: t.TempDir(), StopTimeout: 2 * time.Second, Program: []string{program}, LogFolder: t.TempDir(),
 	}, timer.New(), zap.NewNop())
 	qt.Assert(t, err, qt.IsNil)
 	defer func() { qt.Check(t, lo.Close(), qt.IsNil) }()
--- a/emulate/local.go
+++ b/emulate/local.go
@@ -31,7 +31,7 @@
 	// this process.
 	Program []string
 	// Logs is a folder for what the processes log, a file for each; empty: nowhere.
-	Logs string
+	LogFolder string
 }
 
 // Local is a tier on this machine, each instance at a loopback address of its
@@ -192,7 +192,7 @@
 func (lo *Local) run(in *localInstance, se tier.Settings) error {
 	ru, err := (*running)(nil), error(nil)
 	if len(lo.cf.Program) > 0 {
-		ru, err = runProcess(se, lo.cf.Program, lo.cf.Logs)
+		ru, err = runProcess(se, lo.cf.Program, lo.cf.LogFolder)
 	} else {
 		ru = runHere(se, lo.lg)
 	}
--- a/emulate/soak/run.go
+++ b/emulate/soak/run.go
@@ -63,7 +63,7 @@
 	defer cancel()
 	lo, err := emulate.StartLocal(ready, emulate.LocalConfig{
 		Entries: cf.Tier.Entries, Controls: cf.Tier.Controls, DataCentres: cf.Tier.DataCentres, Folder: folder,
-		StopTimeout: stopWithin, Program: pr.Command, Logs: pr.Logs,
+		StopTimeout: stopWithin, Program: pr.Command, LogFolder: pr.Logs,
 	}, ts, lg)
 	if err != nil {
 		return re, err
