--- a/cmd/balsamwinch/demo_routed.go
+++ b/cmd/balsamwinch/demo_routed.go
@@ -94,7 +94,7 @@
 func serveRouted(ctx, ready context.Context, lo *emulate.Local, ss *emulate.Servers, ts *timer.Service, once bool, out io.Writer) error {
 	ca := emulate.NewCaller()
 	defer ca.Close()
-	address := lo.Callers()[0]
+	address := lo.CallerAddresses()[0]
 	an, err := ca.AwaitComplete(ready, ts, address,
 		emulate.Question{ID: "demo", Host: routedHost, Path: routedPath, Timeout: routedTimeout},
 		emulate.Expectation{Services: demoShardNames[:], Service: ss.Service, Records: routedRecords, TopK: routedTopK})
--- a/emulate/emulate_test.go
+++ b/emulate/emulate_test.go
@@ -409,7 +409,7 @@
 		{Services: []string{"p"}, Service: ss.Service, Records: 3},
 	} {
 		path := map[int]string{1: "/one/x", 2: "/all/x"}[len(ex.Services)]
-		for _, address := range lo.Callers() {
+		for _, address := range lo.CallerAddresses() {
 			_, err := ca.AwaitComplete(ctx, ts, address, Question{ID: "r", Host: "a.example", Path: path, Timeout: 5 * time.Second}, ex)
 			qt.Assert(t, err, qt.IsNil)
 		}
--- a/emulate/experiment/run.go
+++ b/emulate/experiment/run.go
@@ -99,7 +99,7 @@
 	if err := lo.Configure(ready, ex.Configuration()); err != nil {
 		return re, err
 	}
-	ru := &runner{ex: ex, ts: ts, ca: emulate.NewCaller(), ss: ss, at: lo.Callers()}
+	ru := &runner{ex: ex, ts: ts, ca: emulate.NewCaller(), ss: ss, at: lo.CallerAddresses()}
 	defer ru.ca.Close()
 	ru.reset(0)
 	if err := ru.await(ready); err != nil {
--- a/emulate/local.go
+++ b/emulate/local.go
@@ -287,7 +287,7 @@
 }
 
 // Callers returns where the entry instances take requests.
-func (lo *Local) Callers() []string {
+func (lo *Local) CallerAddresses() []string {
 	return lo.addresses(func(li tier.Listen) string { return li.Callers })
 }
 
--- a/emulate/soak/player.go
+++ b/emulate/soak/player.go
@@ -178,7 +178,7 @@
 	}
 	err := end(name)
 	pl.last(ctx, fa)
-	pl.ju.EntryStarted(pl.lo.Callers()[fa.Target])
+	pl.ju.EntryStarted(pl.lo.CallerAddresses()[fa.Target])
 	return errors.Join(err, pl.startAll([]string{name}))
 }
 
--- a/emulate/soak/run.go
+++ b/emulate/soak/run.go
@@ -114,7 +114,7 @@
 		return err
 	}
 	la := ru.cf.layout(version, 0)
-	for ix, address := range ru.lo.Callers() {
+	for ix, address := range ru.lo.CallerAddresses() {
 		ru.ju.EntryStarted(address)
 		for _, gr := range groups {
 			ex := emulate.Expectation{Services: la.of(gr), Service: ru.pl.ss.Service, Records: ru.cf.Servers.Records}
@@ -127,7 +127,7 @@
 			}
 		}
 	}
-	list := ru.lo.Callers()
+	list := ru.lo.CallerAddresses()
 	ru.at.Store(&list)
 	return nil
 }
