--- a/cmd/balsamwinch/demo_routed.go
+++ b/cmd/balsamwinch/demo_routed.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	ss, err := emulate.StartServers(routedServers(), lo.Control(), ts, lg)
+	ss, err := emulate.StartServers(routedServers(), lo.ControlAddresses(), ts, lg)
 	if err != nil {
 		return errors.Join(err, lo.Close())
 	}
@@ -107,7 +107,7 @@
 	fmt.Fprintf(out, "The routed tier serves: %d entry instances, %d control instances, %d backend servers.\n", routedEntries, routedControls, len(ss.All()))
 	fmt.Fprintf(out, "Ask which entry instances to use:\n  curl 'http://%s/addresses?DataCentre=miraflores'\n", lo.Addresses()[0])
 	fmt.Fprintf(out, "Send a query:\n  curl -i -H 'Host: %s' -H 'Request-Id: 1' http://%s%s --output -\n", routedHost, address, routedPath)
-	fmt.Fprintf(out, "See the configuration:\n  curl http://%s/configuration\n", lo.Control()[0])
+	fmt.Fprintf(out, "See the configuration:\n  curl http://%s/configuration\n", lo.ControlAddresses()[0])
 	fmt.Fprintln(out, "Press Ctrl-C to stop.")
 	<-ctx.Done()
 	return nil
--- a/emulate/emulate_test.go
+++ b/emulate/emulate_test.go
@@ -398,7 +398,7 @@
 	for _, id := range []string{"p1", "p2", "q1", "q2"} {
 		cfs = append(cfs, Config{ID: id, Service: id[:1], DataCentre: "x", Slots: 2, Queue: 2, Connections: 100, Records: 3})
 	}
-	ss, err := StartServers(cfs, lo.Control(), ts, zap.NewNop())
+	ss, err := StartServers(cfs, lo.ControlAddresses(), ts, zap.NewNop())
 	qt.Assert(t, err, qt.IsNil)
 	defer ss.Close()
 	qt.Assert(t, lo.Configure(ctx, testConfiguration(1)), qt.IsNil)
--- a/emulate/experiment/run.go
+++ b/emulate/experiment/run.go
@@ -91,7 +91,7 @@
 		return re, err
 	}
 	defer func() { err = errors.Join(err, lo.Close()) }()
-	ss, err := emulate.StartServers(ex.configs(), lo.Control(), ts, lg)
+	ss, err := emulate.StartServers(ex.configs(), lo.ControlAddresses(), ts, lg)
 	if err != nil {
 		return re, err
 	}
--- a/emulate/local.go
+++ b/emulate/local.go
@@ -272,7 +272,7 @@
 // Configure has a configuration accepted, and waits until every entry instance
 // serves.
 func (lo *Local) Configure(ctx context.Context, cf Configuration) error {
-	co := NewControl(lo.Control())
+	co := NewControl(lo.ControlAddresses())
 	defer co.Close()
 	for {
 		err := co.Configure(ctx, cf.Encode())
@@ -293,7 +293,7 @@
 
 // Control returns where the control instances take the calls of operators and
 // backend servers.
-func (lo *Local) Control() []string {
+func (lo *Local) ControlAddresses() []string {
 	return lo.addresses(func(li tier.Listen) string { return li.Control })
 }
 
--- a/emulate/soak/run.go
+++ b/emulate/soak/run.go
@@ -69,12 +69,12 @@
 		return re, err
 	}
 	defer func() { err = errors.Join(err, lo.Close()) }()
-	ss, err := emulate.StartServers(nil, lo.Control(), ts, lg)
+	ss, err := emulate.StartServers(nil, lo.ControlAddresses(), ts, lg)
 	if err != nil {
 		return re, err
 	}
 	defer ss.Close()
-	co := emulate.NewControl(lo.Control())
+	co := emulate.NewControl(lo.ControlAddresses())
 	defer co.Close()
 	ru := newRunner(cf, lo, ss, co, ts)
 	defer ru.ca.Close()
