--- a/cmd/balsamwinch/demo_routed.go
+++ b/cmd/balsamwinch/demo_routed.go
@@ -105,7 +105,7 @@
 		return err
 	}
 	fmt.Fprintf(out, "The routed tier serves: %d entry instances, %d control instances, %d backend servers.\n", routedEntries, routedControls, len(ss.All()))
-	fmt.Fprintf(out, "Ask which entry instances to use:\n  curl 'http://%s/addresses?DataCentre=miraflores'\n", lo.Addresses()[0])
+	fmt.Fprintf(out, "Ask which entry instances to use:\n  curl 'http://%s/addresses?DataCentre=miraflores'\n", lo.LookupAddresses()[0])
 	fmt.Fprintf(out, "Send a query:\n  curl -i -H 'Host: %s' -H 'Request-Id: 1' http://%s%s --output -\n", routedHost, address, routedPath)
 	fmt.Fprintf(out, "See the configuration:\n  curl http://%s/configuration\n", lo.ControlAddresses()[0])
 	fmt.Fprintln(out, "Press Ctrl-C to stop.")
--- a/emulate/local.go
+++ b/emulate/local.go
@@ -298,7 +298,7 @@
 }
 
 // Addresses returns where control instances tell which entry instances to use.
-func (lo *Local) Addresses() []string {
+func (lo *Local) LookupAddresses() []string {
 	return lo.addresses(func(li tier.Listen) string { return li.Addresses })
 }
 
--- a/emulate/soak/run.go
+++ b/emulate/soak/run.go
@@ -162,7 +162,7 @@
 // lookUp keeps the list of entry instances as callers do: from one control
 // instance after the other, and the old list while none answers.
 func (ru *runner) lookUp(ctx context.Context) {
-	at := ru.lo.Addresses()
+	at := ru.lo.LookupAddresses()
 	for nth := 0; ctx.Err() == nil; nth++ {
 		dc := ru.cf.Tier.DataCentres[nth%len(ru.cf.Tier.DataCentres)]
 		if list, _, err := ru.ca.EntryAddresses(ctx, at[nth%len(at)], dc); err == nil && len(list) > 0 {
