--- a/emulate/fault.go
+++ b/emulate/fault.go
@@ -82,7 +82,7 @@
 }
 
 // LoseDisk removes the data of a control instance that has ended.
-func (lo *Local) LoseDisk(name string) error {
+func (lo *Local) DeleteData(name string) error {
 	in, err := lo.instance("lose the disk", name)
 	if err != nil {
 		return err
--- a/emulate/fault_test.go
+++ b/emulate/fault_test.go
@@ -51,7 +51,7 @@
 	qt.Assert(t, lo.Kill("entry-1"), qt.IsNil)
 	qt.Assert(t, statusOf(ctx, lo.instances[3].se.Listen.Ready), qt.Equals, 0)
 	qt.Assert(t, lo.Stop("control-1"), qt.IsNil)
-	qt.Assert(t, lo.LoseDisk("control-1"), qt.IsNil)
+	qt.Assert(t, lo.DeleteData("control-1"), qt.IsNil)
 	qt.Assert(t, lo.Start(ctx, "control-1"), qt.IsNil)
 	qt.Assert(t, lo.Start(ctx, "entry-1"), qt.IsNil)
 	qt.Assert(t, lo.Configure(ctx, testConfiguration(1)), qt.IsNil)
--- a/emulate/soak/player.go
+++ b/emulate/soak/player.go
@@ -127,7 +127,7 @@
 	}
 	err := each(names, end)
 	if fa.Kind == ControlLose {
-		err = errors.Join(err, each(names, pl.lo.LoseDisk))
+		err = errors.Join(err, each(names, pl.lo.DeleteData))
 	}
 	pl.last(ctx, fa)
 	err = errors.Join(err, pl.startAll(names))
