--- a/emulate/experiment/experiment.go
+++ b/emulate/experiment/experiment.go
@@ -111,11 +111,11 @@
 	}
 	ck.Unique("arm", names, paths)
 	ck.Want(ex.Block > 0, "a time above 0", ex.Block, "Block")
-	ck.Want(ex.Turns() > 0, "at least one turn of all arms", ex.Length, "Length")
+	ck.Want(ex.Rounds() > 0, "at least one turn of all arms", ex.Length, "Length")
 }
 
 // Turns returns how often each arm has its turn while it is measured.
-func (ex Experiment) Turns() int { return ex.turns(ex.Length) }
+func (ex Experiment) Rounds() int { return ex.turns(ex.Length) }
 
 // turns returns the whole turns of all arms in a time.
 func (ex Experiment) turns(length time.Duration) int {
--- a/emulate/experiment/run.go
+++ b/emulate/experiment/run.go
@@ -120,8 +120,8 @@
 		before[ar.Name] = ru.ss.Counts(ar.Name)
 	}
 	over := ru.ss.RejectedConnections()
-	ru.reset(ru.ex.Turns())
-	dropped, err := ru.turns(ctx, warm, ru.ex.Turns())
+	ru.reset(ru.ex.Rounds())
+	dropped, err := ru.turns(ctx, warm, ru.ex.Rounds())
 	if err != nil {
 		return re, err
 	}
