--- a/emulate/soak/judge.go
+++ b/emulate/soak/judge.go
@@ -166,7 +166,7 @@
 }
 
 // Breaches returns the first breaches of each check.
-func (ju *Judge) Breaches() []Breach {
+func (ju *Judge) Violations() []Breach {
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	return slices.Clone(ju.breaches)
--- a/emulate/soak/judge_test.go
+++ b/emulate/soak/judge_test.go
@@ -152,9 +152,9 @@
 func TestAllHolds(t *testing.T) {
 	rc := newRecorded()
 	good(rc)
-	qt.Assert(t, rc.broken(), qt.DeepEquals, []Check{CheckDrain}, qt.Commentf("%v", rc.ju.Breaches()))
-	qt.Assert(t, rc.ju.Breaches(), qt.HasLen, 1)
-	qt.Assert(t, rc.ju.Breaches()[0].String(), qt.Equals, `drain at 16.600s, request "unknown", at "a1": a request came 13.6s after the server's leaving was acknowledged; under way: [EntryKill 1]`)
+	qt.Assert(t, rc.broken(), qt.DeepEquals, []Check{CheckDrain}, qt.Commentf("%v", rc.ju.Violations()))
+	qt.Assert(t, rc.ju.Violations(), qt.HasLen, 1)
+	qt.Assert(t, rc.ju.Violations()[0].String(), qt.Equals, `drain at 16.600s, request "unknown", at "a1": a request came 13.6s after the server's leaving was acknowledged; under way: [EntryKill 1]`)
 	for _, ta := range rc.ju.Tallies() {
 		qt.Check(t, ta.Looked > 0, qt.IsTrue, qt.Commentf("%s", ta.Check))
 	}
@@ -281,7 +281,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			rc := newRecorded()
 			tt.tell(rc)
-			qt.Assert(t, rc.broken(), qt.DeepEquals, []Check{tt.want}, qt.Commentf("%v", rc.ju.Breaches()))
+			qt.Assert(t, rc.broken(), qt.DeepEquals, []Check{tt.want}, qt.Commentf("%v", rc.ju.Violations()))
 		})
 		found[tt.want] = true
 	}
@@ -299,7 +299,7 @@
 	rc.ju.EntryStarted("entry")
 	rc.plainAnswer(1600, "r", "p1")
 	rc.plain(1700, "s", "p1")
-	qt.Assert(t, rc.broken(), qt.HasLen, 0, qt.Commentf("%v", rc.ju.Breaches()))
+	qt.Assert(t, rc.broken(), qt.HasLen, 0, qt.Commentf("%v", rc.ju.Violations()))
 }
 
 // The window slides: what is older than it counts no longer, neither on one side
@@ -310,7 +310,7 @@
 	for ix := range 9 {
 		rc.saw(ix*5001, emulate.SeenArrived, "p1", "p") // Two in each window of 10 s.
 	}
-	qt.Assert(t, rc.broken(), qt.HasLen, 0, qt.Commentf("%v", rc.ju.Breaches()))
+	qt.Assert(t, rc.broken(), qt.HasLen, 0, qt.Commentf("%v", rc.ju.Violations()))
 	rc.saw(8*5001+1, emulate.SeenArrived, "p1", "p")
 	qt.Assert(t, rc.broken(), qt.DeepEquals, []Check{CheckBudget})
 }
@@ -323,7 +323,7 @@
 		rc.ju.Refused(at(1), "accepted", false)
 	}
 	rc.ju.ReadBack(at(2), 2, 1, []byte("one"))
-	qt.Assert(t, rc.ju.Breaches(), qt.HasLen, mostBreaches+1)
-	qt.Assert(t, rc.ju.Breaches()[mostBreaches].Check, qt.Equals, CheckAccepted)
+	qt.Assert(t, rc.ju.Violations(), qt.HasLen, mostBreaches+1)
+	qt.Assert(t, rc.ju.Violations()[mostBreaches].Check, qt.Equals, CheckAccepted)
 	qt.Assert(t, Report{Checks: rc.ju.Tallies()}.Broken(), qt.Equals, mostBreaches+11)
 }
--- a/emulate/soak/report.go
+++ b/emulate/soak/report.go
@@ -145,7 +145,7 @@
 			re.Faults = append(re.Faults, Played{ki, drawn[ki], ru.pl.played[ki]})
 		}
 	}
-	re.Problems, re.Checks, re.Breaches = ru.pl.problems, ru.ju.Tallies(), ru.ju.Breaches()
+	re.Problems, re.Checks, re.Breaches = ru.pl.problems, ru.ju.Tallies(), ru.ju.Violations()
 }
 
 // WriteTable writes the report for people.
