--- a/emulate/soak/judge.go
+++ b/emulate/soak/judge.go
@@ -134,7 +134,7 @@
 }
 
 // Begin tells when the load starts.
-func (ju *Judge) Begin(at time.Time) {
+func (ju *Judge) Start(at time.Time) {
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	ju.start = at
--- a/emulate/soak/judge_test.go
+++ b/emulate/soak/judge_test.go
@@ -31,7 +31,7 @@
 		Checks: Checks{Drain: 3 * time.Second, DrainSlack: 500 * time.Millisecond, OverLimit: 1, Budget: tier.Budget{Ratio: 0.2, Slack: 2, Window: 10 * time.Second}},
 	}
 	rc := &recorded{NewJudge(cf, func() []string { return []string{"EntryKill 1"} })}
-	rc.ju.Begin(epoch)
+	rc.ju.Start(epoch)
 	for _, service := range []string{"a", "b", "c", "d", "p", "q"} {
 		rc.ju.ServerStarted(service+"1", service, "north")
 		rc.ju.ServerStarted(service+"2", service, "south")
--- a/emulate/soak/run.go
+++ b/emulate/soak/run.go
@@ -82,7 +82,7 @@
 		return re, err
 	}
 	re = Report{Soak: cf.Name, Seed: cf.Seed, Started: ts.Now(), Processors: runtime.GOMAXPROCS(0), Length: cf.Length}
-	ru.ju.Begin(re.Started)
+	ru.ju.Start(re.Started)
 	dropped, err := ru.load(ctx, re.Started)
 	if err != nil {
 		return re, err
