--- a/emulate/soak/answers.go
+++ b/emulate/soak/answers.go
@@ -40,7 +40,7 @@
 }
 
 // Sent tells of a request before it is sent.
-func (ju *Judge) Sent(rq Request) {
+func (ju *Judge) RequestSent(rq Request) {
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	li := ju.life(rq.Entry)
--- a/emulate/soak/fatal.go
+++ b/emulate/soak/fatal.go
@@ -150,7 +150,7 @@
 			ID: fmt.Sprintf("%s-%s-%d", content, group, nth), Group: group, Path: "/" + group + "/" + content, Entry: list[nth%len(list)],
 		}
 		wg.Go(func() {
-			pl.ju.Sent(rq)
+			pl.ju.RequestSent(rq)
 			if an, err := pl.ru.ca.Send(ctx, rq.Entry, emulate.Question{ID: rq.ID, Host: host, Path: rq.Path, Timeout: pl.ru.timeout(group)}); err == nil {
 				pl.ju.Answered(pl.ts.Now(), rq.ID, an)
 			}
--- a/emulate/soak/judge_test.go
+++ b/emulate/soak/judge_test.go
@@ -44,7 +44,7 @@
 }
 
 func (rc *recorded) sent(id, group string) {
-	rc.ju.Sent(Request{ID: id, Group: group, Path: "/" + group + "/x", Entry: "entry"})
+	rc.ju.RequestSent(Request{ID: id, Group: group, Path: "/" + group + "/x", Entry: "entry"})
 }
 
 func (rc *recorded) saw(millis int, kind emulate.SeenKind, server, id string) {
@@ -58,7 +58,7 @@
 
 // refusedAsFatal tells of a request that is refused as one under which servers end.
 func (rc *recorded) refusedAsFatal(id, path string) {
-	rc.ju.Sent(Request{ID: id, Group: groupPlain, Path: path, Entry: "entry"})
+	rc.ju.RequestSent(Request{ID: id, Group: groupPlain, Path: path, Entry: "entry"})
 	rc.ju.Answered(at(22000), id, emulate.Answer{Status: 503, Body: []byte(`{"Code":109,"Detail":""}`)})
 }
 
--- a/emulate/soak/run.go
+++ b/emulate/soak/run.go
@@ -182,7 +182,7 @@
 		Entry: list[ar.Seed%uint64(len(list))],
 	}
 	ru.st.sent(ru.ts.Now().Sub(intended))
-	ru.ju.Sent(rq)
+	ru.ju.RequestSent(rq)
 	an, err := ru.ca.Send(ctx, rq.Entry, emulate.Question{ID: rq.ID, Host: host, Path: rq.Path, Timeout: ru.timeout(group)})
 	now := ru.ts.Now()
 	if err == nil {
