--- a/emulate/soak/answers.go
+++ b/emulate/soak/answers.go
@@ -54,7 +54,7 @@
 }
 
 // Answered tells of an answer with any status.
-func (ju *Judge) Answered(at time.Time, id string, an emulate.Answer) {
+func (ju *Judge) RequestAnswered(at time.Time, id string, an emulate.Answer) {
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	rq, ok := ju.requests[id]
--- a/emulate/soak/run.go
+++ b/emulate/soak/run.go
@@ -186,7 +186,7 @@
 	an, err := ru.ca.Send(ctx, rq.Entry, emulate.Question{ID: rq.ID, Host: host, Path: rq.Path, Timeout: ru.timeout(group)})
 	now := ru.ts.Now()
 	if err == nil {
-		ru.ju.Answered(now, rq.ID, an)
+		ru.ju.RequestAnswered(now, rq.ID, an)
 	}
 	ru.st.note(group, an, err, now.Sub(intended), ru.cf.streams()[ar.Stream].Aim)
 }
