--- a/emulate/soak/arrivals.go
+++ b/emulate/soak/arrivals.go
@@ -13,7 +13,7 @@
 }
 
 // Saw tells what a backend server saw.
-func (ju *Judge) Saw(sn emulate.Seen) {
+func (ju *Judge) RecordServerEvent(sn emulate.Seen) {
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	switch sn.Kind {
--- a/emulate/soak/fleet.go
+++ b/emulate/soak/fleet.go
@@ -73,7 +73,7 @@
 		DataCentre: fl.cf.Tier.DataCentres[nth%len(fl.cf.Tier.DataCentres)],
 		Slots:      se.Slots, Queue: se.Queue, Connections: se.Connections, ConnectionCost: se.ConnectionCost,
 		ServiceTime: se.Work, Pause: se.Pause, Records: se.Records, ReportLoad: true,
-		DrainDelay: fl.cf.Checks.Drain + lingerFor, Seed: fl.cf.Seed*mostServers + uint64(number), OnEvent: fl.ju.Saw,
+		DrainDelay: fl.cf.Checks.Drain + lingerFor, Seed: fl.cf.Seed*mostServers + uint64(number), OnEvent: fl.ju.RecordServerEvent,
 		OnCrash: func(se *emulate.Server) { fl.noteCrash(nth, se) },
 	}
 	if len(se.Paces) > 0 {
