--- a/emulate/soak/judge.go
+++ b/emulate/soak/judge.go
@@ -196,7 +196,7 @@
 }
 
 // Offered tells of a configuration before an operator sends it for the first time.
-func (ju *Judge) Offered(at time.Time, version uint64, la Layout, data []byte) {
+func (ju *Judge) ConfigurationSent(at time.Time, version uint64, la Layout, data []byte) {
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	ju.offers = append(ju.offers, offer{version, la, at})
--- a/emulate/soak/judge_test.go
+++ b/emulate/soak/judge_test.go
@@ -37,9 +37,9 @@
 		rc.ju.ServerStarted(service+"2", service, "south")
 	}
 	rc.ju.EntryStarted("entry")
-	rc.ju.Offered(at(0), 1, Layout{[]string{"a", "b"}, "p"}, []byte("one"))
-	rc.ju.Offered(at(1000), 2, Layout{[]string{"a", "b"}, "q"}, []byte("two"))
-	rc.ju.Offered(at(2000), 3, Layout{[]string{"c", "d"}, "p"}, []byte("three"))
+	rc.ju.ConfigurationSent(at(0), 1, Layout{[]string{"a", "b"}, "p"}, []byte("one"))
+	rc.ju.ConfigurationSent(at(1000), 2, Layout{[]string{"a", "b"}, "q"}, []byte("two"))
+	rc.ju.ConfigurationSent(at(2000), 3, Layout{[]string{"c", "d"}, "p"}, []byte("three"))
 	return rc
 }
 
--- a/emulate/soak/operator.go
+++ b/emulate/soak/operator.go
@@ -99,7 +99,7 @@
 	}
 	la := op.cf.layout(op.version, op.generation)
 	data := op.cf.configuration(op.version, la).Encode()
-	op.ju.Offered(op.ts.Now(), op.version, la, data)
+	op.ju.ConfigurationSent(op.ts.Now(), op.version, la, data)
 	return op.version, data
 }
 
