--- a/emulate/soak/judge.go
+++ b/emulate/soak/judge.go
@@ -205,7 +205,7 @@
 }
 
 // Acknowledged tells that a version was accepted.
-func (ju *Judge) Acknowledged(version uint64) {
+func (ju *Judge) ConfigurationAcknowledged(version uint64) {
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	ju.acknowledged = max(ju.acknowledged, version)
--- a/emulate/soak/judge_test.go
+++ b/emulate/soak/judge_test.go
@@ -140,8 +140,8 @@
 	rc.saw(26500, emulate.SeenArrived, "p2", "unknown")
 	rc.ju.Returning("south")
 	rc.saw(26502, emulate.SeenArrived, "p2", "unknown")
-	rc.ju.Acknowledged(3)
-	rc.ju.Acknowledged(1)
+	rc.ju.ConfigurationAcknowledged(3)
+	rc.ju.ConfigurationAcknowledged(1)
 	rc.ju.ReadBack(at(17000), rc.ju.Newest(), 3, []byte("three"))
 	rc.ju.Refused(at(17001), "", true)
 }
@@ -244,7 +244,7 @@
 			rc.plain(2600, "s", "q1")
 		}},
 		{"an acknowledged version is gone", CheckAccepted, func(rc *recorded) {
-			rc.ju.Acknowledged(2)
+			rc.ju.ConfigurationAcknowledged(2)
 			rc.ju.ReadBack(at(3000), rc.ju.Newest(), 1, []byte("one"))
 		}},
 		{"a version with another content", CheckAccepted, func(rc *recorded) { rc.ju.ReadBack(at(3000), 2, 2, []byte("one")) }},
