--- a/emulate/soak/judge.go
+++ b/emulate/soak/judge.go
@@ -212,7 +212,7 @@
 }
 
 // Newest returns the highest version that was acknowledged.
-func (ju *Judge) Newest() uint64 {
+func (ju *Judge) LatestAcknowledged() uint64 {
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	return ju.acknowledged
--- a/emulate/soak/judge_test.go
+++ b/emulate/soak/judge_test.go
@@ -142,7 +142,7 @@
 	rc.saw(26502, emulate.SeenArrived, "p2", "unknown")
 	rc.ju.ConfigurationAcknowledged(3)
 	rc.ju.ConfigurationAcknowledged(1)
-	rc.ju.ReadBack(at(17000), rc.ju.Newest(), 3, []byte("three"))
+	rc.ju.ReadBack(at(17000), rc.ju.LatestAcknowledged(), 3, []byte("three"))
 	rc.ju.Refused(at(17001), "", true)
 }
 
@@ -245,7 +245,7 @@
 		}},
 		{"an acknowledged version is gone", CheckAccepted, func(rc *recorded) {
 			rc.ju.ConfigurationAcknowledged(2)
-			rc.ju.ReadBack(at(3000), rc.ju.Newest(), 1, []byte("one"))
+			rc.ju.ReadBack(at(3000), rc.ju.LatestAcknowledged(), 1, []byte("one"))
 		}},
 		{"a version with another content", CheckAccepted, func(rc *recorded) { rc.ju.ReadBack(at(3000), 2, 2, []byte("one")) }},
 		{"nobody answers", CheckAccepted, func(rc *recorded) { rc.ju.ReadBack(at(3000), 0, 0, nil) }},
--- a/emulate/soak/operator.go
+++ b/emulate/soak/operator.go
@@ -184,7 +184,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callWithin)
 	defer cancel()
 	for {
-		before := op.ju.Newest()
+		before := op.ju.LatestAcknowledged()
 		data, err := op.co.LatestConfiguration(ctx)
 		if err == nil {
 			var he struct{ Version uint64 }
