--- a/emulate/soak/judge.go
+++ b/emulate/soak/judge.go
@@ -221,7 +221,7 @@
 // ReadBack tells what was read of the configuration: a version that was
 // acknowledged before the read began, or a higher one, with what it was sent with.
 // No data stands for a read that nobody answered.
-func (ju *Judge) ReadBack(at time.Time, before, version uint64, data []byte) {
+func (ju *Judge) ConfigurationRead(at time.Time, before, version uint64, data []byte) {
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	held := version >= before && len(data) > 0 && ju.data[version] == string(data)
--- a/emulate/soak/judge_test.go
+++ b/emulate/soak/judge_test.go
@@ -142,7 +142,7 @@
 	rc.saw(26502, emulate.SeenArrived, "p2", "unknown")
 	rc.ju.ConfigurationAcknowledged(3)
 	rc.ju.ConfigurationAcknowledged(1)
-	rc.ju.ReadBack(at(17000), rc.ju.LatestAcknowledged(), 3, []byte("three"))
+	rc.ju.ConfigurationRead(at(17000), rc.ju.LatestAcknowledged(), 3, []byte("three"))
 	rc.ju.Refused(at(17001), "", true)
 }
 
@@ -245,10 +245,10 @@
 		}},
 		{"an acknowledged version is gone", CheckAccepted, func(rc *recorded) {
 			rc.ju.ConfigurationAcknowledged(2)
-			rc.ju.ReadBack(at(3000), rc.ju.LatestAcknowledged(), 1, []byte("one"))
+			rc.ju.ConfigurationRead(at(3000), rc.ju.LatestAcknowledged(), 1, []byte("one"))
 		}},
-		{"a version with another content", CheckAccepted, func(rc *recorded) { rc.ju.ReadBack(at(3000), 2, 2, []byte("one")) }},
-		{"nobody answers", CheckAccepted, func(rc *recorded) { rc.ju.ReadBack(at(3000), 0, 0, nil) }},
+		{"a version with another content", CheckAccepted, func(rc *recorded) { rc.ju.ConfigurationRead(at(3000), 2, 2, []byte("one")) }},
+		{"nobody answers", CheckAccepted, func(rc *recorded) { rc.ju.ConfigurationRead(at(3000), 0, 0, nil) }},
 		{"an invalid one is accepted", CheckRefused, func(rc *recorded) { rc.ju.Refused(at(10), "accepted", false) }},
 		{"extra arrivals beyond the budget", CheckBudget, func(rc *recorded) {
 			rc.sent("p", groupPlain) // One request and a slack of 2 allow 2.2.
@@ -322,7 +322,7 @@
 	for range mostBreaches + 10 {
 		rc.ju.Refused(at(1), "accepted", false)
 	}
-	rc.ju.ReadBack(at(2), 2, 1, []byte("one"))
+	rc.ju.ConfigurationRead(at(2), 2, 1, []byte("one"))
 	qt.Assert(t, rc.ju.Violations(), qt.HasLen, mostBreaches+1)
 	qt.Assert(t, rc.ju.Violations()[mostBreaches].Check, qt.Equals, CheckAccepted)
 	qt.Assert(t, Report{Checks: rc.ju.Tallies()}.Broken(), qt.Equals, mostBreaches+11)
--- a/emulate/soak/operator.go
+++ b/emulate/soak/operator.go
@@ -189,11 +189,11 @@
 		if err == nil {
 			var he struct{ Version uint64 }
 			_ = json.Unmarshal(data, &he) // What can't be read has version 0 and is a breach.
-			op.ju.ReadBack(op.ts.Now(), before, he.Version, data)
+			op.ju.ConfigurationRead(op.ts.Now(), before, he.Version, data)
 			return
 		}
 		if op.ts.Sleep(ctx, sendAgain) != nil {
-			op.ju.ReadBack(op.ts.Now(), before, 0, nil)
+			op.ju.ConfigurationRead(op.ts.Now(), before, 0, nil)
 			return
 		}
 	}
