--- a/emulate/soak/judge.go
+++ b/emulate/soak/judge.go
@@ -231,7 +231,7 @@
 }
 
 // Refused tells what became of a configuration that was invalid or sent again.
-func (ju *Judge) Refused(at time.Time, what string, held bool) {
+func (ju *Judge) CheckRefusal(at time.Time, what string, held bool) {
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	ju.look(CheckRefused, held, Breach{}, at, func() string { return what })
--- a/emulate/soak/judge_test.go
+++ b/emulate/soak/judge_test.go
@@ -143,7 +143,7 @@
 	rc.ju.ConfigurationAcknowledged(3)
 	rc.ju.ConfigurationAcknowledged(1)
 	rc.ju.ConfigurationRead(at(17000), rc.ju.LatestAcknowledged(), 3, []byte("three"))
-	rc.ju.Refused(at(17001), "", true)
+	rc.ju.CheckRefusal(at(17001), "", true)
 }
 
 // A run in which all holds breaks nothing but the drain by a request that is not of
@@ -249,7 +249,7 @@
 		}},
 		{"a version with another content", CheckAccepted, func(rc *recorded) { rc.ju.ConfigurationRead(at(3000), 2, 2, []byte("one")) }},
 		{"nobody answers", CheckAccepted, func(rc *recorded) { rc.ju.ConfigurationRead(at(3000), 0, 0, nil) }},
-		{"an invalid one is accepted", CheckRefused, func(rc *recorded) { rc.ju.Refused(at(10), "accepted", false) }},
+		{"an invalid one is accepted", CheckRefused, func(rc *recorded) { rc.ju.CheckRefusal(at(10), "accepted", false) }},
 		{"extra arrivals beyond the budget", CheckBudget, func(rc *recorded) {
 			rc.sent("p", groupPlain) // One request and a slack of 2 allow 2.2.
 			for ix := range 4 {
@@ -320,7 +320,7 @@
 func TestMostBreaches(t *testing.T) {
 	rc := newRecorded()
 	for range mostBreaches + 10 {
-		rc.ju.Refused(at(1), "accepted", false)
+		rc.ju.CheckRefusal(at(1), "accepted", false)
 	}
 	rc.ju.ConfigurationRead(at(2), 2, 1, []byte("one"))
 	qt.Assert(t, rc.ju.Violations(), qt.HasLen, mostBreaches+1)
--- a/emulate/soak/operator.go
+++ b/emulate/soak/operator.go
@@ -149,7 +149,7 @@
 	op.mu.Unlock()
 	err := op.send(ctx, version, data)
 	if err == nil || refused(err) {
-		op.ju.Refused(op.ts.Now(), fmt.Sprintf("version %d was refused when it was sent again: %v", version, err), err == nil)
+		op.ju.CheckRefusal(op.ts.Now(), fmt.Sprintf("version %d was refused when it was sent again: %v", version, err), err == nil)
 	}
 	return err
 }
@@ -167,7 +167,7 @@
 	for {
 		err := op.co.Configure(ctx, cf.Encode())
 		if err == nil || refused(err) {
-			op.ju.Refused(op.ts.Now(), "a configuration that names an unknown service was accepted", err != nil)
+			op.ju.CheckRefusal(op.ts.Now(), "a configuration that names an unknown service was accepted", err != nil)
 			return nil
 		}
 		if op.ts.Sleep(ctx, sendAgain) != nil {
