--- a/emulate/soak/judge.go
+++ b/emulate/soak/judge.go
@@ -181,7 +181,7 @@
 
 // Evacuated tells that the evacuation of a data centre was acknowledged. It counts as a
 // look: from now on each arrival there is judged, and at best none comes.
-func (ju *Judge) Evacuated(dataCentre string, at time.Time) {
+func (ju *Judge) EvacuationAcknowledged(dataCentre string, at time.Time) {
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	ju.evacuated[dataCentre] = at
--- a/emulate/soak/judge_test.go
+++ b/emulate/soak/judge_test.go
@@ -136,7 +136,7 @@
 		rc.fatal(21003, emulate.SeenArrived, id)
 	}
 	rc.refusedAsFatal("f5", "/plain/fatal-1")
-	rc.ju.Evacuated("south", at(23000))
+	rc.ju.EvacuationAcknowledged("south", at(23000))
 	rc.saw(26500, emulate.SeenArrived, "p2", "unknown")
 	rc.ju.Returning("south")
 	rc.saw(26502, emulate.SeenArrived, "p2", "unknown")
@@ -226,7 +226,7 @@
 			rc.saw(4501, emulate.SeenArrived, "a1", "m")
 		}},
 		{"an arrival after an evacuation", CheckEvacuated, func(rc *recorded) {
-			rc.ju.Evacuated("south", at(1000))
+			rc.ju.EvacuationAcknowledged("south", at(1000))
 			rc.saw(4501, emulate.SeenArrived, "p1", "m")
 			rc.saw(4501, emulate.SeenArrived, "p2", "m")
 		}},
--- a/emulate/soak/player.go
+++ b/emulate/soak/player.go
@@ -188,7 +188,7 @@
 	dc := pl.cf.Tier.DataCentres[fa.Target]
 	err := pl.op.order(ctx, func(ctx context.Context) error { return pl.op.co.Evacuate(ctx, dc) })
 	if err == nil {
-		pl.ju.Evacuated(dc, pl.ts.Now())
+		pl.ju.EvacuationAcknowledged(dc, pl.ts.Now())
 	}
 	pl.last(ctx, fa)
 	pl.ju.Returning(dc)
