--- a/emulate/soak/judge.go
+++ b/emulate/soak/judge.go
@@ -189,7 +189,7 @@
 }
 
 // Returning tells that the evacuation of a data centre is about to be withdrawn.
-func (ju *Judge) Returning(dataCentre string) {
+func (ju *Judge) EvacuationEnding(dataCentre string) {
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	delete(ju.evacuated, dataCentre)
--- a/emulate/soak/judge_test.go
+++ b/emulate/soak/judge_test.go
@@ -138,7 +138,7 @@
 	rc.refusedAsFatal("f5", "/plain/fatal-1")
 	rc.ju.EvacuationAcknowledged("south", at(23000))
 	rc.saw(26500, emulate.SeenArrived, "p2", "unknown")
-	rc.ju.Returning("south")
+	rc.ju.EvacuationEnding("south")
 	rc.saw(26502, emulate.SeenArrived, "p2", "unknown")
 	rc.ju.ConfigurationAcknowledged(3)
 	rc.ju.ConfigurationAcknowledged(1)
--- a/emulate/soak/player.go
+++ b/emulate/soak/player.go
@@ -191,7 +191,7 @@
 		pl.ju.EvacuationAcknowledged(dc, pl.ts.Now())
 	}
 	pl.last(ctx, fa)
-	pl.ju.Returning(dc)
+	pl.ju.EvacuationEnding(dc)
 	return errors.Join(err, pl.op.order(context.Background(), func(ctx context.Context) error { return pl.op.co.WithdrawEvacuation(ctx, dc) }))
 }
 
