--- a/emulate/soak/arrivals.go
+++ b/emulate/soak/arrivals.go
@@ -137,7 +137,7 @@
 }
 
 // Load returns the first arrivals of requests at services and those beyond.
-func (ju *Judge) Load() (firsts, extras int) {
+func (ju *Judge) ArrivalCounts() (firsts, extras int) {
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	return ju.firsts, ju.extras
--- a/emulate/soak/judge_test.go
+++ b/emulate/soak/judge_test.go
@@ -158,7 +158,7 @@
 	for _, ta := range rc.ju.Tallies() {
 		qt.Check(t, ta.Looked > 0, qt.IsTrue, qt.Commentf("%s", ta.Check))
 	}
-	firsts, extras := rc.ju.Load()
+	firsts, extras := rc.ju.ArrivalCounts()
 	qt.Assert(t, []int{firsts, extras}, qt.DeepEquals, []int{3, 4})
 }
 
--- a/emulate/soak/report.go
+++ b/emulate/soak/report.go
@@ -135,7 +135,7 @@
 		re.Groups = append(re.Groups, gr)
 	}
 	re.SentLateP99Micros = ru.st.lag.ValueAtQuantile(99)
-	re.Arrived, re.Extra = ru.ju.Load()
+	re.Arrived, re.Extra = ru.ju.ArrivalCounts()
 	if re.Arrived > 0 {
 		re.ExtraLoad = float64(re.Extra) / float64(re.Arrived)
 	}
