--- a/cmd/balsamload/soak.go
+++ b/cmd/balsamload/soak.go
@@ -56,8 +56,8 @@
 		return err
 	}
 	switch {
-	case re.Broken() > 0:
-		return &verdictError{exitFailed, fmt.Sprintf("%d checks were broken, see above; seed %d", re.Broken(), re.Seed)}
+	case re.NumViolations() > 0:
+		return &verdictError{exitFailed, fmt.Sprintf("%d checks were broken, see above; seed %d", re.NumViolations(), re.Seed)}
 	case re.Dropped > 0 || len(re.Problems) > 0:
 		return &verdictError{exitInvalid, "the load or the faults were not those of the file, see above"}
 	default:
--- a/emulate/soak/judge_test.go
+++ b/emulate/soak/judge_test.go
@@ -325,5 +325,5 @@
 	rc.ju.ConfigurationRead(at(2), 2, 1, []byte("one"))
 	qt.Assert(t, rc.ju.Violations(), qt.HasLen, mostBreaches+1)
 	qt.Assert(t, rc.ju.Violations()[mostBreaches].Check, qt.Equals, CheckAccepted)
-	qt.Assert(t, Report{Checks: rc.ju.Tallies()}.Broken(), qt.Equals, mostBreaches+11)
+	qt.Assert(t, Report{Checks: rc.ju.Tallies()}.NumViolations(), qt.Equals, mostBreaches+11)
 }
--- a/emulate/soak/report.go
+++ b/emulate/soak/report.go
@@ -57,7 +57,7 @@
 }
 
 // Broken counts the breaches of all checks.
-func (re Report) Broken() int {
+func (re Report) NumViolations() int {
 	out := 0
 	for _, ta := range re.Checks {
 		out += ta.Broken
--- a/emulate/soak/run_test.go
+++ b/emulate/soak/run_test.go
@@ -50,7 +50,7 @@
 	qt.Assert(t, err, qt.IsNil)
 	re, err := Run(t.Context(), cf, Program{Command: []string{program}}, timer.New(), zap.NewNop())
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, re.Broken(), qt.Equals, 0, qt.Commentf("seed %d: %v", re.Seed, re.Breaches))
+	qt.Assert(t, re.NumViolations(), qt.Equals, 0, qt.Commentf("seed %d: %v", re.Seed, re.Breaches))
 	qt.Assert(t, re.Problems, qt.HasLen, 0)
 	looked := make(map[Check]int)
 	for _, ta := range re.Checks {
