--- a/cmd/balsamload/soak.go
+++ b/cmd/balsamload/soak.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	re, err := soak.Run(ctx, cf, soak.Program{Command: []string{program, instanceCommand}, Logs: *logs}, timer.New(), logger(errOut, false))
+	re, err := soak.Run(ctx, cf, soak.Program{Command: []string{program, instanceCommand}, LogFolder: *logs}, timer.New(), logger(errOut, false))
 	if err != nil {
 		return err
 	}
--- a/emulate/soak/run.go
+++ b/emulate/soak/run.go
@@ -30,8 +30,8 @@
 
 // Program says how instances are run.
 type Program struct {
-	Command []string // Command calls emulate.ServeInstance with its standard input.
-	Logs    string   // Logs is a folder for the instances' logs; empty: nowhere.
+	Command   []string // Command calls emulate.ServeInstance with its standard input.
+	LogFolder string   // Logs is a folder for the instances' logs; empty: nowhere.
 }
 
 // streams returns the streams in the order of groups.
@@ -63,7 +63,7 @@
 	defer cancel()
 	lo, err := emulate.StartLocal(ready, emulate.LocalConfig{
 		Entries: cf.Tier.Entries, Controls: cf.Tier.Controls, DataCentres: cf.Tier.DataCentres, Folder: folder,
-		StopTimeout: stopWithin, Program: pr.Command, LogFolder: pr.Logs,
+		StopTimeout: stopWithin, Program: pr.Command, LogFolder: pr.LogFolder,
 	}, ts, lg)
 	if err != nil {
 		return re, err
