--- a/emulate/announce.go
+++ b/emulate/announce.go
@@ -30,24 +30,24 @@
 
 // Control calls control instances, one after the other until one accepts. It is
 // safe for concurrent use. Errors are *result.Error.
-type Control struct {
+type ControlClient struct {
 	addresses []string
 	hc        *http.Client
 	next      atomic.Uint64
 }
 
-var _ Announcer = (*Control)(nil)
+var _ Announcer = (*ControlClient)(nil)
 
 // NewControl returns a client of the control instances at the addresses, IP:port.
-func NewControl(addresses []string) *Control {
-	return &Control{addresses: slices.Clone(addresses), hc: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}, Timeout: controlWithin}}
+func NewControl(addresses []string) *ControlClient {
+	return &ControlClient{addresses: slices.Clone(addresses), hc: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}, Timeout: controlWithin}}
 }
 
 // Close closes the connections that are idle.
-func (co *Control) Close() { co.hc.CloseIdleConnections() }
+func (co *ControlClient) Close() { co.hc.CloseIdleConnections() }
 
 // Announce tells a control instance what a server is.
-func (co *Control) Announce(ctx context.Context, se registry.Server) error {
+func (co *ControlClient) Announce(ctx context.Context, se registry.Server) error {
 	data, err := json.Marshal(announcement{
 		Service: se.Service, Address: se.Address, DataCentre: se.DataCentre, Version: se.Version,
 		Slots: se.Slots, State: se.State.String(), Sequence: se.Sequence, WarmMillis: se.WarmMillis, Born: se.Born,
@@ -60,37 +60,37 @@
 }
 
 // Leave tells a control instance that a server is gone.
-func (co *Control) Leave(ctx context.Context, id string) error {
+func (co *ControlClient) Leave(ctx context.Context, id string) error {
 	_, err := co.call(ctx, http.MethodDelete, "/servers/"+url.PathEscape(id), nil)
 	return err
 }
 
 // Configure has a configuration accepted.
-func (co *Control) Configure(ctx context.Context, data []byte) error {
+func (co *ControlClient) Configure(ctx context.Context, data []byte) error {
 	_, err := co.call(ctx, http.MethodPut, "/configuration", data)
 	return err
 }
 
 // Newest returns the newest accepted configuration.
-func (co *Control) LatestConfiguration(ctx context.Context) ([]byte, error) {
+func (co *ControlClient) LatestConfiguration(ctx context.Context) ([]byte, error) {
 	return co.call(ctx, http.MethodGet, "/configuration", nil)
 }
 
 // Evacuate has a data centre evacuated.
-func (co *Control) Evacuate(ctx context.Context, dataCentre string) error {
+func (co *ControlClient) Evacuate(ctx context.Context, dataCentre string) error {
 	_, err := co.call(ctx, http.MethodPut, "/evacuations/"+url.PathEscape(dataCentre), nil)
 	return err
 }
 
 // Withdraw has an evacuation withdrawn.
-func (co *Control) WithdrawEvacuation(ctx context.Context, dataCentre string) error {
+func (co *ControlClient) WithdrawEvacuation(ctx context.Context, dataCentre string) error {
 	_, err := co.call(ctx, http.MethodDelete, "/evacuations/"+url.PathEscape(dataCentre), nil)
 	return err
 }
 
 // call asks one control instance after the other, each once, beginning with
 // another one each time.
-func (co *Control) call(ctx context.Context, method, path string, body []byte) ([]byte, error) {
+func (co *ControlClient) call(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	first := co.next.Add(1)
 	last := &result.Error{Code: result.ControlUnavailable, Op: method + " " + path, Detail: "no control instance is known"}
 	for ix := range uint64(len(co.addresses)) {
@@ -108,7 +108,7 @@
 	return nil, last
 }
 
-func (co *Control) one(ctx context.Context, method, address, path string, body []byte) ([]byte, int, error) {
+func (co *ControlClient) one(ctx context.Context, method, address, path string, body []byte) ([]byte, int, error) {
 	rq, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, 0, err
--- a/emulate/servers.go
+++ b/emulate/servers.go
@@ -18,7 +18,7 @@
 // Servers are backend servers that run in this process. It is safe for concurrent
 // use.
 type Servers struct {
-	co   *Control
+	co   *ControlClient
 	ts   *timer.Service
 	lg   *zap.Logger
 	sp   *suture.Supervisor
--- a/emulate/soak/operator.go
+++ b/emulate/soak/operator.go
@@ -32,7 +32,7 @@
 	cf Settings
 	ju *Judge
 	ts *timer.Service
-	co *emulate.Control
+	co *emulate.ControlClient
 
 	mu         sync.Mutex
 	version    uint64
--- a/emulate/soak/run.go
+++ b/emulate/soak/run.go
@@ -93,7 +93,7 @@
 	return re, nil
 }
 
-func newRunner(cf Settings, lo *emulate.Local, ss *emulate.Servers, co *emulate.Control, ts *timer.Service) *runner {
+func newRunner(cf Settings, lo *emulate.Local, ss *emulate.Servers, co *emulate.ControlClient, ts *timer.Service) *runner {
 	pl := &player{cf: cf, lo: lo, ss: ss, ts: ts, played: make(map[Kind]int), turns: make(map[string]*sync.Mutex)}
 	ju := NewJudge(cf, pl.underWay)
 	pl.ju = ju
