--- a/emulate/announce.go
+++ b/emulate/announce.go
@@ -39,7 +39,7 @@
 var _ Announcer = (*ControlClient)(nil)
 
 // NewControl returns a client of the control instances at the addresses, IP:port.
-func NewControl(addresses []string) *ControlClient {
+func NewControlClient(addresses []string) *ControlClient {
 	return &ControlClient{addresses: slices.Clone(addresses), hc: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}, Timeout: controlWithin}}
 }
 
--- a/emulate/emulate_test.go
+++ b/emulate/emulate_test.go
@@ -290,7 +290,7 @@
 	cs := &calls{heard: newHeard()}
 	hs := httptest.NewServer(Dialect{}.ControlHandler(cs))
 	defer hs.Close()
-	co := NewControl([]string{dead.Listener.Addr().String(), hs.Listener.Addr().String()})
+	co := NewControlClient([]string{dead.Listener.Addr().String(), hs.Listener.Addr().String()})
 	defer co.Close()
 	se := registry.Server{ID: "a/b", Service: "s", Address: "127.0.0.1:1", DataCentre: "d", Version: "v", Slots: 3, State: registry.Draining, Sequence: 9, WarmMillis: 5}
 	qt.Assert(t, co.Announce(t.Context(), se), qt.IsNil)
@@ -335,7 +335,7 @@
 				wr.WriteHeader(re.Code)
 			}))
 			defer hs.Close()
-			co := NewControl([]string{hs.Listener.Addr().String(), hs.Listener.Addr().String()})
+			co := NewControlClient([]string{hs.Listener.Addr().String(), hs.Listener.Addr().String()})
 			defer co.Close()
 			err := co.Configure(t.Context(), testConfiguration(7).Encode())
 			var re *result.Error
--- a/emulate/local.go
+++ b/emulate/local.go
@@ -272,7 +272,7 @@
 // Configure has a configuration accepted, and waits until every entry instance
 // serves.
 func (lo *Local) Configure(ctx context.Context, cf Configuration) error {
-	co := NewControl(lo.ControlAddresses())
+	co := NewControlClient(lo.ControlAddresses())
 	defer co.Close()
 	for {
 		err := co.Configure(ctx, cf.Encode())
--- a/emulate/servers.go
+++ b/emulate/servers.go
@@ -35,7 +35,7 @@
 // instances at the addresses.
 func StartServers(cfs []Config, control []string, ts *timer.Service, lg *zap.Logger) (*Servers, error) {
 	ss := &Servers{
-		co: NewControl(control), ts: ts, lg: lg,
+		co: NewControlClient(control), ts: ts, lg: lg,
 		byID: make(map[string]*Server), tokens: make(map[string]suture.ServiceToken),
 	}
 	ss.sp = suture.New("backend servers", suture.Spec{
--- a/emulate/soak/run.go
+++ b/emulate/soak/run.go
@@ -74,7 +74,7 @@
 		return re, err
 	}
 	defer ss.Close()
-	co := emulate.NewControl(lo.ControlAddresses())
+	co := emulate.NewControlClient(lo.ControlAddresses())
 	defer co.Close()
 	ru := newRunner(cf, lo, ss, co, ts)
 	defer ru.ca.Close()
