--- a/cmd/balsamwinch/demo_routed.go
+++ b/cmd/balsamwinch/demo_routed.go
@@ -96,7 +96,7 @@
 	defer ca.Close()
 	address := lo.CallerAddresses()[0]
 	an, err := ca.AwaitComplete(ready, ts, address,
-		emulate.Question{ID: "demo", Host: routedHost, Path: routedPath, Timeout: routedTimeout},
+		emulate.Request{ID: "demo", Host: routedHost, Path: routedPath, Timeout: routedTimeout},
 		emulate.Expectation{Services: demoShardNames[:], Service: ss.Service, Records: routedRecords, TopK: routedTopK})
 	if err != nil {
 		return err
--- a/emulate/caller.go
+++ b/emulate/caller.go
@@ -19,7 +19,7 @@
 )
 
 // Question is a caller's request.
-type Question struct {
+type Request struct {
 	ID      string // ID is new for each request.
 	Host    string
 	Path    string
@@ -54,7 +54,7 @@
 
 // Ask sends a request to the entry instance at the address. An answer of any
 // status is no error.
-func (ca *Caller) Send(ctx context.Context, address string, qu Question) (Answer, error) {
+func (ca *Caller) Send(ctx context.Context, address string, qu Request) (Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, qu.Timeout)
 	defer cancel()
 	rq, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+qu.Path, nil)
@@ -116,7 +116,7 @@
 
 // Await asks until an answer lacks no part, and returns it. An answer that is
 // wrong is an error at once.
-func (ca *Caller) AwaitComplete(ctx context.Context, ts *timer.Service, address string, qu Question, ex Expectation) (Answer, error) {
+func (ca *Caller) AwaitComplete(ctx context.Context, ts *timer.Service, address string, qu Request, ex Expectation) (Answer, error) {
 	for nth := 0; ; nth++ {
 		again := qu
 		again.ID = qu.ID + "-" + strconv.Itoa(nth)
@@ -140,7 +140,7 @@
 
 // Check returns why an answer with status 200 is wrong, or nil. An answer of some
 // of the shards is right if it says so.
-func (ex Expectation) Check(qu Question, an Answer) error {
+func (ex Expectation) Check(qu Request, an Answer) error {
 	var parts [][]byte
 	seen := make(map[string]bool)
 	for _, st := range an.Stamps {
--- a/emulate/emulate_test.go
+++ b/emulate/emulate_test.go
@@ -153,7 +153,7 @@
 			defer stop()
 			ca := NewCaller()
 			defer ca.Close()
-			_, err := ca.Send(t.Context(), se.Address(), Question{ID: "r1", Host: "h", Path: "/x", Timeout: patience})
+			_, err := ca.Send(t.Context(), se.Address(), Request{ID: "r1", Host: "h", Path: "/x", Timeout: patience})
 			qt.Assert(t, err, qt.IsNotNil)
 		})
 	}
@@ -188,7 +188,7 @@
 	ca := NewCaller()
 	defer ca.Close()
 	for {
-		an, err := ca.Send(t.Context(), se.Address(), Question{ID: "r", Path: "/x", Timeout: patience})
+		an, err := ca.Send(t.Context(), se.Address(), Request{ID: "r", Path: "/x", Timeout: patience})
 		if err == nil {
 			qt.Assert(t, an.Status, qt.Equals, http.StatusOK)
 			return
@@ -410,7 +410,7 @@
 	} {
 		path := map[int]string{1: "/one/x", 2: "/all/x"}[len(ex.Services)]
 		for _, address := range lo.CallerAddresses() {
-			_, err := ca.AwaitComplete(ctx, ts, address, Question{ID: "r", Host: "a.example", Path: path, Timeout: 5 * time.Second}, ex)
+			_, err := ca.AwaitComplete(ctx, ts, address, Request{ID: "r", Host: "a.example", Path: path, Timeout: 5 * time.Second}, ex)
 			qt.Assert(t, err, qt.IsNil)
 		}
 	}
--- a/emulate/experiment/experiment_test.go
+++ b/emulate/experiment/experiment_test.go
@@ -61,7 +61,7 @@
 		Services: []string{"a", "b"}, Records: 1, TopK: 1,
 		Service: func(id string) (string, bool) { return id[:1], id != "" },
 	}
-	qu := emulate.Question{ID: "r", Path: "/x"}
+	qu := emulate.Request{ID: "r", Path: "/x"}
 	one := emulate.Records("a", "/x", 1)
 	stamp := emulate.Stamp("a1", "r")
 	tests := []struct {
--- a/emulate/experiment/run.go
+++ b/emulate/experiment/run.go
@@ -157,12 +157,12 @@
 	return nil
 }
 
-func (ru *runner) question(ar Arm, group, path, id string) emulate.Question {
+func (ru *runner) question(ar Arm, group, path, id string) emulate.Request {
 	timeout := ru.ex.Merged.Timeout
 	if group == groupPlain {
 		timeout = ru.ex.Plain.Timeout
 	}
-	return emulate.Question{ID: id, Host: host, Path: "/" + ar.Name + "/" + group + "/" + path, Timeout: timeout}
+	return emulate.Request{ID: id, Host: host, Path: "/" + ar.Name + "/" + group + "/" + path, Timeout: timeout}
 }
 
 // turns gives each arm its turn a number of times, every other time in the
@@ -199,7 +199,7 @@
 	ce.note(qu, an, err, nth, lag, ru.ts.Now().Sub(intended))
 }
 
-func (ce *cell) note(qu emulate.Question, an emulate.Answer, err error, turn int, lag, took time.Duration) {
+func (ce *cell) note(qu emulate.Request, an emulate.Answer, err error, turn int, lag, took time.Duration) {
 	var fault error
 	if err == nil && an.Status == http.StatusOK {
 		fault = ce.expect.Check(qu, an)
--- a/emulate/soak/fatal.go
+++ b/emulate/soak/fatal.go
@@ -151,7 +151,7 @@
 		}
 		wg.Go(func() {
 			pl.ju.RequestSent(rq)
-			if an, err := pl.ru.ca.Send(ctx, rq.Entry, emulate.Question{ID: rq.ID, Host: host, Path: rq.Path, Timeout: pl.ru.timeout(group)}); err == nil {
+			if an, err := pl.ru.ca.Send(ctx, rq.Entry, emulate.Request{ID: rq.ID, Host: host, Path: rq.Path, Timeout: pl.ru.timeout(group)}); err == nil {
 				pl.ju.RequestAnswered(pl.ts.Now(), rq.ID, an)
 			}
 		})
--- a/emulate/soak/run.go
+++ b/emulate/soak/run.go
@@ -121,7 +121,7 @@
 			if gr == groupMerged {
 				ex.TopK = ru.cf.Merged.TopK
 			}
-			qu := emulate.Question{ID: fmt.Sprintf("ready-%d-%s", ix, gr), Host: host, Path: "/" + gr + "/ready", Timeout: ru.timeout(gr)}
+			qu := emulate.Request{ID: fmt.Sprintf("ready-%d-%s", ix, gr), Host: host, Path: "/" + gr + "/ready", Timeout: ru.timeout(gr)}
 			if _, err := ru.ca.AwaitComplete(ctx, ru.ts, address, qu, ex); err != nil {
 				return err
 			}
@@ -183,7 +183,7 @@
 	}
 	ru.st.sent(ru.ts.Now().Sub(intended))
 	ru.ju.RequestSent(rq)
-	an, err := ru.ca.Send(ctx, rq.Entry, emulate.Question{ID: rq.ID, Host: host, Path: rq.Path, Timeout: ru.timeout(group)})
+	an, err := ru.ca.Send(ctx, rq.Entry, emulate.Request{ID: rq.ID, Host: host, Path: rq.Path, Timeout: ru.timeout(group)})
 	now := ru.ts.Now()
 	if err == nil {
 		ru.ju.RequestAnswered(now, rq.ID, an)
