--- a/cmd/balsamwinch/demo_routed.go
+++ b/cmd/balsamwinch/demo_routed.go
@@ -113,7 +113,7 @@
 	return nil
 }
 
-func printRouted(an emulate.Answer, out io.Writer) error {
+func printRouted(an emulate.Response, out io.Writer) error {
 	ra := routedAnswer{Status: an.Status, Stamps: an.Stamps, Missing: an.Missing}
 	for body := an.Body; len(body) >= emulate.RecordBytes; body = body[emulate.RecordBytes:] {
 		ra.Records = append(ra.Records, fmt.Sprintf("%x", body[:emulate.RecordBytes]))
--- a/emulate/caller.go
+++ b/emulate/caller.go
@@ -27,7 +27,7 @@
 }
 
 // Answer is what a caller got.
-type Answer struct {
+type Response struct {
 	Status  int
 	Body    []byte
 	Stamps  []string // Stamps are those of the parts, or the one of a plain answer.
@@ -54,12 +54,12 @@
 
 // Ask sends a request to the entry instance at the address. An answer of any
 // status is no error.
-func (ca *Caller) Send(ctx context.Context, address string, qu Request) (Answer, error) {
+func (ca *Caller) Send(ctx context.Context, address string, qu Request) (Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, qu.Timeout)
 	defer cancel()
 	rq, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+qu.Path, nil)
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	rq.Host = qu.Host
 	// net/http sends a request without a body again if its connection ends before an
@@ -70,14 +70,14 @@
 	rq.Header.Set(headerDeadline, strconv.FormatInt(qu.Timeout.Milliseconds(), 10))
 	rs, err := ca.hc.Do(rq)
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	defer rs.Body.Close()
 	body, err := io.ReadAll(rs.Body)
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
-	an := Answer{Status: rs.StatusCode, Body: body}
+	an := Response{Status: rs.StatusCode, Body: body}
 	for _, name := range []string{headerStamp, headerParts} {
 		for _, va := range rs.Header.Values(name) {
 			for st := range strings.SplitSeq(va, ",") {
@@ -87,7 +87,7 @@
 	}
 	if va := rs.Header.Get(headerMissing); va != "" {
 		if an.Missing, err = strconv.Atoi(va); err != nil {
-			return Answer{}, fmt.Errorf("%s: %w", headerMissing, err)
+			return Response{}, fmt.Errorf("%s: %w", headerMissing, err)
 		}
 	}
 	return an, nil
@@ -116,7 +116,7 @@
 
 // Await asks until an answer lacks no part, and returns it. An answer that is
 // wrong is an error at once.
-func (ca *Caller) AwaitComplete(ctx context.Context, ts *timer.Service, address string, qu Request, ex Expectation) (Answer, error) {
+func (ca *Caller) AwaitComplete(ctx context.Context, ts *timer.Service, address string, qu Request, ex Expectation) (Response, error) {
 	for nth := 0; ; nth++ {
 		again := qu
 		again.ID = qu.ID + "-" + strconv.Itoa(nth)
@@ -140,7 +140,7 @@
 
 // Check returns why an answer with status 200 is wrong, or nil. An answer of some
 // of the shards is right if it says so.
-func (ex Expectation) Check(qu Request, an Answer) error {
+func (ex Expectation) Check(qu Request, an Response) error {
 	var parts [][]byte
 	seen := make(map[string]bool)
 	for _, st := range an.Stamps {
--- a/emulate/experiment/experiment_test.go
+++ b/emulate/experiment/experiment_test.go
@@ -66,18 +66,18 @@
 	stamp := emulate.Stamp("a1", "r")
 	tests := []struct {
 		name string
-		an   emulate.Answer
+		an   emulate.Response
 		err  error
 		of   func(*cell) int
 	}{
-		{"partial", emulate.Answer{Status: http.StatusOK, Body: one, Stamps: []string{stamp}, Missing: 1}, nil, func(ce *cell) int { return ce.partial }},
-		{"missing untold", emulate.Answer{Status: http.StatusOK, Body: one, Stamps: []string{stamp}}, nil, func(ce *cell) int { return ce.wrong }},
-		{"part twice", emulate.Answer{Status: http.StatusOK, Body: one, Stamps: []string{stamp, stamp}}, nil, func(ce *cell) int { return ce.wrong }},
-		{"other body", emulate.Answer{Status: http.StatusOK, Body: one[1:], Stamps: []string{stamp}, Missing: 1}, nil, func(ce *cell) int { return ce.wrong }},
-		{"stamp of another", emulate.Answer{Status: http.StatusOK, Body: one, Stamps: []string{emulate.Stamp("a1", "q")}, Missing: 1}, nil, func(ce *cell) int { return ce.wrong }},
-		{"refused", emulate.Answer{Status: http.StatusServiceUnavailable}, nil, func(ce *cell) int { return ce.refused }},
-		{"failed", emulate.Answer{Status: http.StatusBadGateway}, nil, func(ce *cell) int { return ce.failed }},
-		{"silent", emulate.Answer{}, errors.New("closed"), func(ce *cell) int { return ce.silent }},
+		{"partial", emulate.Response{Status: http.StatusOK, Body: one, Stamps: []string{stamp}, Missing: 1}, nil, func(ce *cell) int { return ce.partial }},
+		{"missing untold", emulate.Response{Status: http.StatusOK, Body: one, Stamps: []string{stamp}}, nil, func(ce *cell) int { return ce.wrong }},
+		{"part twice", emulate.Response{Status: http.StatusOK, Body: one, Stamps: []string{stamp, stamp}}, nil, func(ce *cell) int { return ce.wrong }},
+		{"other body", emulate.Response{Status: http.StatusOK, Body: one[1:], Stamps: []string{stamp}, Missing: 1}, nil, func(ce *cell) int { return ce.wrong }},
+		{"stamp of another", emulate.Response{Status: http.StatusOK, Body: one, Stamps: []string{emulate.Stamp("a1", "q")}, Missing: 1}, nil, func(ce *cell) int { return ce.wrong }},
+		{"refused", emulate.Response{Status: http.StatusServiceUnavailable}, nil, func(ce *cell) int { return ce.refused }},
+		{"failed", emulate.Response{Status: http.StatusBadGateway}, nil, func(ce *cell) int { return ce.failed }},
+		{"silent", emulate.Response{}, errors.New("closed"), func(ce *cell) int { return ce.silent }},
 	}
 	for _, tt := range tests {
 		ce := newCell(expect, 1)
--- a/emulate/experiment/run.go
+++ b/emulate/experiment/run.go
@@ -199,7 +199,7 @@
 	ce.note(qu, an, err, nth, lag, ru.ts.Now().Sub(intended))
 }
 
-func (ce *cell) note(qu emulate.Request, an emulate.Answer, err error, turn int, lag, took time.Duration) {
+func (ce *cell) note(qu emulate.Request, an emulate.Response, err error, turn int, lag, took time.Duration) {
 	var fault error
 	if err == nil && an.Status == http.StatusOK {
 		fault = ce.expect.Check(qu, an)
--- a/emulate/soak/answers.go
+++ b/emulate/soak/answers.go
@@ -54,7 +54,7 @@
 }
 
 // Answered tells of an answer with any status.
-func (ju *Judge) RequestAnswered(at time.Time, id string, an emulate.Answer) {
+func (ju *Judge) RequestAnswered(at time.Time, id string, an emulate.Response) {
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	rq, ok := ju.requests[id]
@@ -80,7 +80,7 @@
 }
 
 // parts checks what an answer is made of.
-func (ju *Judge) parts(at time.Time, rq *request, an emulate.Answer) {
+func (ju *Judge) parts(at time.Time, rq *request, an emulate.Response) {
 	br := Breach{Request: rq.ID, Instance: rq.Entry}
 	services, ok := ju.stamped(at, rq, an)
 	if !ok {
@@ -111,7 +111,7 @@
 
 // stamped returns the services of an answer's parts; false if one is no part of
 // the request.
-func (ju *Judge) stamped(at time.Time, rq *request, an emulate.Answer) ([]string, bool) {
+func (ju *Judge) stamped(at time.Time, rq *request, an emulate.Response) ([]string, bool) {
 	var out []string
 	right := true
 	for _, st := range an.Stamps {
--- a/emulate/soak/fatal.go
+++ b/emulate/soak/fatal.go
@@ -71,7 +71,7 @@
 
 // blame checks that a request which harms nobody is not refused as one that does, and
 // counts a look where one that does is refused.
-func (ju *Judge) blame(at time.Time, rq *request, an emulate.Answer) {
+func (ju *Judge) blame(at time.Time, rq *request, an emulate.Response) {
 	if !bytes.Contains(an.Body, quarantined) {
 		return
 	}
--- a/emulate/soak/judge_test.go
+++ b/emulate/soak/judge_test.go
@@ -59,7 +59,7 @@
 // refusedAsFatal tells of a request that is refused as one under which servers end.
 func (rc *recorded) refusedAsFatal(id, path string) {
 	rc.ju.RequestSent(Request{ID: id, Group: groupPlain, Path: path, Entry: "entry"})
-	rc.ju.RequestAnswered(at(22000), id, emulate.Answer{Status: 503, Body: []byte(`{"Code":109,"Detail":""}`)})
+	rc.ju.RequestAnswered(at(22000), id, emulate.Response{Status: 503, Body: []byte(`{"Code":109,"Detail":""}`)})
 }
 
 // merged tells of a whole merged answer with the parts of servers.
@@ -68,8 +68,8 @@
 	rc.ju.RequestAnswered(at(millis), id, answer(id, missing, servers...))
 }
 
-func answer(id string, missing int, servers ...string) emulate.Answer {
-	an := emulate.Answer{Status: 200, Missing: missing}
+func answer(id string, missing int, servers ...string) emulate.Response {
+	an := emulate.Response{Status: 200, Missing: missing}
 	var parts [][]byte
 	for _, se := range servers {
 		an.Stamps = append(an.Stamps, emulate.Stamp(se, id))
@@ -86,7 +86,7 @@
 }
 
 func (rc *recorded) plainAnswer(millis int, id, server string) {
-	rc.ju.RequestAnswered(at(millis), id, emulate.Answer{Status: 200, Stamps: []string{emulate.Stamp(server, id)}, Body: emulate.Records(server[:1], "/plain/x", 3)})
+	rc.ju.RequestAnswered(at(millis), id, emulate.Response{Status: 200, Stamps: []string{emulate.Stamp(server, id)}, Body: emulate.Records(server[:1], "/plain/x", 3)})
 }
 
 // broken returns the checks that did not hold.
@@ -113,10 +113,10 @@
 	rc.merged(2600, "m3", 0, "c1", "d1")
 	rc.sent("r", groupPlain)
 	rc.saw(2610, emulate.SeenArrived, "p1", "r")
-	rc.ju.RequestAnswered(at(2620), "r", emulate.Answer{Status: 503})
+	rc.ju.RequestAnswered(at(2620), "r", emulate.Response{Status: 503})
 	rc.sent("f", groupOnce)
 	rc.saw(2630, emulate.SeenRan, "p1", "f")
-	rc.ju.RequestAnswered(at(2640), "f", emulate.Answer{Status: 504}) // It doesn't say that nothing ran.
+	rc.ju.RequestAnswered(at(2640), "f", emulate.Response{Status: 504}) // It doesn't say that nothing ran.
 	rc.saw(3000, emulate.SeenLeaving, "a1", "")
 	rc.saw(6000, emulate.SeenLeaving, "a1", "") // It says so again.
 	rc.saw(6500, emulate.SeenArrived, "a1", "m1")
@@ -194,27 +194,27 @@
 		}},
 		{"a plain body of another path", CheckRecords, func(rc *recorded) {
 			rc.sent("p", groupPlain)
-			rc.ju.RequestAnswered(at(10), "p", emulate.Answer{Status: 200, Stamps: []string{emulate.Stamp("p1", "p")}, Body: emulate.Records("p", "/plain/y", 3)})
+			rc.ju.RequestAnswered(at(10), "p", emulate.Response{Status: 200, Stamps: []string{emulate.Stamp("p1", "p")}, Body: emulate.Records("p", "/plain/y", 3)})
 		}},
 		{"refused and ran before", CheckNotRun, func(rc *recorded) {
 			rc.sent("p", groupPlain)
 			rc.saw(10, emulate.SeenRan, "p1", "p")
-			rc.ju.RequestAnswered(at(20), "p", emulate.Answer{Status: 503})
+			rc.ju.RequestAnswered(at(20), "p", emulate.Response{Status: 503})
 		}},
 		{"refused and runs later", CheckNotRun, func(rc *recorded) {
 			rc.sent("o", groupOnce)
-			rc.ju.RequestAnswered(at(20), "o", emulate.Answer{Status: 429})
+			rc.ju.RequestAnswered(at(20), "o", emulate.Response{Status: 429})
 			rc.saw(9000, emulate.SeenRan, "p1", "o")
 		}},
 		{"timed out at the door and ran", CheckNotRun, func(rc *recorded) {
 			rc.sent("p", groupMerged)
 			rc.saw(10, emulate.SeenRan, "a1", "p")
-			rc.ju.RequestAnswered(at(20), "p", emulate.Answer{Status: 408})
+			rc.ju.RequestAnswered(at(20), "p", emulate.Response{Status: 408})
 		}},
 		{"misdirected and ran", CheckNotRun, func(rc *recorded) {
 			rc.sent("p", groupPlain)
 			rc.saw(10, emulate.SeenRan, "p1", "p")
-			rc.ju.RequestAnswered(at(20), "p", emulate.Answer{Status: 421})
+			rc.ju.RequestAnswered(at(20), "p", emulate.Response{Status: 421})
 		}},
 		{"a second run", CheckOnce, func(rc *recorded) {
 			rc.sent("o", groupOnce)
--- a/emulate/soak/report.go
+++ b/emulate/soak/report.go
@@ -98,7 +98,7 @@
 }
 
 // note counts what came of a request.
-func (fi *figures) note(group string, an emulate.Answer, err error, took, aim time.Duration) {
+func (fi *figures) note(group string, an emulate.Response, err error, took, aim time.Duration) {
 	fi.mu.Lock()
 	defer fi.mu.Unlock()
 	gr := fi.groups[group]
