--- a/emulate/caller.go
+++ b/emulate/caller.go
@@ -144,7 +144,7 @@
 	var parts [][]byte
 	seen := make(map[string]bool)
 	for _, st := range an.Stamps {
-		id, ok := Stamped(st, qu.ID)
+		id, ok := VerifyStamp(st, qu.ID)
 		name, known := ex.Service(id)
 		switch {
 		case !ok || !known:
--- a/emulate/record.go
+++ b/emulate/record.go
@@ -31,7 +31,7 @@
 
 // Stamped returns the server that gave a stamp for a request; false if it is no
 // stamp for that request.
-func Stamped(stamp, request string) (server string, ok bool) {
+func VerifyStamp(stamp, request string) (server string, ok bool) {
 	server, _, _ = strings.Cut(stamp, "/")
 	return server, server != "" && stamp == Stamp(server, request)
 }
--- a/emulate/soak/answers.go
+++ b/emulate/soak/answers.go
@@ -115,7 +115,7 @@
 	var out []string
 	right := true
 	for _, st := range an.Stamps {
-		id, ok := emulate.Stamped(st, rq.ID)
+		id, ok := emulate.VerifyStamp(st, rq.ID)
 		service, known := ju.servers[id]
 		ju.look(CheckStamp, ok && known, Breach{Request: rq.ID, Instance: rq.Entry}, at, func() string {
 			return fmt.Sprintf("%q is no stamp for the request", st)
