--- a/emulate/fault_test.go
+++ b/emulate/fault_test.go
@@ -61,10 +61,10 @@
 // seenBy keeps what a server saw.
 type seenBy struct {
 	mu  sync.Mutex
-	all []Seen
+	all []ServerEvent
 }
 
-func (sb *seenBy) note(sn Seen) {
+func (sb *seenBy) note(sn ServerEvent) {
 	sb.mu.Lock()
 	defer sb.mu.Unlock()
 	sb.all = append(sb.all, sn)
@@ -94,7 +94,7 @@
 	qt.Assert(t, sb.kinds()[4:], qt.DeepEquals, []SeenKind{SeenLeaving})
 	last := sb.all[3]
 	last.At = time.Time{}
-	qt.Assert(t, last, qt.Equals, Seen{Kind: SeenNotRun, Server: "a", Service: "s", Request: "r2", Path: "/x", Expected: "b"})
+	qt.Assert(t, last, qt.Equals, ServerEvent{Kind: SeenNotRun, Server: "a", Service: "s", Request: "r2", Path: "/x", Expected: "b"})
 }
 
 // An answer to another request is one by all that it says, and one that is sent
--- a/emulate/seen.go
+++ b/emulate/seen.go
@@ -21,7 +21,7 @@
 
 // Seen is one thing that a backend server saw. The last three fields are those of
 // a request.
-type Seen struct {
+type ServerEvent struct {
 	Kind     SeenKind
 	At       time.Time
 	Server   string
@@ -36,7 +36,7 @@
 	if se.cf.OnEvent == nil {
 		return
 	}
-	sn := Seen{Kind: kind, At: se.ts.Now(), Server: se.cf.ID, Service: se.cf.Service}
+	sn := ServerEvent{Kind: kind, At: se.ts.Now(), Server: se.cf.ID, Service: se.cf.Service}
 	if rq != nil {
 		sn.Request, sn.Path, sn.Expected = rq.Header.Get(headerRequestID), rq.URL.Path, rq.Header.Get(headerExpect)
 	}
--- a/emulate/server.go
+++ b/emulate/server.go
@@ -42,16 +42,16 @@
 	ConnectionCost    time.Duration
 	ServiceTime       Work
 	Pause             Pause
-	ServiceTimeFactor float64       // Pace multiplies all work; default 1.
-	Warmup            time.Duration // Warm is for how long after its start the server is slow.
-	WarmupFactor      float64       // WarmFactor is how slow it is then; default 1.
-	Records           int           // Records is how many records an answer has.
-	ReportLoad        bool          // ReportLoad adds the load to each answer.
-	AnnounceInterval  time.Duration // Announcement is the time between two announcements; default 1 s.
-	DrainDelay        time.Duration // DrainFor is how long a draining server goes on serving.
-	IdleTimeout       time.Duration // IdleTimeout is when an idle connection is closed; default 30 s.
-	Seed              uint64        // Seed makes work, pauses and faults repeatable.
-	OnEvent           func(Seen)    // Note is told what the server sees, by many goroutines at once; may be nil.
+	ServiceTimeFactor float64           // Pace multiplies all work; default 1.
+	Warmup            time.Duration     // Warm is for how long after its start the server is slow.
+	WarmupFactor      float64           // WarmFactor is how slow it is then; default 1.
+	Records           int               // Records is how many records an answer has.
+	ReportLoad        bool              // ReportLoad adds the load to each answer.
+	AnnounceInterval  time.Duration     // Announcement is the time between two announcements; default 1 s.
+	DrainDelay        time.Duration     // DrainFor is how long a draining server goes on serving.
+	IdleTimeout       time.Duration     // IdleTimeout is when an idle connection is closed; default 30 s.
+	Seed              uint64            // Seed makes work, pauses and faults repeatable.
+	OnEvent           func(ServerEvent) // Note is told what the server sees, by many goroutines at once; may be nil.
 	// Ended is called once the server has ended under a request with FatalText in its
 	// path; nil: it doesn't end under any.
 	OnCrash func(se *Server)
--- a/emulate/soak/judge_test.go
+++ b/emulate/soak/judge_test.go
@@ -48,12 +48,12 @@
 }
 
 func (rc *recorded) saw(millis int, kind emulate.SeenKind, server, id string) {
-	rc.ju.RecordServerEvent(emulate.Seen{Kind: kind, At: at(millis), Server: server, Service: server[:1], Request: id, Expected: server})
+	rc.ju.RecordServerEvent(emulate.ServerEvent{Kind: kind, At: at(millis), Server: server, Service: server[:1], Request: id, Expected: server})
 }
 
 // fatal tells of what a server saw of a request that ends those that run it.
 func (rc *recorded) fatal(millis int, kind emulate.SeenKind, id string) {
-	rc.ju.RecordServerEvent(emulate.Seen{Kind: kind, At: at(millis), Server: "p1", Service: "p", Request: id, Path: "/plain/fatal-1"})
+	rc.ju.RecordServerEvent(emulate.ServerEvent{Kind: kind, At: at(millis), Server: "p1", Service: "p", Request: id, Path: "/plain/fatal-1"})
 }
 
 // refusedAsFatal tells of a request that is refused as one under which servers end.
@@ -259,7 +259,7 @@
 		{"extra arrivals at another service's server", CheckBudget, func(rc *recorded) {
 			rc.sent("p", groupPlain)
 			for ix := range 4 {
-				rc.ju.RecordServerEvent(emulate.Seen{Kind: emulate.SeenArrived, At: at(ix), Server: []string{"a1", "b1", "c1", "d1"}[ix], Service: []string{"a", "b", "c", "d"}[ix], Request: "p", Expected: "p1"})
+				rc.ju.RecordServerEvent(emulate.ServerEvent{Kind: emulate.SeenArrived, At: at(ix), Server: []string{"a1", "b1", "c1", "d1"}[ix], Service: []string{"a", "b", "c", "d"}[ix], Request: "p", Expected: "p1"})
 			}
 		}},
 		{"a fourth attempt after three servers have ended", CheckFatal, func(rc *recorded) {
