--- a/emulate/fault_test.go
+++ b/emulate/fault_test.go
@@ -70,10 +70,10 @@
 	sb.all = append(sb.all, sn)
 }
 
-func (sb *seenBy) kinds() []SeenKind {
+func (sb *seenBy) kinds() []ServerEventKind {
 	sb.mu.Lock()
 	defer sb.mu.Unlock()
-	var out []SeenKind
+	var out []ServerEventKind
 	for _, sn := range sb.all {
 		out = append(out, sn.Kind)
 	}
@@ -85,13 +85,13 @@
 	se := newServer(t, Config{ID: "a", Service: "s", OnEvent: sb.note}, newHeard())
 	ask(se, "/x", headerRequestID, "r1", headerExpect, "a")
 	ask(se, "/x", headerRequestID, "r2", headerExpect, "b")
-	qt.Assert(t, sb.kinds(), qt.DeepEquals, []SeenKind{SeenArrived, SeenRan, SeenArrived, SeenNotRun})
+	qt.Assert(t, sb.kinds(), qt.DeepEquals, []ServerEventKind{SeenArrived, SeenRan, SeenArrived, SeenNotRun})
 	qt.Assert(t, se.Announced(), qt.IsFalse)
 	qt.Assert(t, se.announce(t.Context()), qt.IsNil)
 	qt.Assert(t, se.Announced(), qt.IsTrue)
 	qt.Assert(t, sb.kinds(), qt.HasLen, 4)
 	qt.Assert(t, se.Drain(t.Context()), qt.IsNil)
-	qt.Assert(t, sb.kinds()[4:], qt.DeepEquals, []SeenKind{SeenLeaving})
+	qt.Assert(t, sb.kinds()[4:], qt.DeepEquals, []ServerEventKind{SeenLeaving})
 	last := sb.all[3]
 	last.At = time.Time{}
 	qt.Assert(t, last, qt.Equals, ServerEvent{Kind: SeenNotRun, Server: "a", Service: "s", Request: "r2", Path: "/x", Expected: "b"})
@@ -151,6 +151,6 @@
 		se.ServeHTTP(wr, rq)
 		qt.Check(t, time.Since(start), qt.Equals, time.Minute)
 		qt.Check(t, wr.Body.Len(), qt.Equals, 0)
-		qt.Check(t, sb.kinds(), qt.DeepEquals, []SeenKind{SeenArrived, SeenRan, SeenArrived, SeenRan})
+		qt.Check(t, sb.kinds(), qt.DeepEquals, []ServerEventKind{SeenArrived, SeenRan, SeenArrived, SeenRan})
 	})
 }
--- a/emulate/listener.go
+++ b/emulate/listener.go
@@ -12,7 +12,7 @@
 	limit int64
 	open  atomic.Int64
 	over  atomic.Int64
-	note  func(SeenKind) // note is told of each connection; may be nil.
+	note  func(ServerEventKind) // note is told of each connection; may be nil.
 }
 
 func newListener(li net.Listener, limit int) *listener {
@@ -40,7 +40,7 @@
 	}
 }
 
-func (li *listener) tell(kind SeenKind) {
+func (li *listener) tell(kind ServerEventKind) {
 	if li.note != nil {
 		li.note(kind)
 	}
--- a/emulate/seen.go
+++ b/emulate/seen.go
@@ -6,23 +6,23 @@
 )
 
 // SeenKind is a kind of what a backend server saw.
-type SeenKind int
+type ServerEventKind int
 
 // What a backend server sees.
 const (
-	SeenArrived  SeenKind = iota + 1 // SeenArrived is a request that was read.
-	SeenRan                          // SeenRan is a request that was begun.
-	SeenNotRun                       // SeenNotRun is a request that was refused.
-	SeenLeaving                      // SeenLeaving is control's word that it heard that the server leaves.
-	SeenAccepted                     // SeenAccepted is a connection within the limit.
-	SeenReset                        // SeenReset is a connection beyond the limit.
-	SeenEnded                        // SeenEnded is a request under which the server ended.
+	SeenArrived  ServerEventKind = iota + 1 // SeenArrived is a request that was read.
+	SeenRan                                 // SeenRan is a request that was begun.
+	SeenNotRun                              // SeenNotRun is a request that was refused.
+	SeenLeaving                             // SeenLeaving is control's word that it heard that the server leaves.
+	SeenAccepted                            // SeenAccepted is a connection within the limit.
+	SeenReset                               // SeenReset is a connection beyond the limit.
+	SeenEnded                               // SeenEnded is a request under which the server ended.
 )
 
 // Seen is one thing that a backend server saw. The last three fields are those of
 // a request.
 type ServerEvent struct {
-	Kind     SeenKind
+	Kind     ServerEventKind
 	At       time.Time
 	Server   string
 	Service  string
@@ -32,7 +32,7 @@
 }
 
 // note tells what was seen; rq is nil for what is no request.
-func (se *Server) note(kind SeenKind, rq *http.Request) {
+func (se *Server) note(kind ServerEventKind, rq *http.Request) {
 	if se.cf.OnEvent == nil {
 		return
 	}
--- a/emulate/server.go
+++ b/emulate/server.go
@@ -131,7 +131,7 @@
 		slots: make(chan struct{}, cf.Slots), counts: make(map[string]Counts),
 		ps: newPauses(cf.Pause, cf.Seed, ts.Now()), rd: rand.New(rand.NewPCG(cf.Seed, workStream)),
 	}
-	se.li.note = func(kind SeenKind) { se.note(kind, nil) }
+	se.li.note = func(kind ServerEventKind) { se.note(kind, nil) }
 	se.tr.Store(&Trouble{})
 	se.hs = &http.Server{
 		Handler: se, IdleTimeout: cf.IdleTimeout,
--- a/emulate/soak/judge_test.go
+++ b/emulate/soak/judge_test.go
@@ -47,12 +47,12 @@
 	rc.ju.RequestSent(Request{ID: id, Group: group, Path: "/" + group + "/x", Entry: "entry"})
 }
 
-func (rc *recorded) saw(millis int, kind emulate.SeenKind, server, id string) {
+func (rc *recorded) saw(millis int, kind emulate.ServerEventKind, server, id string) {
 	rc.ju.RecordServerEvent(emulate.ServerEvent{Kind: kind, At: at(millis), Server: server, Service: server[:1], Request: id, Expected: server})
 }
 
 // fatal tells of what a server saw of a request that ends those that run it.
-func (rc *recorded) fatal(millis int, kind emulate.SeenKind, id string) {
+func (rc *recorded) fatal(millis int, kind emulate.ServerEventKind, id string) {
 	rc.ju.RecordServerEvent(emulate.ServerEvent{Kind: kind, At: at(millis), Server: "p1", Service: "p", Request: id, Path: "/plain/fatal-1"})
 }
 
