--- a/emulate/serve.go
+++ b/emulate/serve.go
@@ -28,7 +28,7 @@
 func (se *Server) ServeHTTP(wr http.ResponseWriter, rq *http.Request) {
 	ctx := rq.Context()
 	if rq.URL.Path != HealthPath {
-		se.note(SeenArrived, rq)
+		se.note(EventRequestReceived, rq)
 	}
 	if se.rest(ctx, 0) != nil { // A paused server stands still, whatever it is asked.
 		return
--- a/emulate/soak/arrivals.go
+++ b/emulate/soak/arrivals.go
@@ -21,7 +21,7 @@
 		ju.left(sn)
 	case emulate.SeenAccepted, emulate.SeenReset:
 		ju.connected(sn)
-	case emulate.SeenArrived:
+	case emulate.EventRequestReceived:
 		ju.arrived(sn)
 	case emulate.SeenRan:
 		ju.ran(sn)
--- a/emulate/soak/judge_test.go
+++ b/emulate/soak/judge_test.go
@@ -112,34 +112,34 @@
 	rc.plain(2500, "p3", "p1")
 	rc.merged(2600, "m3", 0, "c1", "d1")
 	rc.sent("r", groupPlain)
-	rc.saw(2610, emulate.SeenArrived, "p1", "r")
+	rc.saw(2610, emulate.EventRequestReceived, "p1", "r")
 	rc.ju.RequestAnswered(at(2620), "r", emulate.Response{Status: 503})
 	rc.sent("f", groupOnce)
 	rc.saw(2630, emulate.SeenRan, "p1", "f")
 	rc.ju.RequestAnswered(at(2640), "f", emulate.Response{Status: 504}) // It doesn't say that nothing ran.
 	rc.saw(3000, emulate.SeenLeaving, "a1", "")
 	rc.saw(6000, emulate.SeenLeaving, "a1", "") // It says so again.
-	rc.saw(6500, emulate.SeenArrived, "a1", "m1")
-	rc.saw(6501, emulate.SeenArrived, "a2", "m1")
-	rc.saw(6502, emulate.SeenArrived, "a2", "m1")
-	rc.saw(16600, emulate.SeenArrived, "a1", "unknown")
-	rc.saw(16601, emulate.SeenArrived, "b1", "m1")
-	rc.saw(16602, emulate.SeenArrived, "b1", "m1")
-	rc.saw(16603, emulate.SeenArrived, "b2", "m1")
+	rc.saw(6500, emulate.EventRequestReceived, "a1", "m1")
+	rc.saw(6501, emulate.EventRequestReceived, "a2", "m1")
+	rc.saw(6502, emulate.EventRequestReceived, "a2", "m1")
+	rc.saw(16600, emulate.EventRequestReceived, "a1", "unknown")
+	rc.saw(16601, emulate.EventRequestReceived, "b1", "m1")
+	rc.saw(16602, emulate.EventRequestReceived, "b1", "m1")
+	rc.saw(16603, emulate.EventRequestReceived, "b2", "m1")
 	rc.saw(16604, emulate.SeenAccepted, "b1", "")
 	rc.saw(16605, emulate.SeenReset, "b1", "")
 	for nth := range threeServers {
 		rc.fatal(17000+nth, emulate.SeenEnded, "f0")
 	}
-	rc.fatal(21002, emulate.SeenArrived, "f1") // All instances need not know yet.
+	rc.fatal(21002, emulate.EventRequestReceived, "f1") // All instances need not know yet.
 	for _, id := range []string{"f2", "f3", "f4", "f4"} {
-		rc.fatal(21003, emulate.SeenArrived, id)
+		rc.fatal(21003, emulate.EventRequestReceived, id)
 	}
 	rc.refusedAsFatal("f5", "/plain/fatal-1")
 	rc.ju.EvacuationAcknowledged("south", at(23000))
-	rc.saw(26500, emulate.SeenArrived, "p2", "unknown")
+	rc.saw(26500, emulate.EventRequestReceived, "p2", "unknown")
 	rc.ju.EvacuationEnding("south")
-	rc.saw(26502, emulate.SeenArrived, "p2", "unknown")
+	rc.saw(26502, emulate.EventRequestReceived, "p2", "unknown")
 	rc.ju.ConfigurationAcknowledged(3)
 	rc.ju.ConfigurationAcknowledged(1)
 	rc.ju.ConfigurationRead(at(17000), rc.ju.LatestAcknowledged(), 3, []byte("three"))
@@ -223,12 +223,12 @@
 		}},
 		{"an arrival after the drain", CheckDrain, func(rc *recorded) {
 			rc.saw(1000, emulate.SeenLeaving, "a1", "")
-			rc.saw(4501, emulate.SeenArrived, "a1", "m")
+			rc.saw(4501, emulate.EventRequestReceived, "a1", "m")
 		}},
 		{"an arrival after an evacuation", CheckEvacuated, func(rc *recorded) {
 			rc.ju.EvacuationAcknowledged("south", at(1000))
-			rc.saw(4501, emulate.SeenArrived, "p1", "m")
-			rc.saw(4501, emulate.SeenArrived, "p2", "m")
+			rc.saw(4501, emulate.EventRequestReceived, "p1", "m")
+			rc.saw(4501, emulate.EventRequestReceived, "p2", "m")
 		}},
 		{"a reverted version", CheckVersion, func(rc *recorded) {
 			rc.plain(1500, "p", "q1")
@@ -253,13 +253,13 @@
 		{"extra arrivals beyond the budget", CheckBudget, func(rc *recorded) {
 			rc.sent("p", groupPlain) // One request and a slack of 2 allow 2.2.
 			for ix := range 4 {
-				rc.saw(10+ix, emulate.SeenArrived, "p1", "p")
+				rc.saw(10+ix, emulate.EventRequestReceived, "p1", "p")
 			}
 		}},
 		{"extra arrivals at another service's server", CheckBudget, func(rc *recorded) {
 			rc.sent("p", groupPlain)
 			for ix := range 4 {
-				rc.ju.RecordServerEvent(emulate.ServerEvent{Kind: emulate.SeenArrived, At: at(ix), Server: []string{"a1", "b1", "c1", "d1"}[ix], Service: []string{"a", "b", "c", "d"}[ix], Request: "p", Expected: "p1"})
+				rc.ju.RecordServerEvent(emulate.ServerEvent{Kind: emulate.EventRequestReceived, At: at(ix), Server: []string{"a1", "b1", "c1", "d1"}[ix], Service: []string{"a", "b", "c", "d"}[ix], Request: "p", Expected: "p1"})
 			}
 		}},
 		{"a fourth attempt after three servers have ended", CheckFatal, func(rc *recorded) {
@@ -267,7 +267,7 @@
 				rc.fatal(nth, emulate.SeenEnded, "f0")
 			}
 			for _, id := range []string{"f1", "f2", "f3", "f4"} {
-				rc.fatal(4003, emulate.SeenArrived, id)
+				rc.fatal(4003, emulate.EventRequestReceived, id)
 			}
 		}},
 		{"a popular request is refused as one that ends servers", CheckBlame, func(rc *recorded) { rc.refusedAsFatal("p", "/plain/popular-1") }},
@@ -308,10 +308,10 @@
 	rc := newRecorded()
 	rc.sent("p", groupPlain)
 	for ix := range 9 {
-		rc.saw(ix*5001, emulate.SeenArrived, "p1", "p") // Two in each window of 10 s.
+		rc.saw(ix*5001, emulate.EventRequestReceived, "p1", "p") // Two in each window of 10 s.
 	}
 	qt.Assert(t, rc.broken(), qt.HasLen, 0, qt.Commentf("%v", rc.ju.Violations()))
-	rc.saw(8*5001+1, emulate.SeenArrived, "p1", "p")
+	rc.saw(8*5001+1, emulate.EventRequestReceived, "p1", "p")
 	qt.Assert(t, rc.broken(), qt.DeepEquals, []Check{CheckBudget})
 }
 
