--- a/emulate/fault_test.go
+++ b/emulate/fault_test.go
@@ -85,7 +85,7 @@
 	se := newServer(t, Config{ID: "a", Service: "s", OnEvent: sb.note}, newHeard())
 	ask(se, "/x", headerRequestID, "r1", headerExpect, "a")
 	ask(se, "/x", headerRequestID, "r2", headerExpect, "b")
-	qt.Assert(t, sb.kinds(), qt.DeepEquals, []ServerEventKind{EventRequestReceived, SeenRan, EventRequestReceived, SeenNotRun})
+	qt.Assert(t, sb.kinds(), qt.DeepEquals, []ServerEventKind{EventRequestReceived, EventRequestStarted, EventRequestReceived, SeenNotRun})
 	qt.Assert(t, se.Announced(), qt.IsFalse)
 	qt.Assert(t, se.announce(t.Context()), qt.IsNil)
 	qt.Assert(t, se.Announced(), qt.IsTrue)
@@ -151,6 +151,6 @@
 		se.ServeHTTP(wr, rq)
 		qt.Check(t, time.Since(start), qt.Equals, time.Minute)
 		qt.Check(t, wr.Body.Len(), qt.Equals, 0)
-		qt.Check(t, sb.kinds(), qt.DeepEquals, []ServerEventKind{EventRequestReceived, SeenRan, EventRequestReceived, SeenRan})
+		qt.Check(t, sb.kinds(), qt.DeepEquals, []ServerEventKind{EventRequestReceived, EventRequestStarted, EventRequestReceived, EventRequestStarted})
 	})
 }
--- a/emulate/seen.go
+++ b/emulate/seen.go
@@ -11,7 +11,7 @@
 // What a backend server sees.
 const (
 	EventRequestReceived ServerEventKind = iota + 1 // SeenArrived is a request that was read.
-	SeenRan                                         // SeenRan is a request that was begun.
+	EventRequestStarted                             // SeenRan is a request that was begun.
 	SeenNotRun                                      // SeenNotRun is a request that was refused.
 	SeenLeaving                                     // SeenLeaving is control's word that it heard that the server leaves.
 	SeenAccepted                                    // SeenAccepted is a connection within the limit.
--- a/emulate/serve.go
+++ b/emulate/serve.go
@@ -65,7 +65,7 @@
 	}
 	defer func() { <-se.slots }()
 	se.count(rq, Counts{Ran: 1})
-	se.note(SeenRan, rq)
+	se.note(EventRequestStarted, rq)
 	if se.chance(tr.Silent) {
 		<-rq.Context().Done()
 		return
--- a/emulate/soak/arrivals.go
+++ b/emulate/soak/arrivals.go
@@ -23,7 +23,7 @@
 		ju.connected(sn)
 	case emulate.EventRequestReceived:
 		ju.arrived(sn)
-	case emulate.SeenRan:
+	case emulate.EventRequestStarted:
 		ju.ran(sn)
 	case emulate.SeenEnded:
 		ju.ended(sn)
--- a/emulate/soak/judge_test.go
+++ b/emulate/soak/judge_test.go
@@ -115,7 +115,7 @@
 	rc.saw(2610, emulate.EventRequestReceived, "p1", "r")
 	rc.ju.RequestAnswered(at(2620), "r", emulate.Response{Status: 503})
 	rc.sent("f", groupOnce)
-	rc.saw(2630, emulate.SeenRan, "p1", "f")
+	rc.saw(2630, emulate.EventRequestStarted, "p1", "f")
 	rc.ju.RequestAnswered(at(2640), "f", emulate.Response{Status: 504}) // It doesn't say that nothing ran.
 	rc.saw(3000, emulate.SeenLeaving, "a1", "")
 	rc.saw(6000, emulate.SeenLeaving, "a1", "") // It says so again.
@@ -198,28 +198,28 @@
 		}},
 		{"refused and ran before", CheckNotRun, func(rc *recorded) {
 			rc.sent("p", groupPlain)
-			rc.saw(10, emulate.SeenRan, "p1", "p")
+			rc.saw(10, emulate.EventRequestStarted, "p1", "p")
 			rc.ju.RequestAnswered(at(20), "p", emulate.Response{Status: 503})
 		}},
 		{"refused and runs later", CheckNotRun, func(rc *recorded) {
 			rc.sent("o", groupOnce)
 			rc.ju.RequestAnswered(at(20), "o", emulate.Response{Status: 429})
-			rc.saw(9000, emulate.SeenRan, "p1", "o")
+			rc.saw(9000, emulate.EventRequestStarted, "p1", "o")
 		}},
 		{"timed out at the door and ran", CheckNotRun, func(rc *recorded) {
 			rc.sent("p", groupMerged)
-			rc.saw(10, emulate.SeenRan, "a1", "p")
+			rc.saw(10, emulate.EventRequestStarted, "a1", "p")
 			rc.ju.RequestAnswered(at(20), "p", emulate.Response{Status: 408})
 		}},
 		{"misdirected and ran", CheckNotRun, func(rc *recorded) {
 			rc.sent("p", groupPlain)
-			rc.saw(10, emulate.SeenRan, "p1", "p")
+			rc.saw(10, emulate.EventRequestStarted, "p1", "p")
 			rc.ju.RequestAnswered(at(20), "p", emulate.Response{Status: 421})
 		}},
 		{"a second run", CheckOnce, func(rc *recorded) {
 			rc.sent("o", groupOnce)
-			rc.saw(10, emulate.SeenRan, "p1", "o")
-			rc.saw(20, emulate.SeenRan, "q1", "o")
+			rc.saw(10, emulate.EventRequestStarted, "p1", "o")
+			rc.saw(20, emulate.EventRequestStarted, "q1", "o")
 		}},
 		{"an arrival after the drain", CheckDrain, func(rc *recorded) {
 			rc.saw(1000, emulate.SeenLeaving, "a1", "")
