--- a/emulate/fault_test.go
+++ b/emulate/fault_test.go
@@ -85,7 +85,7 @@
 	se := newServer(t, Config{ID: "a", Service: "s", OnEvent: sb.note}, newHeard())
 	ask(se, "/x", headerRequestID, "r1", headerExpect, "a")
 	ask(se, "/x", headerRequestID, "r2", headerExpect, "b")
-	qt.Assert(t, sb.kinds(), qt.DeepEquals, []ServerEventKind{EventRequestReceived, EventRequestStarted, EventRequestReceived, SeenNotRun})
+	qt.Assert(t, sb.kinds(), qt.DeepEquals, []ServerEventKind{EventRequestReceived, EventRequestStarted, EventRequestReceived, EventRequestRejected})
 	qt.Assert(t, se.Announced(), qt.IsFalse)
 	qt.Assert(t, se.announce(t.Context()), qt.IsNil)
 	qt.Assert(t, se.Announced(), qt.IsTrue)
@@ -94,7 +94,7 @@
 	qt.Assert(t, sb.kinds()[4:], qt.DeepEquals, []ServerEventKind{SeenLeaving})
 	last := sb.all[3]
 	last.At = time.Time{}
-	qt.Assert(t, last, qt.Equals, ServerEvent{Kind: SeenNotRun, Server: "a", Service: "s", Request: "r2", Path: "/x", Expected: "b"})
+	qt.Assert(t, last, qt.Equals, ServerEvent{Kind: EventRequestRejected, Server: "a", Service: "s", Request: "r2", Path: "/x", Expected: "b"})
 }
 
 // An answer to another request is one by all that it says, and one that is sent
--- a/emulate/seen.go
+++ b/emulate/seen.go
@@ -12,7 +12,7 @@
 const (
 	EventRequestReceived ServerEventKind = iota + 1 // SeenArrived is a request that was read.
 	EventRequestStarted                             // SeenRan is a request that was begun.
-	SeenNotRun                                      // SeenNotRun is a request that was refused.
+	EventRequestRejected                            // SeenNotRun is a request that was refused.
 	SeenLeaving                                     // SeenLeaving is control's word that it heard that the server leaves.
 	SeenAccepted                                    // SeenAccepted is a connection within the limit.
 	SeenReset                                       // SeenReset is a connection beyond the limit.
--- a/emulate/serve.go
+++ b/emulate/serve.go
@@ -164,7 +164,7 @@
 // refuse says that the request has not run and won't.
 func (se *Server) refuse(wr http.ResponseWriter, rq *http.Request, status int) {
 	se.count(rq, Counts{NotRun: 1})
-	se.note(SeenNotRun, rq)
+	se.note(EventRequestRejected, rq)
 	wr.Header().Set(headerNotRun, "1")
 	se.reportLoad(wr)
 	wr.WriteHeader(status)
