--- a/emulate/fault_test.go
+++ b/emulate/fault_test.go
@@ -91,7 +91,7 @@
 	qt.Assert(t, se.Announced(), qt.IsTrue)
 	qt.Assert(t, sb.kinds(), qt.HasLen, 4)
 	qt.Assert(t, se.Drain(t.Context()), qt.IsNil)
-	qt.Assert(t, sb.kinds()[4:], qt.DeepEquals, []ServerEventKind{SeenLeaving})
+	qt.Assert(t, sb.kinds()[4:], qt.DeepEquals, []ServerEventKind{EventDrainAcknowledged})
 	last := sb.all[3]
 	last.At = time.Time{}
 	qt.Assert(t, last, qt.Equals, ServerEvent{Kind: EventRequestRejected, Server: "a", Service: "s", Request: "r2", Path: "/x", Expected: "b"})
--- a/emulate/server.go
+++ b/emulate/server.go
@@ -230,7 +230,7 @@
 	if err == nil {
 		se.heard.Store(true)
 		if state == registry.Draining {
-			se.note(SeenLeaving, nil)
+			se.note(EventDrainAcknowledged, nil)
 		}
 	}
 	return err
--- a/emulate/soak/arrivals.go
+++ b/emulate/soak/arrivals.go
@@ -17,7 +17,7 @@
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	switch sn.Kind {
-	case emulate.SeenLeaving:
+	case emulate.EventDrainAcknowledged:
 		ju.left(sn)
 	case emulate.SeenAccepted, emulate.SeenReset:
 		ju.connected(sn)
--- a/emulate/soak/judge_test.go
+++ b/emulate/soak/judge_test.go
@@ -117,8 +117,8 @@
 	rc.sent("f", groupOnce)
 	rc.saw(2630, emulate.EventRequestStarted, "p1", "f")
 	rc.ju.RequestAnswered(at(2640), "f", emulate.Response{Status: 504}) // It doesn't say that nothing ran.
-	rc.saw(3000, emulate.SeenLeaving, "a1", "")
-	rc.saw(6000, emulate.SeenLeaving, "a1", "") // It says so again.
+	rc.saw(3000, emulate.EventDrainAcknowledged, "a1", "")
+	rc.saw(6000, emulate.EventDrainAcknowledged, "a1", "") // It says so again.
 	rc.saw(6500, emulate.EventRequestReceived, "a1", "m1")
 	rc.saw(6501, emulate.EventRequestReceived, "a2", "m1")
 	rc.saw(6502, emulate.EventRequestReceived, "a2", "m1")
@@ -222,7 +222,7 @@
 			rc.saw(20, emulate.EventRequestStarted, "q1", "o")
 		}},
 		{"an arrival after the drain", CheckDrain, func(rc *recorded) {
-			rc.saw(1000, emulate.SeenLeaving, "a1", "")
+			rc.saw(1000, emulate.EventDrainAcknowledged, "a1", "")
 			rc.saw(4501, emulate.EventRequestReceived, "a1", "m")
 		}},
 		{"an arrival after an evacuation", CheckEvacuated, func(rc *recorded) {
