--- a/emulate/listener.go
+++ b/emulate/listener.go
@@ -27,7 +27,7 @@
 			return nil, err
 		}
 		if li.open.Add(1) <= li.limit || li.limit <= 0 {
-			li.tell(SeenAccepted)
+			li.tell(EventConnectionAccepted)
 			return &accepted{Conn: nc, li: li}, nil
 		}
 		li.open.Add(-1)
--- a/emulate/seen.go
+++ b/emulate/seen.go
@@ -10,13 +10,13 @@
 
 // What a backend server sees.
 const (
-	EventRequestReceived   ServerEventKind = iota + 1 // SeenArrived is a request that was read.
-	EventRequestStarted                               // SeenRan is a request that was begun.
-	EventRequestRejected                              // SeenNotRun is a request that was refused.
-	EventDrainAcknowledged                            // SeenLeaving is control's word that it heard that the server leaves.
-	SeenAccepted                                      // SeenAccepted is a connection within the limit.
-	SeenReset                                         // SeenReset is a connection beyond the limit.
-	SeenEnded                                         // SeenEnded is a request under which the server ended.
+	EventRequestReceived    ServerEventKind = iota + 1 // SeenArrived is a request that was read.
+	EventRequestStarted                                // SeenRan is a request that was begun.
+	EventRequestRejected                               // SeenNotRun is a request that was refused.
+	EventDrainAcknowledged                             // SeenLeaving is control's word that it heard that the server leaves.
+	EventConnectionAccepted                            // SeenAccepted is a connection within the limit.
+	SeenReset                                          // SeenReset is a connection beyond the limit.
+	SeenEnded                                          // SeenEnded is a request under which the server ended.
 )
 
 // Seen is one thing that a backend server saw. The last three fields are those of
--- a/emulate/soak/arrivals.go
+++ b/emulate/soak/arrivals.go
@@ -19,7 +19,7 @@
 	switch sn.Kind {
 	case emulate.EventDrainAcknowledged:
 		ju.left(sn)
-	case emulate.SeenAccepted, emulate.SeenReset:
+	case emulate.EventConnectionAccepted, emulate.SeenReset:
 		ju.connected(sn)
 	case emulate.EventRequestReceived:
 		ju.arrived(sn)
@@ -44,7 +44,7 @@
 	if sn.Kind == emulate.SeenReset {
 		ju.resets[sn.Server]++
 	}
-	held := sn.Kind == emulate.SeenAccepted || ju.resets[sn.Server] <= ju.cf.Checks.OverLimit
+	held := sn.Kind == emulate.EventConnectionAccepted || ju.resets[sn.Server] <= ju.cf.Checks.OverLimit
 	ju.look(CheckConnections, held, Breach{Instance: sn.Server}, sn.At, func() string {
 		return fmt.Sprintf("%d connections were reset as beyond the limit of %d", ju.resets[sn.Server], ju.cf.Servers.Connections)
 	})
--- a/emulate/soak/judge_test.go
+++ b/emulate/soak/judge_test.go
@@ -126,7 +126,7 @@
 	rc.saw(16601, emulate.EventRequestReceived, "b1", "m1")
 	rc.saw(16602, emulate.EventRequestReceived, "b1", "m1")
 	rc.saw(16603, emulate.EventRequestReceived, "b2", "m1")
-	rc.saw(16604, emulate.SeenAccepted, "b1", "")
+	rc.saw(16604, emulate.EventConnectionAccepted, "b1", "")
 	rc.saw(16605, emulate.SeenReset, "b1", "")
 	for nth := range threeServers {
 		rc.fatal(17000+nth, emulate.SeenEnded, "f0")
