--- a/emulate/listener.go
+++ b/emulate/listener.go
@@ -36,7 +36,7 @@
 			_ = tc.SetLinger(0) // This makes the close a reset.
 		}
 		_ = nc.Close()
-		li.tell(SeenReset)
+		li.tell(EventConnectionReset)
 	}
 }
 
--- a/emulate/seen.go
+++ b/emulate/seen.go
@@ -15,7 +15,7 @@
 	EventRequestRejected                               // SeenNotRun is a request that was refused.
 	EventDrainAcknowledged                             // SeenLeaving is control's word that it heard that the server leaves.
 	EventConnectionAccepted                            // SeenAccepted is a connection within the limit.
-	SeenReset                                          // SeenReset is a connection beyond the limit.
+	EventConnectionReset                               // SeenReset is a connection beyond the limit.
 	SeenEnded                                          // SeenEnded is a request under which the server ended.
 )
 
--- a/emulate/soak/arrivals.go
+++ b/emulate/soak/arrivals.go
@@ -19,7 +19,7 @@
 	switch sn.Kind {
 	case emulate.EventDrainAcknowledged:
 		ju.left(sn)
-	case emulate.EventConnectionAccepted, emulate.SeenReset:
+	case emulate.EventConnectionAccepted, emulate.EventConnectionReset:
 		ju.connected(sn)
 	case emulate.EventRequestReceived:
 		ju.arrived(sn)
@@ -41,7 +41,7 @@
 
 // connected checks that a server's connections stay within its limit.
 func (ju *Judge) connected(sn emulate.ServerEvent) {
-	if sn.Kind == emulate.SeenReset {
+	if sn.Kind == emulate.EventConnectionReset {
 		ju.resets[sn.Server]++
 	}
 	held := sn.Kind == emulate.EventConnectionAccepted || ju.resets[sn.Server] <= ju.cf.Checks.OverLimit
--- a/emulate/soak/judge_test.go
+++ b/emulate/soak/judge_test.go
@@ -127,7 +127,7 @@
 	rc.saw(16602, emulate.EventRequestReceived, "b1", "m1")
 	rc.saw(16603, emulate.EventRequestReceived, "b2", "m1")
 	rc.saw(16604, emulate.EventConnectionAccepted, "b1", "")
-	rc.saw(16605, emulate.SeenReset, "b1", "")
+	rc.saw(16605, emulate.EventConnectionReset, "b1", "")
 	for nth := range threeServers {
 		rc.fatal(17000+nth, emulate.SeenEnded, "f0")
 	}
@@ -272,8 +272,8 @@
 		}},
 		{"a popular request is refused as one that ends servers", CheckBlame, func(rc *recorded) { rc.refusedAsFatal("p", "/plain/popular-1") }},
 		{"connections beyond the limit", CheckConnections, func(rc *recorded) {
-			rc.saw(10, emulate.SeenReset, "a1", "")
-			rc.saw(20, emulate.SeenReset, "a1", "")
+			rc.saw(10, emulate.EventConnectionReset, "a1", "")
+			rc.saw(20, emulate.EventConnectionReset, "a1", "")
 		}},
 	}
 	found := make(map[Check]bool)
