--- a/emulate/seen.go
+++ b/emulate/seen.go
@@ -16,7 +16,7 @@
 	EventDrainAcknowledged                             // SeenLeaving is control's word that it heard that the server leaves.
 	EventConnectionAccepted                            // SeenAccepted is a connection within the limit.
 	EventConnectionReset                               // SeenReset is a connection beyond the limit.
-	SeenEnded                                          // SeenEnded is a request under which the server ended.
+	EventServerCrashed                                 // SeenEnded is a request under which the server ended.
 )
 
 // Seen is one thing that a backend server saw. The last three fields are those of
--- a/emulate/server.go
+++ b/emulate/server.go
@@ -152,7 +152,7 @@
 		return
 	}
 	if !se.ended.Swap(true) {
-		se.note(SeenEnded, rq)
+		se.note(EventServerCrashed, rq)
 		_ = se.hs.Close()
 		se.cf.OnCrash(se)
 	}
--- a/emulate/soak/arrivals.go
+++ b/emulate/soak/arrivals.go
@@ -25,7 +25,7 @@
 		ju.arrived(sn)
 	case emulate.EventRequestStarted:
 		ju.ran(sn)
-	case emulate.SeenEnded:
+	case emulate.EventServerCrashed:
 		ju.ended(sn)
 	}
 }
--- a/emulate/soak/judge_test.go
+++ b/emulate/soak/judge_test.go
@@ -129,7 +129,7 @@
 	rc.saw(16604, emulate.EventConnectionAccepted, "b1", "")
 	rc.saw(16605, emulate.EventConnectionReset, "b1", "")
 	for nth := range threeServers {
-		rc.fatal(17000+nth, emulate.SeenEnded, "f0")
+		rc.fatal(17000+nth, emulate.EventServerCrashed, "f0")
 	}
 	rc.fatal(21002, emulate.EventRequestReceived, "f1") // All instances need not know yet.
 	for _, id := range []string{"f2", "f3", "f4", "f4"} {
@@ -264,7 +264,7 @@
 		}},
 		{"a fourth attempt after three servers have ended", CheckFatal, func(rc *recorded) {
 			for nth := range threeServers {
-				rc.fatal(nth, emulate.SeenEnded, "f0")
+				rc.fatal(nth, emulate.EventServerCrashed, "f0")
 			}
 			for _, id := range []string{"f1", "f2", "f3", "f4"} {
 				rc.fatal(4003, emulate.EventRequestReceived, id)
