--- a/cmd/balsamwinch/demo_routed.go
+++ b/cmd/balsamwinch/demo_routed.go
@@ -67,7 +67,7 @@
 		for nth := range demoReplicas {
 			cfs = append(cfs, emulate.Config{
 				ID: fmt.Sprintf("%s-%d", sh, nth+1), Service: sh, DataCentre: "miraflores", Slots: 6, Queue: 6, Connections: 110,
-				ServiceTime: emulate.Work{Median: 5 * time.Millisecond, Sigma: 0.3}, Records: routedRecords, ReportLoad: true,
+				ServiceTime: emulate.ServiceTime{Median: 5 * time.Millisecond, Sigma: 0.3}, Records: routedRecords, ReportLoad: true,
 				AnnounceInterval: 300 * time.Millisecond, Seed: uint64(len(cfs)),
 			})
 		}
--- a/emulate/emulate_test.go
+++ b/emulate/emulate_test.go
@@ -136,7 +136,7 @@
 
 // Work that outlasts the caller counts as run: the answer must not say otherwise.
 func TestDeadlineWhileRunning(t *testing.T) {
-	se := newServer(t, Config{ID: "a", ServiceTime: Work{Median: patience}}, newHeard())
+	se := newServer(t, Config{ID: "a", ServiceTime: ServiceTime{Median: patience}}, newHeard())
 	wr := ask(se, "/x", headerRequestID, "r1", headerDeadline, "1")
 	qt.Assert(t, wr.Code, qt.Equals, http.StatusGatewayTimeout)
 	qt.Assert(t, wr.Header().Get(headerNotRun), qt.Equals, "")
--- a/emulate/experiment/experiment.go
+++ b/emulate/experiment/experiment.go
@@ -46,7 +46,7 @@
 	Queue          int
 	Connections    int
 	ConnectionCost time.Duration
-	Work           emulate.Work
+	Work           emulate.ServiceTime
 	Pause          emulate.Pause
 	Paces          []float64 // Paces are given to the replicas of each service in turn; default 1.
 	Records        int       // Records is how many records a part has.
--- a/emulate/server.go
+++ b/emulate/server.go
@@ -40,7 +40,7 @@
 	// ConnectionCost is how much longer the first request of a connection holds its
 	// slot.
 	ConnectionCost    time.Duration
-	ServiceTime       Work
+	ServiceTime       ServiceTime
 	Pause             Pause
 	ServiceTimeFactor float64           // Pace multiplies all work; default 1.
 	Warmup            time.Duration     // Warm is for how long after its start the server is slow.
--- a/emulate/work.go
+++ b/emulate/work.go
@@ -15,14 +15,14 @@
 )
 
 // Work is how long requests take: a lognormal distribution with a tail.
-type Work struct {
+type ServiceTime struct {
 	Median     time.Duration
 	Sigma      float64 // Sigma is the standard deviation of the logarithm.
 	TailShare  float64 // TailShare is the share of the requests that take TailFactor times as long.
 	TailFactor float64
 }
 
-func (wo Work) draw(rd *rand.Rand) time.Duration {
+func (wo ServiceTime) draw(rd *rand.Rand) time.Duration {
 	took := float64(wo.Median) * math.Exp(wo.Sigma*rd.NormFloat64())
 	if rd.Float64() < wo.TailShare {
 		took *= wo.TailFactor
