--- a/emulate/emulate_test.go
+++ b/emulate/emulate_test.go
@@ -75,19 +75,19 @@
 func TestAnswers(t *testing.T) {
 	tests := []struct {
 		name   string
-		tr     Trouble
+		tr     Faults
 		header []string
 		status int
 		notRun string
 		stamp  string
 		counts Counts
 	}{
-		{"whole", Trouble{}, []string{headerRequestID, "r1"}, 200, "", Stamp("a", "r1"), Counts{1, 1, 0}},
-		{"meant for it", Trouble{}, []string{headerRequestID, "r1", headerExpect, "a"}, 200, "", Stamp("a", "r1"), Counts{1, 1, 0}},
-		{"meant for another", Trouble{}, []string{headerRequestID, "r1", headerExpect, "b"}, 421, "1", "", Counts{1, 0, 1}},
-		{"no id", Trouble{}, nil, 400, "1", "", Counts{1, 0, 1}},
-		{"shed", Trouble{Shed: 1}, []string{headerRequestID, "r1"}, 503, "1", "", Counts{1, 0, 1}},
-		{"failed", Trouble{Fail: 1}, []string{headerRequestID, "r1"}, 500, "", Stamp("a", "r1"), Counts{1, 1, 0}},
+		{"whole", Faults{}, []string{headerRequestID, "r1"}, 200, "", Stamp("a", "r1"), Counts{1, 1, 0}},
+		{"meant for it", Faults{}, []string{headerRequestID, "r1", headerExpect, "a"}, 200, "", Stamp("a", "r1"), Counts{1, 1, 0}},
+		{"meant for another", Faults{}, []string{headerRequestID, "r1", headerExpect, "b"}, 421, "1", "", Counts{1, 0, 1}},
+		{"no id", Faults{}, nil, 400, "1", "", Counts{1, 0, 1}},
+		{"shed", Faults{Shed: 1}, []string{headerRequestID, "r1"}, 503, "1", "", Counts{1, 0, 1}},
+		{"failed", Faults{Fail: 1}, []string{headerRequestID, "r1"}, 500, "", Stamp("a", "r1"), Counts{1, 1, 0}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -145,7 +145,7 @@
 
 // Bytes go wrong on the wire only with a listener.
 func TestSpoiltAnswers(t *testing.T) {
-	for name, tr := range map[string]Trouble{"cut": {Cut: 1}, "garble": {Garble: 1}, "truncate": {Truncate: 1}} {
+	for name, tr := range map[string]Faults{"cut": {Cut: 1}, "garble": {Garble: 1}, "truncate": {Truncate: 1}} {
 		t.Run(name, func(t *testing.T) {
 			se := newServer(t, Config{ID: "a", Records: 4}, newHeard())
 			se.SetFaults(tr)
--- a/emulate/fault_test.go
+++ b/emulate/fault_test.go
@@ -101,12 +101,12 @@
 // twice stands twice on the connection.
 func TestOtherAndTwice(t *testing.T) {
 	se := newServer(t, Config{ID: "a", Service: "s", Records: 1}, newHeard())
-	se.SetFaults(Trouble{WrongRequest: 1})
+	se.SetFaults(Faults{WrongRequest: 1})
 	wr := ask(se, "/x", headerRequestID, "r1")
 	qt.Check(t, wr.Header().Get(headerRequestID), qt.Equals, "r1-other")
 	qt.Check(t, wr.Header().Get(headerStamp), qt.Equals, Stamp("a", "r1-other"))
 	qt.Check(t, wr.Body.Bytes(), qt.DeepEquals, Records("s", "/x-other", 1))
-	se.SetFaults(Trouble{Duplicate: 1})
+	se.SetFaults(Faults{Duplicate: 1})
 	hs := httptest.NewServer(se)
 	defer hs.Close()
 	nc, err := net.Dial("tcp4", hs.Listener.Addr().String())
@@ -135,13 +135,13 @@
 			cf: Config{ID: "a", Slots: 1, ServiceTimeFactor: 1, OnEvent: sb.note}, ts: timer.New(), slots: make(chan struct{}, 1), counts: make(map[string]Counts),
 			ps: newPauses(Pause{}, 1, time.Now()), rd: newPauses(Pause{}, 1, time.Now()).rd,
 		}
-		se.SetFaults(Trouble{Late: 1})
+		se.SetFaults(Faults{Late: 1})
 		start := time.Now()
 		se.Halt(time.Second)
 		ask(se, "/x", headerRequestID, "r1")
 		took := time.Since(start)
 		qt.Check(t, took >= time.Second+lateLeast && took <= time.Second+lateMost, qt.IsTrue, qt.Commentf("%v", took))
-		se.SetFaults(Trouble{Silent: 1})
+		se.SetFaults(Faults{Silent: 1})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		rq := httptest.NewRequestWithContext(ctx, http.MethodGet, "/x", nil)
--- a/emulate/serve.go
+++ b/emulate/serve.go
@@ -130,7 +130,7 @@
 }
 
 // work draws how long the work for one request takes.
-func (se *Server) work(tr Trouble) time.Duration {
+func (se *Server) work(tr Faults) time.Duration {
 	se.mu.Lock()
 	took := se.cf.ServiceTime.draw(se.rd)
 	se.mu.Unlock()
@@ -177,7 +177,7 @@
 }
 
 // answer gives the records, or spoils the answer as the trouble wants.
-func (se *Server) answer(wr http.ResponseWriter, rq *http.Request, id string, tr Trouble) {
+func (se *Server) answer(wr http.ResponseWriter, rq *http.Request, id string, tr Faults) {
 	if se.chance(tr.Fail) {
 		se.fail(wr, id, http.StatusInternalServerError)
 		return
--- a/emulate/server.go
+++ b/emulate/server.go
@@ -108,7 +108,7 @@
 	slots   chan struct{}
 	waiting atomic.Int64
 	state   atomic.Int64 // state is a registry.State.
-	tr      atomic.Pointer[Trouble]
+	tr      atomic.Pointer[Faults]
 	seq     atomic.Uint64
 	heard   atomic.Bool
 	ended   atomic.Bool // ended says that a request has ended the server.
@@ -132,7 +132,7 @@
 		ps: newPauses(cf.Pause, cf.Seed, ts.Now()), rd: rand.New(rand.NewPCG(cf.Seed, workStream)),
 	}
 	se.li.note = func(kind ServerEventKind) { se.note(kind, nil) }
-	se.tr.Store(&Trouble{})
+	se.tr.Store(&Faults{})
 	se.hs = &http.Server{
 		Handler: se, IdleTimeout: cf.IdleTimeout,
 		ConnContext: func(ctx context.Context, _ net.Conn) context.Context {
@@ -169,7 +169,7 @@
 func (se *Server) Address() string { return se.li.Addr().String() }
 
 // SetTrouble makes the server suffer from a trouble from now on.
-func (se *Server) SetFaults(tr Trouble) { se.tr.Store(&tr) }
+func (se *Server) SetFaults(tr Faults) { se.tr.Store(&tr) }
 
 // Halt makes the server stand still for a time from now on, whatever it is asked.
 // Work that was begun before goes on.
--- a/emulate/soak/player.go
+++ b/emulate/soak/player.go
@@ -241,7 +241,7 @@
 	}
 	pl.last(ctx, fa)
 	for _, se := range ses {
-		se.SetFaults(emulate.Trouble{})
+		se.SetFaults(emulate.Faults{})
 	}
 }
 
@@ -252,27 +252,27 @@
 	shareLeast, shareMore = 0.1, 0.5
 )
 
-func (fa Fault) trouble() emulate.Trouble {
+func (fa Fault) trouble() emulate.Faults {
 	part := shareLeast + shareMore*fa.Value
 	switch fa.Kind {
 	case ServerSilent:
-		return emulate.Trouble{Silent: 1}
+		return emulate.Faults{Silent: 1}
 	case ServerSlow:
-		return emulate.Trouble{SlowFactor: slowLeast + slowMore*fa.Value}
+		return emulate.Faults{SlowFactor: slowLeast + slowMore*fa.Value}
 	case ServiceShed:
-		return emulate.Trouble{Shed: 1}
+		return emulate.Faults{Shed: 1}
 	case ServerShed:
-		return emulate.Trouble{Shed: part}
+		return emulate.Faults{Shed: part}
 	case ReplyTwice:
-		return emulate.Trouble{Duplicate: part}
+		return emulate.Faults{Duplicate: part}
 	case ReplyLate:
-		return emulate.Trouble{Late: part}
+		return emulate.Faults{Late: part}
 	case ReplyCut:
-		return emulate.Trouble{Cut: part / 2, Truncate: part / 2, Garble: part / 2}
+		return emulate.Faults{Cut: part / 2, Truncate: part / 2, Garble: part / 2}
 	case ReplyOther:
-		return emulate.Trouble{WrongRequest: part}
+		return emulate.Faults{WrongRequest: part}
 	default:
-		return emulate.Trouble{}
+		return emulate.Faults{}
 	}
 }
 
--- a/emulate/work.go
+++ b/emulate/work.go
@@ -38,7 +38,7 @@
 }
 
 // Trouble is what goes wrong at a server that seems well. Shares are from 0 to 1.
-type Trouble struct {
+type Faults struct {
 	SlowFactor   float64 // Slow multiplies the work; 0 means 1.
 	Shed         float64 // Shed is the share of requests that are refused though there is room.
 	Fail         float64 // Fail is the share of requests that run and are answered with status 500.
