--- a/emulate/server.go
+++ b/emulate/server.go
@@ -143,12 +143,12 @@
 }
 
 // FatalText is in the path of requests under which servers end.
-const FatalText = "fatal"
+const CrashPathMarker = "fatal"
 
 // endsUnder ends the server if the request is one that does that: all its connections at
 // once, and without a word to control.
 func (se *Server) endsUnder(rq *http.Request) {
-	if se.cf.OnCrash == nil || !strings.Contains(rq.URL.Path, FatalText) {
+	if se.cf.OnCrash == nil || !strings.Contains(rq.URL.Path, CrashPathMarker) {
 		return
 	}
 	if !se.ended.Swap(true) {
--- a/emulate/soak/fatal.go
+++ b/emulate/soak/fatal.go
@@ -75,7 +75,7 @@
 	if !bytes.Contains(an.Body, quarantined) {
 		return
 	}
-	ju.look(CheckBlame, strings.Contains(rq.Path, emulate.FatalText), Breach{Request: rq.ID, Instance: rq.Entry}, at, func() string {
+	ju.look(CheckBlame, strings.Contains(rq.Path, emulate.CrashPathMarker), Breach{Request: rq.ID, Instance: rq.Entry}, at, func() string {
 		return "refused as a request under which servers end"
 	})
 }
@@ -125,7 +125,7 @@
 	var wg sync.WaitGroup
 	var beside error
 	wg.Go(func() { beside = pl.repeat(ctx, "popular-"+mark, group, until, popularEvery) })
-	err := pl.repeat(ctx, emulate.FatalText+"-"+mark, group, until, fatalEvery)
+	err := pl.repeat(ctx, emulate.CrashPathMarker+"-"+mark, group, until, fatalEvery)
 	wg.Wait()
 	err = errors.Join(err, beside)
 	for ctx.Err() == nil {
