--- a/cmd/balsamwinch/demo_routed.go
+++ b/cmd/balsamwinch/demo_routed.go
@@ -91,7 +91,7 @@
 }
 
 // serveRouted asks until all shards answer, prints that answer, and serves on.
-func serveRouted(ctx, ready context.Context, lo *emulate.Local, ss *emulate.Servers, ts *timer.Service, once bool, out io.Writer) error {
+func serveRouted(ctx, ready context.Context, lo *emulate.LocalTier, ss *emulate.Servers, ts *timer.Service, once bool, out io.Writer) error {
 	ca := emulate.NewCaller()
 	defer ca.Close()
 	address := lo.CallerAddresses()[0]
--- a/emulate/fault.go
+++ b/emulate/fault.go
@@ -9,12 +9,12 @@
 )
 
 // EntryNames returns the names of the entry instances, in the order of Callers.
-func (lo *Local) EntryNames() []string { return lo.names(true) }
+func (lo *LocalTier) EntryNames() []string { return lo.names(true) }
 
 // ControlNames returns the names of the control instances, in the order of Control.
-func (lo *Local) ControlNames() []string { return lo.names(false) }
+func (lo *LocalTier) ControlNames() []string { return lo.names(false) }
 
-func (lo *Local) names(entry bool) []string {
+func (lo *LocalTier) names(entry bool) []string {
 	var out []string
 	for _, in := range lo.instances {
 		if in.se.Entry() == entry {
@@ -25,7 +25,7 @@
 }
 
 // instance returns the instance with a name.
-func (lo *Local) instance(op, name string) (*localInstance, error) {
+func (lo *LocalTier) instance(op, name string) (*localInstance, error) {
 	for _, in := range lo.instances {
 		if in.se.Name == name {
 			return in, nil
@@ -35,7 +35,7 @@
 }
 
 // Stop stops an instance gracefully and returns how it ended.
-func (lo *Local) Stop(name string) error {
+func (lo *LocalTier) Stop(name string) error {
 	in, err := lo.instance("stop", name)
 	if err != nil {
 		return err
@@ -48,7 +48,7 @@
 
 // Kill ends an instance at once, without a word to anybody. Only one that runs in
 // a process of its own can be killed.
-func (lo *Local) Kill(name string) error {
+func (lo *LocalTier) Kill(name string) error {
 	in, err := lo.instance("kill", name)
 	if err != nil {
 		return err
@@ -64,12 +64,12 @@
 
 // Hang makes an instance stand still with all its connections open: its machine takes
 // what is sent, and nothing answers. Only one that runs in a process of its own can hang.
-func (lo *Local) Hang(name string) error { return lo.signal("hang", name, syscall.SIGSTOP) }
+func (lo *LocalTier) Hang(name string) error { return lo.signal("hang", name, syscall.SIGSTOP) }
 
 // Resume ends a Hang.
-func (lo *Local) Resume(name string) error { return lo.signal("resume", name, syscall.SIGCONT) }
+func (lo *LocalTier) Resume(name string) error { return lo.signal("resume", name, syscall.SIGCONT) }
 
-func (lo *Local) signal(op, name string, si os.Signal) error {
+func (lo *LocalTier) signal(op, name string, si os.Signal) error {
 	in, err := lo.instance(op, name)
 	if err != nil {
 		return err
@@ -82,7 +82,7 @@
 }
 
 // LoseDisk removes the data of a control instance that has ended.
-func (lo *Local) DeleteData(name string) error {
+func (lo *LocalTier) DeleteData(name string) error {
 	in, err := lo.instance("lose the disk", name)
 	if err != nil {
 		return err
@@ -91,7 +91,7 @@
 }
 
 // Start starts an instance again that has ended, and returns once it listens.
-func (lo *Local) Start(ctx context.Context, name string) error {
+func (lo *LocalTier) Start(ctx context.Context, name string) error {
 	in, err := lo.instance("start", name)
 	if err != nil {
 		return err
--- a/emulate/local.go
+++ b/emulate/local.go
@@ -38,7 +38,7 @@
 // own. Those in this process share the garbage collector and the memory limit,
 // and all share the processors; what one costs can't be told apart. It is safe for
 // concurrent use, as long as no two goroutines start or end the same instance.
-type Local struct {
+type LocalTier struct {
 	cf        LocalConfig
 	ts        *timer.Service
 	lg        *zap.Logger
@@ -67,7 +67,7 @@
 
 // StartLocal starts the instances and returns once all listen. The loopback
 // addresses 127.x.y.z must be usable without being set up, as on Linux.
-func StartLocal(ctx context.Context, cf LocalConfig, ts *timer.Service, lg *zap.Logger) (*Local, error) {
+func StartLocal(ctx context.Context, cf LocalConfig, ts *timer.Service, lg *zap.Logger) (*LocalTier, error) {
 	if cf.Entries < 1 || cf.Controls < 1 || cf.Entries+cf.Controls > localHostCount || len(cf.DataCentres) == 0 {
 		return nil, &result.Error{Code: result.BadSettings, Op: "start a local tier", Detail: fmt.Sprintf("want at least one instance of each role, %d at most, and a data centre", localHostCount)}
 	}
@@ -77,7 +77,7 @@
 		if err != nil {
 			return nil, err
 		}
-		lo := &Local{cf: cf, ts: ts, lg: lg}
+		lo := &LocalTier{cf: cf, ts: ts, lg: lg}
 		for _, se := range ses {
 			in := &localInstance{se: se}
 			if err := lo.run(in, se); err != nil {
@@ -189,7 +189,7 @@
 }
 
 // run begins a life of an instance with settings.
-func (lo *Local) run(in *localInstance, se tier.Settings) error {
+func (lo *LocalTier) run(in *localInstance, se tier.Settings) error {
 	ru, err := (*running)(nil), error(nil)
 	if len(lo.cf.Program) > 0 {
 		ru, err = runProcess(se, lo.cf.Program, lo.cf.LogFolder)
@@ -245,7 +245,7 @@
 
 // await waits until something holds at all instances. An instance that ends is
 // an error.
-func (lo *Local) await(ctx context.Context, holds func(*localInstance, context.Context) bool) error {
+func (lo *LocalTier) await(ctx context.Context, holds func(*localInstance, context.Context) bool) error {
 	for _, in := range lo.instances {
 		if err := lo.awaitOne(ctx, in, holds); err != nil {
 			return err
@@ -254,7 +254,7 @@
 	return nil
 }
 
-func (lo *Local) awaitOne(ctx context.Context, in *localInstance, holds func(*localInstance, context.Context) bool) error {
+func (lo *LocalTier) awaitOne(ctx context.Context, in *localInstance, holds func(*localInstance, context.Context) bool) error {
 	ru := in.life()
 	for !holds(in, ctx) {
 		select {
@@ -271,7 +271,7 @@
 
 // Configure has a configuration accepted, and waits until every entry instance
 // serves.
-func (lo *Local) Configure(ctx context.Context, cf Configuration) error {
+func (lo *LocalTier) Configure(ctx context.Context, cf Configuration) error {
 	co := NewControlClient(lo.ControlAddresses())
 	defer co.Close()
 	for {
@@ -287,22 +287,22 @@
 }
 
 // Callers returns where the entry instances take requests.
-func (lo *Local) CallerAddresses() []string {
+func (lo *LocalTier) CallerAddresses() []string {
 	return lo.addresses(func(li tier.Listen) string { return li.Callers })
 }
 
 // Control returns where the control instances take the calls of operators and
 // backend servers.
-func (lo *Local) ControlAddresses() []string {
+func (lo *LocalTier) ControlAddresses() []string {
 	return lo.addresses(func(li tier.Listen) string { return li.Control })
 }
 
 // Addresses returns where control instances tell which entry instances to use.
-func (lo *Local) LookupAddresses() []string {
+func (lo *LocalTier) LookupAddresses() []string {
 	return lo.addresses(func(li tier.Listen) string { return li.Addresses })
 }
 
-func (lo *Local) addresses(of func(tier.Listen) string) []string {
+func (lo *LocalTier) addresses(of func(tier.Listen) string) []string {
 	var out []string
 	for _, in := range lo.instances {
 		if ad := of(in.se.Listen); ad != "" {
@@ -313,7 +313,7 @@
 }
 
 // Close stops all instances at once and waits for their end.
-func (lo *Local) Close() error {
+func (lo *LocalTier) Close() error {
 	var errs []error
 	for _, in := range lo.instances {
 		in.life().stop()
--- a/emulate/soak/player.go
+++ b/emulate/soak/player.go
@@ -15,7 +15,7 @@
 // player plays the faults of a schedule.
 type player struct {
 	cf Settings
-	lo *emulate.Local
+	lo *emulate.LocalTier
 	ss *emulate.Servers
 	fl *fleet
 	op *operator
--- a/emulate/soak/run.go
+++ b/emulate/soak/run.go
@@ -43,7 +43,7 @@
 type runner struct {
 	cf Settings
 	ts *timer.Service
-	lo *emulate.Local
+	lo *emulate.LocalTier
 	ca *emulate.Caller
 	ju *Judge
 	pl *player
@@ -93,7 +93,7 @@
 	return re, nil
 }
 
-func newRunner(cf Settings, lo *emulate.Local, ss *emulate.Servers, co *emulate.ControlClient, ts *timer.Service) *runner {
+func newRunner(cf Settings, lo *emulate.LocalTier, ss *emulate.Servers, co *emulate.ControlClient, ts *timer.Service) *runner {
 	pl := &player{cf: cf, lo: lo, ss: ss, ts: ts, played: make(map[Kind]int), turns: make(map[string]*sync.Mutex)}
 	ju := NewJudge(cf, pl.underWay)
 	pl.ju = ju
