--- a/cmd/balsamwinch/demo_routed.go
+++ b/cmd/balsamwinch/demo_routed.go
@@ -41,7 +41,7 @@
 	ts := timer.New()
 	ready, cancel := context.WithTimeout(ctx, demoReady)
 	defer cancel()
-	lo, err := emulate.StartLocal(ready, emulate.LocalConfig{
+	lo, err := emulate.StartLocalTier(ready, emulate.LocalConfig{
 		Entries: routedEntries, Controls: routedControls, Folder: folder, StopTimeout: routedStopWithin,
 		DataCentres: []string{"miraflores", "surquillo", "san-isidro"},
 	}, ts, lg)
--- a/emulate/emulate_test.go
+++ b/emulate/emulate_test.go
@@ -391,7 +391,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
 	ts := timer.New()
-	lo, err := StartLocal(ctx, LocalConfig{Entries: 2, Controls: 3, DataCentres: []string{"x", "y"}, Folder: t.TempDir(), StopTimeout: 2 * time.Second}, ts, zap.NewNop())
+	lo, err := StartLocalTier(ctx, LocalConfig{Entries: 2, Controls: 3, DataCentres: []string{"x", "y"}, Folder: t.TempDir(), StopTimeout: 2 * time.Second}, ts, zap.NewNop())
 	qt.Assert(t, err, qt.IsNil)
 	defer func() { qt.Check(t, lo.Close(), qt.IsNil) }()
 	var cfs []Config
--- a/emulate/experiment/run.go
+++ b/emulate/experiment/run.go
@@ -84,7 +84,7 @@
 	defer os.RemoveAll(folder)
 	ready, cancel := context.WithTimeout(ctx, readyWithin)
 	defer cancel()
-	lo, err := emulate.StartLocal(ready, emulate.LocalConfig{
+	lo, err := emulate.StartLocalTier(ready, emulate.LocalConfig{
 		Entries: ex.Tier.Entries, Controls: ex.Tier.Controls, DataCentres: ex.Tier.DataCentres, Folder: folder, StopTimeout: stopWithin,
 	}, ts, lg)
 	if err != nil {
--- a/emulate/fault_test.go
+++ b/emulate/fault_test.go
@@ -40,7 +40,7 @@
 	defer cancel()
 	program, err := os.Executable()
 	qt.Assert(t, err, qt.IsNil)
-	lo, err := StartLocal(ctx, LocalConfig{
+	lo, err := StartLocalTier(ctx, LocalConfig{
 		Entries: 1, Controls: 3, DataCentres: []string{"x"}, Folder: t.TempDir(), StopTimeout: 2 * time.Second, Program: []string{program}, LogFolder: t.TempDir(),
 	}, timer.New(), zap.NewNop())
 	qt.Assert(t, err, qt.IsNil)
--- a/emulate/local.go
+++ b/emulate/local.go
@@ -67,7 +67,7 @@
 
 // StartLocal starts the instances and returns once all listen. The loopback
 // addresses 127.x.y.z must be usable without being set up, as on Linux.
-func StartLocal(ctx context.Context, cf LocalConfig, ts *timer.Service, lg *zap.Logger) (*LocalTier, error) {
+func StartLocalTier(ctx context.Context, cf LocalConfig, ts *timer.Service, lg *zap.Logger) (*LocalTier, error) {
 	if cf.Entries < 1 || cf.Controls < 1 || cf.Entries+cf.Controls > localHostCount || len(cf.DataCentres) == 0 {
 		return nil, &result.Error{Code: result.BadSettings, Op: "start a local tier", Detail: fmt.Sprintf("want at least one instance of each role, %d at most, and a data centre", localHostCount)}
 	}
--- a/emulate/soak/run.go
+++ b/emulate/soak/run.go
@@ -61,7 +61,7 @@
 	defer os.RemoveAll(folder)
 	ready, cancel := context.WithTimeout(ctx, readyWithin)
 	defer cancel()
-	lo, err := emulate.StartLocal(ready, emulate.LocalConfig{
+	lo, err := emulate.StartLocalTier(ready, emulate.LocalConfig{
 		Entries: cf.Tier.Entries, Controls: cf.Tier.Controls, DataCentres: cf.Tier.DataCentres, Folder: folder,
 		StopTimeout: stopWithin, Program: pr.Command, LogFolder: pr.LogFolder,
 	}, ts, lg)
