--- a/emulate/experiment/report.go
+++ b/emulate/experiment/report.go
@@ -19,7 +19,7 @@
 	Processors int
 	LoadBefore float64 // LoadBefore is the machine's load average of one minute when the run began; 0 if unknown.
 	Arms       []ArmCost
-	Lines      []Line
+	Lines      []Measurement
 	Dropped    int      // Dropped counts requests that were due but not sent; above 0 the run is not valid.
 	OverLimit  int      // OverLimit counts connections beyond a backend server's limit.
 	Examples   []string `json:",omitempty"` // Examples are some of the wrong answers.
@@ -37,7 +37,7 @@
 
 // Line is what was measured of one group in one arm. Times are those of answers
 // with status 200, counted from the intended start of the request.
-type Line struct {
+type Measurement struct {
 	Arm   string
 	Group string
 
@@ -82,10 +82,10 @@
 	re.Arms = append(re.Arms, co)
 }
 
-func (ce *cell) line(arm, group string) Line {
+func (ce *cell) line(arm, group string) Measurement {
 	ce.mu.Lock()
 	defer ce.mu.Unlock()
-	li := Line{
+	li := Measurement{
 		Arm: arm, Group: group, Due: ce.due, Whole: ce.whole, Partial: ce.partial,
 		Refused: ce.refused, Failed: ce.failed, Silent: ce.silent, Wrong: ce.wrong,
 		Coverage:     share(ce.covered, ce.asked),
@@ -152,7 +152,7 @@
 	return tw.Flush()
 }
 
-func (li Line) write(wr io.Writer) {
+func (li Measurement) write(wr io.Writer) {
 	fmt.Fprintf(wr, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s", li.Group, li.Arm, li.Due, li.Whole, li.Partial, li.Refused, li.Failed, li.Silent, li.Wrong, percent(li.Coverage))
 	for _, mi := range []int64{li.P50Micros, li.P99Micros, li.P99LowMicros, li.P99HighMicros, li.P999Micros, li.MaxMicros, li.LagP99Micros} {
 		fmt.Fprintf(wr, "\t%.1f", float64(mi)/microsToMilli)
