--- a/emulate/soak/answers.go
+++ b/emulate/soak/answers.go
@@ -40,7 +40,7 @@
 }
 
 // Sent tells of a request before it is sent.
-func (ju *Judge) RequestSent(rq Request) {
+func (ju *Checker) RequestSent(rq Request) {
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	li := ju.life(rq.Entry)
@@ -54,7 +54,7 @@
 }
 
 // Answered tells of an answer with any status.
-func (ju *Judge) RequestAnswered(at time.Time, id string, an emulate.Response) {
+func (ju *Checker) RequestAnswered(at time.Time, id string, an emulate.Response) {
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	rq, ok := ju.requests[id]
@@ -72,7 +72,7 @@
 }
 
 // notRun checks that a request that was answered as not run has not run.
-func (ju *Judge) notRun(at time.Time, rq *request, server string) {
+func (ju *Checker) notRun(at time.Time, rq *request, server string) {
 	br := Breach{Request: rq.ID, Instance: server}
 	ju.look(CheckNotRun, rq.ran == 0, br, at, func() string {
 		return fmt.Sprintf("answered with %d by %s, and ran %d times", rq.notRun, rq.Entry, rq.ran)
@@ -80,7 +80,7 @@
 }
 
 // parts checks what an answer is made of.
-func (ju *Judge) parts(at time.Time, rq *request, an emulate.Response) {
+func (ju *Checker) parts(at time.Time, rq *request, an emulate.Response) {
 	br := Breach{Request: rq.ID, Instance: rq.Entry}
 	services, ok := ju.stamped(at, rq, an)
 	if !ok {
@@ -111,7 +111,7 @@
 
 // stamped returns the services of an answer's parts; false if one is no part of
 // the request.
-func (ju *Judge) stamped(at time.Time, rq *request, an emulate.Response) ([]string, bool) {
+func (ju *Checker) stamped(at time.Time, rq *request, an emulate.Response) ([]string, bool) {
 	var out []string
 	right := true
 	for _, st := range an.Stamps {
@@ -131,7 +131,7 @@
 }
 
 // recorded reports whether a body is made of the parts of services.
-func (ju *Judge) recorded(rq *request, services []string, body []byte) bool {
+func (ju *Checker) recorded(rq *request, services []string, body []byte) bool {
 	var parts [][]byte
 	for _, service := range services {
 		parts = append(parts, emulate.Records(service, rq.Path, ju.cf.Servers.Records))
@@ -146,7 +146,7 @@
 // come before the request was sent, at one entry instance. The versions are those
 // that it may be of: they are fewer than were sent, since each change of a version
 // leads plain requests to another service.
-func (ju *Judge) version(at time.Time, rq *request, among []offer) {
+func (ju *Checker) version(at time.Time, rq *request, among []offer) {
 	li := ju.life(rq.Entry)
 	if li.number != rq.life {
 		return // The instance was replaced meanwhile, and which one answered is not known.
--- a/emulate/soak/arrivals.go
+++ b/emulate/soak/arrivals.go
@@ -13,7 +13,7 @@
 }
 
 // Saw tells what a backend server saw.
-func (ju *Judge) RecordServerEvent(sn emulate.ServerEvent) {
+func (ju *Checker) RecordServerEvent(sn emulate.ServerEvent) {
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	switch sn.Kind {
@@ -32,7 +32,7 @@
 
 // left notes when a server's leaving was acknowledged first. It counts as a look:
 // from now on each arrival there is judged, and at best none comes.
-func (ju *Judge) left(sn emulate.ServerEvent) {
+func (ju *Checker) left(sn emulate.ServerEvent) {
 	if _, ok := ju.leaving[sn.Server]; !ok {
 		ju.leaving[sn.Server] = sn.At
 		ju.look(CheckDrain, true, Breach{}, sn.At, nil)
@@ -40,7 +40,7 @@
 }
 
 // connected checks that a server's connections stay within its limit.
-func (ju *Judge) connected(sn emulate.ServerEvent) {
+func (ju *Checker) connected(sn emulate.ServerEvent) {
 	if sn.Kind == emulate.EventConnectionReset {
 		ju.resets[sn.Server]++
 	}
@@ -52,7 +52,7 @@
 
 // arrived checks that a request came to a server that may still get some, and
 // within the budget.
-func (ju *Judge) arrived(sn emulate.ServerEvent) {
+func (ju *Checker) arrived(sn emulate.ServerEvent) {
 	ju.fatal(sn)
 	if left, ok := ju.leaving[sn.Server]; ok {
 		after := sn.At.Sub(left)
@@ -86,7 +86,7 @@
 }
 
 // evacuation checks that a request came to a server of a data centre that may get some.
-func (ju *Judge) evacuation(sn emulate.ServerEvent) {
+func (ju *Checker) evacuation(sn emulate.ServerEvent) {
 	since, ok := ju.evacuated[ju.centres[sn.Server]]
 	if !ok {
 		return
@@ -100,7 +100,7 @@
 // budget checks the window that ends with an arrival beyond the first. The first
 // arrivals are counted for a moment longer: an entry instance counts a request when
 // it takes it, which may be a whole timeout before the first arrival of another.
-func (ju *Judge) budget(sn emulate.ServerEvent, service string, ar *arrivals) {
+func (ju *Checker) budget(sn emulate.ServerEvent, service string, ar *arrivals) {
 	bu := ju.cf.Checks.Budget
 	from := sn.At.Add(-bu.Window)
 	ar.extras = since(ar.extras, from)
@@ -120,7 +120,7 @@
 }
 
 // ran checks that a request that was begun may run.
-func (ju *Judge) ran(sn emulate.ServerEvent) {
+func (ju *Checker) ran(sn emulate.ServerEvent) {
 	rq, ok := ju.requests[sn.Request]
 	if !ok {
 		return
@@ -137,7 +137,7 @@
 }
 
 // Load returns the first arrivals of requests at services and those beyond.
-func (ju *Judge) ArrivalCounts() (firsts, extras int) {
+func (ju *Checker) ArrivalCounts() (firsts, extras int) {
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	return ju.firsts, ju.extras
--- a/emulate/soak/fatal.go
+++ b/emulate/soak/fatal.go
@@ -41,7 +41,7 @@
 
 // ended notes that a server has ended under a request. The third end counts as a look:
 // from then on each arrival is judged, and at best none comes.
-func (ju *Judge) ended(sn emulate.ServerEvent) {
+func (ju *Checker) ended(sn emulate.ServerEvent) {
 	ha := ju.harms[sn.Path]
 	if ha == nil {
 		ha = &harm{attempts: make(map[string]struct{})}
@@ -54,7 +54,7 @@
 }
 
 // fatal checks that a request under which servers ended reaches no more of them.
-func (ju *Judge) fatal(sn emulate.ServerEvent) {
+func (ju *Checker) fatal(sn emulate.ServerEvent) {
 	ha := ju.harms[sn.Path]
 	if ha == nil || ha.ended < threeServers || sn.At.Sub(ha.third) <= newsWithin {
 		return
@@ -71,7 +71,7 @@
 
 // blame checks that a request which harms nobody is not refused as one that does, and
 // counts a look where one that does is refused.
-func (ju *Judge) blame(at time.Time, rq *request, an emulate.Response) {
+func (ju *Checker) blame(at time.Time, rq *request, an emulate.Response) {
 	if !bytes.Contains(an.Body, quarantined) {
 		return
 	}
--- a/emulate/soak/fleet.go
+++ b/emulate/soak/fleet.go
@@ -21,7 +21,7 @@
 type fleet struct {
 	cf Settings
 	ss *emulate.Servers
-	ju *Judge
+	ju *Checker
 	ts *timer.Service
 
 	// network is where servers listen: a loopback address of this run alone.
--- a/emulate/soak/judge.go
+++ b/emulate/soak/judge.go
@@ -87,7 +87,7 @@
 
 // Judge is told what happened and checks it, each thing as it is told. Times may
 // come in another order than they were. It is safe for concurrent use.
-type Judge struct {
+type Checker struct {
 	cf    Settings
 	start time.Time
 	under func() []string
@@ -119,8 +119,8 @@
 
 // NewJudge returns a judge of a run. The faults that are under way are asked for at
 // each breach.
-func NewJudge(cf Settings, under func() []string) *Judge {
-	ju := &Judge{
+func NewJudge(cf Settings, under func() []string) *Checker {
+	ju := &Checker{
 		cf: cf, under: under, tallies: make(map[Check]*Tally), servers: make(map[string]string),
 		centres: make(map[string]string), evacuated: make(map[string]time.Time),
 		data: make(map[uint64]string), entries: make(map[string]*entryLife), requests: make(map[string]*request),
@@ -134,14 +134,14 @@
 }
 
 // Begin tells when the load starts.
-func (ju *Judge) Start(at time.Time) {
+func (ju *Checker) Start(at time.Time) {
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	ju.start = at
 }
 
 // look counts that a check was looked at, and a breach unless it held.
-func (ju *Judge) look(ck Check, held bool, br Breach, at time.Time, detail func() string) {
+func (ju *Checker) look(ck Check, held bool, br Breach, at time.Time, detail func() string) {
 	ju.tallies[ck].Looked++
 	if held {
 		return
@@ -155,7 +155,7 @@
 }
 
 // Tallies returns how often each check was looked at.
-func (ju *Judge) Tallies() []Tally {
+func (ju *Checker) Tallies() []Tally {
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	var out []Tally
@@ -166,14 +166,14 @@
 }
 
 // Breaches returns the first breaches of each check.
-func (ju *Judge) Violations() []Breach {
+func (ju *Checker) Violations() []Breach {
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	return slices.Clone(ju.breaches)
 }
 
 // ServerStarted tells of a backend server before it starts.
-func (ju *Judge) ServerStarted(id, service, dataCentre string) {
+func (ju *Checker) ServerStarted(id, service, dataCentre string) {
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	ju.servers[id], ju.centres[id] = service, dataCentre
@@ -181,7 +181,7 @@
 
 // Evacuated tells that the evacuation of a data centre was acknowledged. It counts as a
 // look: from now on each arrival there is judged, and at best none comes.
-func (ju *Judge) EvacuationAcknowledged(dataCentre string, at time.Time) {
+func (ju *Checker) EvacuationAcknowledged(dataCentre string, at time.Time) {
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	ju.evacuated[dataCentre] = at
@@ -189,14 +189,14 @@
 }
 
 // Returning tells that the evacuation of a data centre is about to be withdrawn.
-func (ju *Judge) EvacuationEnding(dataCentre string) {
+func (ju *Checker) EvacuationEnding(dataCentre string) {
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	delete(ju.evacuated, dataCentre)
 }
 
 // Offered tells of a configuration before an operator sends it for the first time.
-func (ju *Judge) ConfigurationSent(at time.Time, version uint64, la Layout, data []byte) {
+func (ju *Checker) ConfigurationSent(at time.Time, version uint64, la Layout, data []byte) {
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	ju.offers = append(ju.offers, offer{version, la, at})
@@ -205,14 +205,14 @@
 }
 
 // Acknowledged tells that a version was accepted.
-func (ju *Judge) ConfigurationAcknowledged(version uint64) {
+func (ju *Checker) ConfigurationAcknowledged(version uint64) {
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	ju.acknowledged = max(ju.acknowledged, version)
 }
 
 // Newest returns the highest version that was acknowledged.
-func (ju *Judge) LatestAcknowledged() uint64 {
+func (ju *Checker) LatestAcknowledged() uint64 {
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	return ju.acknowledged
@@ -221,7 +221,7 @@
 // ReadBack tells what was read of the configuration: a version that was
 // acknowledged before the read began, or a higher one, with what it was sent with.
 // No data stands for a read that nobody answered.
-func (ju *Judge) ConfigurationRead(at time.Time, before, version uint64, data []byte) {
+func (ju *Checker) ConfigurationRead(at time.Time, before, version uint64, data []byte) {
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	held := version >= before && len(data) > 0 && ju.data[version] == string(data)
@@ -231,7 +231,7 @@
 }
 
 // Refused tells what became of a configuration that was invalid or sent again.
-func (ju *Judge) CheckRefusal(at time.Time, what string, held bool) {
+func (ju *Checker) CheckRefusal(at time.Time, what string, held bool) {
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	ju.look(CheckRefused, held, Breach{}, at, func() string { return what })
@@ -239,13 +239,13 @@
 
 // EntryStarted tells that an entry instance has a new life, after the end of the
 // last one and before the start.
-func (ju *Judge) EntryStarted(entry string) {
+func (ju *Checker) EntryStarted(entry string) {
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	ju.entries[entry] = &entryLife{number: ju.life(entry).number + 1}
 }
 
-func (ju *Judge) life(entry string) *entryLife {
+func (ju *Checker) life(entry string) *entryLife {
 	if ju.entries[entry] == nil {
 		ju.entries[entry] = &entryLife{}
 	}
--- a/emulate/soak/judge_test.go
+++ b/emulate/soak/judge_test.go
@@ -18,7 +18,7 @@
 // and d those of version 3; plain requests go to p under versions 1 and 3, to q
 // under version 2. Each service has the servers 1 and 2, as a1 and a2.
 type recorded struct {
-	ju *Judge
+	ju *Checker
 }
 
 var epoch = time.Unix(1_000_000, 0)
--- a/emulate/soak/operator.go
+++ b/emulate/soak/operator.go
@@ -30,7 +30,7 @@
 // operators would be.
 type operator struct {
 	cf Settings
-	ju *Judge
+	ju *Checker
 	ts *timer.Service
 	co *emulate.ControlClient
 
--- a/emulate/soak/player.go
+++ b/emulate/soak/player.go
@@ -19,7 +19,7 @@
 	ss *emulate.Servers
 	fl *fleet
 	op *operator
-	ju *Judge
+	ju *Checker
 	ru *runner
 	ts *timer.Service
 
--- a/emulate/soak/run.go
+++ b/emulate/soak/run.go
@@ -45,7 +45,7 @@
 	ts *timer.Service
 	lo *emulate.LocalTier
 	ca *emulate.Caller
-	ju *Judge
+	ju *Checker
 	pl *player
 	st *figures
 	at atomic.Pointer[[]string] // at is where callers send requests.
