--- a/emulate/soak/judge.go
+++ b/emulate/soak/judge.go
@@ -119,7 +119,7 @@
 
 // NewJudge returns a judge of a run. The faults that are under way are asked for at
 // each breach.
-func NewJudge(cf Settings, under func() []string) *Checker {
+func NewChecker(cf Settings, under func() []string) *Checker {
 	ju := &Checker{
 		cf: cf, under: under, tallies: make(map[Check]*Tally), servers: make(map[string]string),
 		centres: make(map[string]string), evacuated: make(map[string]time.Time),
--- a/emulate/soak/judge_test.go
+++ b/emulate/soak/judge_test.go
@@ -30,7 +30,7 @@
 		Servers: experiment.Servers{Records: 3, Connections: 5}, Merged: experiment.Stream{TopK: 4, Timeout: time.Second},
 		Checks: Checks{Drain: 3 * time.Second, DrainSlack: 500 * time.Millisecond, OverLimit: 1, Budget: tier.Budget{Ratio: 0.2, Slack: 2, Window: 10 * time.Second}},
 	}
-	rc := &recorded{NewJudge(cf, func() []string { return []string{"EntryKill 1"} })}
+	rc := &recorded{NewChecker(cf, func() []string { return []string{"EntryKill 1"} })}
 	rc.ju.Start(epoch)
 	for _, service := range []string{"a", "b", "c", "d", "p", "q"} {
 		rc.ju.ServerStarted(service+"1", service, "north")
--- a/emulate/soak/run.go
+++ b/emulate/soak/run.go
@@ -95,7 +95,7 @@
 
 func newRunner(cf Settings, lo *emulate.LocalTier, ss *emulate.Servers, co *emulate.ControlClient, ts *timer.Service) *runner {
 	pl := &player{cf: cf, lo: lo, ss: ss, ts: ts, played: make(map[Kind]int), turns: make(map[string]*sync.Mutex)}
-	ju := NewJudge(cf, pl.underWay)
+	ju := NewChecker(cf, pl.underWay)
 	pl.ju = ju
 	pl.fl = &fleet{cf: cf, ss: ss, ju: ju, ts: ts, network: anyNetwork()}
 	pl.op = &operator{cf: cf, ju: ju, ts: ts, co: co}
