--- a/emulate/soak/answers.go
+++ b/emulate/soak/answers.go
@@ -73,7 +73,7 @@
 
 // notRun checks that a request that was answered as not run has not run.
 func (ju *Checker) notRun(at time.Time, rq *request, server string) {
-	br := Breach{Request: rq.ID, Instance: server}
+	br := Violation{Request: rq.ID, Instance: server}
 	ju.look(CheckNotRun, rq.ran == 0, br, at, func() string {
 		return fmt.Sprintf("answered with %d by %s, and ran %d times", rq.notRun, rq.Entry, rq.ran)
 	})
@@ -81,7 +81,7 @@
 
 // parts checks what an answer is made of.
 func (ju *Checker) parts(at time.Time, rq *request, an emulate.Response) {
-	br := Breach{Request: rq.ID, Instance: rq.Entry}
+	br := Violation{Request: rq.ID, Instance: rq.Entry}
 	services, ok := ju.stamped(at, rq, an)
 	if !ok {
 		return // What belongs to another request says nothing of this one's shards.
@@ -117,7 +117,7 @@
 	for _, st := range an.Stamps {
 		id, ok := emulate.VerifyStamp(st, rq.ID)
 		service, known := ju.servers[id]
-		ju.look(CheckStamp, ok && known, Breach{Request: rq.ID, Instance: rq.Entry}, at, func() string {
+		ju.look(CheckStamp, ok && known, Violation{Request: rq.ID, Instance: rq.Entry}, at, func() string {
 			return fmt.Sprintf("%q is no stamp for the request", st)
 		})
 		right = right && ok && known
@@ -152,7 +152,7 @@
 		return // The instance was replaced meanwhile, and which one answered is not known.
 	}
 	newest := among[len(among)-1].version
-	ju.look(CheckVersion, newest >= rq.floor, Breach{Request: rq.ID, Instance: rq.Entry}, at, func() string {
+	ju.look(CheckVersion, newest >= rq.floor, Violation{Request: rq.ID, Instance: rq.Entry}, at, func() string {
 		return fmt.Sprintf("answered by version %d or older, %d was in force before", newest, rq.floor)
 	})
 	for _, of := range among {
--- a/emulate/soak/arrivals.go
+++ b/emulate/soak/arrivals.go
@@ -35,7 +35,7 @@
 func (ju *Checker) left(sn emulate.ServerEvent) {
 	if _, ok := ju.leaving[sn.Server]; !ok {
 		ju.leaving[sn.Server] = sn.At
-		ju.look(CheckDrain, true, Breach{}, sn.At, nil)
+		ju.look(CheckDrain, true, Violation{}, sn.At, nil)
 	}
 }
 
@@ -45,7 +45,7 @@
 		ju.resets[sn.Server]++
 	}
 	held := sn.Kind == emulate.EventConnectionAccepted || ju.resets[sn.Server] <= ju.cf.Checks.OverLimit
-	ju.look(CheckConnections, held, Breach{Instance: sn.Server}, sn.At, func() string {
+	ju.look(CheckConnections, held, Violation{Instance: sn.Server}, sn.At, func() string {
 		return fmt.Sprintf("%d connections were reset as beyond the limit of %d", ju.resets[sn.Server], ju.cf.Servers.Connections)
 	})
 }
@@ -56,7 +56,7 @@
 	ju.fatal(sn)
 	if left, ok := ju.leaving[sn.Server]; ok {
 		after := sn.At.Sub(left)
-		ju.look(CheckDrain, after <= ju.cf.Checks.Drain+ju.cf.Checks.DrainSlack, Breach{Request: sn.Request, Instance: sn.Server}, sn.At, func() string {
+		ju.look(CheckDrain, after <= ju.cf.Checks.Drain+ju.cf.Checks.DrainSlack, Violation{Request: sn.Request, Instance: sn.Server}, sn.At, func() string {
 			return fmt.Sprintf("a request came %v after the server's leaving was acknowledged", after)
 		})
 	}
@@ -92,7 +92,7 @@
 		return
 	}
 	after := sn.At.Sub(since)
-	ju.look(CheckEvacuated, after <= ju.cf.Checks.Drain+ju.cf.Checks.DrainSlack, Breach{Request: sn.Request, Instance: sn.Server}, sn.At, func() string {
+	ju.look(CheckEvacuated, after <= ju.cf.Checks.Drain+ju.cf.Checks.DrainSlack, Violation{Request: sn.Request, Instance: sn.Server}, sn.At, func() string {
 		return fmt.Sprintf("a request came %v after the evacuation of %s was acknowledged", after, ju.centres[sn.Server])
 	})
 }
@@ -106,7 +106,7 @@
 	ar.extras = since(ar.extras, from)
 	ar.firsts = since(ar.firsts, from.Add(-ju.cf.Merged.Timeout))
 	bound := bu.Ratio*float64(len(ar.firsts)) + bu.Slack
-	ju.look(CheckBudget, float64(len(ar.extras)) <= bound, Breach{Request: sn.Request, Instance: sn.Server}, sn.At, func() string {
+	ju.look(CheckBudget, float64(len(ar.extras)) <= bound, Violation{Request: sn.Request, Instance: sn.Server}, sn.At, func() string {
 		return fmt.Sprintf("%d arrivals beyond the first of %d requests of %s in %v, at most %.1f", len(ar.extras), len(ar.firsts), service, bu.Window, bound)
 	})
 }
@@ -130,7 +130,7 @@
 		ju.notRun(sn.At, rq, sn.Server)
 	}
 	if rq.Group == groupOnce {
-		ju.look(CheckOnce, rq.ran <= 1, Breach{Request: rq.ID, Instance: sn.Server}, sn.At, func() string {
+		ju.look(CheckOnce, rq.ran <= 1, Violation{Request: rq.ID, Instance: sn.Server}, sn.At, func() string {
 			return fmt.Sprintf("begun %d times", rq.ran)
 		})
 	}
--- a/emulate/soak/judge.go
+++ b/emulate/soak/judge.go
@@ -39,7 +39,7 @@
 }
 
 // Breach is a check that did not hold once.
-type Breach struct {
+type Violation struct {
 	Check    Check
 	At       time.Duration // At is since the start of the load.
 	Request  string        `json:",omitempty"`
@@ -49,7 +49,7 @@
 }
 
 // String says what did not hold, when and amid what.
-func (br Breach) String() string {
+func (br Violation) String() string {
 	return fmt.Sprintf("%s at %.3fs, request %q, at %q: %s; under way: %v", br.Check, br.At.Seconds(), br.Request, br.Instance, br.Detail, br.UnderWay)
 }
 
@@ -94,7 +94,7 @@
 
 	mu           sync.Mutex // mu guards what follows.
 	tallies      map[Check]*Tally
-	breaches     []Breach
+	breaches     []Violation
 	servers      map[string]string    // servers are the services of the servers by id.
 	centres      map[string]string    // centres are the data centres of the servers by id.
 	evacuated    map[string]time.Time // evacuated is since when data centres are, by the word of control.
@@ -141,7 +141,7 @@
 }
 
 // look counts that a check was looked at, and a breach unless it held.
-func (ju *Checker) look(ck Check, held bool, br Breach, at time.Time, detail func() string) {
+func (ju *Checker) look(ck Check, held bool, br Violation, at time.Time, detail func() string) {
 	ju.tallies[ck].Looked++
 	if held {
 		return
@@ -166,7 +166,7 @@
 }
 
 // Breaches returns the first breaches of each check.
-func (ju *Checker) Violations() []Breach {
+func (ju *Checker) Violations() []Violation {
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	return slices.Clone(ju.breaches)
@@ -185,7 +185,7 @@
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	ju.evacuated[dataCentre] = at
-	ju.look(CheckEvacuated, true, Breach{}, at, nil)
+	ju.look(CheckEvacuated, true, Violation{}, at, nil)
 }
 
 // Returning tells that the evacuation of a data centre is about to be withdrawn.
@@ -225,7 +225,7 @@
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	held := version >= before && len(data) > 0 && ju.data[version] == string(data)
-	ju.look(CheckAccepted, held, Breach{}, at, func() string {
+	ju.look(CheckAccepted, held, Violation{}, at, func() string {
 		return fmt.Sprintf("read version %d with %d bytes; %d was acknowledged before", version, len(data), before)
 	})
 }
@@ -234,7 +234,7 @@
 func (ju *Checker) CheckRefusal(at time.Time, what string, held bool) {
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
-	ju.look(CheckRefused, held, Breach{}, at, func() string { return what })
+	ju.look(CheckRefused, held, Violation{}, at, func() string { return what })
 }
 
 // EntryStarted tells that an entry instance has a new life, after the end of the
--- a/emulate/soak/report.go
+++ b/emulate/soak/report.go
@@ -27,8 +27,8 @@
 	Faults     []Played
 	Problems   []string `json:",omitempty"` // Problems are faults that could not be played to their end.
 	Checks     []Tally
-	Breaches   []Breach `json:",omitempty"`
-	Dropped    int      // Dropped counts requests that were due but not sent.
+	Breaches   []Violation `json:",omitempty"`
+	Dropped    int         // Dropped counts requests that were due but not sent.
 	// SentLateP99Micros is how late requests were sent: far above a millisecond, the
 	// machine was too busy for times to say anything of the tier.
 	SentLateP99Micros int64
