--- a/emulate/soak/report.go
+++ b/emulate/soak/report.go
@@ -24,7 +24,7 @@
 	Arrived    int     // Arrived counts the first arrivals of requests at services.
 	Extra      int     // Extra counts those beyond the first.
 	ExtraLoad  float64 // ExtraLoad is Extra as a share of Arrived.
-	Faults     []Played
+	Faults     []FaultCounts
 	Problems   []string `json:",omitempty"` // Problems are faults that could not be played to their end.
 	Checks     []Tally
 	Breaches   []Violation `json:",omitempty"`
@@ -35,7 +35,7 @@
 }
 
 // Played is how often a kind of fault was drawn and played.
-type Played struct {
+type FaultCounts struct {
 	Kind   Kind
 	Drawn  int
 	Played int
@@ -142,7 +142,7 @@
 	drawn := count(Draw(ru.cf.Seed, ru.cf))
 	for _, ki := range Kinds() {
 		if drawn[ki] > 0 {
-			re.Faults = append(re.Faults, Played{ki, drawn[ki], ru.pl.played[ki]})
+			re.Faults = append(re.Faults, FaultCounts{ki, drawn[ki], ru.pl.played[ki]})
 		}
 	}
 	re.Problems, re.Checks, re.Breaches = ru.pl.problems, ru.ju.Tallies(), ru.ju.Violations()
