--- a/emulate/soak/report.go
+++ b/emulate/soak/report.go
@@ -139,7 +139,7 @@
 	if re.Arrived > 0 {
 		re.ExtraLoad = float64(re.Extra) / float64(re.Arrived)
 	}
-	drawn := count(Draw(ru.cf.Seed, ru.cf))
+	drawn := count(DrawSchedule(ru.cf.Seed, ru.cf))
 	for _, ki := range Kinds() {
 		if drawn[ki] > 0 {
 			re.Faults = append(re.Faults, FaultCounts{ki, drawn[ki], ru.pl.played[ki]})
--- a/emulate/soak/run.go
+++ b/emulate/soak/run.go
@@ -147,7 +147,7 @@
 	look, stop := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	wg.Go(func() { ru.lookUp(look) })
-	wg.Go(func() { ru.pl.playAll(ctx, start, Draw(ru.cf.Seed, ru.cf)) })
+	wg.Go(func() { ru.pl.playAll(ctx, start, DrawSchedule(ru.cf.Seed, ru.cf)) })
 	var rates []float64
 	for _, st := range ru.cf.streams() {
 		rates = append(rates, st.Rate)
--- a/emulate/soak/schedule.go
+++ b/emulate/soak/schedule.go
@@ -132,7 +132,7 @@
 // arguments give equal faults. No fault reaches into Quiet, no more than AtOnce are
 // under way, one entry instance is always left alone, no backend server has two
 // faults, and control has one at a time with Mend between.
-func Draw(seed uint64, cf Settings) []Fault {
+func DrawSchedule(seed uint64, cf Settings) []Fault {
 	dr := &drawer{cf: cf, rd: rand.New(rand.NewPCG(seed, scheduleStream))}
 	for at := dr.pause(); at < cf.Length-cf.Quiet; at += dr.pause() {
 		fa, ok := dr.fault(at)
--- a/emulate/soak/schedule_test.go
+++ b/emulate/soak/schedule_test.go
@@ -41,8 +41,8 @@
 func TestDraw(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cf, seed := drawnSettings(t), rapid.Uint64().Draw(t, "seed")
-		fas := Draw(seed, cf)
-		if !slices.Equal(fas, Draw(seed, cf)) {
+		fas := DrawSchedule(seed, cf)
+		if !slices.Equal(fas, DrawSchedule(seed, cf)) {
 			t.Fatal("the same seed gave other faults")
 		}
 		if !slices.IsSortedFunc(fas, func(one, other Fault) int { return cmp.Compare(one.At, other.At) }) {
@@ -119,7 +119,7 @@
 		qt.Assert(t, err, qt.IsNil)
 		drawn := make(map[Kind]int)
 		for seed := range uint64(10) {
-			for ki, many := range count(Draw(seed+1, cf)) {
+			for ki, many := range count(DrawSchedule(seed+1, cf)) {
 				drawn[ki] += many
 			}
 		}
