--- a/emulate/soak/judge.go
+++ b/emulate/soak/judge.go
@@ -31,7 +31,7 @@
 )
 
 // ChecksInOrder returns all checks.
-func ChecksInOrder() []Check {
+func AllChecks() []Check {
 	return []Check{
 		CheckStamp, CheckShards, CheckTwice, CheckSet, CheckRecords, CheckNotRun, CheckOnce,
 		CheckDrain, CheckVersion, CheckAccepted, CheckRefused, CheckBudget, CheckConnections, CheckFatal, CheckBlame, CheckEvacuated,
@@ -127,7 +127,7 @@
 		leaving: make(map[string]time.Time), resets: make(map[string]int), budgets: make(map[string]*arrivals),
 		harms: make(map[string]*harm),
 	}
-	for _, ck := range ChecksInOrder() {
+	for _, ck := range AllChecks() {
 		ju.tallies[ck] = &Tally{Check: ck}
 	}
 	return ju
@@ -159,7 +159,7 @@
 	ju.mu.Lock()
 	defer ju.mu.Unlock()
 	var out []Tally
-	for _, ck := range ChecksInOrder() {
+	for _, ck := range AllChecks() {
 		out = append(out, *ju.tallies[ck])
 	}
 	return out
--- a/emulate/soak/judge_test.go
+++ b/emulate/soak/judge_test.go
@@ -285,7 +285,7 @@
 		})
 		found[tt.want] = true
 	}
-	for _, ck := range ChecksInOrder() {
+	for _, ck := range AllChecks() {
 		qt.Check(t, found[ck], qt.IsTrue, qt.Commentf("no test breaks %s", ck))
 	}
 }
