--- a/emulate/soak/answers.go
+++ b/emulate/soak/answers.go
@@ -87,7 +87,7 @@
 		return // What belongs to another request says nothing of this one's shards.
 	}
 	seen := slices.Compact(slices.Sorted(slices.Values(services)))
-	ju.look(CheckTwice, len(seen) == len(services), br, at, func() string { return fmt.Sprintf("parts of %v", services) })
+	ju.look(CheckDuplicateParts, len(seen) == len(services), br, at, func() string { return fmt.Sprintf("parts of %v", services) })
 	var among []offer
 	for _, of := range ju.offers {
 		if !of.at.After(at) && within(seen, of.layout.of(rq.Group)) {
--- a/emulate/soak/judge_test.go
+++ b/emulate/soak/judge_test.go
@@ -178,7 +178,7 @@
 		{"parts of two versions", CheckShards, func(rc *recorded) { rc.merged(2500, "m", 0, "a1", "c1") }},
 		{"a version that was not sent yet", CheckShards, func(rc *recorded) { rc.merged(1500, "m", 0, "c1", "d1") }},
 		{"a plain answer of another service", CheckShards, func(rc *recorded) { rc.plain(500, "p", "a1") }},
-		{"a part twice", CheckTwice, func(rc *recorded) {
+		{"a part twice", CheckDuplicateParts, func(rc *recorded) {
 			rc.sent("m", groupMerged)
 			an := answer("m", 0, "a1", "a2")
 			rc.ju.RequestAnswered(at(10), "m", an)
