--- a/emulate/soak/answers.go
+++ b/emulate/soak/answers.go
@@ -99,7 +99,7 @@
 		full := slices.DeleteFunc(slices.Clone(among), func(of offer) bool {
 			return len(services)+an.Missing != len(of.layout.of(rq.Group))
 		})
-		ju.look(CheckSet, len(services) > 0 && len(full) > 0, br, at, func() string {
+		ju.look(CheckPartCount, len(services) > 0 && len(full) > 0, br, at, func() string {
 			return fmt.Sprintf("%d parts and %d missing", len(services), an.Missing)
 		})
 		ju.version(at, rq, among)
--- a/emulate/soak/judge.go
+++ b/emulate/soak/judge.go
@@ -15,7 +15,7 @@
 	CheckStamp          Check = "stamp"       // An answer's parts belong to its request and come from known servers.
 	CheckShards         Check = "shards"      // The parts' services are those of one version that was sent before the answer.
 	CheckDuplicateParts Check = "twice"       // No service has two parts.
-	CheckSet            Check = "set"         // Parts and missing ones together are the shards of such a version.
+	CheckPartCount      Check = "set"         // Parts and missing ones together are the shards of such a version.
 	CheckRecords        Check = "records"     // The records are the greatest of the parts'.
 	CheckNotRun         Check = "not run"     // What was answered with 408, 421, 429 or 503 ran nowhere, neither before nor after.
 	CheckOnce           Check = "once"        // A request that may run once only ran at most once.
@@ -33,7 +33,7 @@
 // ChecksInOrder returns all checks.
 func AllChecks() []Check {
 	return []Check{
-		CheckStamp, CheckShards, CheckDuplicateParts, CheckSet, CheckRecords, CheckNotRun, CheckOnce,
+		CheckStamp, CheckShards, CheckDuplicateParts, CheckPartCount, CheckRecords, CheckNotRun, CheckOnce,
 		CheckDrain, CheckVersion, CheckAccepted, CheckRefused, CheckBudget, CheckConnections, CheckFatal, CheckBlame, CheckEvacuated,
 	}
 }
--- a/emulate/soak/judge_test.go
+++ b/emulate/soak/judge_test.go
@@ -183,9 +183,9 @@
 			an := answer("m", 0, "a1", "a2")
 			rc.ju.RequestAnswered(at(10), "m", an)
 		}},
-		{"a missing part untold", CheckSet, func(rc *recorded) { rc.merged(10, "m", 0, "a1") }},
-		{"a missing part too many", CheckSet, func(rc *recorded) { rc.merged(10, "m", 1, "a1", "b1") }},
-		{"no part", CheckSet, func(rc *recorded) { rc.merged(10, "m", 2) }},
+		{"a missing part untold", CheckPartCount, func(rc *recorded) { rc.merged(10, "m", 0, "a1") }},
+		{"a missing part too many", CheckPartCount, func(rc *recorded) { rc.merged(10, "m", 1, "a1", "b1") }},
+		{"no part", CheckPartCount, func(rc *recorded) { rc.merged(10, "m", 2) }},
 		{"not the greatest", CheckRecords, func(rc *recorded) {
 			rc.sent("m", groupMerged)
 			an := answer("m", 0, "a1", "b1")
--- a/emulate/soak/run_test.go
+++ b/emulate/soak/run_test.go
@@ -56,7 +56,7 @@
 	for _, ta := range re.Checks {
 		looked[ta.Check] = ta.Looked
 	}
-	for _, ck := range []Check{CheckStamp, CheckShards, CheckDuplicateParts, CheckSet, CheckRecords, CheckOnce, CheckVersion, CheckAccepted, CheckConnections} {
+	for _, ck := range []Check{CheckStamp, CheckShards, CheckDuplicateParts, CheckPartCount, CheckRecords, CheckOnce, CheckVersion, CheckAccepted, CheckConnections} {
 		qt.Check(t, looked[ck] > 0, qt.IsTrue, qt.Commentf("%s", ck))
 	}
 	for _, gr := range re.Groups {
