--- a/emulate/soak/fatal.go
+++ b/emulate/soak/fatal.go
@@ -49,7 +49,7 @@
 	}
 	if ha.ended++; ha.ended == threeServers {
 		ha.third = sn.At
-		ju.look(CheckFatal, true, Violation{}, sn.At, nil)
+		ju.look(CheckQuarantine, true, Violation{}, sn.At, nil)
 	}
 }
 
@@ -60,7 +60,7 @@
 		return
 	}
 	ha.attempts[sn.Request] = struct{}{}
-	ju.look(CheckFatal, len(ha.attempts) <= threeAttempts, Violation{Request: sn.Request, Instance: sn.Server}, sn.At, func() string {
+	ju.look(CheckQuarantine, len(ha.attempts) <= threeAttempts, Violation{Request: sn.Request, Instance: sn.Server}, sn.At, func() string {
 		return fmt.Sprintf("%d attempts of %s reached servers later than %v after the third had ended, %d ended in all", len(ha.attempts), sn.Path, newsWithin, ha.ended)
 	})
 }
--- a/emulate/soak/judge.go
+++ b/emulate/soak/judge.go
@@ -24,7 +24,7 @@
 	CheckAccepted       Check = "accepted"    // What was acknowledged is read back.
 	CheckRefused        Check = "refused"     // An invalid configuration is refused, one that is sent again is taken.
 	CheckBudget         Check = "budget"      // Arrivals beyond the first stay within the budget in any window, for each service.
-	CheckFatal          Check = "fatal"       // A request under which three servers have ended reaches servers in three more attempts at most.
+	CheckQuarantine     Check = "fatal"       // A request under which three servers have ended reaches servers in three more attempts at most.
 	CheckBlame          Check = "blame"       // No other request is refused as one under which servers end.
 	CheckEvacuated      Check = "evacuated"   // No request reaches a server in a data centre later than the drain time after its evacuation was acknowledged.
 	CheckConnections    Check = "connections" // A backend server's connections stay within its limit.
@@ -34,7 +34,7 @@
 func AllChecks() []Check {
 	return []Check{
 		CheckStamp, CheckShards, CheckDuplicateParts, CheckPartCount, CheckRecords, CheckNotRun, CheckOnce,
-		CheckDrain, CheckVersion, CheckAccepted, CheckRefused, CheckBudget, CheckConnections, CheckFatal, CheckBlame, CheckEvacuated,
+		CheckDrain, CheckVersion, CheckAccepted, CheckRefused, CheckBudget, CheckConnections, CheckQuarantine, CheckBlame, CheckEvacuated,
 	}
 }
 
--- a/emulate/soak/judge_test.go
+++ b/emulate/soak/judge_test.go
@@ -262,7 +262,7 @@
 				rc.ju.RecordServerEvent(emulate.ServerEvent{Kind: emulate.EventRequestReceived, At: at(ix), Server: []string{"a1", "b1", "c1", "d1"}[ix], Service: []string{"a", "b", "c", "d"}[ix], Request: "p", Expected: "p1"})
 			}
 		}},
-		{"a fourth attempt after three servers have ended", CheckFatal, func(rc *recorded) {
+		{"a fourth attempt after three servers have ended", CheckQuarantine, func(rc *recorded) {
 			for nth := range threeServers {
 				rc.fatal(nth, emulate.EventServerCrashed, "f0")
 			}
