--- a/emulate/soak/fatal.go
+++ b/emulate/soak/fatal.go
@@ -75,7 +75,7 @@
 	if !bytes.Contains(an.Body, quarantined) {
 		return
 	}
-	ju.look(CheckBlame, strings.Contains(rq.Path, emulate.CrashPathMarker), Violation{Request: rq.ID, Instance: rq.Entry}, at, func() string {
+	ju.look(CheckFalseQuarantine, strings.Contains(rq.Path, emulate.CrashPathMarker), Violation{Request: rq.ID, Instance: rq.Entry}, at, func() string {
 		return "refused as a request under which servers end"
 	})
 }
--- a/emulate/soak/judge.go
+++ b/emulate/soak/judge.go
@@ -12,29 +12,29 @@
 
 // The checks.
 const (
-	CheckStamp          Check = "stamp"       // An answer's parts belong to its request and come from known servers.
-	CheckShards         Check = "shards"      // The parts' services are those of one version that was sent before the answer.
-	CheckDuplicateParts Check = "twice"       // No service has two parts.
-	CheckPartCount      Check = "set"         // Parts and missing ones together are the shards of such a version.
-	CheckRecords        Check = "records"     // The records are the greatest of the parts'.
-	CheckNotRun         Check = "not run"     // What was answered with 408, 421, 429 or 503 ran nowhere, neither before nor after.
-	CheckOnce           Check = "once"        // A request that may run once only ran at most once.
-	CheckDrain          Check = "drain"       // No request reaches a server later than the drain time after its leaving was acknowledged.
-	CheckVersion        Check = "version"     // A version never goes back at one entry instance.
-	CheckAccepted       Check = "accepted"    // What was acknowledged is read back.
-	CheckRefused        Check = "refused"     // An invalid configuration is refused, one that is sent again is taken.
-	CheckBudget         Check = "budget"      // Arrivals beyond the first stay within the budget in any window, for each service.
-	CheckQuarantine     Check = "fatal"       // A request under which three servers have ended reaches servers in three more attempts at most.
-	CheckBlame          Check = "blame"       // No other request is refused as one under which servers end.
-	CheckEvacuated      Check = "evacuated"   // No request reaches a server in a data centre later than the drain time after its evacuation was acknowledged.
-	CheckConnections    Check = "connections" // A backend server's connections stay within its limit.
+	CheckStamp           Check = "stamp"       // An answer's parts belong to its request and come from known servers.
+	CheckShards          Check = "shards"      // The parts' services are those of one version that was sent before the answer.
+	CheckDuplicateParts  Check = "twice"       // No service has two parts.
+	CheckPartCount       Check = "set"         // Parts and missing ones together are the shards of such a version.
+	CheckRecords         Check = "records"     // The records are the greatest of the parts'.
+	CheckNotRun          Check = "not run"     // What was answered with 408, 421, 429 or 503 ran nowhere, neither before nor after.
+	CheckOnce            Check = "once"        // A request that may run once only ran at most once.
+	CheckDrain           Check = "drain"       // No request reaches a server later than the drain time after its leaving was acknowledged.
+	CheckVersion         Check = "version"     // A version never goes back at one entry instance.
+	CheckAccepted        Check = "accepted"    // What was acknowledged is read back.
+	CheckRefused         Check = "refused"     // An invalid configuration is refused, one that is sent again is taken.
+	CheckBudget          Check = "budget"      // Arrivals beyond the first stay within the budget in any window, for each service.
+	CheckQuarantine      Check = "fatal"       // A request under which three servers have ended reaches servers in three more attempts at most.
+	CheckFalseQuarantine Check = "blame"       // No other request is refused as one under which servers end.
+	CheckEvacuated       Check = "evacuated"   // No request reaches a server in a data centre later than the drain time after its evacuation was acknowledged.
+	CheckConnections     Check = "connections" // A backend server's connections stay within its limit.
 )
 
 // ChecksInOrder returns all checks.
 func AllChecks() []Check {
 	return []Check{
 		CheckStamp, CheckShards, CheckDuplicateParts, CheckPartCount, CheckRecords, CheckNotRun, CheckOnce,
-		CheckDrain, CheckVersion, CheckAccepted, CheckRefused, CheckBudget, CheckConnections, CheckQuarantine, CheckBlame, CheckEvacuated,
+		CheckDrain, CheckVersion, CheckAccepted, CheckRefused, CheckBudget, CheckConnections, CheckQuarantine, CheckFalseQuarantine, CheckEvacuated,
 	}
 }
 
--- a/emulate/soak/judge_test.go
+++ b/emulate/soak/judge_test.go
@@ -270,7 +270,7 @@
 				rc.fatal(4003, emulate.EventRequestReceived, id)
 			}
 		}},
-		{"a popular request is refused as one that ends servers", CheckBlame, func(rc *recorded) { rc.refusedAsFatal("p", "/plain/popular-1") }},
+		{"a popular request is refused as one that ends servers", CheckFalseQuarantine, func(rc *recorded) { rc.refusedAsFatal("p", "/plain/popular-1") }},
 		{"connections beyond the limit", CheckConnections, func(rc *recorded) {
 			rc.saw(10, emulate.EventConnectionReset, "a1", "")
 			rc.saw(20, emulate.EventConnectionReset, "a1", "")
