--- a/load/direct.go
+++ b/load/direct.go
@@ -77,7 +77,7 @@
 }
 
 // Calm ends every fault that is still in force.
-func (di *Director) Calm(ctx context.Context) error {
+func (di *Director) ClearFaults(ctx context.Context) error {
 	di.mu.Lock()
 	defer di.mu.Unlock()
 	for ix, mi := range maps.Clone(di.active) {
--- a/load/run.go
+++ b/load/run.go
@@ -289,7 +289,7 @@
 // close ends the block's faults, lets the tier settle and books what the
 // backend servers counted since the block before.
 func (ru *Runner) close(ctx context.Context, bl Block, streams []Stream) error {
-	if err := ru.di.Calm(ctx); err != nil {
+	if err := ru.di.ClearFaults(ctx); err != nil {
 		return err
 	}
 	if err := ru.ts.Sleep(ctx, ru.ex.Settle); err != nil {
--- a/load/run_test.go
+++ b/load/run_test.go
@@ -157,7 +157,7 @@
 	c.Assert(holdings("desk-01-s01-r1"), qt.DeepEquals, []backend.Holding{{Shard: "s01", Snapshot: first}})
 	c.Assert(ti.ls.Servers(), qt.HasLen, len(ex.Servers())-1)
 
-	c.Assert(di.Calm(t.Context()), qt.IsNil)
+	c.Assert(di.ClearFaults(t.Context()), qt.IsNil)
 	c.Assert(ti.ls.running["archivo-s02-r1"].Faults(), qt.Equals, leaf.Faults{})
 	c.Assert(slices.Contains(holdings("archivo-s01-r2"), backend.Holding{Shard: "s01b", Snapshot: newer}), qt.IsTrue)
 	counts, err := di.Counts(t.Context())
