--- a/load/check_test.go
+++ b/load/check_test.go
@@ -100,7 +100,7 @@
 }
 
 func TestSumFaults(t *testing.T) {
-	di := &Director{active: map[int]Misbehaviour{
+	di := &FaultInjector{active: map[int]Misbehaviour{
 		0: {Target: Target{Service: "archivo"}, Faults: leaf.Faults{SlowShare: 0.1, SlowFactor: 10}},
 		1: {Target: Target{Service: "archivo", Shard: 2}, Faults: leaf.Faults{Stuck: true}},
 		2: {Target: Target{Service: "desk"}, Faults: leaf.Faults{Silent: true}},
--- a/load/direct.go
+++ b/load/direct.go
@@ -24,7 +24,7 @@
 
 // Director brings faults about in a tier and reads what the backend servers
 // counted.
-type Director struct {
+type FaultInjector struct {
 	hc    *http.Client
 	ts    *timer.Service
 	ti    Tier
@@ -41,8 +41,8 @@
 }
 
 // NewDirector returns a director of the tier that was started for the experiment.
-func NewDirector(ts *timer.Service, ti Tier, ex Experiment) *Director {
-	return &Director{
+func NewDirector(ts *timer.Service, ti Tier, ex Experiment) *FaultInjector {
+	return &FaultInjector{
 		hc:     &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}, Timeout: directTimeout},
 		ts:     ts,
 		ti:     ti,
@@ -57,7 +57,7 @@
 }
 
 // Apply carries out a step of a phase's schedule.
-func (di *Director) Apply(ctx context.Context, st Step) error {
+func (di *FaultInjector) Apply(ctx context.Context, st Step) error {
 	di.mu.Lock()
 	defer di.mu.Unlock()
 	switch fa := st.Fault.(type) {
@@ -77,7 +77,7 @@
 }
 
 // Calm ends every fault that is still in force.
-func (di *Director) ClearFaults(ctx context.Context) error {
+func (di *FaultInjector) ClearFaults(ctx context.Context) error {
 	di.mu.Lock()
 	defer di.mu.Unlock()
 	for ix, mi := range maps.Clone(di.active) {
@@ -98,7 +98,7 @@
 
 // misbehave gives each backend server that the fault concerns the sum of the
 // misbehaviours in force.
-func (di *Director) misbehave(ctx context.Context, st Step, mi Misbehaviour) error {
+func (di *FaultInjector) misbehave(ctx context.Context, st Step, mi Misbehaviour) error {
 	if st.Ends {
 		delete(di.active, st.Index)
 	} else {
@@ -109,7 +109,7 @@
 	})
 }
 
-func (di *Director) faultsOf(sp ServerSpec) leaf.Faults {
+func (di *FaultInjector) faultsOf(sp ServerSpec) leaf.Faults {
 	var fa leaf.Faults
 	for _, mi := range di.active {
 		if mi.Target.Matches(sp) {
@@ -135,7 +135,7 @@
 	}
 }
 
-func (di *Director) lose(ctx context.Context, ta Target, ends bool) error {
+func (di *FaultInjector) lose(ctx context.Context, ta Target, ends bool) error {
 	for _, sp := range di.specs {
 		if !ta.Matches(sp) || di.down[sp.Name] != ends {
 			continue
@@ -151,7 +151,7 @@
 	return nil
 }
 
-func (di *Director) killOrStart(ctx context.Context, ki Killer, sp ServerSpec, start bool) error {
+func (di *FaultInjector) killOrStart(ctx context.Context, ki Killer, sp ServerSpec, start bool) error {
 	if start {
 		delete(di.down, sp.Name)
 		if err := ki.StartLeaf(ctx, sp.Name); err != nil {
@@ -170,7 +170,7 @@
 
 // catchUp gives a backend server that began anew the newest snapshot of its
 // service.
-func (di *Director) catchUp(ctx context.Context, sp ServerSpec) error {
+func (di *FaultInjector) catchUp(ctx context.Context, sp ServerSpec) error {
 	version := di.newest[sp.Label]
 	if version == 0 {
 		return nil
@@ -184,7 +184,7 @@
 }
 
 // snapshotOf returns what a backend server holds of an index version.
-func (di *Director) snapshotOf(sp ServerSpec, version uint64) leaf.NewPartition {
+func (di *FaultInjector) snapshotOf(sp ServerSpec, version uint64) leaf.NewPartition {
 	partition := uint64(wholeMap)
 	if di.split[sp.Label] {
 		partition = splitMap
@@ -192,7 +192,7 @@
 	return leaf.NewPartition{Partition: partition, Version: version, Shards: sp.Service.held(sp.Shard, partition)}
 }
 
-func (di *Director) loseInstance(ctx context.Context, st Step, il InstanceLoss) error {
+func (di *FaultInjector) loseInstance(ctx context.Context, st Step, il InstanceLoss) error {
 	ki, ok := di.ti.(Killer)
 	if !ok {
 		return fmt.Errorf("instance %d can't be killed in this tier", il.Number)
@@ -217,7 +217,7 @@
 
 // publish gives every backend server the next index version of the partition
 // map that its service has.
-func (di *Director) publish(ctx context.Context, ta Target, stagger time.Duration) error {
+func (di *FaultInjector) publish(ctx context.Context, ta Target, stagger time.Duration) error {
 	versions := di.next(ta)
 	return di.each(ctx, ta, func(ctx context.Context, sp ServerSpec, address string) error {
 		if err := di.stagger(ctx, stagger); err != nil {
@@ -229,7 +229,7 @@
 
 // repartition changes each service to its other partition map, with a new index
 // version.
-func (di *Director) repartition(ctx context.Context, pa Split) error {
+func (di *FaultInjector) repartition(ctx context.Context, pa Split) error {
 	changed := make(map[string]bool)
 	for _, sp := range di.specs {
 		if pa.Target.Matches(sp) && !changed[sp.Label] {
@@ -241,7 +241,7 @@
 }
 
 // next raises the index version of each service that the target concerns.
-func (di *Director) next(ta Target) map[string]uint64 {
+func (di *FaultInjector) next(ta Target) map[string]uint64 {
 	versions := make(map[string]uint64)
 	for _, sp := range di.specs {
 		if _, ok := versions[sp.Label]; ok || !ta.Matches(sp) {
@@ -253,7 +253,7 @@
 	return versions
 }
 
-func (di *Director) stagger(ctx context.Context, most time.Duration) error {
+func (di *FaultInjector) stagger(ctx context.Context, most time.Duration) error {
 	if most <= 0 {
 		return nil
 	}
@@ -262,7 +262,7 @@
 
 // each calls fn for the backend servers that the target concerns and that run,
 // all at once.
-func (di *Director) each(ctx context.Context, ta Target, fn func(ctx context.Context, sp ServerSpec, address string) error) error {
+func (di *FaultInjector) each(ctx context.Context, ta Target, fn func(ctx context.Context, sp ServerSpec, address string) error) error {
 	addresses := make(map[string]string)
 	for _, ls := range di.ti.Leafs() {
 		addresses[ls.Server] = ls.ControlAddress
@@ -279,7 +279,7 @@
 }
 
 // Counts returns what each backend server has counted since it first started.
-func (di *Director) Counts(ctx context.Context) (map[string]leaf.Counts, error) {
+func (di *FaultInjector) Counts(ctx context.Context) (map[string]leaf.Counts, error) {
 	di.mu.Lock()
 	defer di.mu.Unlock()
 	var mu sync.Mutex
@@ -316,7 +316,7 @@
 	return sum
 }
 
-func (di *Director) post(ctx context.Context, address, path string, body, out any) error {
+func (di *FaultInjector) post(ctx context.Context, address, path string, body, out any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return err
@@ -324,7 +324,7 @@
 	return di.exchange(ctx, http.MethodPost, "http://"+address+path, data, out)
 }
 
-func (di *Director) exchange(ctx context.Context, method, target string, body []byte, out any) error {
+func (di *FaultInjector) exchange(ctx context.Context, method, target string, body []byte, out any) error {
 	rq, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
 	if err != nil {
 		return err
--- a/load/run.go
+++ b/load/run.go
@@ -32,7 +32,7 @@
 	ex Experiment
 	ti Tier
 	cl *Client
-	di *Director
+	di *FaultInjector
 	ts *timer.Service
 	lg *zap.Logger
 
