--- a/load/direct.go
+++ b/load/direct.go
@@ -41,7 +41,7 @@
 }
 
 // NewDirector returns a director of the tier that was started for the experiment.
-func NewDirector(ts *timer.Service, ti Tier, ex Experiment) *FaultInjector {
+func NewFaultInjector(ts *timer.Service, ti Tier, ex Experiment) *FaultInjector {
 	return &FaultInjector{
 		hc:     &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}, Timeout: directTimeout},
 		ts:     ts,
--- a/load/run.go
+++ b/load/run.go
@@ -74,7 +74,7 @@
 		ex:    ex,
 		ti:    ti,
 		cl:    NewClient(ts, ti.Addresses()),
-		di:    NewDirector(ts, ti, ex),
+		di:    NewFaultInjector(ts, ti, ex),
 		ts:    ts,
 		lg:    lg,
 		cells: make(map[cellKey]*cell),
--- a/load/run_test.go
+++ b/load/run_test.go
@@ -125,7 +125,7 @@
 	c := qt.New(t)
 	ex := small(c)
 	ti := newFakeTier(c, ex)
-	di := NewDirector(timer.New(), ti, ex)
+	di := NewFaultInjector(timer.New(), ti, ex)
 	apply := func(ix int, fs FaultSpec) {
 		c.Helper()
 		c.Assert(di.Apply(t.Context(), Step{Index: ix, Fault: fs.Fault()}), qt.IsNil)
