--- a/cmd/balsamload/once.go
+++ b/cmd/balsamload/once.go
@@ -36,7 +36,7 @@
 	}
 	cl := load.NewClient(timer.New(), list(*callers))
 	defer cl.Close()
-	oc := cl.Ask(ctx, load.Call{
+	oc := cl.Do(ctx, load.Call{
 		Service:   fl.Arg(0),
 		RequestID: "once-" + rand.Text(),
 		Key:       *key,
--- a/load/client.go
+++ b/load/client.go
@@ -133,7 +133,7 @@
 // Ask puts a call and resends it where the protocol allows: to another address
 // if no connection could be opened or the instance was leaving, and, with the
 // same key, if the answer of a query that is not repeatable was lost.
-func (cl *Client) Ask(ctx context.Context, ca Call) Outcome {
+func (cl *Client) Do(ctx context.Context, ca Call) Outcome {
 	if !ca.Duplicated {
 		return cl.ask(ctx, ca, ca.RequestID, false)
 	}
--- a/load/client_test.go
+++ b/load/client_test.go
@@ -111,7 +111,7 @@
 			second := es.add(t, coded(result.Complete))
 			cl := NewClient(timer.New(), []string{second})
 			defer cl.Close()
-			oc := cl.Ask(t.Context(), Call{Service: "archivo", RequestID: "q", Key: tt.key, Deadline: time.Minute, Query: json.RawMessage(`1`)})
+			oc := cl.Do(t.Context(), Call{Service: "archivo", RequestID: "q", Key: tt.key, Deadline: time.Minute, Query: json.RawMessage(`1`)})
 			c.Assert(oc.Attempts, qt.HasLen, tt.tries)
 			c.Assert(oc.Word.Err != nil, qt.Equals, tt.lost, qt.Commentf("%v", oc.Word.Err))
 			c.Assert(oc.Word.Answer.Code, qt.Equals, tt.want)
@@ -134,7 +134,7 @@
 	defer cl.Close()
 	used := make(map[string]int)
 	for ix := range 10 {
-		used[cl.Ask(t.Context(), Call{Service: "archivo", Start: ix, Deadline: time.Minute}).Word.Address]++
+		used[cl.Do(t.Context(), Call{Service: "archivo", Start: ix, Deadline: time.Minute}).Word.Address]++
 	}
 	c.Assert(es.lists, qt.Equals, 1)
 	c.Assert(used, qt.DeepEquals, map[string]int{es.addresses[0]: 5, es.addresses[1]: 5})
@@ -147,7 +147,7 @@
 	es.add(t, coded(result.Complete))
 	cl := NewClient(timer.New(), []string{first})
 	defer cl.Close()
-	oc := cl.Ask(t.Context(), Call{Service: "archivo", RequestID: "q", Key: "k", Duplicated: true, Deadline: time.Minute})
+	oc := cl.Do(t.Context(), Call{Service: "archivo", RequestID: "q", Key: "k", Duplicated: true, Deadline: time.Minute})
 	c.Assert(oc.Attempts, qt.HasLen, 2)
 	c.Assert(oc.Word.Answer.Code, qt.Equals, result.Complete)
 	qus := es.queries()
@@ -168,11 +168,11 @@
 	gone.addresses, gone.ttl = es.addresses, time.Hour
 	cl := NewClient(timer.New(), []string{seed})
 	defer cl.Close()
-	c.Assert(cl.Ask(t.Context(), Call{Service: "archivo", Deadline: time.Minute}).Word.Err, qt.IsNil)
+	c.Assert(cl.Do(t.Context(), Call{Service: "archivo", Deadline: time.Minute}).Word.Err, qt.IsNil)
 
 	cl.seeds = []string{refusing(t)}
 	cl.lists["archivo"].addresses = cl.seeds
-	at := cl.Ask(t.Context(), Call{Service: "archivo", Deadline: time.Minute}).Word
+	at := cl.Do(t.Context(), Call{Service: "archivo", Deadline: time.Minute}).Word
 	c.Assert(at.Err, qt.IsNil)
 	c.Assert(at.Address, qt.Equals, es.addresses[0])
 }
--- a/load/run.go
+++ b/load/run.go
@@ -135,7 +135,7 @@
 func (ru *Runner) awaitService(ctx context.Context, ca Call) error {
 	ca.Key = ""
 	for {
-		at := ru.cl.Ask(ctx, ca).Word
+		at := ru.cl.Do(ctx, ca).Word
 		if at.Err == nil && at.Answer.Code == result.Complete {
 			return nil
 		}
@@ -246,7 +246,7 @@
 	arm := ru.ex.Arms[bl.Arm]
 	id := fmt.Sprintf("%s-%d-%d-%016x", arm.Name, bl.Phase, bl.Number, ar.Seed)
 	sa := sample{call: ru.call(sm, arm, id, ar.Seed), service: sm.Service, intended: intended, sent: ru.ts.Now()}
-	sa.outcome = ru.cl.Ask(ctx, sa.call)
+	sa.outcome = ru.cl.Do(ctx, sa.call)
 	sa.done = ru.ts.Now()
 	for _, at := range sa.outcome.Attempts {
 		if at.Err == nil {
