--- a/cmd/balsamload/experiment.go
+++ b/cmd/balsamload/experiment.go
@@ -79,7 +79,7 @@
 	if af == (addressFlags{}) {
 		return startInstances(ctx, ex, ts, lg)
 	}
-	rg := load.Running{Callers: list(af.callers), Backends: list(af.backends), Operators: list(af.operators)}
+	rg := load.ExternalInstances{Callers: list(af.callers), Backends: list(af.backends), Operators: list(af.operators)}
 	if len(rg.Callers) == 0 || len(rg.Backends) == 0 || len(rg.Operators) == 0 {
 		return nil, &usageError{"instances that run elsewhere need -callers, -backends and -operators"}
 	}
--- a/load/local.go
+++ b/load/local.go
@@ -27,7 +27,7 @@
 }
 
 // Running are instances that run elsewhere. They can't be killed or started.
-type Running struct {
+type ExternalInstances struct {
 	Callers   []string
 	Backends  []string
 	Operators []string
@@ -36,22 +36,22 @@
 var errElsewhere = errors.New("the instances run elsewhere and are not killed or started from here")
 
 // CallerAddresses returns the addresses for callers.
-func (rg Running) CallerAddresses() []string { return rg.Callers }
+func (rg ExternalInstances) CallerAddresses() []string { return rg.Callers }
 
 // BackendAddresses returns the addresses for announcements.
-func (rg Running) BackendAddresses() []string { return rg.Backends }
+func (rg ExternalInstances) BackendAddresses() []string { return rg.Backends }
 
 // OperatorAddresses returns the addresses for operators.
-func (rg Running) OperatorAddresses() []string { return rg.Operators }
+func (rg ExternalInstances) OperatorAddresses() []string { return rg.Operators }
 
 // Kill fails.
-func (Running) Kill(context.Context, int) error { return errElsewhere }
+func (ExternalInstances) Kill(context.Context, int) error { return errElsewhere }
 
 // Start fails.
-func (Running) Start(context.Context, int) error { return errElsewhere }
+func (ExternalInstances) Start(context.Context, int) error { return errElsewhere }
 
 // Close leaves the instances as they are.
-func (Running) Close() error { return nil }
+func (ExternalInstances) Close() error { return nil }
 
 // Local is a Tier and Killer of instances and of emulated backend servers in
 // this process.
