--- a/load/local.go
+++ b/load/local.go
@@ -55,29 +55,29 @@
 
 // Local is a Tier and Killer of instances and of emulated backend servers in
 // this process.
-type Local struct {
+type LocalTier struct {
 	in Instances
 	ls *Leafs
 }
 
 // NewLocal starts the backend servers of the experiment beside the instances.
-func NewLocal(ex Experiment, in Instances, ts *timer.Service, lg *zap.Logger) (*Local, error) {
+func NewLocal(ex Experiment, in Instances, ts *timer.Service, lg *zap.Logger) (*LocalTier, error) {
 	ls, err := StartLeafs(ex, in.BackendAddresses(), ts, lg)
 	if err != nil {
 		return nil, err
 	}
-	return &Local{in: in, ls: ls}, nil
+	return &LocalTier{in: in, ls: ls}, nil
 }
 
 // Addresses returns the callers' addresses of the instances.
-func (lo *Local) Addresses() []string { return lo.in.CallerAddresses() }
+func (lo *LocalTier) Addresses() []string { return lo.in.CallerAddresses() }
 
 // Leafs returns the backend servers that run.
-func (lo *Local) Leafs() []LeafServer { return lo.ls.Servers() }
+func (lo *LocalTier) Leafs() []LeafServer { return lo.ls.Servers() }
 
 // Apply sends the files as one change and returns once it is in force. Files of
 // the same name are replaced; others stay.
-func (lo *Local) Apply(ctx context.Context, files []operator.File) error {
+func (lo *LocalTier) Apply(ctx context.Context, files []operator.File) error {
 	cl := operator.NewClient(lo.in.OperatorAddresses())
 	stored, err := cl.Files(ctx)
 	if err != nil {
@@ -102,27 +102,27 @@
 }
 
 // KillLeaf ends a backend server without a warning.
-func (lo *Local) KillLeaf(_ context.Context, server string) (leaf.Counts, error) {
+func (lo *LocalTier) KillLeaf(_ context.Context, server string) (leaf.Counts, error) {
 	return lo.ls.Kill(server)
 }
 
 // StartLeaf starts a killed backend server again.
-func (lo *Local) StartLeaf(_ context.Context, server string) error {
+func (lo *LocalTier) StartLeaf(_ context.Context, server string) error {
 	return lo.ls.Start(server)
 }
 
 // KillInstance ends an instance without a warning.
-func (lo *Local) KillInstance(ctx context.Context, number int) error {
+func (lo *LocalTier) KillInstance(ctx context.Context, number int) error {
 	return lo.in.Kill(ctx, number)
 }
 
 // StartInstance starts a killed instance again.
-func (lo *Local) StartInstance(ctx context.Context, number int) error {
+func (lo *LocalTier) StartInstance(ctx context.Context, number int) error {
 	return lo.in.Start(ctx, number)
 }
 
 // Close ends the backend servers and then the instances.
-func (lo *Local) Close() error {
+func (lo *LocalTier) Close() error {
 	lo.ls.Close()
 	return lo.in.Close()
 }
