--- a/cmd/balsamload/experiment.go
+++ b/cmd/balsamload/experiment.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		return re, err
 	}
-	ti, err := load.NewLocal(ex, in, ts, lg)
+	ti, err := load.NewLocalTier(ex, in, ts, lg)
 	if err != nil {
 		_ = in.Close()
 		return re, err
--- a/load/local.go
+++ b/load/local.go
@@ -61,7 +61,7 @@
 }
 
 // NewLocal starts the backend servers of the experiment beside the instances.
-func NewLocal(ex Experiment, in Instances, ts *timer.Service, lg *zap.Logger) (*LocalTier, error) {
+func NewLocalTier(ex Experiment, in Instances, ts *timer.Service, lg *zap.Logger) (*LocalTier, error) {
 	ls, err := StartLeafs(ex, in.BackendAddresses(), ts, lg)
 	if err != nil {
 		return nil, err
