--- a/load/report.go
+++ b/load/report.go
@@ -9,7 +9,7 @@
 )
 
 // All is the group of a Line that sums the groups of an arm and phase.
-const All = "all"
+const AllGroups = "all"
 
 // Report is what a run of an experiment measured.
 type Report struct {
--- a/load/run.go
+++ b/load/run.go
@@ -357,7 +357,7 @@
 		sum = sum.plus(ru.bills[ke])
 	}
 	if len(lis) > 1 {
-		lis = append(lis, merged(ces).line(ph.Name, ar.Name, All, sum))
+		lis = append(lis, merged(ces).line(ph.Name, ar.Name, AllGroups, sum))
 	}
 	return lis
 }
--- a/load/run_test.go
+++ b/load/run_test.go
@@ -99,7 +99,7 @@
 
 	mixed, all := 0, re.Lines[2]
 	for _, li := range re.Lines {
-		if li.Group == All {
+		if li.Group == AllGroups {
 			mixed += li.Breaches[Mixed]
 			continue
 		}
@@ -111,7 +111,7 @@
 	c.Assert(re.Promises.MixedAnswers, qt.Equals, mixed)
 	c.Assert(re.Promises.Kept(), qt.IsFalse)
 	c.Assert(re.Promises.Keys > 0, qt.IsTrue)
-	c.Assert(all.Group, qt.Equals, All)
+	c.Assert(all.Group, qt.Equals, AllGroups)
 	c.Assert(all.Queries, qt.Equals, re.Lines[0].Queries+re.Lines[1].Queries)
 	c.Assert(all.Coverage, qt.Equals, 1.0)
 	c.Assert(re.Lines[0].Queries, qt.Equals, re.Lines[3].Queries, qt.Commentf("both arms are offered the same load"))
--- a/load/table.go
+++ b/load/table.go
@@ -160,9 +160,9 @@
 
 // writeLateSends names the phases and arms whose queries were sent late.
 func (re Report) writeLateSends(pr *printer) {
-	summed := slices.ContainsFunc(re.Lines, func(li Line) bool { return li.Group == All })
+	summed := slices.ContainsFunc(re.Lines, func(li Line) bool { return li.Group == AllGroups })
 	for _, li := range re.Lines {
-		if li.LagP99Micros <= lateSend.Microseconds() || summed && li.Group != All {
+		if li.LagP99Micros <= lateSend.Microseconds() || summed && li.Group != AllGroups {
 			continue
 		}
 		pr.printf("sent late: %s, %s by %s ms at p99; the machine was too busy for its latencies\n",
