--- a/load/experiment.go
+++ b/load/experiment.go
@@ -19,7 +19,7 @@
 type Experiment struct {
 	Name     string
 	Seed     uint64 // Seed makes arrivals, choices and service times repeatable.
-	Tier     TierShape
+	Tier     TierSpec
 	Services []Service
 	Arms     []Arm
 	Block    time.Duration // Block is how long one arm is loaded before the next has its turn.
@@ -31,7 +31,7 @@
 }
 
 // TierShape is what a tier started for the experiment consists of.
-type TierShape struct {
+type TierSpec struct {
 	Instances   int      // Instances is how many instances have the role Entry.
 	Voters      int      // Voters is how many of them also have the role Control.
 	DataCentres []string // DataCentres are filled in turn by instances and backend servers.
