--- a/capacity/connections.go
+++ b/capacity/connections.go
@@ -15,7 +15,7 @@
 // limits, with the real choice of subsets. It is exact, not sampled.
 func connections() Measure {
 	return Measure{
-		Name: "entry/connections", Of: "entries of a service", Sizes: []int{3, 12, 25, 47, 110}, Quick: []int{3, 47, 110}, Target: 47,
+		Name: "entry/connections", SizeUnit: "entries of a service", Sizes: []int{3, 12, 25, 47, 110}, Quick: []int{3, 47, 110}, Target: 47,
 		Columns: []Column{
 			{"entry", "instances that serve at least one service", "instances", Level},
 			{"entry", "services on the busiest instance", "services", Level},
--- a/capacity/grants.go
+++ b/capacity/grants.go
@@ -40,7 +40,7 @@
 func grants() Measure {
 	const repetitions = 200
 	return Measure{
-		Name: "leader/grants", Of: "instances", Sizes: []int{9, 90, 300, 890}, Quick: []int{9, 90, 890}, Target: Instances,
+		Name: "leader/grants", SizeUnit: "instances", Sizes: []int{9, 90, 300, 890}, Quick: []int{9, 90, 890}, Target: Instances,
 		Columns: []Column{
 			{"entry", "frame of a renewal", "bytes", Line},
 			{"leader", "frame of a grant", "bytes", Line},
@@ -120,7 +120,7 @@
 func files() Measure {
 	const repetitions = 10
 	return Measure{
-		Name: "leader/files", Of: "files", Sizes: []int{9, 27, 90, 270}, Quick: []int{9, 27, 270}, Target: ControlFiles,
+		Name: "leader/files", SizeUnit: "files", Sizes: []int{9, 27, 90, 270}, Quick: []int{9, 27, 270}, Target: ControlFiles,
 		Columns: []Column{
 			{"leader", "what a change of one file adds to a grant", "bytes", Line},
 			{"leader", "encoding of a grant with one file", "processor µs", Line},
--- a/capacity/measure.go
+++ b/capacity/measure.go
@@ -55,13 +55,13 @@
 
 // Measure gives the values of its columns at several sizes.
 type Measure struct {
-	Name    string // Name selects the measure on the command line.
-	Of      string // Of is what the sizes count.
-	Sizes   []int  // Sizes are at least three.
-	Quick   []int  // Quick are the sizes of a quick run.
-	Target  int    // Target is the size two years out.
-	Columns []Column
-	Take    func(ctx context.Context, tr Trial) ([]float64, error)
+	Name     string // Name selects the measure on the command line.
+	SizeUnit string // Of is what the sizes count.
+	Sizes    []int  // Sizes are at least three.
+	Quick    []int  // Quick are the sizes of a quick run.
+	Target   int    // Target is the size two years out.
+	Columns  []Column
+	Take     func(ctx context.Context, tr Trial) ([]float64, error)
 }
 
 // Measures returns all measures.
@@ -147,7 +147,7 @@
 }
 
 func newRow(sl load.Slope, co Column, me Measure) Row {
-	ro := Row{Row: load.NewRow(sl, float64(me.Target)), Of: me.Of, Model: co.Model}
+	ro := Row{Row: load.NewRow(sl, float64(me.Target)), Of: me.SizeUnit, Model: co.Model}
 	for _, size := range ro.sizes() {
 		sum, count := 0.0, 0.0
 		for ix := range sl.Sizes {
--- a/capacity/state.go
+++ b/capacity/state.go
@@ -24,7 +24,7 @@
 		stateFiles = 9
 	)
 	return Measure{
-		Name: "voter/states", Of: "intents, and a quarter as many audit entries",
+		Name: "voter/states", SizeUnit: "intents, and a quarter as many audit entries",
 		Sizes: []int{8192, 16384, 32768}, Quick: []int{2048, 4096, 8192}, Target: control.MaxIntents,
 		Columns: []Column{
 			{"voter", "intents", "bytes held", Line},
@@ -94,7 +94,7 @@
 func publishing() Measure {
 	const repetitions = 20
 	return Measure{
-		Name: "entry/publishing", Of: "backend servers", Sizes: []int{600, 2300, 6900}, Quick: []int{600, 2300, 6900}, Target: Servers,
+		Name: "entry/publishing", SizeUnit: "backend servers", Sizes: []int{600, 2300, 6900}, Quick: []int{600, 2300, 6900}, Target: Servers,
 		Columns: []Column{
 			{"entry", "records of backend servers", "bytes held", Line},
 			{"entry", "statistics of backend servers", "bytes held", Line},
--- a/cmd/balsamload/capacity.go
+++ b/cmd/balsamload/capacity.go
@@ -43,7 +43,7 @@
 	}
 	if *names {
 		for _, me := range chosen {
-			fmt.Fprintf(out, "%s\tsizes %v %s\trows of %s\n", me.Name, me.Sizes, me.Of, strings.Join(me.Roles(), ", "))
+			fmt.Fprintf(out, "%s\tsizes %v %s\trows of %s\n", me.Name, me.Sizes, me.SizeUnit, strings.Join(me.Roles(), ", "))
 		}
 		return nil
 	}
