--- a/capacity/addresses.go
+++ b/capacity/addresses.go
@@ -15,7 +15,7 @@
 		Columns: []Column{
 			{"caller", "address list, all instances", "bytes", Line},
 		},
-		Take: func(_ context.Context, tr Trial) ([]float64, error) {
+		Sample: func(_ context.Context, tr Trial) ([]float64, error) {
 			vi := &view.View{Instances: instancesOf(tr.Size)}
 			var ad caller.Addresses
 			for _, in := range caller.RankInstances(vi, "", "", 0) {
--- a/capacity/connections.go
+++ b/capacity/connections.go
@@ -25,7 +25,7 @@
 			{"backend server", "connections that each entry may have, of 110", "connections", Level},
 			{"backend server", "the same with today's division by all instances, of 110", "connections", Level},
 		},
-		Take: func(_ context.Context, tr Trial) ([]float64, error) {
+		Sample: func(_ context.Context, tr Trial) ([]float64, error) {
 			counts := make(map[string]int)
 			ins := instancesOf(Instances)
 			for se := range servicesTwoYearsOut {
--- a/capacity/exchange.go
+++ b/capacity/exchange.go
@@ -159,7 +159,7 @@
 			{"leader", "a renewal on the wire, both ways", "packets", Line},
 			{"entry", "first renewal of an instance on the wire, both ways", "bytes", Line},
 		},
-		Take: takeExchanges,
+		Sample: takeExchanges,
 	}
 }
 
--- a/capacity/fanout.go
+++ b/capacity/fanout.go
@@ -186,7 +186,7 @@
 			{"entry", "a leaf request over HTTP, with the stand-in's part", "allocations", Level},
 			{"entry", "a query over HTTP, one at a time", "ms at the median", Line},
 		},
-		Take: func(ctx context.Context, tr Trial) ([]float64, error) {
+		Sample: func(ctx context.Context, tr Trial) ([]float64, error) {
 			var vas []float64
 			for _, connected := range []bool{false, true} {
 				ti, err := newTierOf(tr.Size, connected)
--- a/capacity/grants.go
+++ b/capacity/grants.go
@@ -51,7 +51,7 @@
 			{"leader", "one look whether a change is in force", "processor µs", Line},
 			{"leader", "book of leases", "bytes held", Line},
 		},
-		Take: takeGrants(repetitions),
+		Sample: takeGrants(repetitions),
 	}
 }
 
@@ -126,7 +126,7 @@
 			{"leader", "encoding of a grant with one file", "processor µs", Line},
 			{"entry", "a change: decoding, merging and checking all files", "processor µs", Line},
 		},
-		Take: func(_ context.Context, tr Trial) ([]float64, error) {
+		Sample: func(_ context.Context, tr Trial) ([]float64, error) {
 			co := peer.NewCodec(control.Messages())
 			st := stateOf(tr.Size)
 			if st.Revision() != 1 {
--- a/capacity/measure.go
+++ b/capacity/measure.go
@@ -61,7 +61,7 @@
 	Quick    []int  // Quick are the sizes of a quick run.
 	Target   int    // Target is the size two years out.
 	Columns  []Column
-	Take     func(ctx context.Context, tr Trial) ([]float64, error)
+	Sample   func(ctx context.Context, tr Trial) ([]float64, error)
 }
 
 // Measures returns all measures.
@@ -107,7 +107,7 @@
 	}
 	for run := range op.Runs {
 		for _, size := range me.sizes(op) {
-			vas, err := me.Take(ctx, Trial{Size: size, Run: run, Window: op.Window})
+			vas, err := me.Sample(ctx, Trial{Size: size, Run: run, Window: op.Window})
 			if err != nil {
 				return nil, fmt.Errorf("%s at size %d: %w", me.Name, size, err)
 			}
--- a/capacity/measure_test.go
+++ b/capacity/measure_test.go
@@ -14,7 +14,7 @@
 	me := Measure{
 		Name: "x/y", SizeUnit: "things", Sizes: []int{1, 2, 4}, Quick: []int{1, 2, 4}, Target: 10,
 		Columns: []Column{{"x", "grows", "bytes", Line}, {"x", "stays", "bytes", Level}},
-		Take: func(_ context.Context, tr Trial) ([]float64, error) {
+		Sample: func(_ context.Context, tr Trial) ([]float64, error) {
 			return []float64{3 + 2*float64(tr.Size), 7}, nil
 		},
 	}
@@ -54,15 +54,15 @@
 // the same on every run.
 func TestExactMeasures(t *testing.T) {
 	c := qt.New(t)
-	vas, err := connections().Take(context.Background(), Trial{Size: 25})
+	vas, err := connections().Sample(context.Background(), Trial{Size: 25})
 	c.Assert(err, qt.IsNil)
 	c.Check(vas[4:], qt.DeepEquals, []float64{1, 4, 0})
 	c.Check(vas[0] <= Instances && vas[1] >= 1, qt.IsTrue)
 	for range 2 {
-		vas, err = tail().Take(context.Background(), Trial{Size: 13})
+		vas, err = tail().Sample(context.Background(), Trial{Size: 13})
 		c.Assert(err, qt.IsNil)
 		c.Check(vas[5] < vas[4], qt.IsTrue, qt.Commentf("p99 with a hedge and without"))
-		again, _ := tail().Take(context.Background(), Trial{Size: 13})
+		again, _ := tail().Sample(context.Background(), Trial{Size: 13})
 		c.Check(again, qt.DeepEquals, vas)
 	}
 }
--- a/capacity/records.go
+++ b/capacity/records.go
@@ -31,7 +31,7 @@
 			{"instance", "nothing changes, mean over all", "processor ms a second", Line},
 			{"instance", "one changed record, mean over all", "processor ms", Line},
 		},
-		Take: takeRecords,
+		Sample: takeRecords,
 	}
 }
 
--- a/capacity/state.go
+++ b/capacity/state.go
@@ -33,7 +33,7 @@
 			{"voter", "encoding of a snapshot: the control thread stands still", "ms", Line},
 			{"voter", "decoding of a snapshot at start", "ms", Line},
 		},
-		Take: func(_ context.Context, tr Trial) ([]float64, error) {
+		Sample: func(_ context.Context, tr Trial) ([]float64, error) {
 			empty := held()
 			st := withIntents(stateOf(stateFiles), tr.Size)
 			intents := held() - empty
@@ -102,7 +102,7 @@
 			{"entry", "a changed record: statistics and connections", "processor µs", Line},
 			{"entry", "an announcement that changes nothing", "processor µs", Line},
 		},
-		Take: func(_ context.Context, tr Trial) ([]float64, error) {
+		Sample: func(_ context.Context, tr Trial) ([]float64, error) {
 			ts := timer.New()
 			res := recordsOf(tr.Size)
 			empty := held()
--- a/capacity/tail.go
+++ b/capacity/tail.go
@@ -101,7 +101,7 @@
 			{"entry", "p99, 1 in 100 slow, two hedges", "medians", Level},
 			{"entry", "extra load of two hedges, 1 in 100 slow", "share", Level},
 		},
-		Take: func(_ context.Context, tr Trial) ([]float64, error) {
+		Sample: func(_ context.Context, tr Trial) ([]float64, error) {
 			rn := rand.New(rand.NewPCG(1, uint64(tr.Run)))
 			vas := []float64{LeafQuantile(answersInTime, tr.Size)}
 			for _, se := range []service{{rn: rn}, {rn: rn, slow: slowShare}} {
--- a/capacity/tier.go
+++ b/capacity/tier.go
@@ -200,7 +200,7 @@
 			{"instance", "restart of a third together: membership at each other one, for each of them", "bytes", Level},
 			{"instance", "restart of a third together until all serve", "seconds", Level},
 		},
-		Take: takeTiers,
+		Sample: takeTiers,
 	}
 }
 
