--- a/capacity/addresses.go
+++ b/capacity/addresses.go
@@ -9,8 +9,8 @@
 )
 
 // addresses measures the list that a caller keeps.
-func addresses() Measure {
-	return Measure{
+func addresses() Measurement {
+	return Measurement{
 		Name: "caller/addresses", SizeUnit: "instances", Sizes: []int{9, 90, 890}, Quick: []int{9, 90, 890}, Target: Instances,
 		Columns: []Column{
 			{"caller", "address list, all instances", "bytes", Line},
--- a/capacity/connections.go
+++ b/capacity/connections.go
@@ -13,8 +13,8 @@
 
 // connections works out what subsets of the instances leave of the connection
 // limits, with the real choice of subsets. It is exact, not sampled.
-func connections() Measure {
-	return Measure{
+func connections() Measurement {
+	return Measurement{
 		Name: "entry/connections", SizeUnit: "entries of a service", Sizes: []int{3, 12, 25, 47, 110}, Quick: []int{3, 47, 110}, Target: 47,
 		Columns: []Column{
 			{"entry", "instances that serve at least one service", "instances", Level},
--- a/capacity/fanout.go
+++ b/capacity/fanout.go
@@ -174,9 +174,9 @@
 // fanouts measures what a query costs an entry for each leaf request: the engine
 // alone, and with real connections to stand-ins in this process, whose own cost
 // is in the figure.
-func fanouts() Measure {
+func fanouts() Measurement {
 	const leafRequestsEach = 20_000
-	return Measure{
+	return Measurement{
 		Name: "entry/fanout", SizeUnit: "leaves", Sizes: []int{13, 60, 180}, Quick: []int{13, 60, 180}, Target: QueryLeaves,
 		Columns: []Column{
 			{"entry", "a leaf request, engine alone", "processor µs", Level},
--- a/capacity/grants.go
+++ b/capacity/grants.go
@@ -37,9 +37,9 @@
 
 // grants measures the renewal of a lease: the decisions and the codec at both
 // ends, without the transport.
-func grants() Measure {
+func grants() Measurement {
 	const repetitions = 200
-	return Measure{
+	return Measurement{
 		Name: "leader/grants", SizeUnit: "instances", Sizes: []int{9, 90, 300, 890}, Quick: []int{9, 90, 890}, Target: Instances,
 		Columns: []Column{
 			{"entry", "frame of a renewal", "bytes", Line},
@@ -117,9 +117,9 @@
 
 // files measures a configuration on its way: for a change of one file the leader
 // sends it to each instance with the names of all.
-func files() Measure {
+func files() Measurement {
 	const repetitions = 10
-	return Measure{
+	return Measurement{
 		Name: "leader/files", SizeUnit: "files", Sizes: []int{9, 27, 90, 270}, Quick: []int{9, 27, 270}, Target: ControlFiles,
 		Columns: []Column{
 			{"leader", "what a change of one file adds to a grant", "bytes", Line},
--- a/capacity/measure.go
+++ b/capacity/measure.go
@@ -54,7 +54,7 @@
 }
 
 // Measure gives the values of its columns at several sizes.
-type Measure struct {
+type Measurement struct {
 	Name     string // Name selects the measure on the command line.
 	SizeUnit string // Of is what the sizes count.
 	Sizes    []int  // Sizes are at least three.
@@ -65,15 +65,15 @@
 }
 
 // Measures returns all measures.
-func Measures() []Measure {
-	return []Measure{
+func Measures() []Measurement {
+	return []Measurement{
 		addresses(), grants(), files(), states(), publishing(), connections(), tail(),
 		fanouts(), exchanges(), tiers(), records(),
 	}
 }
 
 // Roles returns the roles of the measure's columns.
-func (me Measure) Roles() []string {
+func (me Measurement) Roles() []string {
 	var ros []string
 	for _, co := range me.Columns {
 		if !slices.Contains(ros, co.Role) {
@@ -100,7 +100,7 @@
 }
 
 // Run takes the measure at each size as often as the options say.
-func (me Measure) Run(ctx context.Context, op Options) ([]Row, error) {
+func (me Measurement) Run(ctx context.Context, op Options) ([]Row, error) {
 	sls := make([]load.Slope, len(me.Columns))
 	for ix, co := range me.Columns {
 		sls[ix] = load.Slope{Role: co.Role, Kind: co.Kind, Unit: co.Unit, Command: command(me.Name, op)}
@@ -124,7 +124,7 @@
 	return rows, nil
 }
 
-func (me Measure) sizes(op Options) []int {
+func (me Measurement) sizes(op Options) []int {
 	switch {
 	case len(op.Sizes) > 0:
 		return op.Sizes
@@ -146,7 +146,7 @@
 	return fmt.Sprintf("go run ./cmd/balsamload capacity%s -runs %d %s", flags, op.Runs, name)
 }
 
-func newRow(sl load.Slope, co Column, me Measure) Row {
+func newRow(sl load.Slope, co Column, me Measurement) Row {
 	ro := Row{Row: load.NewRow(sl, float64(me.Target)), Of: me.SizeUnit, Model: co.Model}
 	for _, size := range ro.sizes() {
 		sum, count := 0.0, 0.0
--- a/capacity/measure_test.go
+++ b/capacity/measure_test.go
@@ -11,7 +11,7 @@
 
 func TestRows(t *testing.T) {
 	c := qt.New(t)
-	me := Measure{
+	me := Measurement{
 		Name: "x/y", SizeUnit: "things", Sizes: []int{1, 2, 4}, Quick: []int{1, 2, 4}, Target: 10,
 		Columns: []Column{{"x", "grows", "bytes", Line}, {"x", "stays", "bytes", Level}},
 		Sample: func(_ context.Context, tr Trial) ([]float64, error) {
--- a/capacity/records.go
+++ b/capacity/records.go
@@ -19,8 +19,8 @@
 // records measures whole instances that hold many records: each backend server
 // announces itself once, by HTTP, and all of them within as short a time as the
 // instances can take them.
-func records() Measure {
-	return Measure{
+func records() Measurement {
+	return Measurement{
 		Name: "instance/records", SizeUnit: "backend servers", Sizes: []int{600, 2300, 4600}, Quick: []int{60, 150, 300}, Target: Servers,
 		Columns: []Column{
 			{"instance", "mass announcement at six instances until all know all", "seconds", Line},
--- a/capacity/state.go
+++ b/capacity/state.go
@@ -18,12 +18,12 @@
 
 // states measures what a voter holds for each intent and each audit entry, and
 // the snapshot that stops its control thread while it is encoded.
-func states() Measure {
+func states() Measurement {
 	const (
 		audited    = 4 // One audit entry is made for each so many intents.
 		stateFiles = 9
 	)
-	return Measure{
+	return Measurement{
 		Name: "voter/states", SizeUnit: "intents, and a quarter as many audit entries",
 		Sizes: []int{8192, 16384, 32768}, Quick: []int{2048, 4096, 8192}, Target: control.MaxIntents,
 		Columns: []Column{
@@ -91,9 +91,9 @@
 
 // publishing measures what one changed record costs an instance that holds many:
 // the list, the view and all that is derived from it are made again.
-func publishing() Measure {
+func publishing() Measurement {
 	const repetitions = 20
-	return Measure{
+	return Measurement{
 		Name: "entry/publishing", SizeUnit: "backend servers", Sizes: []int{600, 2300, 6900}, Quick: []int{600, 2300, 6900}, Target: Servers,
 		Columns: []Column{
 			{"entry", "records of backend servers", "bytes held", Line},
--- a/capacity/tail.go
+++ b/capacity/tail.go
@@ -86,9 +86,9 @@
 
 // tail draws the latency of queries whose slowest leaf decides, in medians of a
 // leaf's service time, without queues: what the distribution alone demands.
-func tail() Measure {
+func tail() Measurement {
 	const queries = 20_000
-	return Measure{
+	return Measurement{
 		Name: "entry/tail", SizeUnit: "leaves", Sizes: []int{13, 60, 180}, Quick: []int{13, 60, 180}, Target: QueryLeaves,
 		Columns: []Column{
 			{"entry", "leaf requests that may be late", "share", Level},
--- a/capacity/tier.go
+++ b/capacity/tier.go
@@ -177,8 +177,8 @@
 
 // tiers measures whole instances: what they spend while nothing changes, what a
 // change of the configuration takes, and what a restart costs the others.
-func tiers() Measure {
-	return Measure{
+func tiers() Measurement {
+	return Measurement{
 		Name: "instance/tiers", SizeUnit: "instances", Sizes: []int{6, 15, 30}, Quick: []int{5, 7, 9}, Target: Instances,
 		Columns: []Column{
 			{"entry", "control, nothing changes", "messages a second", Level},
--- a/cmd/balsamload/capacity.go
+++ b/cmd/balsamload/capacity.go
@@ -83,8 +83,8 @@
 
 // choose returns the measures of the given names, or all, that have a row of
 // the role, or of any.
-func choose(names []string, role string) ([]capacity.Measure, error) {
-	var chosen []capacity.Measure
+func choose(names []string, role string) ([]capacity.Measurement, error) {
+	var chosen []capacity.Measurement
 	var known, roles []string
 	for _, me := range capacity.Measures() {
 		known = append(known, me.Name)
@@ -105,7 +105,7 @@
 	return chosen, nil
 }
 
-func take(ctx context.Context, mes []capacity.Measure, op capacity.Options, role string) ([]capacity.Row, error) {
+func take(ctx context.Context, mes []capacity.Measurement, op capacity.Options, role string) ([]capacity.Row, error) {
 	var rows []capacity.Row
 	for _, me := range mes {
 		taken, err := me.Run(ctx, op)
