--- a/capacity/measure.go
+++ b/capacity/measure.go
@@ -65,7 +65,7 @@
 }
 
 // Measures returns all measures.
-func Measures() []Measurement {
+func Measurements() []Measurement {
 	return []Measurement{
 		addresses(), grants(), files(), states(), publishing(), connections(), tail(),
 		fanouts(), exchanges(), tiers(), records(),
--- a/cmd/balsamload/capacity.go
+++ b/cmd/balsamload/capacity.go
@@ -86,7 +86,7 @@
 func choose(names []string, role string) ([]capacity.Measurement, error) {
 	var chosen []capacity.Measurement
 	var known, roles []string
-	for _, me := range capacity.Measures() {
+	for _, me := range capacity.Measurements() {
 		known = append(known, me.Name)
 		roles = append(roles, me.Roles()...)
 		if (len(names) == 0 || slices.Contains(names, me.Name)) && (role == "" || slices.Contains(me.Roles(), role)) {
