--- a/capacity/addresses.go
+++ b/capacity/addresses.go
@@ -13,7 +13,7 @@
 	return Measurement{
 		Name: "caller/addresses", SizeUnit: "instances", Sizes: []int{9, 90, 890}, Quick: []int{9, 90, 890}, Target: Instances,
 		Columns: []Column{
-			{"caller", "address list, all instances", "bytes", Line},
+			{"caller", "address list, all instances", "bytes", Linear},
 		},
 		Sample: func(_ context.Context, tr Trial) ([]float64, error) {
 			vi := &view.View{Instances: instancesOf(tr.Size)}
--- a/capacity/exchange.go
+++ b/capacity/exchange.go
@@ -153,11 +153,11 @@
 		Name: "leader/exchanges", SizeUnit: "instances", Sizes: []int{9, 30, 100}, Quick: []int{3, 9, 30}, Target: Instances,
 		Columns: []Column{
 			{"leader", "connection to an instance, both ends", "bytes held for each", Level},
-			{"leader", "first renewal of an instance, both ends", "processor µs", Line},
-			{"leader", "a renewal over a connection, both ends", "processor µs", Line},
-			{"leader", "a renewal on the wire, both ways", "bytes", Line},
-			{"leader", "a renewal on the wire, both ways", "packets", Line},
-			{"entry", "first renewal of an instance on the wire, both ways", "bytes", Line},
+			{"leader", "first renewal of an instance, both ends", "processor µs", Linear},
+			{"leader", "a renewal over a connection, both ends", "processor µs", Linear},
+			{"leader", "a renewal on the wire, both ways", "bytes", Linear},
+			{"leader", "a renewal on the wire, both ways", "packets", Linear},
+			{"entry", "first renewal of an instance on the wire, both ways", "bytes", Linear},
 		},
 		Sample: takeExchanges,
 	}
--- a/capacity/fanout.go
+++ b/capacity/fanout.go
@@ -181,10 +181,10 @@
 		Columns: []Column{
 			{"entry", "a leaf request, engine alone", "processor µs", Level},
 			{"entry", "a leaf request, engine alone", "allocations", Level},
-			{"entry", "a query, engine alone", "ms at the median", Line},
+			{"entry", "a query, engine alone", "ms at the median", Linear},
 			{"entry", "a leaf request over HTTP, with the stand-in's part", "processor µs", Level},
 			{"entry", "a leaf request over HTTP, with the stand-in's part", "allocations", Level},
-			{"entry", "a query over HTTP, one at a time", "ms at the median", Line},
+			{"entry", "a query over HTTP, one at a time", "ms at the median", Linear},
 		},
 		Sample: func(ctx context.Context, tr Trial) ([]float64, error) {
 			var vas []float64
--- a/capacity/grants.go
+++ b/capacity/grants.go
@@ -42,14 +42,14 @@
 	return Measurement{
 		Name: "leader/grants", SizeUnit: "instances", Sizes: []int{9, 90, 300, 890}, Quick: []int{9, 90, 890}, Target: Instances,
 		Columns: []Column{
-			{"entry", "frame of a renewal", "bytes", Line},
-			{"leader", "frame of a grant", "bytes", Line},
-			{"leader", "a renewal: book and encoding of the grant", "processor µs", Line},
-			{"leader", "what a changed list of lease holders adds to a grant", "bytes", Line},
-			{"leader", "a changed list: making and encoding it", "processor µs", Line},
-			{"entry", "a grant: decoding and taking over", "processor µs", Line},
-			{"leader", "one look whether a change is in force", "processor µs", Line},
-			{"leader", "book of leases", "bytes held", Line},
+			{"entry", "frame of a renewal", "bytes", Linear},
+			{"leader", "frame of a grant", "bytes", Linear},
+			{"leader", "a renewal: book and encoding of the grant", "processor µs", Linear},
+			{"leader", "what a changed list of lease holders adds to a grant", "bytes", Linear},
+			{"leader", "a changed list: making and encoding it", "processor µs", Linear},
+			{"entry", "a grant: decoding and taking over", "processor µs", Linear},
+			{"leader", "one look whether a change is in force", "processor µs", Linear},
+			{"leader", "book of leases", "bytes held", Linear},
 		},
 		Sample: takeGrants(repetitions),
 	}
@@ -122,9 +122,9 @@
 	return Measurement{
 		Name: "leader/files", SizeUnit: "files", Sizes: []int{9, 27, 90, 270}, Quick: []int{9, 27, 270}, Target: ControlFiles,
 		Columns: []Column{
-			{"leader", "what a change of one file adds to a grant", "bytes", Line},
-			{"leader", "encoding of a grant with one file", "processor µs", Line},
-			{"entry", "a change: decoding, merging and checking all files", "processor µs", Line},
+			{"leader", "what a change of one file adds to a grant", "bytes", Linear},
+			{"leader", "encoding of a grant with one file", "processor µs", Linear},
+			{"entry", "a change: decoding, merging and checking all files", "processor µs", Linear},
 		},
 		Sample: func(_ context.Context, tr Trial) ([]float64, error) {
 			co := peer.NewCodec(control.Messages())
--- a/capacity/measure.go
+++ b/capacity/measure.go
@@ -32,7 +32,7 @@
 
 // The models of a column.
 const (
-	Line Model = iota // Line extends the least squares line.
+	Linear Model = iota // Line extends the least squares line.
 	// Level takes the largest size: the design bounds the value, or it does not
 	// follow a line.
 	Level
@@ -205,7 +205,7 @@
 
 func (ro Row) write(sb *strings.Builder) {
 	line, fit := "level", ""
-	if ro.Model == Line {
+	if ro.Model == Linear {
 		line = number(ro.Fit.Base) + " + " + number(ro.Fit.PerItem)
 		fit = fmt.Sprintf("%.3f", ro.Fit.R2)
 	}
--- a/capacity/records.go
+++ b/capacity/records.go
@@ -23,13 +23,13 @@
 	return Measurement{
 		Name: "instance/records", SizeUnit: "backend servers", Sizes: []int{600, 2300, 4600}, Quick: []int{60, 150, 300}, Target: Servers,
 		Columns: []Column{
-			{"instance", "mass announcement at six instances until all know all", "seconds", Line},
-			{"instance", "mass announcement, mean over all", "processor ms", Line},
-			{"instance", "mass announcement, mean over all, beyond quiet", "membership bytes", Line},
-			{"instance", "records, statistics and what else each holds", "bytes held", Line},
+			{"instance", "mass announcement at six instances until all know all", "seconds", Linear},
+			{"instance", "mass announcement, mean over all", "processor ms", Linear},
+			{"instance", "mass announcement, mean over all, beyond quiet", "membership bytes", Linear},
+			{"instance", "records, statistics and what else each holds", "bytes held", Linear},
 			{"instance", "membership, nothing changes", "bytes a second", Level},
-			{"instance", "nothing changes, mean over all", "processor ms a second", Line},
-			{"instance", "one changed record, mean over all", "processor ms", Line},
+			{"instance", "nothing changes, mean over all", "processor ms a second", Linear},
+			{"instance", "one changed record, mean over all", "processor ms", Linear},
 		},
 		Sample: takeRecords,
 	}
--- a/capacity/state.go
+++ b/capacity/state.go
@@ -27,11 +27,11 @@
 		Name: "voter/states", SizeUnit: "intents, and a quarter as many audit entries",
 		Sizes: []int{8192, 16384, 32768}, Quick: []int{2048, 4096, 8192}, Target: control.MaxIntents,
 		Columns: []Column{
-			{"voter", "intents", "bytes held", Line},
-			{"voter", "audit entries", "bytes held", Line},
-			{"voter", "snapshot", "bytes", Line},
-			{"voter", "encoding of a snapshot: the control thread stands still", "ms", Line},
-			{"voter", "decoding of a snapshot at start", "ms", Line},
+			{"voter", "intents", "bytes held", Linear},
+			{"voter", "audit entries", "bytes held", Linear},
+			{"voter", "snapshot", "bytes", Linear},
+			{"voter", "encoding of a snapshot: the control thread stands still", "ms", Linear},
+			{"voter", "decoding of a snapshot at start", "ms", Linear},
 		},
 		Sample: func(_ context.Context, tr Trial) ([]float64, error) {
 			empty := held()
@@ -96,11 +96,11 @@
 	return Measurement{
 		Name: "entry/publishing", SizeUnit: "backend servers", Sizes: []int{600, 2300, 6900}, Quick: []int{600, 2300, 6900}, Target: Servers,
 		Columns: []Column{
-			{"entry", "records of backend servers", "bytes held", Line},
-			{"entry", "statistics of backend servers", "bytes held", Line},
-			{"entry", "a changed record: list of servers", "processor µs", Line},
-			{"entry", "a changed record: statistics and connections", "processor µs", Line},
-			{"entry", "an announcement that changes nothing", "processor µs", Line},
+			{"entry", "records of backend servers", "bytes held", Linear},
+			{"entry", "statistics of backend servers", "bytes held", Linear},
+			{"entry", "a changed record: list of servers", "processor µs", Linear},
+			{"entry", "a changed record: statistics and connections", "processor µs", Linear},
+			{"entry", "an announcement that changes nothing", "processor µs", Linear},
 		},
 		Sample: func(_ context.Context, tr Trial) ([]float64, error) {
 			ts := timer.New()
