--- a/capacity/connections.go
+++ b/capacity/connections.go
@@ -17,13 +17,13 @@
 	return Measurement{
 		Name: "entry/connections", SizeUnit: "entries of a service", Sizes: []int{3, 12, 25, 47, 110}, Quick: []int{3, 47, 110}, Target: 47,
 		Columns: []Column{
-			{"entry", "instances that serve at least one service", "instances", Level},
-			{"entry", "services on the busiest instance", "services", Level},
-			{"entry", "leaf requests of the busiest instance", "a second", Level},
-			{"entry", "connections of the busiest instance, one to each of its backend servers", "connections", Level},
-			{"backend server", "connections that each entry may have, of 25", "connections", Level},
-			{"backend server", "connections that each entry may have, of 110", "connections", Level},
-			{"backend server", "the same with today's division by all instances, of 110", "connections", Level},
+			{"entry", "instances that serve at least one service", "instances", Constant},
+			{"entry", "services on the busiest instance", "services", Constant},
+			{"entry", "leaf requests of the busiest instance", "a second", Constant},
+			{"entry", "connections of the busiest instance, one to each of its backend servers", "connections", Constant},
+			{"backend server", "connections that each entry may have, of 25", "connections", Constant},
+			{"backend server", "connections that each entry may have, of 110", "connections", Constant},
+			{"backend server", "the same with today's division by all instances, of 110", "connections", Constant},
 		},
 		Sample: func(_ context.Context, tr Trial) ([]float64, error) {
 			counts := make(map[string]int)
--- a/capacity/exchange.go
+++ b/capacity/exchange.go
@@ -152,7 +152,7 @@
 	return Measurement{
 		Name: "leader/exchanges", SizeUnit: "instances", Sizes: []int{9, 30, 100}, Quick: []int{3, 9, 30}, Target: Instances,
 		Columns: []Column{
-			{"leader", "connection to an instance, both ends", "bytes held for each", Level},
+			{"leader", "connection to an instance, both ends", "bytes held for each", Constant},
 			{"leader", "first renewal of an instance, both ends", "processor µs", Linear},
 			{"leader", "a renewal over a connection, both ends", "processor µs", Linear},
 			{"leader", "a renewal on the wire, both ways", "bytes", Linear},
--- a/capacity/fanout.go
+++ b/capacity/fanout.go
@@ -179,11 +179,11 @@
 	return Measurement{
 		Name: "entry/fanout", SizeUnit: "leaves", Sizes: []int{13, 60, 180}, Quick: []int{13, 60, 180}, Target: QueryLeaves,
 		Columns: []Column{
-			{"entry", "a leaf request, engine alone", "processor µs", Level},
-			{"entry", "a leaf request, engine alone", "allocations", Level},
+			{"entry", "a leaf request, engine alone", "processor µs", Constant},
+			{"entry", "a leaf request, engine alone", "allocations", Constant},
 			{"entry", "a query, engine alone", "ms at the median", Linear},
-			{"entry", "a leaf request over HTTP, with the stand-in's part", "processor µs", Level},
-			{"entry", "a leaf request over HTTP, with the stand-in's part", "allocations", Level},
+			{"entry", "a leaf request over HTTP, with the stand-in's part", "processor µs", Constant},
+			{"entry", "a leaf request over HTTP, with the stand-in's part", "allocations", Constant},
 			{"entry", "a query over HTTP, one at a time", "ms at the median", Linear},
 		},
 		Sample: func(ctx context.Context, tr Trial) ([]float64, error) {
--- a/capacity/measure.go
+++ b/capacity/measure.go
@@ -35,7 +35,7 @@
 	Linear Model = iota // Line extends the least squares line.
 	// Level takes the largest size: the design bounds the value, or it does not
 	// follow a line.
-	Level
+	Constant
 )
 
 // Column is one value that a measure gives at each size.
@@ -172,7 +172,7 @@
 	switch {
 	case ix >= 0:
 		return ro.Means[ix], "measured"
-	case ro.Model == Level:
+	case ro.Model == Constant:
 		return ro.Means[last], "as at " + number(sizes[last])
 	default:
 		return ro.Worked, "worked out"
--- a/capacity/measure_test.go
+++ b/capacity/measure_test.go
@@ -13,7 +13,7 @@
 	c := qt.New(t)
 	me := Measurement{
 		Name: "x/y", SizeUnit: "things", Sizes: []int{1, 2, 4}, Quick: []int{1, 2, 4}, Target: 10,
-		Columns: []Column{{"x", "grows", "bytes", Linear}, {"x", "stays", "bytes", Level}},
+		Columns: []Column{{"x", "grows", "bytes", Linear}, {"x", "stays", "bytes", Constant}},
 		Sample: func(_ context.Context, tr Trial) ([]float64, error) {
 			return []float64{3 + 2*float64(tr.Size), 7}, nil
 		},
--- a/capacity/records.go
+++ b/capacity/records.go
@@ -27,7 +27,7 @@
 			{"instance", "mass announcement, mean over all", "processor ms", Linear},
 			{"instance", "mass announcement, mean over all, beyond quiet", "membership bytes", Linear},
 			{"instance", "records, statistics and what else each holds", "bytes held", Linear},
-			{"instance", "membership, nothing changes", "bytes a second", Level},
+			{"instance", "membership, nothing changes", "bytes a second", Constant},
 			{"instance", "nothing changes, mean over all", "processor ms a second", Linear},
 			{"instance", "one changed record, mean over all", "processor ms", Linear},
 		},
--- a/capacity/tail.go
+++ b/capacity/tail.go
@@ -91,15 +91,15 @@
 	return Measurement{
 		Name: "entry/tail", SizeUnit: "leaves", Sizes: []int{13, 60, 180}, Quick: []int{13, 60, 180}, Target: QueryLeaves,
 		Columns: []Column{
-			{"entry", "leaf requests that may be late", "share", Level},
-			{"entry", "p99, lognormal, no hedge", "medians", Level},
-			{"entry", "p99, lognormal, one hedge", "medians", Level},
-			{"entry", "extra load of that hedge", "share", Level},
-			{"entry", "p99, 1 in 100 slow, no hedge", "medians", Level},
-			{"entry", "p99, 1 in 100 slow, one hedge", "medians", Level},
-			{"entry", "extra load of that hedge, 1 in 100 slow", "share", Level},
-			{"entry", "p99, 1 in 100 slow, two hedges", "medians", Level},
-			{"entry", "extra load of two hedges, 1 in 100 slow", "share", Level},
+			{"entry", "leaf requests that may be late", "share", Constant},
+			{"entry", "p99, lognormal, no hedge", "medians", Constant},
+			{"entry", "p99, lognormal, one hedge", "medians", Constant},
+			{"entry", "extra load of that hedge", "share", Constant},
+			{"entry", "p99, 1 in 100 slow, no hedge", "medians", Constant},
+			{"entry", "p99, 1 in 100 slow, one hedge", "medians", Constant},
+			{"entry", "extra load of that hedge, 1 in 100 slow", "share", Constant},
+			{"entry", "p99, 1 in 100 slow, two hedges", "medians", Constant},
+			{"entry", "extra load of two hedges, 1 in 100 slow", "share", Constant},
 		},
 		Sample: func(_ context.Context, tr Trial) ([]float64, error) {
 			rn := rand.New(rand.NewPCG(1, uint64(tr.Run)))
