--- a/capacity/measure_test.go
+++ b/capacity/measure_test.go
@@ -46,7 +46,7 @@
 		leaves int
 		want   float64
 	}{{1, 0.01}, {13, 0.0007728040}, {180, 0.000055833640}} {
-		c.Check(math.Abs(LeafQuantile(0.99, tc.leaves)-tc.want) < 1e-9, qt.IsTrue, qt.Commentf("%d leaves", tc.leaves))
+		c.Check(math.Abs(MaxLateRatio(0.99, tc.leaves)-tc.want) < 1e-9, qt.IsTrue, qt.Commentf("%d leaves", tc.leaves))
 	}
 }
 
--- a/capacity/tail.go
+++ b/capacity/tail.go
@@ -20,7 +20,7 @@
 
 // LeafQuantile returns the share of leaf requests that may be late so that the
 // share of queries that are not late is kept.
-func LeafQuantile(inTime float64, leaves int) float64 {
+func MaxLateRatio(inTime float64, leaves int) float64 {
 	return 1 - math.Pow(inTime, 1/float64(leaves))
 }
 
@@ -103,7 +103,7 @@
 		},
 		Sample: func(_ context.Context, tr Trial) ([]float64, error) {
 			rn := rand.New(rand.NewPCG(1, uint64(tr.Run)))
-			vas := []float64{LeafQuantile(answersInTime, tr.Size)}
+			vas := []float64{MaxLateRatio(answersInTime, tr.Size)}
 			for _, se := range []service{{rn: rn}, {rn: rn, slow: slowShare}} {
 				delay := se.late()
 				alone, _ := se.query(queries, tr.Size, 0, delay)
