--- a/capacity/measure.go
+++ b/capacity/measure.go
@@ -180,7 +180,7 @@
 }
 
 // Write prints the rows as Markdown, a table for each command.
-func Write(wr io.Writer, rows []Row) error {
+func WriteMarkdown(wr io.Writer, rows []Row) error {
 	var sb strings.Builder
 	said := ""
 	for _, ro := range rows {
--- a/capacity/measure_test.go
+++ b/capacity/measure_test.go
@@ -35,7 +35,7 @@
 			c.Check(how, qt.Equals, tc.how[ix])
 		}
 		var sb strings.Builder
-		c.Assert(Write(&sb, rows), qt.IsNil)
+		c.Assert(WriteMarkdown(&sb, rows), qt.IsNil)
 		c.Check(sb.String(), qt.Contains, "| x | grows | bytes | 1, 2, 4 things | 5, 7, 11 | 3 + 2 | 1.000 | ±0.0% |")
 	}
 }
--- a/cmd/balsamload/capacity.go
+++ b/cmd/balsamload/capacity.go
@@ -54,7 +54,7 @@
 	if *asJSON {
 		return capacity.WriteJSON(out, rows)
 	}
-	return capacity.Write(out, rows)
+	return capacity.WriteMarkdown(out, rows)
 }
 
 func options(runs int, quick bool, sizes string) (capacity.Options, error) {
