--- a/capacity/addresses.go
+++ b/capacity/addresses.go
@@ -11,7 +11,7 @@
 // addresses measures the list that a caller keeps.
 func addresses() Measurement {
 	return Measurement{
-		Name: "caller/addresses", SizeUnit: "instances", Sizes: []int{9, 90, 890}, Quick: []int{9, 90, 890}, Target: Instances,
+		Name: "caller/addresses", SizeUnit: "instances", Sizes: []int{9, 90, 890}, Quick: []int{9, 90, 890}, Target: TargetInstances,
 		Columns: []Column{
 			{"caller", "address list, all instances", "bytes", Linear},
 		},
--- a/capacity/connections.go
+++ b/capacity/connections.go
@@ -27,7 +27,7 @@
 		},
 		Sample: func(_ context.Context, tr Trial) ([]float64, error) {
 			counts := make(map[string]int)
-			ins := instancesOf(Instances)
+			ins := instancesOf(TargetInstances)
 			for se := range servicesTwoYearsOut {
 				for _, in := range limit.Subset(fmt.Sprintf("service-%02d", se), tr.Size, ins) {
 					counts[in.Name]++
@@ -41,7 +41,7 @@
 			share := func(bound, divisor int) float64 { return float64(limit.ConnectionsPerInstance(bound, divisor)) }
 			return []float64{
 				float64(len(counts)), float64(most), perEntry * float64(most), float64(most * QueryLeaves * replicas),
-				share(25, tr.Size), share(serverLimit, tr.Size), share(serverLimit, Instances),
+				share(25, tr.Size), share(serverLimit, tr.Size), share(serverLimit, TargetInstances),
 			}, nil
 		},
 	}
--- a/capacity/exchange.go
+++ b/capacity/exchange.go
@@ -150,7 +150,7 @@
 // exchanges measures renewals over real connections between instances.
 func exchanges() Measurement {
 	return Measurement{
-		Name: "leader/exchanges", SizeUnit: "instances", Sizes: []int{9, 30, 100}, Quick: []int{3, 9, 30}, Target: Instances,
+		Name: "leader/exchanges", SizeUnit: "instances", Sizes: []int{9, 30, 100}, Quick: []int{3, 9, 30}, Target: TargetInstances,
 		Columns: []Column{
 			{"leader", "connection to an instance, both ends", "bytes held for each", Constant},
 			{"leader", "first renewal of an instance, both ends", "processor µs", Linear},
--- a/capacity/grants.go
+++ b/capacity/grants.go
@@ -40,7 +40,7 @@
 func grants() Measurement {
 	const repetitions = 200
 	return Measurement{
-		Name: "leader/grants", SizeUnit: "instances", Sizes: []int{9, 90, 300, 890}, Quick: []int{9, 90, 890}, Target: Instances,
+		Name: "leader/grants", SizeUnit: "instances", Sizes: []int{9, 90, 300, 890}, Quick: []int{9, 90, 890}, Target: TargetInstances,
 		Columns: []Column{
 			{"entry", "frame of a renewal", "bytes", Linear},
 			{"leader", "frame of a grant", "bytes", Linear},
--- a/capacity/measure_test.go
+++ b/capacity/measure_test.go
@@ -57,7 +57,7 @@
 	vas, err := connections().Sample(context.Background(), Trial{Size: 25})
 	c.Assert(err, qt.IsNil)
 	c.Check(vas[4:], qt.DeepEquals, []float64{1, 4, 0})
-	c.Check(vas[0] <= Instances && vas[1] >= 1, qt.IsTrue)
+	c.Check(vas[0] <= TargetInstances && vas[1] >= 1, qt.IsTrue)
 	for range 2 {
 		vas, err = tail().Sample(context.Background(), Trial{Size: 13})
 		c.Assert(err, qt.IsNil)
--- a/capacity/tier.go
+++ b/capacity/tier.go
@@ -179,7 +179,7 @@
 // change of the configuration takes, and what a restart costs the others.
 func tiers() Measurement {
 	return Measurement{
-		Name: "instance/tiers", SizeUnit: "instances", Sizes: []int{6, 15, 30}, Quick: []int{5, 7, 9}, Target: Instances,
+		Name: "instance/tiers", SizeUnit: "instances", Sizes: []int{6, 15, 30}, Quick: []int{5, 7, 9}, Target: TargetInstances,
 		Columns: []Column{
 			{"entry", "control, nothing changes", "messages a second", Constant},
 			{"entry", "control, nothing changes", "bytes a second", Linear},
