--- a/capacity/connections.go
+++ b/capacity/connections.go
@@ -9,7 +9,7 @@
 
 // servicesTwoYearsOut is how many services there are if each of them has
 // QueryLeaves shards and every shard two replicas.
-const servicesTwoYearsOut = Servers / (QueryLeaves * replicas)
+const servicesTwoYearsOut = TargetServers / (QueryLeaves * replicas)
 
 // connections works out what subsets of the instances leave of the connection
 // limits, with the real choice of subsets. It is exact, not sampled.
--- a/capacity/measure.go
+++ b/capacity/measure.go
@@ -22,7 +22,7 @@
 // Sizes two years out, from the users' letter.
 const (
 	TargetInstances = 890
-	Servers         = 6900
+	TargetServers   = 6900
 	QueryLeaves     = 180
 	ControlFiles    = 270 // ControlFiles is a guess: ten times the files of today's larger folder.
 )
--- a/capacity/records.go
+++ b/capacity/records.go
@@ -21,7 +21,7 @@
 // instances can take them.
 func records() Measurement {
 	return Measurement{
-		Name: "instance/records", SizeUnit: "backend servers", Sizes: []int{600, 2300, 4600}, Quick: []int{60, 150, 300}, Target: Servers,
+		Name: "instance/records", SizeUnit: "backend servers", Sizes: []int{600, 2300, 4600}, Quick: []int{60, 150, 300}, Target: TargetServers,
 		Columns: []Column{
 			{"instance", "mass announcement at six instances until all know all", "seconds", Linear},
 			{"instance", "mass announcement, mean over all", "processor ms", Linear},
--- a/capacity/state.go
+++ b/capacity/state.go
@@ -94,7 +94,7 @@
 func publishing() Measurement {
 	const repetitions = 20
 	return Measurement{
-		Name: "entry/publishing", SizeUnit: "backend servers", Sizes: []int{600, 2300, 6900}, Quick: []int{600, 2300, 6900}, Target: Servers,
+		Name: "entry/publishing", SizeUnit: "backend servers", Sizes: []int{600, 2300, 6900}, Quick: []int{600, 2300, 6900}, Target: TargetServers,
 		Columns: []Column{
 			{"entry", "records of backend servers", "bytes held", Linear},
 			{"entry", "statistics of backend servers", "bytes held", Linear},
