--- a/capacity/connections.go
+++ b/capacity/connections.go
@@ -9,7 +9,7 @@
 
 // servicesTwoYearsOut is how many services there are if each of them has
 // QueryLeaves shards and every shard two replicas.
-const servicesTwoYearsOut = TargetServers / (QueryLeaves * replicas)
+const servicesTwoYearsOut = TargetServers / (TargetQueryLeaves * replicas)
 
 // connections works out what subsets of the instances leave of the connection
 // limits, with the real choice of subsets. It is exact, not sampled.
@@ -40,7 +40,7 @@
 			perEntry := leafRequests / float64(servicesTwoYearsOut*tr.Size)
 			share := func(bound, divisor int) float64 { return float64(limit.ConnectionsPerInstance(bound, divisor)) }
 			return []float64{
-				float64(len(counts)), float64(most), perEntry * float64(most), float64(most * QueryLeaves * replicas),
+				float64(len(counts)), float64(most), perEntry * float64(most), float64(most * TargetQueryLeaves * replicas),
 				share(25, tr.Size), share(serverLimit, tr.Size), share(serverLimit, TargetInstances),
 			}, nil
 		},
@@ -48,4 +48,4 @@
 }
 
 // leafRequests is how many leaf requests a second there are two years out.
-const leafRequests = 190_000 * QueryLeaves
+const leafRequests = 190_000 * TargetQueryLeaves
--- a/capacity/fanout.go
+++ b/capacity/fanout.go
@@ -177,7 +177,7 @@
 func fanouts() Measurement {
 	const leafRequestsEach = 20_000
 	return Measurement{
-		Name: "entry/fanout", SizeUnit: "leaves", Sizes: []int{13, 60, 180}, Quick: []int{13, 60, 180}, Target: QueryLeaves,
+		Name: "entry/fanout", SizeUnit: "leaves", Sizes: []int{13, 60, 180}, Quick: []int{13, 60, 180}, Target: TargetQueryLeaves,
 		Columns: []Column{
 			{"entry", "a leaf request, engine alone", "processor µs", Constant},
 			{"entry", "a leaf request, engine alone", "allocations", Constant},
--- a/capacity/names.go
+++ b/capacity/names.go
@@ -64,7 +64,7 @@
 }
 
 func shardOf(ix int) string {
-	return fmt.Sprintf("shard-%03d", ix/replicas%QueryLeaves)
+	return fmt.Sprintf("shard-%03d", ix/replicas%TargetQueryLeaves)
 }
 
 func recordsOf(count int) []backend.Record {
--- a/capacity/state.go
+++ b/capacity/state.go
@@ -112,7 +112,7 @@
 			}
 			me.Servers()
 			recordBytes := held() - empty
-			vi := &view.View{Configuration: configuration(QueryLeaves), Instances: instancesOf(9), Servers: me.Servers()}
+			vi := &view.View{Configuration: configuration(TargetQueryLeaves), Instances: instancesOf(9), Servers: me.Servers()}
 			ta := limit.NewTable(ts, limit.TableConfig{})
 			ta.Update(vi)
 			tableBytes := held() - empty - recordBytes
--- a/capacity/tail.go
+++ b/capacity/tail.go
@@ -89,7 +89,7 @@
 func tail() Measurement {
 	const queries = 20_000
 	return Measurement{
-		Name: "entry/tail", SizeUnit: "leaves", Sizes: []int{13, 60, 180}, Quick: []int{13, 60, 180}, Target: QueryLeaves,
+		Name: "entry/tail", SizeUnit: "leaves", Sizes: []int{13, 60, 180}, Quick: []int{13, 60, 180}, Target: TargetQueryLeaves,
 		Columns: []Column{
 			{"entry", "leaf requests that may be late", "share", Constant},
 			{"entry", "p99, lognormal, no hedge", "medians", Constant},
