--- a/capacity/grants.go
+++ b/capacity/grants.go
@@ -120,7 +120,7 @@
 func files() Measurement {
 	const repetitions = 10
 	return Measurement{
-		Name: "leader/files", SizeUnit: "files", Sizes: []int{9, 27, 90, 270}, Quick: []int{9, 27, 270}, Target: ControlFiles,
+		Name: "leader/files", SizeUnit: "files", Sizes: []int{9, 27, 90, 270}, Quick: []int{9, 27, 270}, Target: TargetControlFiles,
 		Columns: []Column{
 			{"leader", "what a change of one file adds to a grant", "bytes", Linear},
 			{"leader", "encoding of a grant with one file", "processor µs", Linear},
--- a/capacity/measure.go
+++ b/capacity/measure.go
@@ -21,10 +21,10 @@
 
 // Sizes two years out, from the users' letter.
 const (
-	TargetInstances   = 890
-	TargetServers     = 6900
-	TargetQueryLeaves = 180
-	ControlFiles      = 270 // ControlFiles is a guess: ten times the files of today's larger folder.
+	TargetInstances    = 890
+	TargetServers      = 6900
+	TargetQueryLeaves  = 180
+	TargetControlFiles = 270 // ControlFiles is a guess: ten times the files of today's larger folder.
 )
 
 // Model says how a value is carried on to the size two years out.
