--- a/operator/client.go
+++ b/operator/client.go
@@ -17,32 +17,32 @@
 )
 
 const (
-	// attemptTimeout bounds one attempt; it is longer than ChangeWait, so that
-	// the server says Pending before the client gives up.
+	// attemptTimeout bounds one attempt. It is longer than ChangeTimeout, so that the server
+	// responds with Pending before the client gives up.
 	attemptTimeout = ChangeTimeout + 5*time.Second
-	// roundPause lies between two rounds over all addresses.
-	roundPause = 250 * time.Millisecond
-	// maxHints bounds how many hints at a leader are followed in a row, because
-	// two instances may each believe that the other leads.
-	maxHints = 3
-	// maxReplyBytes bounds an answer.
-	maxReplyBytes = 64 << 20
+	// roundInterval is the delay between two rounds over all addresses.
+	roundInterval = 250 * time.Millisecond
+	// maxLeaderHints bounds the leader hints followed in a row, because two instances may each
+	// believe that the other leads.
+	maxLeaderHints = 3
+	// maxResponseBytes bounds the body of a response.
+	maxResponseBytes = 64 << 20
 )
 
-// Client speaks with the operators' endpoints of a tier. It tries each address,
-// turns to the leader when told of it, and resends, so that a lost connection
-// or answer costs an operator nothing. It may be used by many goroutines.
+// Client calls the operator endpoints of a tier. It tries each address, follows hints to the
+// leader and retries, so that a lost connection or response does not fail a call. It is safe
+// for concurrent use.
 type Client struct {
 	addresses []string
 	hc        *http.Client
 	ts        *timer.Service
 }
 
-// NewClient returns a client that turns to the given operators' addresses, each
-// an IP number and a port, in their order.
+// NewClient returns a client that tries the given operator addresses, each an IP address and a
+// port, in their order.
 func NewClient(addresses []string) *Client {
-	// A fresh connection for each attempt: one that went silent is never taken
-	// for the resend, which would be lost in the same way.
+	// Each attempt opens a new connection. A retry over a kept-alive connection that has gone
+	// silent would be lost like the first attempt.
 	return newClient(addresses, &http.Transport{DisableKeepAlives: true})
 }
 
@@ -50,16 +50,15 @@
 	return &Client{addresses: addresses, hc: &http.Client{Transport: tr}, ts: timer.New()}
 }
 
-// Change sends a change, and again with the same change id, until it is
-// answered or the context ends. An error with the code ControlUnavailable
-// leaves open whether the change was made; a later resend tells.
+// Change sends a change, and resends it with the same change id until it gets a response or
+// the context ends. After an error with the code ControlUnavailable the outcome is unknown;
+// resending the change later returns it.
 func (cl *Client) Change(ctx context.Context, cr ChangeRequest) (ChangeReply, error) {
-	return call[ChangeReply](ctx, cl, http.MethodPost, ChangesPath, cr)
+	return callAny[ChangeReply](ctx, cl, http.MethodPost, ChangesPath, cr)
 }
 
-// ChangeInForce sends a change and, while it is pending, asks again until it is
-// in force everywhere or refused. If the context ends before, the reply is the
-// pending one.
+// ChangeAndWait sends a change and, while it is pending, resends it until it is in force on
+// every instance or rejected. If the context ends first, it returns the pending reply.
 func (cl *Client) ChangeAndWait(ctx context.Context, cr ChangeRequest) (ChangeReply, error) {
 	var pending ChangeReply
 	for {
@@ -71,7 +70,7 @@
 			return re, err
 		}
 		pending = re
-		if cl.ts.Sleep(ctx, roundPause) != nil {
+		if cl.ts.Sleep(ctx, roundInterval) != nil {
 			return pending, nil
 		}
 	}
@@ -79,20 +78,20 @@
 
 // Files lists the accepted files.
 func (cl *Client) Files(ctx context.Context) (FilesReply, error) {
-	return call[FilesReply](ctx, cl, http.MethodGet, FilesPath, nil)
+	return callAny[FilesReply](ctx, cl, http.MethodGet, FilesPath, nil)
 }
 
-// Status describes the tier as the first instance that answers sees it.
+// Status returns the state of the tier as the first instance that responds sees it.
 func (cl *Client) Status(ctx context.Context) (Status, error) {
-	return call[Status](ctx, cl, http.MethodGet, StatusPath, nil)
+	return callAny[Status](ctx, cl, http.MethodGet, StatusPath, nil)
 }
 
-// Audit lists all audit entries whose number is from or above.
+// Audit lists all audit entries whose number is at least from.
 func (cl *Client) Audit(ctx context.Context, from uint64) (AuditReply, error) {
 	var all AuditReply
 	for {
 		path := AuditPath + "?from=" + strconv.FormatUint(from, 10)
-		re, err := call[AuditReply](ctx, cl, http.MethodGet, path, nil)
+		re, err := callAny[AuditReply](ctx, cl, http.MethodGet, path, nil)
 		if err != nil {
 			return AuditReply{}, err
 		}
@@ -104,78 +103,79 @@
 	}
 }
 
-// Explain says why the subject is as it is: a server, an instance, a service, a
-// change id, or the word leader.
+// Explain returns the reasons for the state of the subject: a server, an instance, a service,
+// a change id, or the word leader.
 func (cl *Client) Explain(ctx context.Context, subject string) (Explanation, error) {
-	return call[Explanation](ctx, cl, http.MethodGet, ExplainPath+"?subject="+url.QueryEscape(subject), nil)
+	return callAny[Explanation](ctx, cl, http.MethodGet, ExplainPath+"?subject="+url.QueryEscape(subject), nil)
 }
 
-// Drain stops the instance at the client's first address gracefully.
+// Drain gracefully stops the instance at the client's first address.
 func (cl *Client) Drain(ctx context.Context, dr DrainRequest) (DrainReply, error) {
 	one := &Client{addresses: cl.addresses[:1], hc: cl.hc, ts: cl.ts}
-	return call[DrainReply](ctx, one, http.MethodPost, DrainPath, dr)
+	return callAny[DrainReply](ctx, one, http.MethodPost, DrainPath, dr)
 }
 
 // ChangeVoters changes the set of voters.
 func (cl *Client) ChangeVoters(ctx context.Context, vr VotersRequest) (VotersReply, error) {
-	return call[VotersReply](ctx, cl, http.MethodPost, VotersPath, vr)
+	return callAny[VotersReply](ctx, cl, http.MethodPost, VotersPath, vr)
 }
 
-// attemptError is an attempt that another address or a resend may mend.
-type attemptError struct {
+// retryableError is the error of an attempt that may succeed at another address or when
+// repeated.
+type retryableError struct {
 	leader string
 	err    error
 }
 
-// Error returns the cause.
-func (ae *attemptError) Error() string {
-	return ae.err.Error()
+// Error returns the message of the cause.
+func (re *retryableError) Error() string {
+	return re.err.Error()
 }
 
 // Unwrap returns the cause.
-func (ae *attemptError) Unwrap() error {
-	return ae.err
+func (re *retryableError) Unwrap() error {
+	return re.err
 }
 
-// call goes round the addresses until one answers for good or the context ends.
-func call[R any](ctx context.Context, cl *Client, method, path string, body any) (R, error) {
-	var none R
+// callAny tries the addresses in rounds until one gives a final response or the context ends.
+func callAny[R any](ctx context.Context, cl *Client, method, path string, body any) (R, error) {
+	var zero R
 	var data []byte
 	if body != nil {
 		var err error
 		if data, err = json.Marshal(body); err != nil {
-			return none, fmt.Errorf("encode request: %w", err)
+			return zero, fmt.Errorf("encode request: %w", err)
 		}
 	}
 	for {
 		var last error
 		for _, ad := range cl.addresses {
-			re, err := withHints[R](ctx, cl, ad, method, path, data)
-			var ae *attemptError
-			if !errors.As(err, &ae) {
+			re, err := callWithHints[R](ctx, cl, ad, method, path, data)
+			var retryable *retryableError
+			if !errors.As(err, &retryable) {
 				return re, err
 			}
 			last = err
 		}
-		if err := cl.ts.Sleep(ctx, roundPause); err != nil {
-			return none, &result.Error{Code: result.ControlUnavailable, Op: "ask " + path, Detail: err.Error(), Err: last}
+		if err := cl.ts.Sleep(ctx, roundInterval); err != nil {
+			return zero, &result.Error{Code: result.ControlUnavailable, Op: "ask " + path, Detail: err.Error(), Err: last}
 		}
 	}
 }
 
-// withHints asks the address, and then those that the answers hint at.
-func withHints[R any](ctx context.Context, cl *Client, ad, method, path string, data []byte) (R, error) {
-	for hints := 0; ; hints++ {
-		re, err := attempt[R](ctx, cl, ad, method, path, data)
-		var ae *attemptError
-		if !errors.As(err, &ae) || ae.leader == "" || hints == maxHints {
+// callWithHints calls the address, and then the leaders that the responses name.
+func callWithHints[R any](ctx context.Context, cl *Client, ad, method, path string, data []byte) (R, error) {
+	for followed := 0; ; followed++ {
+		re, err := callOne[R](ctx, cl, ad, method, path, data)
+		var retryable *retryableError
+		if !errors.As(err, &retryable) || retryable.leader == "" || followed == maxLeaderHints {
 			return re, err
 		}
-		ad = ae.leader
+		ad = retryable.leader
 	}
 }
 
-func attempt[R any](ctx context.Context, cl *Client, ad, method, path string, data []byte) (R, error) {
+func callOne[R any](ctx context.Context, cl *Client, ad, method, path string, data []byte) (R, error) {
 	var re R
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
@@ -186,24 +186,24 @@
 	rq.Header.Set("Content-Type", "application/json")
 	rs, err := cl.hc.Do(rq)
 	if err != nil {
-		return re, &attemptError{err: err}
+		return re, &retryableError{err: err}
 	}
 	defer rs.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(rs.Body, maxReplyBytes))
+	body, err := io.ReadAll(io.LimitReader(rs.Body, maxResponseBytes))
 	if err != nil {
-		return re, &attemptError{err: fmt.Errorf("%s: %w", ad, err)}
+		return re, &retryableError{err: fmt.Errorf("%s: %w", ad, err)}
 	}
 	if isReply(rs.StatusCode, path) {
-		if err := json.Unmarshal(answer, &re); err != nil {
-			return re, fmt.Errorf("answer of %s: %w", ad, err)
+		if err := json.Unmarshal(body, &re); err != nil {
+			return re, fmt.Errorf("response of %s: %w", ad, err)
 		}
 		return re, nil
 	}
-	return re, failure(ad, rs.StatusCode, answer)
+	return re, responseError(ad, rs.StatusCode, body)
 }
 
-// isReply reports whether the body is the reply and not an ErrorReply. Of a
-// change, a conflict and an invalid configuration are replies too.
+// isReply reports whether the body holds the reply and not an ErrorReply. For a change, a
+// conflict and an invalid configuration are replies too.
 func isReply(status int, path string) bool {
 	switch status {
 	case http.StatusOK, http.StatusAccepted:
@@ -215,10 +215,10 @@
 	}
 }
 
-func failure(ad string, status int, answer []byte) error {
+func responseError(ad string, status int, body []byte) error {
 	var er ErrorReply
-	if err := json.Unmarshal(answer, &er); err != nil {
-		er = ErrorReply{Code: result.ControlUnavailable, Detail: fmt.Sprintf("answer with the status %d that is no JSON", status)}
+	if err := json.Unmarshal(body, &er); err != nil {
+		er = ErrorReply{Code: result.ControlUnavailable, Detail: fmt.Sprintf("response with status %d is not JSON", status)}
 	}
 	err := &result.Error{
 		Code:       er.Code,
@@ -226,9 +226,9 @@
 		Detail:     er.Detail,
 		RetryAfter: time.Duration(er.RetryAfterMillis) * time.Millisecond,
 	}
-	again := status >= http.StatusInternalServerError || status == http.StatusMisdirectedRequest
-	if again {
-		return &attemptError{leader: er.Leader, err: err}
+	retryable := status >= http.StatusInternalServerError || status == http.StatusMisdirectedRequest
+	if retryable {
+		return &retryableError{leader: er.Leader, err: err}
 	}
 	return err
 }
--- a/operator/diff.go
+++ b/operator/diff.go
@@ -7,9 +7,8 @@
 	"strings"
 )
 
-// Diff describes what changes from one configuration to the next, one line for
-// each service or field in the order of their names: "+" added, "-" removed,
-// "~" changed.
+// Diff describes the changes from one configuration to the next, one line for each service or
+// field, sorted by name: "+" added, "-" removed, "~" changed.
 func Diff(older, newer Configuration) []string {
 	var li []string
 	li = append(li, diffFields("Limits", older.Limits.fields(), newer.Limits.fields())...)
@@ -28,13 +27,13 @@
 
 func diffService(na string, older, newer Configuration) []string {
 	path := "Services." + na
-	was, had := older.Services[na]
-	is, has := newer.Services[na]
+	was, existed := older.Services[na]
+	is, exists := newer.Services[na]
 	switch {
-	case !had:
+	case !existed:
 		added := diffFields(path, Service{}.fields(), is.fields())
 		return append([]string{"+ " + path}, added...)
-	case !has:
+	case !exists:
 		return []string{"- " + path}
 	default:
 		return diffFields(path, was.fields(), is.fields())
@@ -60,15 +59,15 @@
 	return li
 }
 
-// Value is one value of a configuration.
+// Value is one value of a configuration as text.
 type Value struct {
 	Path   string
 	Text   string
-	Origin string // Origin is the "file:line" that set the value; empty for a default.
+	Origin string // "file:line" of the value; empty for a default
 }
 
-// Values returns the values of the merged files that are not zero, in the order
-// of their paths, each with its origin.
+// Values returns the non-zero values of the merged files, sorted by path, each with its
+// origin.
 func Values(cf Configuration, files []File) []Value {
 	or := Origins(files)
 	vs := values("Limits", cf.Limits.fields(), or)
@@ -88,9 +87,9 @@
 	return vs
 }
 
-// fields returns the fields that are not empty as text.
+// fields returns the non-zero fields as text.
 func (li Limits) fields() map[string]string {
-	return texts(map[string]any{
+	return nonZeroTexts(map[string]any{
 		"MaxEntries":       li.MaxEntries,
 		"AddressTTLMillis": li.AddressTTLMillis,
 	})
@@ -115,24 +114,25 @@
 	for _, pa := range se.Partitions {
 		fi[fmt.Sprintf("Partitions[%d]", pa.Number)] = pa.summary()
 	}
-	return texts(fi)
+	return nonZeroTexts(fi)
 }
 
-// texts drops values that are zero, so that an absent field and an empty one
-// look alike.
-func texts(fi map[string]any) map[string]string {
-	te := make(map[string]string)
+// nonZeroTexts formats the values and drops those that are zero, so that an absent field and
+// an empty one compare as equal.
+func nonZeroTexts(fi map[string]any) map[string]string {
+	out := make(map[string]string)
 	for ke, va := range fi {
 		switch st := fmt.Sprint(va); st {
 		case "", "0", "false":
 		default:
-			te[ke] = st
+			out[ke] = st
 		}
 	}
-	return te
+	return out
 }
 
-// summary names the shards, or only their range when they are those of a count.
+// summary lists the shards. If they are the names that a count stands for, it gives only the
+// first and the last.
 func (pa Partition) summary() string {
 	if len(pa.Shards) > 1 && slices.Equal(pa.Shards, ShardNames(len(pa.Shards))) {
 		return fmt.Sprintf("%d shards, %s to %s", len(pa.Shards), pa.Shards[0], pa.Shards[len(pa.Shards)-1])
--- a/operator/merge.go
+++ b/operator/merge.go
@@ -16,20 +16,20 @@
 	"balsamwinch.example/settings"
 )
 
-// MaxFileBytes is the size of the largest file that is taken.
+// MaxFileBytes is the maximum size of a file.
 const MaxFileBytes = 256 << 10
 
-// maxShards is how many shards a count may stand for.
+// maxShards bounds a shard count.
 const maxShards = 10_000
 
-const fileNames = "a plain file named *.yaml or *.yml"
+const wantFileName = "a plain file named *.yaml or *.yml"
 
-var fileName = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,99}\.ya?ml$`)
+var fileNamePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,99}\.ya?ml$`)
 
-// ReadFolder reads the configuration files of a folder in the order of their
-// names. Hidden entries, whose names begin with a dot, are passed over; any
-// other that is no YAML file is refused, because an operator who misnamed a
-// file would believe it in force. The error is settings.Faults for such entries.
+// ReadFolder reads the configuration files of a folder in the order of their names. It ignores
+// hidden entries, whose names begin with a dot. Any other entry that is not a YAML file is a
+// fault, because an operator who misnamed a file would believe it to be in force. The error
+// for such entries is of the type settings.Faults.
 func ReadFolder(dir string) ([]File, error) {
 	li, err := os.ReadDir(dir)
 	if err != nil {
@@ -41,8 +41,8 @@
 		if strings.HasPrefix(it.Name(), ".") {
 			continue
 		}
-		if got := notConfiguration(dir, it); got != "" {
-			fs = append(fs, Fault{File: it.Name(), Want: fileNames, Got: got})
+		if got := invalidEntry(dir, it); got != "" {
+			fs = append(fs, Fault{File: it.Name(), Want: wantFileName, Got: got})
 			continue
 		}
 		data, err := os.ReadFile(filepath.Join(dir, it.Name()))
@@ -54,7 +54,7 @@
 	return files, fs.Sorted().Err()
 }
 
-func notConfiguration(dir string, it os.DirEntry) string {
+func invalidEntry(dir string, it os.DirEntry) string {
 	fi, err := os.Stat(filepath.Join(dir, it.Name()))
 	switch {
 	case err != nil:
@@ -63,43 +63,41 @@
 		return "a folder"
 	case !fi.Mode().IsRegular():
 		return "a special file"
-	case !fileName.MatchString(it.Name()):
+	case !fileNamePattern.MatchString(it.Name()):
 		return "another name"
 	default:
 		return ""
 	}
 }
 
-// Merge merges files in the order of their names and checks the merged whole.
-// Mappings are merged key by key, so that a service may be spread over files;
-// lists and single values of a later file replace earlier ones whole, and null
-// removes a service or field. The revision of the result is 0. The same files
-// give the same result on every instance.
+// Merge merges files in the order of their names and validates the result. Mappings are merged
+// key by key, so that a service may be spread over files. Lists and scalars of a later file
+// replace earlier ones, and null removes a service or field. The revision of the result is 0.
+// The result depends only on the files, so it is the same on every instance.
 func Merge(files []File) (Configuration, settings.Faults) {
 	return NewMerger().Merge(files)
 }
 
-// Merger merges again and again, as files change one by one. It remembers the
-// files of the last merge, so that those that stay are not parsed again. It may
-// be used by many goroutines.
+// Merger merges repeatedly as files change one by one. It caches the parsed files of the last
+// merge, so that unchanged files are not parsed again. It is safe for concurrent use.
 type Merger struct {
-	mu   sync.Mutex
-	last map[string]parsed
+	mu       sync.Mutex
+	previous map[string]parsedFile
 }
 
-// parsed is a file with what parsing it gave.
-type parsed struct {
+// parsedFile is a parsed file with its faults.
+type parsedFile struct {
 	content []byte
 	tree    settings.Tree
 	faults  settings.Faults
 }
 
-// NewMerger returns a merger that remembers nothing.
+// NewMerger returns a merger with an empty cache.
 func NewMerger() *Merger {
 	return &Merger{}
 }
 
-// Merge does what the function Merge does.
+// Merge is like the function Merge.
 func (me *Merger) Merge(files []File) (Configuration, settings.Faults) {
 	tr, fs := me.trees(files)
 	cf := Configuration{
@@ -129,8 +127,8 @@
 	return se, append(fs, sub.Decode(&se)...)
 }
 
-// Origins tells which file and line each value of the merged whole came from,
-// as "file:line" by field, such as "Services.archivo.Policy".
+// Origins returns the file and line of each value of the merged files, as "file:line" by
+// field, such as "Services.archivo.Policy".
 func Origins(files []File) map[string]string {
 	tr, _ := NewMerger().trees(files)
 	return tr.Origins()
@@ -141,7 +139,7 @@
 	so := slices.SortedFunc(slices.Values(files), func(aa, bb File) int { return cmp.Compare(aa.Name, bb.Name) })
 	me.mu.Lock()
 	defer me.mu.Unlock()
-	next := make(map[string]parsed, len(so))
+	next := make(map[string]parsedFile, len(so))
 	var trees []settings.Tree
 	var fs settings.Faults
 	for _, fi := range so {
@@ -158,24 +156,24 @@
 		trees = append(trees, pa.tree)
 		fs = append(fs, pa.faults...)
 	}
-	me.last = next
+	me.previous = next
 	tr, mf := settings.MergeTrees(trees...)
 	return tr, append(fs, mf...)
 }
 
-func (me *Merger) parse(fi File) parsed {
-	if pa, ok := me.last[fi.Name]; ok && bytes.Equal(pa.content, fi.Content) {
+func (me *Merger) parse(fi File) parsedFile {
+	if pa, ok := me.previous[fi.Name]; ok && bytes.Equal(pa.content, fi.Content) {
 		return pa
 	}
 	tr, fs := settings.Parse(fi.Name, fi.Content)
-	return parsed{content: bytes.Clone(fi.Content), tree: tr, faults: fs}
+	return parsedFile{content: bytes.Clone(fi.Content), tree: tr, faults: fs}
 }
 
-// fault checks what can be told of the file without reading it.
+// fault checks the name and size of the file.
 func (fi File) fault() *Fault {
 	switch {
-	case !fileName.MatchString(fi.Name):
-		return &Fault{File: fi.Name, Want: fileNames, Got: "another name"}
+	case !fileNamePattern.MatchString(fi.Name):
+		return &Fault{File: fi.Name, Want: wantFileName, Got: "another name"}
 	case len(fi.Content) > MaxFileBytes:
 		got := strconv.Itoa(len(fi.Content)) + " bytes"
 		return &Fault{File: fi.Name, Want: fmt.Sprintf("at most %d bytes", MaxFileBytes), Got: got}
@@ -184,8 +182,7 @@
 	}
 }
 
-// expandShards replaces each count of shards of a service by the list of names
-// that it stands for.
+// expandShards replaces each shard count of a service by the list of names that it stands for.
 func expandShards(tr settings.Tree) (settings.Tree, settings.Faults) {
 	var fs settings.Faults
 	for i := range tr.Len("Partitions") {
@@ -205,8 +202,8 @@
 	return tr, fs
 }
 
-// ShardNames returns the names that a count of shards stands for: numbers from
-// 0 with leading zeros, at least two digits wide, so 13 gives 00 to 12.
+// ShardNames returns the names that a shard count stands for: numbers from 0 with leading
+// zeros, at least two digits wide, so 13 gives 00 to 12.
 func ShardNames(count int) []string {
 	wi := max(2, len(strconv.Itoa(count-1)))
 	na := make([]string, count)
--- a/operator/merge_test.go
+++ b/operator/merge_test.go
@@ -27,9 +27,9 @@
 	c.Assert(got, qt.Equals, string(want))
 }
 
-// archive returns the files of a txtar archive, last name first: the order in
-// which they come must not matter.
-func archive(c *qt.C, path string) []File {
+// readArchive returns the files of a txtar archive in reverse order, because the order of the
+// files must not matter.
+func readArchive(c *qt.C, path string) []File {
 	ar, err := txtar.ParseFile(path)
 	c.Assert(err, qt.IsNil)
 	var files []File
@@ -40,10 +40,10 @@
 	return files
 }
 
-// An operator adds a file with a mistake, or one that contradicts another file.
-// Accepted, it would be in force on every instance at once. Each archive of
-// testdata holds one kind of fault, or, named good-, a folder that is merged;
-// its golden file holds the faults, or the merged whole and each value's origin.
+// A file with a mistake, or one that contradicts another file, must be rejected: accepted, it
+// would come into force on every instance at once. Each archive in testdata holds one kind of
+// fault, or, if its name begins with good-, a valid folder. The golden file holds the faults,
+// or the merged values with their origins.
 func TestMerge(t *testing.T) {
 	paths, err := filepath.Glob("testdata/*.txtar")
 	qt.Assert(t, err, qt.IsNil)
@@ -51,7 +51,7 @@
 		na := strings.TrimSuffix(filepath.Base(pa), ".txtar")
 		t.Run(na, func(t *testing.T) {
 			c := qt.New(t)
-			files := archive(c, pa)
+			files := readArchive(c, pa)
 			cf, fs := Merge(files)
 			c.Assert(len(fs) == 0, qt.Equals, strings.HasPrefix(na, "good-"))
 			out := fs.Error()
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestMergeBounds(t *testing.T) {
+func TestMergeRejectsInvalidFiles(t *testing.T) {
 	c := qt.New(t)
 	_, fs := Merge([]File{{Name: "a.yaml", Content: make([]byte, MaxFileBytes+1)}, {Name: "b.yaml"}, {Name: "b.yaml"}, {Name: "../c.yaml"}})
 	c.Assert(fs.Error(), qt.Equals, `../c.yaml: want a plain file named *.yaml or *.yml, got another name
@@ -73,7 +73,7 @@
 b.yaml: want each file once, got a second one`)
 }
 
-func TestReadFolder(t *testing.T) {
+func TestReadFolderRejectsOtherEntries(t *testing.T) {
 	c := qt.New(t)
 	dir := c.Mkdir()
 	for _, na := range []string{"20-b.yml", "10-a.yaml", ".seen.json", "notes.txt", "-x.yaml"} {
@@ -91,19 +91,19 @@
 
 func TestDiff(t *testing.T) {
 	c := qt.New(t)
-	older, _ := Merge(archive(c, "testdata/good-spread.txtar"))
-	newer, _ := Merge(archive(c, "testdata/good-defaults.txtar"))
+	older, _ := Merge(readArchive(c, "testdata/good-spread.txtar"))
+	newer, _ := Merge(readArchive(c, "testdata/good-defaults.txtar"))
 	golden(c, "testdata/diff.golden", strings.Join(Diff(older, newer), "\n")+"\n")
 	c.Assert(Diff(newer, newer), qt.HasLen, 0)
 }
 
-// Control merges after each change and keeps what it parsed. A file that was
-// edited, and then put back, must never be taken for what it was before.
-func TestMergerForgets(t *testing.T) {
+// Control merges after each change and caches parsed files. A file that was edited, and then
+// changed back, must be parsed again.
+func TestMergerReparsesChangedFiles(t *testing.T) {
 	c := qt.New(t)
 	me := NewMerger()
 	for _, policy := range []string{"Best", "Complete", "Fast", "Best"} {
-		files := append(archive(c, "testdata/good-defaults.txtar"), File{Name: "90.yaml", Content: []byte("Services: {archivo: {Policy: " + policy + "}}")})
+		files := append(readArchive(c, "testdata/good-defaults.txtar"), File{Name: "90.yaml", Content: []byte("Services: {archivo: {Policy: " + policy + "}}")})
 		cf, fs := me.Merge(files)
 		want, wantFaults := Merge(files)
 		c.Assert(cf, qt.DeepEquals, want)
@@ -111,7 +111,7 @@
 	}
 }
 
-// Each accepted change merges all files again, also when a journal is replayed.
+// Every accepted change merges all files, also while the write-ahead log is replayed.
 func BenchmarkMerge(b *testing.B) {
 	for _, n := range []int{27, 270, 2700} {
 		var files []File
--- a/operator/message.go
+++ b/operator/message.go
@@ -9,18 +9,18 @@
 	"balsamwinch.example/snapshot"
 )
 
-// The paths of the operators' endpoints of an instance.
+// Paths of an instance's operator endpoints.
 const (
-	ChangesPath = "/changes" // ChangesPath takes a ChangeRequest by POST and gives a ChangeReply.
-	FilesPath   = "/files"   // FilesPath gives a FilesReply.
-	StatusPath  = "/status"  // StatusPath gives a Status.
-	AuditPath   = "/audit"   // AuditPath gives an AuditReply; the parameter from is the first number.
-	ExplainPath = "/explain" // ExplainPath gives an Explanation; the parameter subject names the matter.
-	DrainPath   = "/drain"   // DrainPath takes a DrainRequest by POST and gives a DrainReply.
-	VotersPath  = "/voters"  // VotersPath takes a VotersRequest by POST and gives a VotersReply.
+	ChangesPath = "/changes" // POST of a ChangeRequest; returns a ChangeReply
+	FilesPath   = "/files"   // returns a FilesReply
+	StatusPath  = "/status"  // returns a Status
+	AuditPath   = "/audit"   // returns an AuditReply that starts at the number in the parameter from
+	ExplainPath = "/explain" // returns an Explanation of the parameter subject
+	DrainPath   = "/drain"   // POST of a DrainRequest; returns a DrainReply
+	VotersPath  = "/voters"  // POST of a VotersRequest; returns a VotersReply
 )
 
-// Fault is one thing that is wrong with the operators' files.
+// Fault is an error in the operators' files.
 type Fault = settings.Fault
 
 // File is one configuration file.
@@ -29,25 +29,25 @@
 	Content []byte
 }
 
-// FileChange is what a change does to one file.
+// FileChange creates, replaces or deletes one file.
 type FileChange struct {
 	Name string
-	// Base is the revision at which the file last changed, as the operator
-	// knew it; 0 means that the file was not known to exist.
+	// Base is the revision at which the file last changed, as far as the operator knows; 0
+	// means that the operator knows of no such file.
 	Base    uint64
 	Content []byte `json:",omitempty"`
 	Delete  bool   `json:",omitempty"`
 }
 
-// ChangeRequest asks for a change of the configuration. A resend carries the
-// same ChangeID and gets the answer of the first.
+// ChangeRequest requests a change of the configuration. A resent request carries the same
+// ChangeID and gets the reply of the first.
 type ChangeRequest struct {
 	ChangeID string
 	Author   string
 	Files    []FileChange
 }
 
-// Conflict names the change that went first.
+// Conflict identifies the change that was made in the meantime.
 type Conflict struct {
 	File     string
 	Author   string
@@ -55,21 +55,21 @@
 	Revision uint64
 }
 
-// ChangeReply is the answer to a change. Code is one of Accepted, Pending,
-// Conflict and Invalid.
+// ChangeReply is the reply to a change. Code is one of Accepted, Pending, Conflict and
+// Invalid.
 type ChangeReply struct {
 	Code       result.Code
-	Revision   uint64           `json:",omitempty"` // Revision is the one the change made.
+	Revision   uint64           `json:",omitempty"` // revision that the change created
 	Conflict   *Conflict        `json:",omitempty"`
 	Faults     []settings.Fault `json:",omitempty"`
-	WaitingFor []string         `json:",omitempty"` // WaitingFor names instances that may serve without the change.
+	WaitingFor []string         `json:",omitempty"` // instances that may still serve without the change
 }
 
 // StoredFile is one file of the accepted configuration.
 type StoredFile struct {
 	Name     string
 	Content  []byte
-	Revision uint64 // Revision is the one at which the file last changed.
+	Revision uint64 // revision at which the file last changed
 	Author   string
 	ChangeID string
 }
@@ -82,10 +82,10 @@
 
 // Status is the state of the tier as one instance sees it.
 type Status struct {
-	Instance  string // Instance is the one that answered.
-	Leader    string // Leader is empty when the instance knows none.
+	Instance  string // instance that responded
+	Leader    string // empty if unknown
 	Term      uint64
-	Revision  uint64 // Revision is the one in force on the instance that answered.
+	Revision  uint64 // revision in force on the instance that responded
 	Voters    []VoterStatus
 	Instances []InstanceStatus
 	Services  []ServiceStatus
@@ -94,13 +94,13 @@
 
 // VoterStatus is one member of the replicated log.
 type VoterStatus struct {
-	ID      string // ID is the voter's identity, which changes with its disk.
+	ID      string // identity of the voter, which changes with its disk
 	Name    string
 	Address string
-	Learner bool // Learner says that it does not vote until it has caught up.
+	Learner bool // does not vote until it has caught up
 }
 
-// InstanceStatus is one instance.
+// InstanceStatus is the state of one instance.
 type InstanceStatus struct {
 	Name        string
 	Region      string
@@ -108,22 +108,22 @@
 	Roles       []settings.Role
 	Addresses   settings.Addresses
 	Draining    bool
-	InForce     uint64 // InForce is the revision that it last reported.
-	LeaseMillis int64  // LeaseMillis is how long its lease still runs, at most.
+	InForce     uint64 // revision that it last reported as in force
+	LeaseMillis int64  // upper bound of the remaining lease
 }
 
-// ServiceStatus is one service.
+// ServiceStatus is the state of one service.
 type ServiceStatus struct {
 	Name     string
 	Policy   Policy
-	Snapshot snapshot.ID // Snapshot is the one that a query would pin now.
-	Shards   int         // Shards is how many the snapshot's partition has.
-	Covered  int         // Covered is how many of them some server holds.
-	// Unannounced names the shards that no server announces.
+	Snapshot snapshot.ID // snapshot that a query would pin now
+	Shards   int         // number of shards in the snapshot's partition map
+	Covered  int         // number of those shards that some server holds
+	// Unannounced lists the shards that no server announces.
 	Unannounced []string `json:",omitempty"`
 }
 
-// ServerStatus is one backend server.
+// ServerStatus is the state of one backend server.
 type ServerStatus struct {
 	Name        string
 	Service     string
@@ -134,42 +134,43 @@
 	Slots       int
 	Connections int
 	InFlight    int
-	// SetAside says why the instance that answered gives the server no work;
-	// empty if it does.
+	// SetAside is the reason why the instance that responded has ejected the server; empty if
+	// it has not.
 	SetAside string `json:",omitempty"`
 }
 
-// AuditEntry is one accepted or refused change in the audit trail. Its fields
-// are those of control.AuditEntry, which computes and verifies the hashes.
+// AuditEntry is an accepted or rejected change in the audit trail. Its fields are those of
+// control.AuditEntry, which computes and verifies the hashes.
 type AuditEntry struct {
-	Number   uint64 // Number counts changes from 1.
+	Number   uint64 // position in the audit trail, from 1
 	When     time.Time
 	Author   string
 	ChangeID string
 	Code     result.Code
-	Revision uint64 // Revision is the one that the change made; 0 if refused.
-	Detail   string // Detail says why the change was refused.
+	Revision uint64 // revision that the change created; 0 if rejected
+	Detail   string // reason of a rejection
 	Files    []AuditFile
-	Previous string // Previous is the Hash of the entry before, in hexadecimal.
-	Hash     string // Hash is the SHA-256 over all fields above, in hexadecimal.
+	Previous string // Hash of the previous entry, in hexadecimal
+	Hash     string // SHA-256 over all fields above, in hexadecimal
 }
 
-// AuditFile is what an audited change did, or would have done, to one file.
+// AuditFile is the effect of an audited change on one file; of a rejected change, the effect
+// that it would have had.
 type AuditFile struct {
 	Name       string
-	BeforeHash string // BeforeHash is the SHA-256 in hexadecimal; empty if the file did not exist.
-	AfterHash  string // AfterHash is the SHA-256 in hexadecimal; empty if the file is deleted.
-	Before     []byte // Before is nil also when the content is no longer kept.
-	After      []byte // After is nil also when the content is no longer kept.
+	BeforeHash string // SHA-256 in hexadecimal; empty if the file did not exist
+	AfterHash  string // SHA-256 in hexadecimal; empty if the file is deleted
+	Before     []byte // nil also if the content is no longer kept
+	After      []byte // nil also if the content is no longer kept
 }
 
 // AuditReply lists audit entries in ascending order.
 type AuditReply struct {
 	Entries []AuditEntry
-	More    bool // More says that later entries exist.
+	More    bool // whether later entries exist
 }
 
-// Explanation says why something is as it is.
+// Explanation lists the reasons for the state of a subject.
 type Explanation struct {
 	Subject string
 	Lines   []string
@@ -177,36 +178,36 @@
 
 // DrainRequest asks an instance to stop gracefully.
 type DrainRequest struct {
-	// Instance is the name of the instance that is meant; the one that is asked
-	// refuses if it has another name. Empty means whichever is asked.
+	// Instance is the name of the instance to stop; an instance of another name rejects the
+	// request. Empty matches any instance.
 	Instance string `json:",omitempty"`
 }
 
-// DrainReply says that the instance is draining.
+// DrainReply confirms that the instance is draining.
 type DrainReply struct {
 	Instance string
-	// StopsWithinMillis is how long it goes on at most.
+	// StopsWithinMillis bounds the time until the instance stops.
 	StopsWithinMillis int64
 }
 
-// VotersAction is a change of the set of voters.
+// VotersAction is a kind of change to the set of voters.
 type VotersAction string
 
-// The changes of the set of voters.
+// Changes of the set of voters.
 const (
-	AddVoter     VotersAction = "Add"     // AddVoter adds a learner, which votes once caught up.
-	RemoveVoter  VotersAction = "Remove"  // RemoveVoter takes a voter or learner out.
-	ReplaceVoter VotersAction = "Replace" // ReplaceVoter adds one and removes the other once it votes.
+	AddVoter     VotersAction = "Add"     // adds a learner, which votes once it has caught up
+	RemoveVoter  VotersAction = "Remove"  // removes a voter or learner
+	ReplaceVoter VotersAction = "Replace" // adds one and removes the other once the new one votes
 )
 
-// VotersRequest asks for a change of the set of voters. A resend is harmless:
-// a change that is already made is answered as made.
+// VotersRequest requests a change of the set of voters. It is idempotent: a change that is
+// already made is confirmed.
 type VotersRequest struct {
 	Action   VotersAction
 	Author   string
-	Name     string // Name is the instance to add or remove.
-	Address  string `json:",omitempty"` // Address is the peer address of the one to add.
-	Replaces string `json:",omitempty"` // Replaces is the instance that Name replaces.
+	Name     string // instance to add or remove
+	Address  string `json:",omitempty"` // peer address of the instance to add
+	Replaces string `json:",omitempty"` // instance that Name replaces
 }
 
 // VotersReply lists the voters after the change.
@@ -215,22 +216,22 @@
 	Detail string `json:",omitempty"`
 }
 
-// ErrorReply is the body of every answer that is a failure.
+// ErrorReply is the body of every response to a failed request.
 type ErrorReply struct {
 	Code             result.Code
-	Name             string // Name is the code's name.
+	Name             string // name of the code
 	Detail           string
-	Leader           string `json:",omitempty"` // Leader is the operators' address to turn to.
+	Leader           string `json:",omitempty"` // operator address of the leader
 	RetryAfterMillis int64  `json:",omitempty"`
 }
 
-// NotLeader is the error of an instance that can't answer because another leads
-// control.
+// NotLeaderError is the error of an instance that cannot handle a request because another
+// instance leads control.
 type NotLeaderError struct {
-	Leader string // Leader is the operators' address of the leader; empty if not known.
+	Leader string // operator address of the leader; empty if unknown
 }
 
-// Error names the leader.
+// Error returns a message that names the leader.
 func (nl *NotLeaderError) Error() string {
 	if nl.Leader == "" {
 		return "not the leader; no leader is known"
@@ -238,26 +239,26 @@
 	return "not the leader; ask " + nl.Leader
 }
 
-// Unwrap returns the error with its result code.
+// Unwrap returns an error with the result code NotLeader.
 func (nl *NotLeaderError) Unwrap() error {
 	return &result.Error{Code: result.NotLeader, Op: "operator", Detail: nl.Error()}
 }
 
-// Backend does what operators ask of an instance. Its errors are *NotLeader or
-// *result.Error; any other is answered as an internal error.
+// Backend handles the requests of operators on an instance. Its errors are *NotLeaderError or
+// *result.Error; the server reports any other as an internal error.
 type Backend interface {
-	// Change commits a change and waits, as long as the context lasts, until it
-	// is in force; then its reply has the code Accepted, and Pending otherwise.
-	// Conflict and Invalid are replies too, not errors.
+	// Change commits a change and waits until it is in force or the context ends. The reply
+	// has the code Accepted if it is in force and Pending if not. Conflict and Invalid are
+	// replies too, not errors.
 	Change(ctx context.Context, cr ChangeRequest) (ChangeReply, error)
 	// Files lists the accepted files.
 	Files(ctx context.Context) (FilesReply, error)
-	// Status describes the tier as this instance sees it; it needs no leader.
+	// Status returns the state of the tier as this instance sees it; it needs no leader.
 	Status(ctx context.Context) (Status, error)
-	// Audit lists entries whose number is from or above.
+	// Audit lists entries whose number is at least from.
 	Audit(ctx context.Context, from uint64) (AuditReply, error)
-	// Explain says why a server, an instance, a service, a change or the leader
-	// is as it is.
+	// Explain returns the reasons for the state of a server, an instance, a service, a change
+	// or the leader.
 	Explain(ctx context.Context, subject string) (Explanation, error)
 	// Drain starts a graceful stop of this instance and returns at once.
 	Drain(ctx context.Context, dr DrainRequest) (DrainReply, error)
--- a/operator/rules.go
+++ b/operator/rules.go
@@ -9,7 +9,7 @@
 	"balsamwinch.example/settings"
 )
 
-// The values that hold for what no file names.
+// Defaults of fields that no file sets.
 const (
 	DefaultMaxEntries       = 16
 	DefaultAddressTTLMillis = 5000
@@ -18,7 +18,7 @@
 	DefaultWeight           = 1
 )
 
-// The bounds of a configuration.
+// Bounds of the fields of a configuration.
 const (
 	minDeadlineMillis   = 10
 	maxDeadlineMillis   = 60_000
@@ -29,8 +29,8 @@
 	maxAddressTTLMillis = 600_000
 )
 
-// NewService returns a service with the defaults. It selects the servers that
-// announce the service's own name.
+// NewService returns a service with the defaults. It selects the servers that announce the
+// service's own name.
 func NewService(na string) Service {
 	return Service{
 		Name:             na,
@@ -72,28 +72,28 @@
 	numbers := make([]string, len(ps))
 	paths := make([][]string, len(ps))
 	for i, pa := range ps {
-		at := with(path, strconv.Itoa(i))
+		at := appendPath(path, strconv.Itoa(i))
 		numbers[i] = strconv.FormatUint(pa.Number, 10)
-		paths[i] = with(at, "Number")
+		paths[i] = appendPath(at, "Number")
 		ck.Want(pa.Number > 0, "a number from 1", pa.Number, paths[i]...)
-		ck.Want(len(pa.Shards) > 0, "at least one shard", pa.Shards, with(at, "Shards")...)
-		checkNames(ck, "shard", pa.Shards, with(at, "Shards"))
+		ck.Want(len(pa.Shards) > 0, "at least one shard", pa.Shards, appendPath(at, "Shards")...)
+		checkNames(ck, "shard", pa.Shards, appendPath(at, "Shards"))
 	}
 	ck.Unique("number", numbers, paths)
 }
 
-var wordSyntax = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,99}$`)
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,99}$`)
 
-// checkNames wants a list of names that differ.
-func checkNames(ck *settings.Checker, what string, names, path []string) {
+// checkNames checks that the names are valid and unique.
+func checkNames(ck *settings.Checker, kind string, names, path []string) {
 	paths := make([][]string, len(names))
 	for i, na := range names {
-		paths[i] = with(path, strconv.Itoa(i))
-		ck.Want(wordSyntax.MatchString(na), "a name of letters, digits, dots, hyphens and underscores", na, paths[i]...)
+		paths[i] = appendPath(path, strconv.Itoa(i))
+		ck.Want(namePattern.MatchString(na), "a name of letters, digits, dots, hyphens and underscores", na, paths[i]...)
 	}
-	ck.Unique(what, names, paths)
+	ck.Unique(kind, names, paths)
 }
 
-func with(path []string, more string) []string {
+func appendPath(path []string, more string) []string {
 	return append(slices.Clone(path), more)
 }
--- a/operator/server.go
+++ b/operator/server.go
@@ -17,16 +17,16 @@
 	"balsamwinch.example/result"
 )
 
-// MaxRequestBytes is the size of the largest request body that is taken.
+// MaxRequestBytes is the maximum size of a request body.
 const MaxRequestBytes = 4 << 20
 
-// ChangeWait is how long the server lets a change wait until it is in force.
+// ChangeTimeout bounds how long the server waits for a change to come into force.
 const ChangeTimeout = 10 * time.Second
 
-const maxIDLength = 128
+const maxTextLength = 128
 
-// NewServer returns a handler of the operators' endpoints. Each failure is
-// answered with an ErrorReply.
+// NewServer returns a handler of the operator endpoints. It responds to each failure with an
+// ErrorReply.
 func NewServer(be Backend, lg *zap.Logger) http.Handler {
 	se := &server{be: be, lg: lg}
 	mu := http.NewServeMux()
@@ -37,17 +37,17 @@
 	mu.HandleFunc("GET "+ExplainPath, se.explain)
 	mu.HandleFunc("POST "+DrainPath, se.drain)
 	mu.HandleFunc("POST "+VotersPath, se.voters)
-	mu.HandleFunc("/", se.unknown)
+	mu.HandleFunc("/", se.notFound)
 	return mu
 }
 
-// server answers operators from a backend.
+// server handles operator requests by calling a backend.
 type server struct {
 	be Backend
 	lg *zap.Logger
 }
 
-// requestError is a request that is refused before the backend sees it.
+// requestError rejects a request before it reaches the backend.
 type requestError struct {
 	status int
 	detail string
@@ -64,7 +64,7 @@
 
 func (se *server) change(rw http.ResponseWriter, rq *http.Request) {
 	var cr ChangeRequest
-	if err := read(rw, rq, &cr); err != nil {
+	if err := decodeBody(rw, rq, &cr); err != nil {
 		se.fail(rw, rq, err)
 		return
 	}
@@ -84,12 +84,12 @@
 
 func (se *server) files(rw http.ResponseWriter, rq *http.Request) {
 	re, err := se.be.Files(rq.Context())
-	se.answer(rw, rq, re, err)
+	se.respond(rw, rq, re, err)
 }
 
 func (se *server) status(rw http.ResponseWriter, rq *http.Request) {
 	re, err := se.be.Status(rq.Context())
-	se.answer(rw, rq, re, err)
+	se.respond(rw, rq, re, err)
 }
 
 func (se *server) audit(rw http.ResponseWriter, rq *http.Request) {
@@ -103,32 +103,32 @@
 		from = nu
 	}
 	re, err := se.be.Audit(rq.Context(), from)
-	se.answer(rw, rq, re, err)
+	se.respond(rw, rq, re, err)
 }
 
 func (se *server) explain(rw http.ResponseWriter, rq *http.Request) {
 	su := rq.FormValue("subject")
-	if su == "" || len(su) > maxIDLength {
-		se.fail(rw, rq, badRequest("subject: want 1 to %d characters, got %d", maxIDLength, len(su)))
+	if su == "" || len(su) > maxTextLength {
+		se.fail(rw, rq, badRequest("subject: want 1 to %d characters, got %d", maxTextLength, len(su)))
 		return
 	}
 	re, err := se.be.Explain(rq.Context(), su)
-	se.answer(rw, rq, re, err)
+	se.respond(rw, rq, re, err)
 }
 
 func (se *server) drain(rw http.ResponseWriter, rq *http.Request) {
 	var dr DrainRequest
-	if err := read(rw, rq, &dr); err != nil {
+	if err := decodeBody(rw, rq, &dr); err != nil {
 		se.fail(rw, rq, err)
 		return
 	}
 	re, err := se.be.Drain(rq.Context(), dr)
-	se.answer(rw, rq, re, err)
+	se.respond(rw, rq, re, err)
 }
 
 func (se *server) voters(rw http.ResponseWriter, rq *http.Request) {
 	var vr VotersRequest
-	if err := read(rw, rq, &vr); err != nil {
+	if err := decodeBody(rw, rq, &vr); err != nil {
 		se.fail(rw, rq, err)
 		return
 	}
@@ -137,10 +137,10 @@
 		return
 	}
 	re, err := se.be.ChangeVoters(rq.Context(), vr)
-	se.answer(rw, rq, re, err)
+	se.respond(rw, rq, re, err)
 }
 
-func (se *server) unknown(rw http.ResponseWriter, rq *http.Request) {
+func (se *server) notFound(rw http.ResponseWriter, rq *http.Request) {
 	re := &requestError{status: http.StatusNotFound, detail: fmt.Sprintf("no endpoint %s", rq.URL.Path)}
 	known := []string{ChangesPath, FilesPath, StatusPath, AuditPath, ExplainPath, DrainPath, VotersPath}
 	if slices.Contains(known, rq.URL.Path) {
@@ -150,11 +150,11 @@
 }
 
 func (cr ChangeRequest) check() error {
-	if cr.ChangeID == "" || len(cr.ChangeID) > maxIDLength {
-		return badRequest("ChangeID: want 1 to %d characters, got %d", maxIDLength, len(cr.ChangeID))
+	if cr.ChangeID == "" || len(cr.ChangeID) > maxTextLength {
+		return badRequest("ChangeID: want 1 to %d characters, got %d", maxTextLength, len(cr.ChangeID))
 	}
-	if cr.Author == "" || len(cr.Author) > maxIDLength {
-		return badRequest("Author: want 1 to %d characters, got %d", maxIDLength, len(cr.Author))
+	if cr.Author == "" || len(cr.Author) > maxTextLength {
+		return badRequest("Author: want 1 to %d characters, got %d", maxTextLength, len(cr.Author))
 	}
 	if len(cr.Files) == 0 {
 		return badRequest("Files: want at least one file, got none")
@@ -189,10 +189,11 @@
 	}
 }
 
-// read decodes the body strictly and bounded in size.
-func read(rw http.ResponseWriter, rq *http.Request, out any) error {
-	// A browser sends a form or plain text to any address without asking, so a
-	// page that an operator opens could otherwise drain an instance.
+// decodeBody decodes a JSON body that is bounded in size. Unknown fields and trailing data are
+// errors.
+func decodeBody(rw http.ResponseWriter, rq *http.Request, out any) error {
+	// A browser sends a form or plain text to any address without a preflight request, so a
+	// web page that an operator opens could otherwise drain an instance.
 	mt, _, _ := mime.ParseMediaType(rq.Header.Get("Content-Type"))
 	if mt != "application/json" {
 		return &requestError{status: http.StatusUnsupportedMediaType, detail: fmt.Sprintf("want the content type application/json, got %q", mt)}
@@ -204,7 +205,7 @@
 		if _, err = de.Token(); errors.Is(err, io.EOF) {
 			return nil
 		}
-		err = errors.New("more after the end")
+		err = errors.New("data after the end")
 	}
 	if mb := (*http.MaxBytesError)(nil); errors.As(err, &mb) {
 		return &requestError{status: http.StatusRequestEntityTooLarge, detail: fmt.Sprintf("want at most %d bytes", mb.Limit)}
@@ -212,7 +213,7 @@
 	return badRequest("want one JSON object, got: %v", err)
 }
 
-func (se *server) answer(rw http.ResponseWriter, rq *http.Request, re any, err error) {
+func (se *server) respond(rw http.ResponseWriter, rq *http.Request, re any, err error) {
 	if err != nil {
 		se.fail(rw, rq, err)
 		return
@@ -249,7 +250,7 @@
 	return st, er
 }
 
-// detail leaves out the code, which the reply carries in a field of its own.
+// detail formats the error without its code, which the reply carries in a separate field.
 func detail(re *result.Error) string {
 	te := re.Op
 	if re.Detail != "" {
@@ -265,6 +266,6 @@
 	rw.Header().Set("Content-Type", "application/json")
 	rw.WriteHeader(status)
 	if err := json.NewEncoder(rw).Encode(re); err != nil {
-		se.lg.Info("operator answer not sent", zap.Error(err))
+		se.lg.Info("operator response not sent", zap.Error(err))
 	}
 }
--- a/operator/server_test.go
+++ b/operator/server_test.go
@@ -18,51 +18,51 @@
 	"balsamwinch.example/result"
 )
 
-// fake is a backend that gives the error or a short answer.
-type fake struct {
-	err     error
-	changes []ChangeRequest
-	reply   ChangeReply
-	entries int
-	bounded bool // bounded says that a change came with a deadline.
-	inForce int  // inForce is how many changes come before one is in force; 0 means never.
-}
-
-func (fk *fake) Change(ctx context.Context, cr ChangeRequest) (ChangeReply, error) {
-	fk.changes = append(fk.changes, cr)
-	_, fk.bounded = ctx.Deadline()
-	if fk.inForce > 0 && len(fk.changes) > fk.inForce {
+// fakeBackend returns its error or a short reply.
+type fakeBackend struct {
+	err                 error
+	changes             []ChangeRequest
+	reply               ChangeReply
+	entries             int
+	hasDeadline         bool // whether the last change had a deadline
+	changesUntilInForce int  // number of changes before one is in force; 0 means never
+}
+
+func (fb *fakeBackend) Change(ctx context.Context, cr ChangeRequest) (ChangeReply, error) {
+	fb.changes = append(fb.changes, cr)
+	_, fb.hasDeadline = ctx.Deadline()
+	if fb.changesUntilInForce > 0 && len(fb.changes) > fb.changesUntilInForce {
 		return ChangeReply{Code: result.Accepted}, nil
 	}
-	return fk.reply, fk.err
+	return fb.reply, fb.err
 }
 
-func (fk *fake) Files(context.Context) (FilesReply, error) {
-	return FilesReply{Revision: 7}, fk.err
+func (fb *fakeBackend) Files(context.Context) (FilesReply, error) {
+	return FilesReply{Revision: 7}, fb.err
 }
 
-func (fk *fake) Status(context.Context) (Status, error) {
-	return Status{Instance: "entry-1"}, fk.err
+func (fb *fakeBackend) Status(context.Context) (Status, error) {
+	return Status{Instance: "entry-1"}, fb.err
 }
 
-func (fk *fake) Audit(_ context.Context, from uint64) (AuditReply, error) {
-	re := AuditReply{More: int(from)+2 < fk.entries}
-	for nu := from; nu < from+2 && int(nu) < fk.entries; nu++ {
+func (fb *fakeBackend) Audit(_ context.Context, from uint64) (AuditReply, error) {
+	re := AuditReply{More: int(from)+2 < fb.entries}
+	for nu := from; nu < from+2 && int(nu) < fb.entries; nu++ {
 		re.Entries = append(re.Entries, AuditEntry{Number: nu})
 	}
-	return re, fk.err
+	return re, fb.err
 }
 
-func (fk *fake) Explain(_ context.Context, subject string) (Explanation, error) {
-	return Explanation{Subject: subject}, fk.err
+func (fb *fakeBackend) Explain(_ context.Context, subject string) (Explanation, error) {
+	return Explanation{Subject: subject}, fb.err
 }
 
-func (fk *fake) Drain(context.Context, DrainRequest) (DrainReply, error) {
-	return DrainReply{Instance: "entry-1"}, fk.err
+func (fb *fakeBackend) Drain(context.Context, DrainRequest) (DrainReply, error) {
+	return DrainReply{Instance: "entry-1"}, fb.err
 }
 
-func (fk *fake) ChangeVoters(_ context.Context, vr VotersRequest) (VotersReply, error) {
-	return VotersReply{Detail: vr.Name}, fk.err
+func (fb *fakeBackend) ChangeVoters(_ context.Context, vr VotersRequest) (VotersReply, error) {
+	return VotersReply{Detail: vr.Name}, fb.err
 }
 
 func TestServer(t *testing.T) {
@@ -100,72 +100,72 @@
 	c := qt.New(t)
 	var sb strings.Builder
 	for _, te := range tests {
-		fk := &fake{err: te.err, reply: ChangeReply{Code: result.Pending, WaitingFor: []string{"entry-2"}}}
+		fb := &fakeBackend{err: te.err, reply: ChangeReply{Code: result.Pending, WaitingFor: []string{"entry-2"}}}
 		method, path, _ := strings.Cut(te.request, " ")
 		rq := httptest.NewRequest(method, path, strings.NewReader(te.body))
 		rq.Header.Set("Content-Type", "application/json; charset=utf-8")
 		rc := httptest.NewRecorder()
-		NewServer(fk, zap.NewNop()).ServeHTTP(rc, rq)
+		NewServer(fb, zap.NewNop()).ServeHTTP(rc, rq)
 		fmt.Fprintf(&sb, "%s %.130s\n%d %s\n", te.request, te.body, rc.Code, rc.Body)
-		c.Assert(fk.bounded, qt.Equals, len(fk.changes) > 0, qt.Commentf("a change without a bound would outwait the client"))
+		c.Assert(fb.hasDeadline, qt.Equals, len(fb.changes) > 0, qt.Commentf("a change without a deadline would outlast the client"))
 	}
 	golden(c, "testdata/server.golden", sb.String())
 }
 
-// An operator opens a web page while the tier is reachable. The page posts a
-// form to /drain, which a browser sends to any address unasked, and an instance
-// stops. A form has another content type than JSON.
-func TestServerRefusesForms(t *testing.T) {
+// An operator opens a web page that posts a form to /drain. Browsers send such a form to any
+// address, so an instance would stop. Forms are recognised by their content type, which is not
+// JSON.
+func TestServerRejectsFormPosts(t *testing.T) {
 	rq := httptest.NewRequest(http.MethodPost, "/drain", strings.NewReader("{}"))
 	rq.Header.Set("Content-Type", "text/plain")
 	rc := httptest.NewRecorder()
-	NewServer(&fake{}, zap.NewNop()).ServeHTTP(rc, rq)
+	NewServer(&fakeBackend{}, zap.NewNop()).ServeHTTP(rc, rq)
 	qt.Assert(t, rc.Code, qt.Equals, http.StatusUnsupportedMediaType)
 }
 
-// network leads requests to handlers by address, without sockets.
-type network map[string]http.Handler
+// fakeNetwork dispatches requests to handlers by address, without sockets.
+type fakeNetwork map[string]http.Handler
 
-func (ne network) RoundTrip(rq *http.Request) (*http.Response, error) {
+func (ne fakeNetwork) RoundTrip(rq *http.Request) (*http.Response, error) {
 	ha, ok := ne[rq.URL.Host]
 	if !ok {
 		return nil, errors.New("connection refused")
 	}
 	rc := httptest.NewRecorder()
 	ha.ServeHTTP(rc, rq)
-	if rc.Code == lostAnswer {
+	if rc.Code == statusResponseLost {
 		return nil, io.ErrUnexpectedEOF
 	}
 	return rc.Result(), nil
 }
 
-const lostAnswer = 599
+const statusResponseLost = 599
 
-// lossy does each request but, after some, loses the answers of the next few.
-func lossy(ha http.Handler, some, few int) http.Handler {
+// loseResponses handles every request, but after the first delivered responses it loses the
+// next lost ones.
+func loseResponses(ha http.Handler, delivered, lost int) http.Handler {
 	n := 0
 	return http.HandlerFunc(func(rw http.ResponseWriter, rq *http.Request) {
-		if n++; n <= some || n > some+few {
+		if n++; n <= delivered || n > delivered+lost {
 			ha.ServeHTTP(rw, rq)
 			return
 		}
 		ha.ServeHTTP(httptest.NewRecorder(), rq)
-		rw.WriteHeader(lostAnswer)
+		rw.WriteHeader(statusResponseLost)
 	})
 }
 
-// An operator sends a change; the instance commits it and the answer is lost.
-// The operator's command must ask again under the same change id, also at other
-// addresses and of the leader that those name. Under a new id the resend would
-// be refused as a conflict with the operator's own change.
-func TestClientResends(t *testing.T) {
+// The instance commits a change and its response is lost. The client must resend the change
+// with the same change id, also to other addresses and to the leader that they name. Under a
+// new id the resent change would be rejected as a conflict with itself.
+func TestClientResendsAfterLostResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		leader := &fake{reply: ChangeReply{Code: result.Conflict, Conflict: &Conflict{Author: "ben"}}}
-		follower := &fake{err: &NotLeaderError{Leader: "leader"}}
-		cl := newClient([]string{"gone", "follower"}, network{
+		leader := &fakeBackend{reply: ChangeReply{Code: result.Conflict, Conflict: &Conflict{Author: "ben"}}}
+		follower := &fakeBackend{err: &NotLeaderError{Leader: "leader"}}
+		cl := newClient([]string{"gone", "follower"}, fakeNetwork{
 			"follower": NewServer(follower, zap.NewNop()),
-			"leader":   lossy(NewServer(leader, zap.NewNop()), 0, 2),
+			"leader":   loseResponses(NewServer(leader, zap.NewNop()), 0, 2),
 		})
 		cr := ChangeRequest{ChangeID: "c1", Author: "ana", Files: []FileChange{{Name: "a.yaml", Content: []byte("A")}}}
 		re, err := cl.Change(t.Context(), cr)
@@ -175,16 +175,16 @@
 	})
 }
 
-// Two instances each name the other as leader, because neither has heard of the
-// election yet. A client that follows hints without end would never turn to the
-// third, which leads.
-func TestClientHintLoop(t *testing.T) {
+// Two instances each name the other as leader, because neither knows of the election yet. A
+// client that followed hints without a bound would never reach the third instance, which
+// leads.
+func TestClientLeavesLeaderHintLoop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		cl := newClient([]string{"a", "b", "c"}, network{
-			"a": NewServer(&fake{err: &NotLeaderError{Leader: "b"}}, zap.NewNop()),
-			"b": NewServer(&fake{err: &NotLeaderError{Leader: "a"}}, zap.NewNop()),
-			"c": NewServer(&fake{}, zap.NewNop()),
+		cl := newClient([]string{"a", "b", "c"}, fakeNetwork{
+			"a": NewServer(&fakeBackend{err: &NotLeaderError{Leader: "b"}}, zap.NewNop()),
+			"b": NewServer(&fakeBackend{err: &NotLeaderError{Leader: "a"}}, zap.NewNop()),
+			"c": NewServer(&fakeBackend{}, zap.NewNop()),
 		})
 		re, err := cl.Files(t.Context())
 		c.Assert(err, qt.IsNil)
@@ -192,35 +192,35 @@
 	})
 }
 
-// An instance is cut off, so a change stays pending until its lease has run out.
-// An operator who waits must not be told that the change failed: it is made.
-func TestClientChangeInForce(t *testing.T) {
+// An instance is cut off, so a change stays pending until its lease has expired. The client
+// must report the change as pending, not as failed: it is committed.
+func TestClientChangeAndWaitReturnsPending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		fk := &fake{reply: ChangeReply{Code: result.Pending, Revision: 3}}
-		sv := NewServer(fk, zap.NewNop())
-		cl := newClient([]string{"a"}, network{"a": sv})
+		fb := &fakeBackend{reply: ChangeReply{Code: result.Pending, Revision: 3}}
+		sv := NewServer(fb, zap.NewNop())
+		cl := newClient([]string{"a"}, fakeNetwork{"a": sv})
 		cr := ChangeRequest{ChangeID: "c1", Author: "ana", Files: []FileChange{{Name: "a.yaml"}}}
-		for _, ne := range []network{{"a": sv}, {"a": lossy(sv, 1, 1000)}} {
+		for _, ne := range []fakeNetwork{{"a": sv}, {"a": loseResponses(sv, 1, 1000)}} {
 			ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 			re, err := newClient([]string{"a"}, ne).ChangeAndWait(ctx, cr)
 			cancel()
 			c.Assert(err, qt.IsNil)
-			c.Assert(re, qt.DeepEquals, fk.reply)
+			c.Assert(re, qt.DeepEquals, fb.reply)
 		}
-		c.Assert(len(fk.changes) > 1, qt.IsTrue)
-		c.Assert(fk.changes[len(fk.changes)-1], qt.DeepEquals, cr)
-		fk.inForce = 2 * len(fk.changes)
+		c.Assert(len(fb.changes) > 1, qt.IsTrue)
+		c.Assert(fb.changes[len(fb.changes)-1], qt.DeepEquals, cr)
+		fb.changesUntilInForce = 2 * len(fb.changes)
 		re, err := cl.ChangeAndWait(t.Context(), cr)
 		c.Assert(err, qt.IsNil)
 		c.Assert(re.Code, qt.Equals, result.Accepted)
 	})
 }
 
-func TestClientGivesUp(t *testing.T) {
+func TestClientStopsAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		cl := newClient([]string{"gone"}, network{})
+		cl := newClient([]string{"gone"}, fakeNetwork{})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		_, err := cl.Status(ctx)
@@ -231,9 +231,9 @@
 	})
 }
 
-func TestClientReads(t *testing.T) {
+func TestClientRequests(t *testing.T) {
 	c := qt.New(t)
-	cl := newClient([]string{"a", "gone"}, network{"a": NewServer(&fake{entries: 5}, zap.NewNop())})
+	cl := newClient([]string{"a", "gone"}, fakeNetwork{"a": NewServer(&fakeBackend{entries: 5}, zap.NewNop())})
 	au, err := cl.Audit(t.Context(), 1)
 	c.Assert(err, qt.IsNil)
 	c.Assert(au.Entries, qt.HasLen, 4)
