--- a/settings/fault.go
+++ b/settings/fault.go
@@ -7,17 +7,17 @@
 	"strings"
 )
 
-// Fault is one thing that is wrong with a settings or configuration file.
+// Fault is an error in a settings or configuration file.
 type Fault struct {
 	File  string
-	Line  int    // Line counts from 1; 0 means that no line of a file is to blame.
-	Field string // Field is the path of the value, such as "Control.Voters[1].Address".
-	Want  string // Want is what was expected.
-	Got   string // Got is what was found.
+	Line  int    // line number from 1; 0 if the fault is not in a line of a file
+	Field string // path of the value, such as "Control.Voters[1].Address"
+	Want  string // what was expected
+	Got   string // what was found
 }
 
-// String returns the fault as "file:line: field: want ..., got ...". Parts that
-// are not known are left out.
+// String formats the fault as "file:line: field: want ..., got ...". Unknown parts are
+// omitted.
 func (fa Fault) String() string {
 	var sb strings.Builder
 	sb.WriteString(fa.File)
@@ -34,8 +34,8 @@
 	return sb.String()
 }
 
-// Faults are all faults that one reading found, sorted by file and line. Faults
-// is an error when it is not empty; see Err.
+// Faults are all faults found while reading, sorted by file and line. As an error it must not
+// be empty; see Err.
 type Faults []Fault
 
 // Error returns one line for each fault.
@@ -47,7 +47,7 @@
 	return strings.Join(li, "\n")
 }
 
-// Err returns the faults as an error, or nil when there are none.
+// Err returns the faults as an error, or nil if there are none.
 func (fs Faults) Err() error {
 	if len(fs) == 0 {
 		return nil
@@ -55,7 +55,7 @@
 	return fs
 }
 
-// Sorted returns the faults in the order of file, line and field.
+// Sorted returns the faults sorted by file, line and field.
 func (fs Faults) Sorted() Faults {
 	so := slices.Clone(fs)
 	slices.SortStableFunc(so, func(aa, bb Fault) int {
--- a/settings/instance.go
+++ b/settings/instance.go
@@ -9,83 +9,83 @@
 	"balsamwinch.example/result"
 )
 
-// Role is a job that an instance does.
+// Role is a function of an instance in the tier.
 type Role string
 
-// The roles of an instance.
+// Roles of an instance.
 const (
-	// Entry serves callers and asks backend servers.
+	// Entry serves callers and sends requests to backend servers.
 	Entry Role = "Entry"
-	// Control keeps the durable state and votes; it needs a data folder.
+	// Control stores the durable state and votes; it needs a data folder.
 	Control Role = "Control"
 )
 
 // Instance is the settings file of one instance.
 type Instance struct {
-	Name       string // Name is unique among instances and stands in the certificate.
+	Name       string // unique among instances; also the name in the certificate
 	Region     string
 	DataCentre string
 	Roles      []Role
 	Addresses  Addresses
 	Control    ControlGroup
-	DataFolder string // DataFolder holds the journal of an instance with the role Control.
+	DataFolder string // write-ahead log of an instance with the role Control
 	Keys       Keys
 	Log        Log
 	Timing     Timing
 	Limits     Limits
 }
 
-// Addresses are where an instance listens, each an IP number and a port. Port 0
-// lets the kernel choose, except for a peer address with the role Control.
+// Addresses are the listen addresses of an instance, each an IP address and a port. With port
+// 0 the kernel chooses the port; a peer address with the role Control must not use it.
 type Addresses struct {
-	Caller   string // Caller takes queries by HTTP; only with the role Entry.
-	Backend  string // Backend takes announcements of backend servers by HTTP.
-	Operator string // Operator takes changes and serves metrics by HTTP.
-	Peer     string // Peer takes messages of other instances by QUIC over UDP.
+	Caller   string // queries over HTTP; only with the role Entry
+	Backend  string // announcements of backend servers over HTTP
+	Operator string // operator requests and metrics over HTTP
+	Peer     string // messages of other instances over QUIC (UDP)
 }
 
-// ControlGroup names the instances that keep the durable state.
+// ControlGroup lists the instances that store the durable state.
 type ControlGroup struct {
-	// Voters are those that vote when the tier starts for the first time, and
-	// those that every instance turns to for its lease.
+	// Voters are the voters at the first start of the tier. Every instance also requests its
+	// lease from them.
 	Voters []Voter
 }
 
 // Voter is one instance with the role Control.
 type Voter struct {
 	Name    string
-	Address string // Address is its peer address.
+	Address string // peer address
 }
 
-// Keys are the paths of PEM files. LoadInstance makes them relative to the
-// folder of the settings file.
+// Keys are the paths of PEM files. LoadInstance resolves relative paths from the folder of the
+// settings file.
 type Keys struct {
-	Authority   string // Authority is the certificate of the authority that signed all instances.
+	Authority   string // certificate of the authority that signed the certificates of all instances
 	Certificate string
 	Key         string
 }
 
-// Log says what is written to the log.
+// Log configures the log.
 type Log struct {
-	Level string // Level is debug, info, warn or error.
+	Level string // debug, info, warn or error
 }
 
-// Timing holds the times of the control path.
+// Timing holds the timeouts and intervals of the control path.
 type Timing struct {
-	Election   time.Duration // Election is the shortest time without a leader before a voter stands.
-	Heartbeat  time.Duration // Heartbeat is how often a leader speaks to each voter.
-	Lease      time.Duration // Lease is how long an instance may serve after control last answered it.
-	Renewal    time.Duration // Renewal is how often an instance renews its lease.
-	DrainGrace time.Duration // DrainGrace is how long a stopping instance waits for requests in flight, after address lists ran out.
-	// SilentAfter is how long a connection to a backend server may make no progress
-	// while a request waits, unless the query's own time is shorter.
+	Election   time.Duration // minimum time without a leader before a voter stands for election
+	Heartbeat  time.Duration // interval of the leader's heartbeats to each voter
+	Lease      time.Duration // how long an instance may serve after the last response from control
+	Renewal    time.Duration // interval at which an instance renews its lease
+	DrainGrace time.Duration // how long a stopping instance waits for requests in flight after address lists have expired
+	// SilentAfter is how long a connection to a backend server may make no progress while a
+	// request waits, unless the remaining time of the query is shorter.
 	SilentAfter time.Duration
 }
 
-// Limits bound what an entry takes on.
+// Limits bound the load of an entry instance.
 type Limits struct {
-	// LeafRequests is how many leaf requests all admitted queries together may
-	// have in flight; it bounds memory, and services share it by their weights.
+	// LeafRequests bounds the leaf requests in flight of all admitted queries together, and
+	// with them memory. Services share it by their weights.
 	LeafRequests int
 }
 
@@ -94,7 +94,7 @@
 	return slices.Contains(in.Roles, ro)
 }
 
-// The defaults of an instance's settings.
+// Defaults of an instance's settings.
 const (
 	DefaultElection     = 500 * time.Millisecond
 	DefaultHeartbeat    = 100 * time.Millisecond
@@ -106,7 +106,7 @@
 	DefaultLogLevel     = "info"
 )
 
-// NewInstance returns the settings that hold for what a file does not name.
+// NewInstance returns the default settings of an instance.
 func NewInstance() Instance {
 	return Instance{
 		Log: Log{Level: DefaultLogLevel},
@@ -122,8 +122,8 @@
 	}
 }
 
-// LoadInstance reads and checks the settings file of an instance. The error is
-// a *result.Error with the code BadSettings that wraps Faults.
+// LoadInstance reads and checks the settings file of an instance. The error is a *result.Error
+// with the code BadSettings; faults of the content are wrapped as Faults.
 func LoadInstance(path string) (Instance, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -133,15 +133,15 @@
 	if err := fs.Err(); err != nil {
 		return Instance{}, badSettings(err)
 	}
-	return in.withFolder(filepath.Dir(path)), nil
+	return in.resolvePaths(filepath.Dir(path)), nil
 }
 
 func badSettings(err error) error {
 	return &result.Error{Code: result.BadSettings, Op: "load settings", Err: err}
 }
 
-// withFolder makes relative paths start at the folder of the settings file.
-func (in Instance) withFolder(dir string) Instance {
+// resolvePaths resolves relative paths from the folder of the settings file.
+func (in Instance) resolvePaths(dir string) Instance {
 	for _, pt := range []*string{&in.DataFolder, &in.Keys.Authority, &in.Keys.Certificate, &in.Keys.Key} {
 		if *pt != "" && !filepath.IsAbs(*pt) {
 			*pt = filepath.Join(dir, *pt)
--- a/settings/rules.go
+++ b/settings/rules.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// The bounds of an instance's settings.
+// Bounds of an instance's settings.
 const (
-	maxVoters       = 4 // More instances than this may not be set aside for control.
+	maxVoters       = 4 // the maximum number of instances that may be reserved for control
 	minHeartbeat    = 10 * time.Millisecond
 	maxHeartbeat    = 3 * time.Second
 	maxElection     = 10 * time.Second
 	minLease        = 500 * time.Millisecond
-	maxLease        = 8 * time.Second // A change waits for a lost instance's lease, and must be in force within 10 s.
+	maxLease        = 8 * time.Second // A change waits for the lease of a lost instance and must be in force within 10 s.
 	maxDrainGrace   = 10 * time.Minute
 	minSilentAfter  = 100 * time.Millisecond
 	maxSilentAfter  = time.Minute
 	maxLeafRequests = 1_000_000
-	// heartbeatsPerElection is how many heartbeats must be lost in a row before
-	// a voter may stand, so that one lost packet unseats no leader.
+	// heartbeatsPerElection is the number of consecutive heartbeats that must be lost before a
+	// voter may stand for election, so that one lost packet does not depose a leader.
 	heartbeatsPerElection = 3
-	// renewalsPerLease is how many renewals fit into a lease, so that one lost
-	// answer stops no instance.
+	// renewalsPerLease is the minimum number of renewals during a lease, so that one lost
+	// response does not stop an instance.
 	renewalsPerLease = 3
 )
 
@@ -49,8 +49,8 @@
 	in.checkAddress(ck, ad.Operator, "Operator", true)
 	in.checkAddress(ck, ad.Backend, "Backend", in.Has(Entry))
 	in.checkAddress(ck, ad.Caller, "Caller", in.Has(Entry))
-	stray := ad.Caller != "" && in.lacks(Entry)
-	ck.Want(!stray, "no caller address without the role Entry", ad.Caller, "Addresses", "Caller")
+	unexpected := ad.Caller != "" && in.lacksRole(Entry)
+	ck.Want(!unexpected, "no caller address without the role Entry", ad.Caller, "Addresses", "Caller")
 	var values []string
 	var paths [][]string
 	for _, it := range []struct{ field, address string }{
@@ -59,7 +59,7 @@
 		{"Operator", ad.Operator},
 		{"Peer", ad.Peer},
 	} {
-		if !kernelChooses(it.address) {
+		if !hasEphemeralPort(it.address) {
 			values = append(values, it.address)
 			paths = append(paths, []string{"Addresses", it.field})
 		}
@@ -73,7 +73,7 @@
 	}
 }
 
-func kernelChooses(ad string) bool {
+func hasEphemeralPort(ad string) bool {
 	return len(ad) > 2 && ad[len(ad)-2:] == ":0"
 }
 
@@ -98,14 +98,14 @@
 	in.checkControlRole(ck)
 }
 
-// checkOwnVoter wants the voters to name this instance exactly as it is: another
-// name at its address, or another address with its name, would let a voter
-// count twice or not at all.
+// checkOwnVoter checks that the voters list this instance under its own name and address.
+// Another name at its address, or another address under its name, would let a voter count
+// twice or not at all.
 func (in Instance) checkOwnVoter(ck *Checker, vo Voter, path []string) {
 	switch {
 	case vo.Name == in.Name && in.Has(Control):
 		ck.Want(vo.Address == in.Addresses.Peer, "the instance's own peer address "+in.Addresses.Peer, vo.Address, path...)
-	case vo.Name == in.Name && in.lacks(Control):
+	case vo.Name == in.Name && in.lacksRole(Control):
 		ck.Want(false, "the role Control too for a voter of this name", vo.Name, path[:len(path)-1]...)
 	case vo.Name != in.Name && vo.Address != "":
 		ck.Want(vo.Address != in.Addresses.Peer, "another address than this instance's own", vo.Address, path...)
@@ -124,8 +124,8 @@
 	ck.Want(slices.Contains(names, in.Name), "a voter named "+strconv.Quote(in.Name)+" for the role Control", names, "Control", "Voters")
 }
 
-// lacks reports whether the roles are sound and the given one is not among them.
-func (in Instance) lacks(ro Role) bool {
+// lacksRole reports whether all roles are valid and the given one is not among them.
+func (in Instance) lacksRole(ro Role) bool {
 	for _, it := range in.Roles {
 		if it != Entry && it != Control {
 			return false
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -23,11 +23,11 @@
 	c.Assert(got, qt.Equals, string(want))
 }
 
-// An operator starts an instance with a mistake in its settings. Without the
-// checks the instance would run with a default in place of what was written, or
-// fail later at a place that names no file. Each file of testdata holds one kind
-// of fault, and all-at-once several, which are reported together.
-func TestInstanceFaults(t *testing.T) {
+// A mistake in the settings must stop the instance with a clear report. Otherwise it would run
+// with a default in place of the intended value, or fail later without naming the file. Each
+// file in testdata holds one kind of fault; all-at-once holds several, which must be reported
+// together.
+func TestInvalidInstanceSettingsAreReported(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.yaml")
 	qt.Assert(t, err, qt.IsNil)
 	for _, fi := range files {
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestLocatorLine(t *testing.T) {
+func TestLocatorFindsClosestLine(t *testing.T) {
 	tr, _ := Parse("f", []byte("A:\n  B:\n  - x\n  - y\n"))
 	for path, line := range map[string]int{"": 1, "A": 1, "A B": 2, "A B 1": 4, "A C": 1, "Z": 1} {
 		qt.Check(t, tr.Locator().Line(strings.Fields(path)...), qt.Equals, line, qt.Commentf("%s", path))
--- a/settings/tree.go
+++ b/settings/tree.go
@@ -13,68 +13,68 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Tree is a parsed YAML document, or several merged into one, that knows the
-// file and line of each value. It is immutable.
+// Tree is a parsed YAML document, or the result of merging several, with the file and line of
+// each value. It is immutable.
 type Tree struct {
-	root  entry
-	field string // field is where the root stands in faults; empty for a document.
+	root  node
+	field string // path of the root in faults; empty for a whole document
 }
 
-// entry is a value together with the key or index that leads to it. The place
-// is that of the key, because a mapping's own line is that of its first key.
-type entry struct {
+// node is a value with its key or index. Its line is that of the key, because a mapping's own
+// line is that of its first key.
+type node struct {
 	key   string
 	file  string
 	line  int
 	kind  yaml.Kind
-	tag   string // tag is the short tag of a scalar, such as !!int.
-	text  string // text is the content of a scalar.
-	items []entry
-	index map[string]int // index finds the items of a large mapping; nil for others.
+	tag   string // short tag of a scalar, such as !!int
+	text  string // content of a scalar
+	items []node
+	index map[string]int // positions of the items of a large mapping by key; nil for other values
 }
 
-// indexedItems is from how many items a mapping has an index.
-const indexedItems = 16
+// minIndexedItems is the number of items from which a mapping is indexed.
+const minIndexedItems = 16
 
-// withItems returns a mapping with the items.
-func (en entry) withItems(items []entry) entry {
-	en.items = items
-	en.index = nil
-	if len(items) < indexedItems {
-		return en
+// withItems returns the mapping with the given items.
+func (no node) withItems(items []node) node {
+	no.items = items
+	no.index = nil
+	if len(items) < minIndexedItems {
+		return no
 	}
-	en.index = make(map[string]int, len(items))
+	no.index = make(map[string]int, len(items))
 	for i, it := range items {
-		en.index[it.key] = i
+		no.index[it.key] = i
 	}
-	return en
+	return no
 }
 
-// find returns the place of the item with the key, or -1.
-func (en entry) find(key string) int {
-	if en.index == nil {
-		return slices.IndexFunc(en.items, func(it entry) bool { return it.key == key })
+// find returns the position of the item with the key, or -1.
+func (no node) find(key string) int {
+	if no.index == nil {
+		return slices.IndexFunc(no.items, func(it node) bool { return it.key == key })
 	}
-	if i, ok := en.index[key]; ok {
+	if i, ok := no.index[key]; ok {
 		return i
 	}
 	return -1
 }
 
-// The short tags of YAML scalars.
+// Short tags of YAML scalars.
 const (
-	tagNull  = "!!null"
-	tagText  = "!!str"
-	tagDate  = "!!timestamp"
-	tagWhole = "!!int"
-	tagFloat = "!!float"
-	tagBool  = "!!bool"
+	tagNull      = "!!null"
+	tagString    = "!!str"
+	tagTimestamp = "!!timestamp"
+	tagInt       = "!!int"
+	tagFloat     = "!!float"
+	tagBool      = "!!bool"
 )
 
-// Parse reads a file of one YAML document whose top is a mapping. An empty file
-// gives an empty mapping. The tree holds what could be read in spite of faults.
+// Parse parses a file with one YAML document that is a mapping. An empty file gives an empty
+// mapping. If there are faults, the tree holds what could be parsed.
 func Parse(file string, data []byte) (Tree, Faults) {
-	tr := Tree{root: entry{file: file, line: 1, kind: yaml.MappingNode}}
+	tr := Tree{root: node{file: file, line: 1, kind: yaml.MappingNode}}
 	de := yaml.NewDecoder(bytes.NewReader(data))
 	var doc yaml.Node
 	if err := de.Decode(&doc); errors.Is(err, io.EOF) {
@@ -84,7 +84,7 @@
 	}
 	pa := parser{file: file}
 	top := doc.Content[0]
-	root := pa.entry("", "", top)
+	root := pa.node("", "", top)
 	switch {
 	case root.kind == yaml.MappingNode:
 		tr.root = root
@@ -92,7 +92,7 @@
 	case root.tag != tagNull:
 		pa.fault(top.Line, "", "a mapping", root.describe())
 	}
-	pa.onlyDocument(de)
+	pa.checkSingleDocument(de)
 	return tr, pa.faults.Sorted()
 }
 
@@ -107,7 +107,7 @@
 	return fa
 }
 
-// parser turns YAML nodes into entries.
+// parser converts YAML nodes.
 type parser struct {
 	file   string
 	faults Faults
@@ -117,7 +117,7 @@
 	pa.faults = append(pa.faults, Fault{File: pa.file, Line: line, Field: field, Want: want, Got: got})
 }
 
-func (pa *parser) onlyDocument(de *yaml.Decoder) {
+func (pa *parser) checkSingleDocument(de *yaml.Decoder) {
 	var next yaml.Node
 	err := de.Decode(&next)
 	switch {
@@ -129,69 +129,69 @@
 	}
 }
 
-func (pa *parser) entry(key, field string, no *yaml.Node) entry {
-	en := entry{key: key, file: pa.file, line: no.Line, kind: no.Kind}
-	if no.Anchor != "" {
-		pa.fault(no.Line, field, "a plain value", "the anchor &"+no.Anchor)
+func (pa *parser) node(key, field string, yn *yaml.Node) node {
+	no := node{key: key, file: pa.file, line: yn.Line, kind: yn.Kind}
+	if yn.Anchor != "" {
+		pa.fault(yn.Line, field, "a plain value", "the anchor &"+yn.Anchor)
 	}
-	switch no.Kind {
+	switch yn.Kind {
 	case yaml.MappingNode:
-		en = en.withItems(pa.mapping(field, no))
+		no = no.withItems(pa.mapping(field, yn))
 	case yaml.SequenceNode:
-		en.items = pa.list(field, no)
+		no.items = pa.list(field, yn)
 	default:
-		en.tag = no.ShortTag()
-		en.text = no.Value
+		no.tag = yn.ShortTag()
+		no.text = yn.Value
 	}
-	return en
+	return no
 }
 
-func (pa *parser) list(field string, no *yaml.Node) []entry {
-	var items []entry
-	for i, it := range no.Content {
+func (pa *parser) list(field string, yn *yaml.Node) []node {
+	var items []node
+	for i, it := range yn.Content {
 		ke := strconv.Itoa(i)
 		path := joinIndex(field, ke)
-		if !pa.alias(path, it) {
-			items = append(items, pa.entry(ke, path, it))
+		if !pa.rejectAlias(path, it) {
+			items = append(items, pa.node(ke, path, it))
 		}
 	}
 	return items
 }
 
-// alias refuses aliases. One can stand for a value far away and, nested, for
-// more text than memory holds; neither an operator nor a limit on the size of
-// the file would see it.
-func (pa *parser) alias(field string, no *yaml.Node) bool {
-	if no.Kind != yaml.AliasNode {
+// rejectAlias reports a fault if the value is an alias. An alias can stand for a distant value
+// and, nested, for more text than fits in memory. An operator would not notice it, and a limit
+// on the file size would not prevent it.
+func (pa *parser) rejectAlias(field string, yn *yaml.Node) bool {
+	if yn.Kind != yaml.AliasNode {
 		return false
 	}
-	pa.fault(no.Line, field, "a plain value", "the alias *"+no.Value)
+	pa.fault(yn.Line, field, "a plain value", "the alias *"+yn.Value)
 	return true
 }
 
-func (pa *parser) mapping(field string, no *yaml.Node) []entry {
-	var items []entry
+func (pa *parser) mapping(field string, yn *yaml.Node) []node {
+	var items []node
 	lines := make(map[string]int)
-	for i := 0; i+1 < len(no.Content); i += 2 {
-		ke, va := no.Content[i], no.Content[i+1]
+	for i := 0; i+1 < len(yn.Content); i += 2 {
+		ke, va := yn.Content[i], yn.Content[i+1]
 		path := joinKey(field, ke.Value)
 		if ke.Kind != yaml.ScalarNode || ke.ShortTag() == "!!merge" {
 			pa.fault(ke.Line, field, "text as key", "another kind of key")
 			continue
 		}
 		if li, ok := lines[ke.Value]; ok {
-			// A YAML library that keeps the last of two equal keys would drop
-			// the first without a word.
+			// A YAML library that keeps the last of two equal keys would drop the first
+			// silently.
 			pa.fault(ke.Line, path, "each key once", fmt.Sprintf("it again after line %d", li))
 			continue
 		}
 		lines[ke.Value] = ke.Line
-		if pa.alias(path, va) {
+		if pa.rejectAlias(path, va) {
 			continue
 		}
-		en := pa.entry(ke.Value, path, va)
-		en.line = ke.Line
-		items = append(items, en)
+		no := pa.node(ke.Value, path, va)
+		no.line = ke.Line
+		items = append(items, no)
 	}
 	return items
 }
@@ -207,29 +207,29 @@
 	return field + "[" + index + "]"
 }
 
-// describe says what the value is, for the "got" of a fault.
-func (en entry) describe() string {
+// describe describes the value for Fault.Got.
+func (no node) describe() string {
 	switch {
-	case en.kind == yaml.MappingNode:
+	case no.kind == yaml.MappingNode:
 		return "a mapping"
-	case en.kind == yaml.SequenceNode:
+	case no.kind == yaml.SequenceNode:
 		return "a list"
-	case en.tag == tagNull:
+	case no.tag == tagNull:
 		return "nothing"
-	case en.tag == tagText || en.tag == tagDate:
-		return strconv.Quote(en.text)
-	case en.tag == tagWhole || en.tag == tagFloat:
-		return "the number " + en.text
-	case en.tag == tagBool:
-		return en.text
+	case no.tag == tagString || no.tag == tagTimestamp:
+		return strconv.Quote(no.text)
+	case no.tag == tagInt || no.tag == tagFloat:
+		return "the number " + no.text
+	case no.tag == tagBool:
+		return no.text
 	default:
-		return "the tag " + en.tag
+		return "the tag " + no.tag
 	}
 }
 
-// find walks down the path and returns the deepest entry on it, the field it
-// has in faults, and whether that is the whole path.
-func (tr Tree) find(path []string) (entry, string, bool) {
+// find returns the deepest node on the path, its path in faults, and whether it lies at the
+// end of the path.
+func (tr Tree) find(path []string) (node, string, bool) {
 	at := tr.root
 	field := tr.field
 	for i, ke := range path {
@@ -237,14 +237,14 @@
 		if next < 0 {
 			return at, joinMissing(field, path[i:]), false
 		}
-		field = joinUnder(at, field, ke)
+		field = joinItem(at, field, ke)
 		at = at.items[next]
 	}
 	return at, field, true
 }
 
-func joinUnder(en entry, field, key string) string {
-	if en.kind == yaml.SequenceNode {
+func joinItem(no node, field, key string) string {
+	if no.kind == yaml.SequenceNode {
 		return joinIndex(field, key)
 	}
 	return joinKey(field, key)
@@ -257,21 +257,21 @@
 	return field
 }
 
-// At returns the part of the tree at the path, whose faults bear the fields of
-// the whole, and whether there is one.
+// At returns the subtree at the path and whether it exists. Its faults carry the paths of the
+// whole tree.
 func (tr Tree) At(path ...string) (Tree, bool) {
-	en, field, ok := tr.find(path)
-	return Tree{root: en, field: field}, ok
+	no, field, ok := tr.find(path)
+	return Tree{root: no, field: field}, ok
 }
 
 // Keys returns the keys of the mapping at the path in the order of the file.
 func (tr Tree) Keys(path ...string) []string {
-	en, _, ok := tr.find(path)
-	if !ok || en.kind != yaml.MappingNode {
+	no, _, ok := tr.find(path)
+	if !ok || no.kind != yaml.MappingNode {
 		return nil
 	}
 	var ks []string
-	for _, it := range en.items {
+	for _, it := range no.items {
 		ks = append(ks, it.key)
 	}
 	return ks
@@ -279,90 +279,88 @@
 
 // Text returns the content of the scalar at the path and whether there is one.
 func (tr Tree) Text(path ...string) (string, bool) {
-	en, _, ok := tr.find(path)
-	if !ok || en.kind != yaml.ScalarNode {
+	no, _, ok := tr.find(path)
+	if !ok || no.kind != yaml.ScalarNode {
 		return "", false
 	}
-	return en.text, true
+	return no.text, true
 }
 
 // Len returns the number of items of the list at the path; 0 if there is none.
 func (tr Tree) Len(path ...string) int {
-	en, _, ok := tr.find(path)
-	if !ok || en.kind != yaml.SequenceNode {
+	no, _, ok := tr.find(path)
+	if !ok || no.kind != yaml.SequenceNode {
 		return 0
 	}
-	return len(en.items)
+	return len(no.items)
 }
 
-// WithList returns a tree in which the value at the path is a list of texts, in
-// the place of the old value. The path must exist.
+// WithList returns a copy of the tree in which the value at the path is replaced by a list of
+// strings. The path must exist.
 func (tr Tree) WithList(texts []string, path ...string) Tree {
 	tr.root = tr.root.withList(texts, path)
 	return tr
 }
 
-func (en entry) withList(texts, path []string) entry {
+func (no node) withList(texts, path []string) node {
 	if len(path) == 0 {
-		en.kind = yaml.SequenceNode
-		en.items = nil
+		no.kind = yaml.SequenceNode
+		no.items = nil
 		for i, te := range texts {
-			it := entry{key: strconv.Itoa(i), file: en.file, line: en.line, kind: yaml.ScalarNode, tag: tagText, text: te}
-			en.items = append(en.items, it)
+			it := node{key: strconv.Itoa(i), file: no.file, line: no.line, kind: yaml.ScalarNode, tag: tagString, text: te}
+			no.items = append(no.items, it)
 		}
-		return en
+		return no
 	}
-	if i := en.find(path[0]); i >= 0 {
-		en.items = slices.Clone(en.items)
-		en.items[i] = en.items[i].withList(texts, path[1:])
+	if i := no.find(path[0]); i >= 0 {
+		no.items = slices.Clone(no.items)
+		no.items[i] = no.items[i].withList(texts, path[1:])
 	}
-	return en
+	return no
 }
 
-// Origins returns the file and line, as "file:line", of each value that is not
-// a mapping, by its field.
+// Origins returns the file and line, as "file:line", of each value that is not a mapping, by
+// its path.
 func (tr Tree) Origins() map[string]string {
 	or := make(map[string]string)
 	tr.root.origins(tr.field, or)
 	return or
 }
 
-func (en entry) origins(field string, or map[string]string) {
-	if en.kind != yaml.MappingNode {
-		or[field] = fmt.Sprintf("%s:%d", en.file, en.line)
+func (no node) origins(field string, or map[string]string) {
+	if no.kind != yaml.MappingNode {
+		or[field] = fmt.Sprintf("%s:%d", no.file, no.line)
 		return
 	}
-	for _, it := range en.items {
+	for _, it := range no.items {
 		it.origins(joinKey(field, it.key), or)
 	}
 }
 
-// Locator returns a finder of lines in the tree.
+// Locator returns a locator for the tree.
 func (tr Tree) Locator() Locator {
 	return Locator{tr: tr}
 }
 
-// Locator finds the lines of values by their path, for checks that come after
-// decoding. A list's items are named by their index.
+// Locator finds the positions of values by path, for checks after decoding. Items of a list
+// are identified by their index.
 type Locator struct {
 	tr Tree
 }
 
-// Line returns the line of the value at the path, or of the closest value above
-// it that exists.
+// Line returns the line of the value at the path, or of its closest existing ancestor.
 func (lo Locator) Line(path ...string) int {
-	en, _, _ := lo.tr.find(path)
-	return en.line
+	no, _, _ := lo.tr.find(path)
+	return no.line
 }
 
-// File returns the file of the value at the path, or of the closest value above
-// it that exists.
+// File returns the file of the value at the path, or of its closest existing ancestor.
 func (lo Locator) File(path ...string) string {
-	en, _, _ := lo.tr.find(path)
-	return en.file
+	no, _, _ := lo.tr.find(path)
+	return no.file
 }
 
-// Has reports whether the path has a value.
+// Has reports whether a value exists at the path.
 func (lo Locator) Has(path ...string) bool {
 	_, _, ok := lo.tr.find(path)
 	return ok
@@ -370,6 +368,6 @@
 
 // Fault returns a fault of the value at the path.
 func (lo Locator) Fault(want, got string, path ...string) Fault {
-	en, field, _ := lo.tr.find(path)
-	return Fault{File: en.file, Line: en.line, Field: field, Want: want, Got: got}
+	no, field, _ := lo.tr.find(path)
+	return Fault{File: no.file, Line: no.line, Field: field, Want: want, Got: got}
 }
