--- a/keys/file.go
+++ b/keys/file.go
@@ -11,14 +11,14 @@
 	"balsamwinch.example/result"
 )
 
-// The names of the authority's files. An instance's files bear its name with
-// the same endings.
+// File names of the authority. The files of an instance are named after it, with the same
+// suffixes.
 const (
 	AuthorityFile    = "authority.crt"
 	AuthorityKeyFile = "authority.key"
 
-	certificateEnding = ".crt"
-	keyEnding         = ".key"
+	certificateSuffix = ".crt"
+	keySuffix         = ".key"
 )
 
 const (
@@ -29,18 +29,18 @@
 
 // CertificateFile returns the name of an instance's certificate file.
 func CertificateFile(name string) string {
-	return name + certificateEnding
+	return name + certificateSuffix
 }
 
 // KeyFile returns the name of an instance's key file.
 func KeyFile(name string) string {
-	return name + keyEnding
+	return name + keySuffix
 }
 
-// Write issues a pair to each subject and writes them to the folder. The
-// authority that the folder holds is used again, so that a later instance can
-// join the same tier; without one, a new authority is made. A file that exists
-// is never overwritten: a subject that has its files already is an error.
+// Write issues a certificate and key to each subject and writes them to the folder. It uses
+// the authority in the folder, so that further instances can join the same tier, and creates
+// one if there is none. Existing files are never overwritten: a subject whose files exist is
+// an error.
 func Write(dir string, subjects ...Subject) error {
 	if err := os.MkdirAll(dir, folderMode); err != nil {
 		return fmt.Errorf("make folder of keys: %w", err)
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// openAuthority reads the folder's authority, or makes and writes one if the
-// folder holds neither of its files.
+// openAuthority reads the authority in the folder, or creates one if the folder holds neither
+// of its files.
 func openAuthority(dir string) (*Authority, error) {
 	cert, cerr := os.ReadFile(filepath.Join(dir, AuthorityFile))
 	key, kerr := os.ReadFile(filepath.Join(dir, AuthorityKeyFile))
@@ -80,14 +80,14 @@
 }
 
 func writePair(dir, cert, key string, pa Pair) error {
-	if err := writeNew(filepath.Join(dir, key), pa.Key, privateMode); err != nil {
+	if err := createFile(filepath.Join(dir, key), pa.Key, privateMode); err != nil {
 		return err
 	}
-	return writeNew(filepath.Join(dir, cert), pa.Certificate, publicMode)
+	return createFile(filepath.Join(dir, cert), pa.Certificate, publicMode)
 }
 
-// writeNew writes a file that must not exist yet.
-func writeNew(path string, data []byte, mode fs.FileMode) error {
+// createFile writes a file that must not exist yet.
+func createFile(path string, data []byte, mode fs.FileMode) error {
 	fi, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode)
 	if err != nil {
 		return fmt.Errorf("write key file: %w", err)
@@ -96,9 +96,9 @@
 	return errors.Join(err, fi.Sync(), fi.Close())
 }
 
-// Load reads an instance's TLS settings from three files: the authority's
-// certificate, the instance's certificate and its key. A file that is missing
-// or wrong is a *result.Error with the code BadKey that names what was wanted.
+// Load reads an instance's TLS configuration from three files: the authority's certificate,
+// the instance's certificate and its key. A missing or invalid file is a *result.Error with
+// the code BadKey.
 func Load(ca, cert, key string) (*tls.Config, error) {
 	var data [3][]byte
 	for ix, path := range []string{ca, cert, key} {
@@ -107,15 +107,15 @@
 			return nil, badKey("keys.Load", "want a file that can be read", err)
 		}
 	}
-	tc, err := parse(data[0], data[1], data[2])
+	tc, err := newTLSConfig(data[0], data[1], data[2])
 	if err != nil {
-		return nil, withFiles(err, ca, cert, key)
+		return nil, withFileNames(err, ca, cert, key)
 	}
 	return tc, nil
 }
 
-// withFiles adds the names of the files to a fault of their content.
-func withFiles(err error, ca, cert, key string) error {
+// withFileNames adds the file names to an error about their content.
+func withFileNames(err error, ca, cert, key string) error {
 	var er *result.Error
 	if !errors.As(err, &er) {
 		return err
--- a/keys/keys.go
+++ b/keys/keys.go
@@ -1,6 +1,6 @@
-// Package keys makes and loads the keys with which instances know each other:
-// one certificate authority for a tier and, for each instance, a certificate in
-// its name. It holds no connections; package peer uses what it loads.
+// Package keys creates and loads the keys with which instances authenticate each other: one
+// certificate authority for a tier and, for each instance, a certificate with its name. It
+// opens no connections; package peer uses the loaded keys.
 package keys
 
 import (
@@ -20,14 +20,14 @@
 	"balsamwinch.example/result"
 )
 
-// Protocol is the application protocol that instances negotiate. Its number
-// rises when instances of different versions can no longer speak together.
+// Protocol is the application protocol (ALPN) of connections between instances. Its number is
+// incremented when versions of the program become incompatible.
 const Protocol = "balsamwinch/1"
 
 const (
 	authorityLifetime = 20 * 365 * 24 * time.Hour
 	instanceLifetime  = 5 * 365 * 24 * time.Hour
-	// clockSkew is how far behind the clock of a reader may be.
+	// clockSkew is how far the clock of a verifier may be behind.
 	clockSkew  = time.Hour
 	serialBits = 128
 )
@@ -37,14 +37,14 @@
 	blockKey         = "PRIVATE KEY"
 )
 
-// nameFormat is what an instance may be called: the name becomes a DNS name in
-// the certificate and a file name.
-var nameFormat = regexp.MustCompile(`^[A-Za-z0-9]([A-Za-z0-9-]{0,61}[A-Za-z0-9])?$`)
+// namePattern is the syntax of instance names, which are used as DNS names in certificates and
+// as file names.
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9]([A-Za-z0-9-]{0,61}[A-Za-z0-9])?$`)
 
-// Subject is whom a certificate is issued to.
+// Subject is the instance that a certificate is issued to.
 type Subject struct {
-	Name string   // Name is the instance's name in its settings.
-	IPs  []net.IP // IPs are the IP numbers that the instance is reached at.
+	Name string   // name of the instance in its settings
+	IPs  []net.IP // IP addresses of the instance
 }
 
 // Pair is a certificate and its private key, both in PEM.
@@ -60,7 +60,7 @@
 	pair Pair
 }
 
-// NewAuthority makes a certificate authority with a key of its own.
+// NewAuthority creates a certificate authority with a new key.
 func NewAuthority() (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -83,7 +83,7 @@
 	return readAuthority(pa)
 }
 
-// readAuthority returns the authority whose certificate and key are given.
+// readAuthority parses the certificate and key of an authority.
 func readAuthority(pa Pair) (*Authority, error) {
 	tc, err := tls.X509KeyPair(pa.Certificate, pa.Key)
 	if err != nil {
@@ -101,10 +101,10 @@
 	return au.pair.Certificate
 }
 
-// Issue makes a key and a certificate for the subject, good for both ends of a
-// connection. It returns a *result.Error if the name is not fit for one.
+// Issue creates a key and a certificate for the subject, valid for both ends of a connection.
+// An invalid name is a *result.Error with the code BadKey.
 func (au *Authority) Issue(su Subject) (Pair, error) {
-	if !nameFormat.MatchString(su.Name) {
+	if !namePattern.MatchString(su.Name) {
 		detail := fmt.Sprintf("name %q: want 1 to 63 letters, digits and hyphens", su.Name)
 		return Pair{}, badKey("keys.Issue", detail, nil)
 	}
@@ -125,7 +125,7 @@
 	return sign(tmpl, au.cert, key, au.key)
 }
 
-// sign makes the certificate of key, signed by the parent's key.
+// sign creates a certificate for key, signed with the parent's key.
 func sign(tmpl, parent *x509.Certificate, key, parentKey *ecdsa.PrivateKey) (Pair, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
@@ -146,17 +146,16 @@
 	}, nil
 }
 
-// Config returns the TLS settings of an instance that holds the pair, without
-// going through files.
+// Config returns the TLS configuration of an instance from a pair in memory.
 func (au *Authority) Config(pa Pair) (*tls.Config, error) {
-	return parse(au.Certificate(), pa.Certificate, pa.Key)
+	return newTLSConfig(au.Certificate(), pa.Certificate, pa.Key)
 }
 
-// parse returns the TLS settings for both ends of a connection: TLS 1.3, each
-// side showing a certificate that the authority signed. The checks of a
-// handshake are made here once for the own certificate, so that a wrong file is
-// found at the start and not by the other instances.
-func parse(ca, cert, key []byte) (*tls.Config, error) {
+// newTLSConfig returns the TLS configuration for both ends of a connection: TLS 1.3, with
+// certificates signed by the authority on both sides. It verifies the instance's own
+// certificate as a handshake would, so that a wrong file is found at the start and not by the
+// other instances.
+func newTLSConfig(ca, cert, key []byte) (*tls.Config, error) {
 	const op = "keys.Load"
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(ca) {
@@ -169,7 +168,7 @@
 	for _, us := range []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth} {
 		opts := x509.VerifyOptions{Roots: pool, KeyUsages: []x509.ExtKeyUsage{us}}
 		if _, err := tc.Leaf.Verify(opts); err != nil {
-			return nil, badKey(op, "want a certificate that the authority signed for both ends and that is in date", err)
+			return nil, badKey(op, "want a currently valid certificate that the authority signed for both ends", err)
 		}
 	}
 	if name := tc.Leaf.Subject.CommonName; name == "" || tc.Leaf.VerifyHostname(name) != nil {
@@ -186,8 +185,8 @@
 	}, nil
 }
 
-// Name returns the instance's name in the certificate that the other end of a
-// connection showed, or "" if it showed none.
+// PeerName returns the instance name in the certificate of the other end of a connection, or
+// "" if it has none.
 func PeerName(cs tls.ConnectionState) string {
 	if len(cs.PeerCertificates) == 0 {
 		return ""
@@ -195,7 +194,8 @@
 	return cs.PeerCertificates[0].Subject.CommonName
 }
 
-// Self returns the instance's own name in its TLS settings.
+// OwnName returns the instance's own name in a TLS configuration, or "" if it has no
+// certificate.
 func OwnName(tc *tls.Config) string {
 	if len(tc.Certificates) == 0 || tc.Certificates[0].Leaf == nil {
 		return ""
--- a/keys/keys_test.go
+++ b/keys/keys_test.go
@@ -14,7 +14,7 @@
 
 var loopback = []net.IP{net.IPv4(127, 0, 0, 1)}
 
-func TestWriteAndLoad(t *testing.T) {
+func TestWrittenKeysLoad(t *testing.T) {
 	c := qt.New(t)
 	dir := t.TempDir()
 	c.Assert(Write(dir, Subject{"entry-1", loopback}), qt.IsNil)
@@ -33,7 +33,7 @@
 	c.Assert(Write(dir, Subject{"entry-3", loopback}), qt.ErrorMatches, `.*BadKey \(401\): want both files of the authority or neither.*`)
 }
 
-func TestWrongKeys(t *testing.T) {
+func TestInvalidKeysAreRejected(t *testing.T) {
 	c := qt.New(t)
 	dir, other := t.TempDir(), t.TempDir()
 	c.Assert(Write(dir, Subject{"entry-1", nil}, Subject{"entry-2", nil}), qt.IsNil)
