--- a/snapshot/choose.go
+++ b/snapshot/choose.go
@@ -4,44 +4,43 @@
 	"slices"
 )
 
-// Partition is one partition map: a number and the shards that make it up.
+// Partition is a partition map: a number and the shards that an index is split into.
 type Partition struct {
 	Number uint64
 	Shards []string
 }
 
-// Holder says that a backend server can answer for a shard from a snapshot.
+// Holder states that a backend server holds a shard of a snapshot.
 type Holder struct {
 	Server   string
 	Shard    string
 	Snapshot ID
 }
 
-// Coverage is a snapshot and the shards that a query of it has to ask for, in
-// the order of the partition map, with those that have no holder.
+// Coverage is a snapshot with the shards that a query needs, in the order of the partition
+// map, and those that no server holds.
 type Coverage struct {
 	Snapshot ID
-	Shards   []string // Shards are all that the query needs, held or not.
-	Missing  []string // Missing are those of Shards that nobody holds.
+	Shards   []string // shards that the query needs, held or not
+	Missing  []string // needed shards without a holder
 }
 
-// Full reports whether each shard has a holder.
+// Full reports whether every shard has a holder.
 func (co Coverage) Full() bool {
 	return len(co.Missing) == 0
 }
 
-// held returns how many shards have a holder.
+// held returns the number of shards with a holder.
 func (co Coverage) held() int {
 	return len(co.Shards) - len(co.Missing)
 }
 
-// Choose returns the snapshot that a query should pin: the newest that every
-// wanted shard can be had from, else the one with the greatest share of its
-// shards held, and the newest among equals. The share and not the number counts,
-// because a map of eight shards with four held covers less of the index than a
-// map of four with three held. Only snapshots whose partition map is among the
-// given ones count, and of these only maps that have every wanted shard; no
-// wanted shards means all. It returns false when no such snapshot has a holder.
+// Choose returns the snapshot that a query should pin: the newest one with a holder for every
+// wanted shard. If there is none, it returns the one with the largest fraction of its shards
+// held, and the newest among equals. The fraction decides and not the number, because a map of
+// eight shards with four held covers less of the index than a map of four with three held.
+// Only snapshots of the given partition maps count, and only maps that contain every wanted
+// shard; no wanted shards means all. Choose returns false if no such snapshot has a holder.
 func Choose(partitions []Partition, holders []Holder, wanted []string) (Coverage, bool) {
 	held := make(map[ID]map[string]bool)
 	for _, ho := range holders {
@@ -52,20 +51,20 @@
 	}
 	var best Coverage
 	for id, shs := range held {
-		needed, ok := needs(partitions, id.Partition, wanted)
+		needed, ok := neededShards(partitions, id.Partition, wanted)
 		if !ok {
 			continue
 		}
-		if co := cover(id, needed, shs); co.held() > 0 && better(co, best) {
+		if co := newCoverage(id, needed, shs); co.held() > 0 && isBetter(co, best) {
 			best = co
 		}
 	}
 	return best, best.held() > 0
 }
 
-// needs returns the shards of the numbered partition map that a query for the
-// wanted ones has to ask for. It returns false if the map lacks one of them.
-func needs(partitions []Partition, number uint64, wanted []string) ([]string, bool) {
+// neededShards returns the shards of the given partition map that a query for the wanted ones
+// needs, in the order of the map. It returns false if the map lacks one of them.
+func neededShards(partitions []Partition, number uint64, wanted []string) ([]string, bool) {
 	ix := slices.IndexFunc(partitions, func(pa Partition) bool { return pa.Number == number })
 	if ix < 0 {
 		return nil, false
@@ -88,8 +87,8 @@
 	return shs, true
 }
 
-// cover counts the holders of one snapshot against the shards needed of it.
-func cover(id ID, needed []string, held map[string]bool) Coverage {
+// newCoverage returns the coverage of the needed shards of a snapshot by its holders.
+func newCoverage(id ID, needed []string, held map[string]bool) Coverage {
 	co := Coverage{Snapshot: id, Shards: needed}
 	for _, sh := range needed {
 		if !held[sh] {
@@ -99,15 +98,15 @@
 	return co
 }
 
-// better reports whether a coverage with holders is to be preferred to another,
-// which may be empty. Shares are compared by cross multiplication.
-func better(co, ot Coverage) bool {
+// isBetter reports whether a coverage with at least one holder is preferable to another, which
+// may be empty. Fractions are compared by cross multiplication.
+func isBetter(co, ot Coverage) bool {
 	if ot.held() == 0 {
 		return true
 	}
-	here, there := co.held()*len(ot.Shards), ot.held()*len(co.Shards)
-	if here != there {
-		return here > there
+	score, otherScore := co.held()*len(ot.Shards), ot.held()*len(co.Shards)
+	if score != otherScore {
+		return score > otherScore
 	}
 	return co.Snapshot.Compare(ot.Snapshot) > 0
 }
--- a/snapshot/choose_test.go
+++ b/snapshot/choose_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed of the random tests, so that each run gives the same
-// verdict. A longer search takes another one: -rapid.seed=7 -rapid.checks=10000.
+// TestMain fixes the seed of the random tests, so that every run gives the same result. For a
+// longer search pass other values: -rapid.seed=7 -rapid.checks=10000.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if fl := flag.Lookup("rapid.seed"); fl.Value.String() == fl.DefValue {
@@ -59,9 +59,9 @@
 	}
 }
 
-// TestChooseProperty compares Choose with its definition over random holders of
-// two partition maps of different sizes.
-func TestChooseProperty(t *testing.T) {
+// TestChooseMatchesDefinition compares Choose with its definition for random holders and two
+// partition maps of different sizes.
+func TestChooseMatchesDefinition(t *testing.T) {
 	pas := []Partition{{Number: 1, Shards: []string{"a", "b", "c"}}, {Number: 2, Shards: []string{"a", "b", "c1", "c2", "c3"}}}
 	rapid.Check(t, func(rt *rapid.T) {
 		holder := rapid.Custom(func(rt *rapid.T) Holder {
@@ -96,7 +96,7 @@
 		}
 		for _, sh := range co.Shards {
 			if held(co.Snapshot, sh) == slices.Contains(co.Missing, sh) {
-				rt.Fatalf("shard %s of %s is said wrongly to be missing or held", sh, co.Snapshot)
+				rt.Fatalf("shard %s of %s is wrongly reported as missing or held", sh, co.Snapshot)
 			}
 		}
 	})
