--- a/trail/bucket.go
+++ b/trail/bucket.go
@@ -6,19 +6,18 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// mostEvents bounds the events that have a bucket of their own. Events are
-// constants of the code, so that this is never reached unless one is made up from
-// data; all further ones share a bucket.
-const mostEvents = 512
+// maxEvents bounds the events with a bucket of their own; all further ones share a bucket.
+// Events are constants of the code, so this is only reached if an event is made up from data.
+const maxEvents = 512
 
-// otherEvents names the events that share a bucket.
+// otherEvents is the name of the events that share a bucket.
 const otherEvents = "others"
 
 // bucket is a token bucket for the lines of one event.
 type bucket struct {
 	tokens  float64
 	at      time.Time
-	leftOut uint64 // leftOut counts lines since the last note of them.
+	leftOut uint64 // rate-limited lines since the last report
 }
 
 // take reports whether one more line is within the rate.
@@ -34,7 +33,7 @@
 	return true
 }
 
-// buckets holds the buckets by event.
+// buckets holds a bucket for each event.
 type buckets struct {
 	ra      Rate
 	byEvent map[string]*bucket
@@ -54,7 +53,7 @@
 
 func (bs *buckets) add(ent zapcore.Entry) *bucket {
 	name := ent.Message
-	if len(bs.byEvent) >= mostEvents {
+	if len(bs.byEvent) >= maxEvents {
 		name = otherEvents
 	}
 	bu, ok := bs.byEvent[name]
--- a/trail/scan.go
+++ b/trail/scan.go
@@ -11,34 +11,34 @@
 	"time"
 )
 
-// longestLine bounds a line that is read back. Longer ones are passed over.
-const longestLine = 1 << 20
+// maxLineBytes bounds a line that is read back. Longer lines are skipped.
+const maxLineBytes = 1 << 20
 
-// otherPrefix begins the name of a field that has the name of one that all lines
-// have, such as the instance at the other end of a link.
+// otherPrefix is added to the name of a field that repeats the name of a standard field, such
+// as the instance at the other end of a link.
 const otherPrefix = "Other"
 
-// Line is a line that was read back.
+// Line is a parsed log line.
 type Line struct {
 	Instance string
-	Time     time.Time // Time is by the instance's own clock.
+	Time     time.Time // by the instance's own clock
 	Level    string
 	Event    string
-	Fields   []Field // Fields are all others, in the order of the line.
+	Fields   []Field // all other fields in the order of the line
 
-	at     time.Duration // at is the time that a prefix names.
-	marked bool          // marked says that there was such a prefix.
-	place  int           // place is its number in what was read.
+	prefixTime    time.Duration // time in the prefix
+	hasPrefixTime bool          // whether the line has such a prefix
+	index         int           // position of the line in the input
 }
 
-// Field is one field of a line.
+// Field is a field of a line.
 type Field struct {
 	Name  string
 	Value json.RawMessage
 }
 
-// Text returns a field's value, a string without its quotes; "" if the line has
-// no such field.
+// Text returns the value of a field, without quotes if it is a string; "" if the line has no
+// such field.
 func (li *Line) Text(name string) string {
 	va := li.Value(name)
 	var st string
@@ -48,7 +48,7 @@
 	return string(va)
 }
 
-// Number returns a field's value as a whole number; 0 if it is none.
+// Number returns the value of a field as an integer; 0 if it is not one.
 func (li *Line) Number(name string) int64 {
 	nu, err := strconv.ParseInt(string(li.Value(name)), 10, 64)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return nu
 }
 
-// Value returns a field's value as JSON; nil if the line has no such field.
+// Value returns the value of a field as JSON; nil if the line has no such field.
 func (li *Line) Value(name string) json.RawMessage {
 	for _, fi := range li.Fields {
 		if fi.Name == name {
@@ -67,21 +67,20 @@
 	return nil
 }
 
-// Scan reads lines as this package writes them and gives those to take that pick
-// wants, until take returns false. A line may have a prefix of a time in seconds and the instance's name,
-// as collectors of logs add it; the time then orders lines of different
-// instances, whose own clocks may differ. Scan returns how many lines look like
-// those of this package and can't be read, as when a process was killed while it
-// wrote.
-func Scan(rd io.Reader, pick func(raw []byte) bool, take func(li Line) bool) (unread int, err error) {
+// Scan parses lines written by this package and passes those that match selects to yield,
+// until yield returns false. A line may have a prefix of a time in seconds and the instance's
+// name, as collectors of logs add it; this time then orders the lines of different instances,
+// whose own clocks may differ. Scan returns the number of lines that look like lines of this
+// package but cannot be parsed, for example because the process was killed while writing.
+func Scan(rd io.Reader, match func(raw []byte) bool, yield func(li Line) bool) (unread int, err error) {
 	br := bufio.NewReaderSize(rd, 64<<10)
 	var raw []byte
-	for place := 0; ; place++ {
+	for index := 0; ; index++ {
 		raw, err = readLine(br, raw[:0])
-		if eventMark.in(raw) && pick(raw) {
-			if li, ok := parse(raw); ok {
-				li.place = place
-				if !take(li) {
+		if eventPattern.matches(raw) && match(raw) {
+			if li, ok := parseLine(raw); ok {
+				li.index = index
+				if !yield(li) {
 					return unread, nil
 				}
 			} else {
@@ -97,23 +96,23 @@
 	}
 }
 
-// mark is what a line of this package has in it.
-type mark []byte
+// bytePattern is a text that every line of this package contains.
+type bytePattern []byte
 
-var eventMark = mark(`"` + keyEvent + `":`)
+var eventPattern = bytePattern(`"` + keyEvent + `":`)
 
-func (ma mark) in(raw []byte) bool {
+func (bp bytePattern) matches(raw []byte) bool {
 	begin := bytes.IndexByte(raw, '{')
-	return begin >= 0 && bytes.Contains(raw[begin:], ma)
+	return begin >= 0 && bytes.Contains(raw[begin:], bp)
 }
 
-// whole reports whether a line looks as if it was written to its end.
-func whole(raw []byte) bool {
+// isComplete reports whether a line appears to have been written to its end.
+func isComplete(raw []byte) bool {
 	return bytes.HasSuffix(bytes.TrimSpace(raw), []byte("}")) && bytes.Count(raw, []byte(`{"`+keyLevel+`":`)) <= 1
 }
 
-// eventOf returns the event of a line without reading the rest of it.
-func eventOf(raw []byte) string {
+// eventName returns the event of a line without parsing the rest.
+func eventName(raw []byte) string {
 	_, rest, ok := bytes.Cut(raw, []byte(`"`+keyEvent+`":"`))
 	if !ok {
 		return ""
@@ -122,12 +121,12 @@
 	return string(event)
 }
 
-// readLine reads up to the end of a line. Of one that is longer than longestLine
-// it keeps the beginning.
+// readLine reads up to the end of a line. It keeps only the beginning of a line longer than
+// maxLineBytes.
 func readLine(br *bufio.Reader, into []byte) ([]byte, error) {
 	for {
 		part, err := br.ReadSlice('\n')
-		if len(into) < longestLine {
+		if len(into) < maxLineBytes {
 			into = append(into, part...)
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
@@ -136,7 +135,7 @@
 	}
 }
 
-func parse(raw []byte) (Line, bool) {
+func parseLine(raw []byte) (Line, bool) {
 	begin := bytes.IndexByte(raw, '{')
 	if begin < 0 {
 		return Line{}, false
@@ -145,22 +144,22 @@
 	prefix := strings.Fields(string(raw[:begin]))
 	if len(prefix) >= 2 {
 		if se, err := strconv.ParseFloat(prefix[0], 64); err == nil {
-			li.at, li.marked = time.Duration(se*float64(time.Second)), true
+			li.prefixTime, li.hasPrefixTime = time.Duration(se*float64(time.Second)), true
 			li.Instance = prefix[1]
 		}
 	}
-	fs, err := fields(raw[begin:])
+	fs, err := decodeFields(raw[begin:])
 	if err != nil {
 		return Line{}, false
 	}
 	for _, fi := range fs {
-		li.set(fi)
+		li.addField(fi)
 	}
 	return li, li.Event != ""
 }
 
-// fields reads the members of an object in their order.
-func fields(data []byte) ([]Field, error) {
+// decodeFields decodes the members of an object in their order.
+func decodeFields(data []byte) ([]Field, error) {
 	de := json.NewDecoder(bytes.NewReader(data))
 	if _, err := de.Token(); err != nil {
 		return nil, err
@@ -182,8 +181,9 @@
 	return fs, err
 }
 
-// set takes a member of the line. Of two with one name the first one counts.
-func (li *Line) set(fi Field) {
+// addField adds a member of the line's object. If a standard field is repeated, the first one
+// counts.
+func (li *Line) addField(fi Field) {
 	var st string
 	text := json.Unmarshal(fi.Value, &st) == nil
 	switch {
@@ -197,33 +197,32 @@
 		li.Instance = st
 	case fi.Name == keyInstance && text && st == li.Instance:
 	case fi.Name == keyTime || fi.Name == keyLevel || fi.Name == keyEvent || fi.Name == keyInstance:
-		// A second one is not about the line itself, but about what it tells of.
+		// A repeated field does not describe the line itself but its subject.
 		li.Fields = append(li.Fields, Field{otherPrefix + fi.Name, fi.Value})
 	default:
 		li.Fields = append(li.Fields, fi)
 	}
 }
 
-// timeLayout shows times of lines, in UTC.
+// timeLayout formats the times of lines, in UTC.
 const timeLayout = "2006-01-02T15:04:05.000Z"
 
-// When returns the time of the line: that of its prefix in seconds, if it has
-// one, and else that of the instance's clock.
+// FormatTime formats the time of the line: the prefixed time in seconds if there is one,
+// otherwise the time by the instance's clock.
 func (li *Line) FormatTime() string {
-	if li.marked {
-		return strconv.FormatFloat(li.at.Seconds(), 'f', 3, 64)
+	if li.hasPrefixTime {
+		return strconv.FormatFloat(li.prefixTime.Seconds(), 'f', 3, 64)
 	}
 	return li.Time.UTC().Format(timeLayout)
 }
 
-// MarshalJSON gives the line as an object with its fields beside what all lines
-// have.
+// MarshalJSON encodes the line as an object with its fields after the standard ones.
 func (li Line) MarshalJSON() ([]byte, error) {
 	fs := []Field{
-		{"When", quoted(li.FormatTime())},
-		{keyInstance, quoted(li.Instance)},
-		{keyLevel, quoted(li.Level)},
-		{keyEvent, quoted(li.Event)},
+		{"When", quote(li.FormatTime())},
+		{keyInstance, quote(li.Instance)},
+		{keyLevel, quote(li.Level)},
+		{keyEvent, quote(li.Event)},
 	}
 	var bu bytes.Buffer
 	bu.WriteByte('{')
@@ -231,7 +230,7 @@
 		if ix > 0 {
 			bu.WriteByte(',')
 		}
-		bu.Write(quoted(fi.Name))
+		bu.Write(quote(fi.Name))
 		bu.WriteByte(':')
 		bu.Write(fi.Value)
 	}
@@ -239,7 +238,7 @@
 	return bu.Bytes(), nil
 }
 
-func quoted(text string) json.RawMessage {
-	data, _ := json.Marshal(text) // A string can always be written.
+func quote(text string) json.RawMessage {
+	data, _ := json.Marshal(text) // Encoding a string never fails.
 	return data
 }
--- a/trail/trail.go
+++ b/trail/trail.go
@@ -1,8 +1,7 @@
-// Package trail writes the log of a process: lines of JSON, one for each
-// decision that touches a request or changes what the process believes. It never
-// makes the process wait. What the reader of the log doesn't take in time, and
-// what of one event is more than its rate, is left out, counted, and said in the
-// log itself. The package also reads such lines back (Scan) and puts together
+// Package trail writes the log of a process as lines of JSON, one for each decision that
+// affects a request or changes what the process knows. It never blocks the process. Lines that
+// the reader of the log does not take in time, and lines of an event beyond its rate, are left
+// out; the log itself reports how many. The package also parses such lines (Scan) and reports
 // what they say about one request (Explain).
 package trail
 
@@ -17,34 +16,34 @@
 	"balsamwinch.example/timer"
 )
 
-// Config says how much may be written. A zero field takes its default.
+// Config bounds the log. A zero field takes its default.
 type Config struct {
-	// Instance is the name that each line carries; none if empty.
+	// Instance is the instance name in each line; none if empty.
 	Instance string
-	// Level is the least level that is written. The zero value is info.
+	// Level is the lowest level that is written. The zero value is info.
 	Level zapcore.Level
-	// QueueBytes bounds what waits to be written; default 1 MiB.
+	// QueueBytes bounds the lines waiting to be written; default 1 MiB.
 	QueueBytes int
-	// BatchBytes is how much is written at once without waiting for more;
-	// default 32 KiB.
+	// BatchBytes is the batch size in bytes at which lines are written without waiting for
+	// more; default 32 KiB.
 	BatchBytes int
 	// BatchDelay is how long a line waits for others; default 50 ms.
 	BatchDelay time.Duration
-	// CloseWithin bounds how long Close waits for the reader; default 500 ms.
+	// CloseTimeout bounds how long Close waits for the reader; default 500 ms.
 	CloseTimeout time.Duration
-	// AtOnceWithin bounds how long a line with the field AtOnce waits for the
-	// reader; default 20 ms.
+	// SyncTimeout bounds how long a line with the field Synchronous waits for the reader;
+	// default 20 ms.
 	SyncTimeout time.Duration
 	// Rate bounds the lines of each event up to the level info.
 	Rate Rate
-	// LoudRate bounds the lines of each event from the level warn on.
+	// WarnRate bounds the lines of each event from the level warn on.
 	WarnRate Rate
 }
 
-// Rate bounds lines. A zero field takes its default.
+// Rate bounds lines by a token bucket. A zero field takes its default.
 type Rate struct {
-	PerSecond int // PerSecond is how many a second in the long run; default 30, loud 100.
-	Burst     int // Burst is how many at once; default 60, loud 300.
+	PerSecond int // sustained lines per second; default 30, from the level warn on 100
+	Burst     int // lines at once; default 60, from the level warn on 300
 }
 
 // Defaults of Config.
@@ -52,13 +51,13 @@
 	defaultQueueBytes   = 1 << 20
 	defaultBatchBytes   = 32 << 10
 	defaultBatchDelay   = 50 * time.Millisecond
-	defaultCloseWithin  = 500 * time.Millisecond
-	defaultAtOnceWithin = 20 * time.Millisecond
+	defaultCloseTimeout = 500 * time.Millisecond
+	defaultSyncTimeout  = 20 * time.Millisecond
 )
 
 var (
 	defaultRate     = Rate{PerSecond: 30, Burst: 60}
-	defaultLoudRate = Rate{PerSecond: 100, Burst: 300}
+	defaultWarnRate = Rate{PerSecond: 100, Burst: 300}
 )
 
 func (cf Config) withDefaults() Config {
@@ -72,27 +71,27 @@
 		cf.BatchDelay = defaultBatchDelay
 	}
 	if cf.CloseTimeout <= 0 {
-		cf.CloseTimeout = defaultCloseWithin
+		cf.CloseTimeout = defaultCloseTimeout
 	}
 	if cf.SyncTimeout <= 0 {
-		cf.SyncTimeout = defaultAtOnceWithin
+		cf.SyncTimeout = defaultSyncTimeout
 	}
-	cf.Rate = cf.Rate.or(defaultRate)
-	cf.WarnRate = cf.WarnRate.or(defaultLoudRate)
+	cf.Rate = cf.Rate.withDefaults(defaultRate)
+	cf.WarnRate = cf.WarnRate.withDefaults(defaultWarnRate)
 	return cf
 }
 
-func (ra Rate) or(other Rate) Rate {
+func (ra Rate) withDefaults(defaults Rate) Rate {
 	if ra.PerSecond <= 0 {
-		ra.PerSecond = other.PerSecond
+		ra.PerSecond = defaults.PerSecond
 	}
 	if ra.Burst <= 0 {
-		ra.Burst = other.Burst
+		ra.Burst = defaults.Burst
 	}
 	return ra
 }
 
-// The keys that every line has, in this spelling.
+// Keys of the fields that every line has.
 const (
 	keyTime     = "Time"
 	keyLevel    = "Level"
@@ -101,23 +100,23 @@
 	keyStack    = "Stack"
 )
 
-// AtOnce returns a field that doesn't show in the line and makes it be written
-// before the call returns, so that it outlives a process that is killed right
-// after. The call waits for a reader that is slow, for Config.AtOnceWithin at most
-// and not again for one that has stalled. It is for lines that say what the process
-// has acknowledged and how it lives, not for lines of requests.
-func Synchronous() zap.Field { return atOnce }
+// Synchronous returns a field that makes the logger write the line before the call returns, so
+// that the line survives if the process is killed right after. The field does not appear in
+// the line. The call waits for a slow reader for at most Config.SyncTimeout, and not again for
+// one that has stalled. It is meant for lines about what the process has acknowledged and
+// about its own state, not for lines about requests.
+func Synchronous() zap.Field { return synchronous }
 
-var atOnce = zap.Field{Key: "AtOnce", Type: zapcore.SkipType}
+var synchronous = zap.Field{Key: "AtOnce", Type: zapcore.SkipType}
 
-// The events of the log itself.
+// Events about the log itself.
 const (
-	eventLeftOut = "lines-left-out" // Of names the event, Count says how many lines.
-	eventDropped = "lines-dropped"  // Count and Bytes say what the reader didn't take in time.
+	eventLeftOut = "lines-left-out" // Of is the event, Count the number of lines.
+	eventDropped = "lines-dropped"  // Count and Bytes are the lines that the reader did not take in time.
 )
 
-// New returns a logger whose lines go to out, and the writer behind it, which is
-// to be closed at the end of the process.
+// New returns a logger that writes to out, and its writer, which must be closed before the
+// process ends.
 func New(out io.Writer, cf Config, ts *timer.Service) (*zap.Logger, *Writer) {
 	cf = cf.withDefaults()
 	en := newEncoder()
@@ -147,7 +146,7 @@
 	wr *Writer
 }
 
-// With returns a core whose lines carry the fields.
+// With returns a core whose lines include the fields.
 func (co *core) With(fs []zapcore.Field) zapcore.Core {
 	en := co.en.Clone()
 	for _, fi := range fs {
@@ -156,8 +155,8 @@
 	return &core{LevelEnabler: co.LevelEnabler, en: en, wr: co.wr}
 }
 
-// Check adds the core to an entry that is within its rate. It runs before the
-// fields are encoded, so that a line that is left out costs little.
+// Check adds the core to an entry that is within its rate. It runs before the fields are
+// encoded, so that a line that is left out costs little.
 func (co *core) Check(ent zapcore.Entry, ce *zapcore.CheckedEntry) *zapcore.CheckedEntry {
 	if !co.Enabled(ent.Level) || !co.wr.admit(ent) {
 		return ce
@@ -165,31 +164,31 @@
 	return ce.AddCore(ent, co)
 }
 
-// Write encodes a line and queues it.
+// Write encodes and queues a line.
 func (co *core) Write(ent zapcore.Entry, fs []zapcore.Field) error {
 	bu, err := co.en.EncodeEntry(ent, fs)
 	if err != nil {
 		return err
 	}
-	written := co.wr.append(bu.Bytes(), slices.ContainsFunc(fs, atOnce.Equals))
+	written := co.wr.append(bu.Bytes(), slices.ContainsFunc(fs, synchronous.Equals))
 	bu.Free()
 	if ent.Level > zapcore.ErrorLevel {
 		return co.Sync() // The process ends after this line.
 	}
 	if written != nil {
-		co.wr.await(written)
+		co.wr.awaitWrite(written)
 	}
 	return nil
 }
 
-// Sync waits until what is queued is written, for Config.CloseWithin at most.
+// Sync waits until all queued lines are written, for at most Config.CloseTimeout.
 func (co *core) Sync() error { return co.wr.Flush() }
 
-// clock is the timer service as zap wants it.
+// clock adapts the timer service to zap.
 type clock struct{ ts *timer.Service }
 
-// Now returns the time of a line.
+// Now returns the current time.
 func (cl clock) Now() time.Time { return cl.ts.Now() }
 
-// NewTicker returns a ticker; the logger itself uses none.
+// NewTicker returns a ticker; the logger does not use it.
 func (clock) NewTicker(du time.Duration) *time.Ticker { return time.NewTicker(du) }
--- a/trail/writer.go
+++ b/trail/writer.go
@@ -16,60 +16,61 @@
 	"balsamwinch.example/timer"
 )
 
-// noteDelay is how long lines that are left out are counted before that is said.
-const noteDelay = time.Second
+// reportDelay is how long lines that are left out are counted before they are reported.
+const reportDelay = time.Second
 
-// wholeBytes is how much a pipe takes without cutting it (PIPE_BUF on Linux).
-const wholeBytes = 4096
+// maxAtomicWrite is the number of bytes that a pipe accepts without interleaving other writes
+// (PIPE_BUF on Linux).
+const maxAtomicWrite = 4096
 
-// ErrStalled says that the reader of the log didn't take all of it in time.
-var ErrStalled = errors.New("trail: the reader of the log takes nothing")
+// ErrStalled means that the reader of the log did not take all of it in time.
+var ErrStalled = errors.New("trail: the reader of the log has stalled")
 
-// Stats count what became of lines since the start.
+// Stats counts lines since the start.
 type Stats struct {
-	Written uint64 // Written counts lines that were queued and are or will be written.
-	LeftOut uint64 // LeftOut counts lines beyond the rate of their event.
-	Dropped uint64 // Dropped counts lines that found the queue full.
-	Failed  uint64 // Failed counts writes that ended with an error; their lines are lost.
+	Written uint64 // lines queued, whether already written or not
+	LeftOut uint64 // lines beyond the rate of their event
+	Dropped uint64 // lines that found the queue full
+	Failed  uint64 // writes that failed; their lines are lost
 }
 
-// Writer queues lines and writes them in batches, at most one at a time, each on
-// a goroutine that exists only while it writes: a process that logs nothing has
-// no timer and no goroutine for its log.
+// Writer queues lines and writes them in batches, one batch at a time. The writing goroutine
+// exists only while there is something to write, so a process that logs nothing has no timer
+// and no goroutine for its log.
 type Writer struct {
 	out io.Writer
 	cf  Config
 	ts  *timer.Service
-	en  zapcore.Encoder // en encodes the log's own lines.
-
-	mu      sync.Mutex
-	quiet   buckets
-	loud    buckets
-	queue   []byte // queue holds whole lines that wait.
-	spare   []byte // spare is the buffer of the last batch, empty.
-	writing int    // writing is the size of the batch that is being written.
-	busy    bool   // busy says that a goroutine writes.
-	armed   bool   // armed says that a write is due.
-	closed  bool
-	due     *timer.Timeout
-	noting  bool // noting says that a note of left-out lines is due.
-	note    *timer.Timeout
-	idle    chan struct{} // idle is closed when all is written; nil if nobody waits.
-	taken   chan struct{} // taken is closed when what is in queue now is written; nil if nobody waits.
-	stalled bool          // stalled says that a wait for the batch being written was given up.
-	dropped dropped
-	st      Stats
+	en  zapcore.Encoder // for the log's own lines
+
+	mu              sync.Mutex
+	infoBuckets     buckets
+	warnBuckets     buckets
+	queue           []byte // complete lines that wait
+	spare           []byte // empty buffer of the last batch
+	inFlightBytes   int    // size of the batch being written
+	writerRunning   bool   // whether a goroutine writes
+	batchScheduled  bool   // whether batchTimer runs
+	closed          bool
+	batchTimer      *timer.Timeout
+	reportScheduled bool // whether a report of left-out lines is due
+	reportTimer     *timer.Timeout
+	drained         chan struct{} // closed once all lines are written; nil if nobody waits
+	batchWritten    chan struct{} // closed once the lines now in queue are written; nil if nobody waits
+	stalled         bool          // whether a wait for the batch being written has timed out
+	dropped         droppedCounts
+	st              Stats
 }
 
-// dropped counts what found the queue full since the last line that didn't.
-type dropped struct {
+// droppedCounts counts the lines that were dropped since the last one that was queued.
+type droppedCounts struct {
 	lines, bytes uint64
 }
 
 func newWriter(out io.Writer, cf Config, ts *timer.Service, en zapcore.Encoder) *Writer {
 	return &Writer{
 		out: out, cf: cf, ts: ts, en: en,
-		quiet: newBuckets(cf.Rate), loud: newBuckets(cf.WarnRate),
+		infoBuckets: newBuckets(cf.Rate), warnBuckets: newBuckets(cf.WarnRate),
 	}
 }
 
@@ -96,41 +97,40 @@
 	}
 }
 
-// Flush writes what is queued without waiting for more, and returns once that is
-// done, or ErrStalled after Config.CloseWithin.
+// Flush writes all queued lines without waiting for more and returns once that is done. It
+// returns ErrStalled after Config.CloseTimeout.
 func (wr *Writer) Flush() error {
 	wr.mu.Lock()
-	if len(wr.queue) == 0 && !wr.busy {
+	if len(wr.queue) == 0 && !wr.writerRunning {
 		wr.mu.Unlock()
 		return nil
 	}
-	if wr.idle == nil {
-		wr.idle = make(chan struct{})
+	if wr.drained == nil {
+		wr.drained = make(chan struct{})
 	}
-	idle := wr.idle
-	wr.start()
+	drained := wr.drained
+	wr.startWriting()
 	wr.mu.Unlock()
-	stalled := make(chan struct{})
-	defer wr.ts.Timeout(wr.cf.CloseTimeout, func() { close(stalled) }).Stop()
+	timedOut := make(chan struct{})
+	defer wr.ts.Timeout(wr.cf.CloseTimeout, func() { close(timedOut) }).Stop()
 	select {
-	case <-idle:
+	case <-drained:
 		return nil
-	case <-stalled:
+	case <-timedOut:
 		return ErrStalled
 	}
 }
 
-// Close says what was left out and writes all that is queued, at once. Lines that
-// come later are lost. The error is ErrStalled if the reader didn't take all
-// within Config.CloseWithin.
+// Close reports the lines left out and writes all queued lines. Later lines are lost. The
+// error is ErrStalled if the reader did not take everything within Config.CloseTimeout.
 func (wr *Writer) Close() error {
 	wr.mu.Lock()
 	if !wr.closed {
-		wr.noteLeftOut()
+		wr.reportLeftOut()
 		wr.closed = true
 	}
-	if wr.note != nil {
-		wr.note.Stop()
+	if wr.reportTimer != nil {
+		wr.reportTimer.Stop()
 	}
 	wr.mu.Unlock()
 	return wr.Flush()
@@ -140,54 +140,55 @@
 func (wr *Writer) admit(ent zapcore.Entry) bool {
 	wr.mu.Lock()
 	defer wr.mu.Unlock()
-	bs := &wr.quiet
+	bs := &wr.infoBuckets
 	if ent.Level >= zapcore.WarnLevel {
-		bs = &wr.loud
+		bs = &wr.warnBuckets
 	}
 	if bs.take(ent) {
 		return true
 	}
 	wr.st.LeftOut++
-	wr.armNote()
+	wr.scheduleReport()
 	return false
 }
 
-// armNote makes the lines that are left out be said after noteDelay.
-func (wr *Writer) armNote() {
+// scheduleReport reports the lines left out after reportDelay.
+func (wr *Writer) scheduleReport() {
 	switch {
-	case wr.noting || wr.closed:
+	case wr.reportScheduled || wr.closed:
 		return
-	case wr.note == nil:
-		wr.note = wr.ts.Timeout(noteDelay, wr.noteDue)
+	case wr.reportTimer == nil:
+		wr.reportTimer = wr.ts.Timeout(reportDelay, wr.report)
 	default:
-		wr.note.Reset(noteDelay)
+		wr.reportTimer.Reset(reportDelay)
 	}
-	wr.noting = true
+	wr.reportScheduled = true
 }
 
-func (wr *Writer) noteDue() {
+func (wr *Writer) report() {
 	wr.mu.Lock()
 	defer wr.mu.Unlock()
-	wr.noting = false
+	wr.reportScheduled = false
 	switch {
 	case wr.closed:
 	case wr.full(0):
-		// A reader that has stopped for good takes no notes either: each second's
-		// would make the queue grow without end. The counts wait for room.
-		wr.armNote()
+		// A reader that has stalled forever does not take reports either, and one report a
+		// second would make the queue grow without bound. The counts are kept until there is
+		// room.
+		wr.scheduleReport()
 	default:
-		wr.noteLeftOut()
+		wr.reportLeftOut()
 	}
 }
 
-// full reports whether the queue has no room for so many bytes.
+// full reports whether the queue has no room for size more bytes.
 func (wr *Writer) full(size int) bool {
-	return len(wr.queue)+wr.writing+size > wr.cf.QueueBytes
+	return len(wr.queue)+wr.inFlightBytes+size > wr.cf.QueueBytes
 }
 
-// noteLeftOut queues a line for each event of which lines were left out.
-func (wr *Writer) noteLeftOut() {
-	for _, bs := range []*buckets{&wr.quiet, &wr.loud} {
+// reportLeftOut queues a line for each event of which lines were left out.
+func (wr *Writer) reportLeftOut() {
+	for _, bs := range []*buckets{&wr.infoBuckets, &wr.warnBuckets} {
 		var names []string
 		for name, bu := range bs.byEvent {
 			if bu.leftOut > 0 {
@@ -197,38 +198,38 @@
 		slices.SortFunc(names, strings.Compare)
 		for _, name := range names {
 			bu := bs.byEvent[name]
-			wr.own(zapcore.InfoLevel, eventLeftOut, zap.String("Of", name), zap.Uint64("Count", bu.leftOut))
+			wr.enqueueOwnLine(zapcore.InfoLevel, eventLeftOut, zap.String("Of", name), zap.Uint64("Count", bu.leftOut))
 			bu.leftOut = 0
 		}
 	}
 }
 
-// noteDropped queues a line that says what found the queue full. It takes the
-// place of those lines.
-func (wr *Writer) noteDropped() {
+// reportDropped queues a line about the dropped lines, in their place.
+func (wr *Writer) reportDropped() {
 	if wr.dropped.lines == 0 {
 		return
 	}
 	dr := wr.dropped
-	wr.dropped = dropped{}
-	wr.own(zapcore.WarnLevel, eventDropped, zap.Uint64("Count", dr.lines), zap.Uint64("Bytes", dr.bytes))
+	wr.dropped = droppedCounts{}
+	wr.enqueueOwnLine(zapcore.WarnLevel, eventDropped, zap.Uint64("Count", dr.lines), zap.Uint64("Bytes", dr.bytes))
 }
 
-// own queues a line about the log itself. It may pass the queue's bound: there
-// is at most one for each event, and then none until the queue has room again.
-func (wr *Writer) own(level zapcore.Level, event string, fs ...zapcore.Field) {
+// enqueueOwnLine queues a line about the log itself. It may exceed the bound of the queue:
+// there is at most one such line for each event, and no further one until the queue has room
+// again.
+func (wr *Writer) enqueueOwnLine(level zapcore.Level, event string, fs ...zapcore.Field) {
 	bu, err := wr.en.EncodeEntry(zapcore.Entry{Level: level, Time: wr.ts.Now(), Message: event}, fs)
 	if err != nil {
 		return
 	}
-	wr.put(bu.Bytes())
+	wr.enqueue(bu.Bytes())
 	bu.Free()
 }
 
-// append queues a line, or counts it as dropped if there is no room. If the line
-// is to be written at once, that is begun, and the channel is closed when it is
-// done; it is nil if there is nothing to wait for.
-func (wr *Writer) append(line []byte, atOnce bool) (written <-chan struct{}) {
+// append queues a line, or counts it as dropped if there is no room. If wait is set, it starts
+// writing at once and returns a channel that is closed once the line is written, or nil if
+// there is nothing to wait for.
+func (wr *Writer) append(line []byte, wait bool) (written <-chan struct{}) {
 	wr.mu.Lock()
 	defer wr.mu.Unlock()
 	if wr.closed {
@@ -240,41 +241,40 @@
 		wr.st.Dropped++
 		return nil
 	}
-	wr.noteDropped()
-	wr.put(line)
-	if !atOnce {
+	wr.reportDropped()
+	wr.enqueue(line)
+	if !wait {
 		return nil
 	}
-	wr.start()
+	wr.startWriting()
 	if wr.stalled {
 		return nil
 	}
-	if wr.taken == nil {
-		wr.taken = make(chan struct{})
+	if wr.batchWritten == nil {
+		wr.batchWritten = make(chan struct{})
 	}
-	return wr.taken
+	return wr.batchWritten
 }
 
-// await waits until a line is written, for Config.AtOnceWithin at most.
+// awaitWrite waits until a line is written, for at most Config.SyncTimeout.
 //
-// Without it, a process that is killed loses the lines of its last moments, and
-// with them what it told an operator: the change is in force after the next start,
-// and no log says who asked for it. A write to a pipe or file that has returned
-// outlives the process. A reader that stalls must not hold up the answers of the
-// process, so the wait is bounded, and as long as the batch for which it was given
-// up is being written nobody waits again.
-func (wr *Writer) await(written <-chan struct{}) {
-	late := make(chan struct{})
-	defer wr.ts.Timeout(wr.cf.SyncTimeout, func() { close(late) }).Stop()
+// Without it, a process that is killed loses its last lines, and with them what it
+// acknowledged to an operator: the change is in force after the next start, and no log says
+// who requested it. Data written to a pipe or file outlives the process once the write has
+// returned. A stalled reader must not delay the responses of the process. So the wait is
+// bounded, and after a timeout nobody waits again until the batch being written is done.
+func (wr *Writer) awaitWrite(written <-chan struct{}) {
+	timedOut := make(chan struct{})
+	defer wr.ts.Timeout(wr.cf.SyncTimeout, func() { close(timedOut) }).Stop()
 	select {
 	case <-written:
-	case <-late:
-		wr.giveUp(written)
+	case <-timedOut:
+		wr.markStalled(written)
 	}
 }
 
-// giveUp notes that a wait was in vain, unless it has just ended.
-func (wr *Writer) giveUp(written <-chan struct{}) {
+// markStalled records that a wait has timed out, unless the line was written in the meantime.
+func (wr *Writer) markStalled(written <-chan struct{}) {
 	wr.mu.Lock()
 	defer wr.mu.Unlock()
 	select {
@@ -284,85 +284,85 @@
 	}
 }
 
-// put adds a line to the queue and makes sure that it is written soon.
-func (wr *Writer) put(line []byte) {
+// enqueue adds a line to the queue and makes sure that it is written soon.
+func (wr *Writer) enqueue(line []byte) {
 	wr.queue = append(wr.queue, line...)
 	wr.st.Written++
 	switch {
-	case wr.busy: // Whoever writes goes on with this.
+	case wr.writerRunning: // The running goroutine writes this line too.
 	case len(wr.queue) >= wr.cf.BatchBytes:
-		wr.start()
-	case !wr.armed:
-		wr.armed = true
-		if wr.due == nil {
-			wr.due = wr.ts.Timeout(wr.cf.BatchDelay, wr.run)
+		wr.startWriting()
+	case !wr.batchScheduled:
+		wr.batchScheduled = true
+		if wr.batchTimer == nil {
+			wr.batchTimer = wr.ts.Timeout(wr.cf.BatchDelay, wr.onBatchDelay)
 		} else {
-			wr.due.Reset(wr.cf.BatchDelay)
+			wr.batchTimer.Reset(wr.cf.BatchDelay)
 		}
 	}
 }
 
-// start makes the queue be written now, unless someone writes already.
-func (wr *Writer) start() {
-	if wr.busy {
+// startWriting starts writing the queue, unless a goroutine already writes.
+func (wr *Writer) startWriting() {
+	if wr.writerRunning {
 		return
 	}
-	wr.busy = true
-	go wr.write()
+	wr.writerRunning = true
+	go wr.writeBatches()
 }
 
-// run writes the queue when its delay is over.
-func (wr *Writer) run() {
+// onBatchDelay writes the queue when the batch delay has passed.
+func (wr *Writer) onBatchDelay() {
 	wr.mu.Lock()
-	wr.armed = false
-	if wr.busy || len(wr.queue) == 0 {
+	wr.batchScheduled = false
+	if wr.writerRunning || len(wr.queue) == 0 {
 		wr.mu.Unlock()
 		return
 	}
-	wr.busy = true
+	wr.writerRunning = true
 	wr.mu.Unlock()
-	wr.write()
+	wr.writeBatches()
 }
 
-// write writes batches until the queue is empty. The caller has set busy.
-func (wr *Writer) write() {
+// writeBatches writes batches until the queue is empty. The caller has set writerRunning.
+func (wr *Writer) writeBatches() {
 	for {
 		wr.mu.Lock()
-		wr.noteDropped()
+		wr.reportDropped()
 		if len(wr.queue) == 0 {
-			wr.rest()
+			wr.finishWriting()
 			wr.mu.Unlock()
 			return
 		}
 		batch := wr.queue
 		wr.queue, wr.spare = wr.spare, nil
-		wr.writing = len(batch)
-		taken := wr.taken
-		wr.taken = nil
+		wr.inFlightBytes = len(batch)
+		batchWritten := wr.batchWritten
+		wr.batchWritten = nil
 		wr.mu.Unlock()
 		failed := wr.writeLines(batch)
 		wr.mu.Lock()
 		wr.st.Failed += failed
-		wr.writing, wr.spare = 0, reusable(batch)
+		wr.inFlightBytes, wr.spare = 0, reusable(batch)
 		wr.stalled = false
-		if taken != nil {
-			close(taken)
+		if batchWritten != nil {
+			close(batchWritten)
 		}
 		wr.mu.Unlock()
 	}
 }
 
-// writeLines writes a batch in pieces of whole lines and returns how many
-// failed. A pipe takes up to wholeBytes in one piece: more may be cut in the
-// middle of a line by what another process writes to it, or by how its reader
-// reads, and both halves of the line are lost to whoever looks for it.
+// writeLines writes a batch in pieces of complete lines and returns the number of failed
+// writes. A pipe accepts up to maxAtomicWrite bytes in one piece. A longer piece may be
+// interrupted in the middle of a line by another process's write, or split by the way its
+// reader reads, and both halves of the line would be unreadable.
 func (wr *Writer) writeLines(batch []byte) (failed uint64) {
 	for len(batch) > 0 {
 		size := len(batch)
-		if size > wholeBytes {
-			size = bytes.LastIndexByte(batch[:wholeBytes], '\n') + 1
+		if size > maxAtomicWrite {
+			size = bytes.LastIndexByte(batch[:maxAtomicWrite], '\n') + 1
 			if size == 0 {
-				size = bytes.IndexByte(batch, '\n') + 1 // One line that is longer.
+				size = bytes.IndexByte(batch, '\n') + 1 // a single line that is longer
 			}
 		}
 		if _, err := wr.out.Write(batch[:size]); err != nil {
@@ -373,20 +373,20 @@
 	return failed
 }
 
-// rest ends a goroutine that writes.
-func (wr *Writer) rest() {
-	wr.busy = false
-	if wr.idle != nil {
-		close(wr.idle)
-		wr.idle = nil
+// finishWriting ends the writing goroutine's work and wakes those waiting for an empty queue.
+func (wr *Writer) finishWriting() {
+	wr.writerRunning = false
+	if wr.drained != nil {
+		close(wr.drained)
+		wr.drained = nil
 	}
 }
 
-// reusable returns a buffer to fill again, but not one that a burst has made
-// large: it would stay for good.
+// reusable returns a buffer for reuse, or nil if a burst has made it large, because it would
+// then occupy that memory forever.
 func reusable(bu []byte) []byte {
-	const most = 256 << 10
-	if cap(bu) > most {
+	const maxBytes = 256 << 10
+	if cap(bu) > maxBytes {
 		return nil
 	}
 	return bu[:0]
