--- a/delta/delta.go
+++ b/delta/delta.go
@@ -1,10 +1,10 @@
-// Package delta makes a document small on its way to a reader that may hold an earlier
-// one: what is sent is what differs from that, compressed, with a digest of the whole.
-// It knows nothing of what documents mean or how they are sent.
+// Package delta encodes a document as the difference from an earlier one that the receiver may
+// hold, compressed and with a digest of the whole document. It does not interpret or send
+// documents.
 //
-// The format is a zstd frame whose raw dictionary is the earlier document. Whether the
-// reader's earlier document is the one that was meant is not asked beforehand; the digest
-// shows it afterwards.
+// The format is a zstd frame whose raw dictionary is the earlier document. Sender and receiver
+// do not agree on the earlier document beforehand; the digest shows afterwards whether it was
+// the right one.
 package delta
 
 import (
@@ -18,35 +18,36 @@
 )
 
 const (
-	// leastWindow and mostWindow bound how far back a frame may refer. The compressor's
-	// memory grows with it, so it is no larger than both documents together need. Beyond
-	// mostWindow nothing is found to be the same, and the frame is larger but right.
-	leastWindow = 128 << 10
-	mostWindow  = 4 << 20
-	// dictionaryID is the number that frames name their dictionary by. It carries no
-	// meaning: the digest tells whether it was the right one.
+	// minWindow and maxWindow bound how far back a frame may refer. The compressor's memory
+	// grows with the window, so it is no larger than both documents together need. Matches
+	// beyond maxWindow are not found; the frame is then larger but still correct.
+	minWindow = 128 << 10
+	maxWindow = 4 << 20
+	// dictionaryID identifies the dictionary in a frame. It has no meaning: the digest shows
+	// whether the dictionary was the right one.
 	dictionaryID = 1
-	// leastBase is the length below which an earlier document is no dictionary.
-	leastBase = 64
+	// minBaseLength is the length in bytes below which an earlier document is not used as a
+	// dictionary.
+	minBaseLength = 64
 )
 
-// ErrMismatch says that a frame doesn't give the document that it was made from: it was
-// damaged, or the reader's earlier document isn't the one that the writer meant.
-var ErrMismatch = errors.New("delta: the document is not the one that was sent")
+// ErrMismatch means that a frame does not decode to the original document: the frame was
+// damaged, or the receiver's base differs from the sender's.
+var ErrMismatch = errors.New("delta: the decoded document differs from the original")
 
-// Frame is a document on its way.
+// Frame is an encoded document.
 type Frame struct {
 	Data   []byte
-	Digest []byte // Digest is the SHA-256 of the document.
+	Digest []byte // SHA-256 of the document
 }
 
-// Encode returns a document as it differs from an earlier one; an empty base stands for
-// none. The error is that of the compressor.
+// Encode encodes a document as the difference from the base, an earlier document; an empty
+// base means none. The error is that of the compressor.
 func Encode(base, doc []byte) (Frame, error) {
 	opts := []zstd.EOption{
-		zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithEncoderCRC(false), zstd.WithWindowSize(window(len(base) + len(doc))),
+		zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithEncoderCRC(false), zstd.WithWindowSize(windowSize(len(base) + len(doc))),
 	}
-	if len(base) >= leastBase {
+	if len(base) >= minBaseLength {
 		opts = append(opts, zstd.WithEncoderDictRaw(dictionaryID, base))
 	}
 	en, err := zstd.NewWriter(nil, opts...)
@@ -58,17 +59,18 @@
 	return Frame{Data: en.EncodeAll(doc, nil), Digest: sum[:]}, nil
 }
 
-// window returns the least power of two that spans so many bytes, within the bounds.
-func window(span int) int { return min(max(1<<bits.Len(uint(span)), leastWindow), mostWindow) }
+// windowSize returns the smallest power of two above span bytes, within the bounds.
+func windowSize(span int) int { return min(max(1<<bits.Len(uint(span)), minWindow), maxWindow) }
 
-// Decode returns the document of a frame. Base is the earlier document that the frame
-// was made against, and most bounds the document in bytes. The error wraps ErrMismatch;
-// the whole document must then be asked for.
-func Decode(base []byte, fr Frame, most int) ([]byte, error) {
+// Decode decodes a document from a frame. Base is the earlier document that the frame was
+// encoded against, and maxLength bounds the decoded document in bytes. If the document cannot
+// be recovered, the error wraps ErrMismatch; the receiver must then request the whole
+// document.
+func Decode(base []byte, fr Frame, maxLength int) ([]byte, error) {
 	opts := []zstd.DOption{
-		zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(uint64(most)), zstd.WithDecoderMaxWindow(mostWindow),
+		zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(uint64(maxLength)), zstd.WithDecoderMaxWindow(maxWindow),
 	}
-	if len(base) >= leastBase {
+	if len(base) >= minBaseLength {
 		opts = append(opts, zstd.WithDecoderDictRaw(dictionaryID, base))
 	}
 	de, err := zstd.NewReader(nil, opts...)
--- a/delta/delta_test.go
+++ b/delta/delta_test.go
@@ -11,11 +11,11 @@
 	"pgregory.net/rapid"
 )
 
-const most = 1 << 20
+const maxDocumentBytes = 1 << 20
 
-// listing returns a document of so many entries; those that are changed differ in one
-// number.
-func listing(entries int, changed ...int) []byte {
+// document returns a document with the given number of entries. The entries whose indexes are
+// in changed differ in one number.
+func document(entries int, changed ...int) []byte {
 	rn := rand.New(rand.NewPCG(1, 2))
 	var sb strings.Builder
 	for ix := range entries {
@@ -31,7 +31,7 @@
 	return []byte(sb.String())
 }
 
-func TestDifferenceIsSmall(t *testing.T) {
+func TestFrameSize(t *testing.T) {
 	c := qt.New(t)
 	for _, tc := range []struct {
 		name    string
@@ -40,36 +40,36 @@
 		atMost  int
 		atLeast int
 	}{
-		{"nothing held", nil, listing(1800), 48_000, 1000},
-		{"the same", listing(1800), listing(1800), 200, 0},
-		{"two of 1,800 changed", listing(1800), listing(1800, 700, 1400), 400, 0},
-		{"one of 100 changed", listing(100), listing(100, 40), 200, 0},
-		{"many added", listing(100), listing(1800), 48_000, 1000},
-		{"most gone", listing(1800), listing(100), 400, 0},
-		{"a base too short for a dictionary", []byte("{}"), listing(2), 250, 0},
-		{"an empty document", listing(10), nil, 30, 0},
+		{"nothing held", nil, document(1800), 48_000, 1000},
+		{"the same", document(1800), document(1800), 200, 0},
+		{"two of 1,800 changed", document(1800), document(1800, 700, 1400), 400, 0},
+		{"one of 100 changed", document(100), document(100, 40), 200, 0},
+		{"many added", document(100), document(1800), 48_000, 1000},
+		{"most gone", document(1800), document(100), 400, 0},
+		{"a base too short for a dictionary", []byte("{}"), document(2), 250, 0},
+		{"an empty document", document(10), nil, 30, 0},
 	} {
 		c.Run(tc.name, func(c *qt.C) {
 			fr, err := Encode(tc.base, tc.doc)
 			c.Assert(err, qt.IsNil)
 			c.Check(len(fr.Data) <= tc.atMost && len(fr.Data) >= tc.atLeast, qt.IsTrue, qt.Commentf("%d bytes", len(fr.Data)))
-			doc, err := Decode(tc.base, fr, most)
+			doc, err := Decode(tc.base, fr, maxDocumentBytes)
 			c.Assert(err, qt.IsNil)
 			c.Check(bytes.Equal(doc, tc.doc), qt.IsTrue)
 		})
 	}
 }
 
-// A reader holds another document than the writer believes, or the frame was damaged on
-// its way. What comes out must never pass for the document that was sent.
-func TestWrongDifferenceIsFound(t *testing.T) {
-	base, doc := listing(200), listing(200, 100)
+// The receiver holds another base than the sender assumes, or the frame was damaged in
+// transit. The result must never pass for the document that was sent.
+func TestWrongBaseOrFrameIsDetected(t *testing.T) {
+	base, doc := document(200), document(200, 100)
 	for _, tc := range []struct {
 		name  string
 		base  []byte
 		spoil func(fr Frame) Frame
 	}{
-		{"another base", listing(200, 50), nil},
+		{"another base", document(200, 50), nil},
 		{"no base", nil, nil},
 		{"cut short", base, func(fr Frame) Frame { return Frame{fr.Data[:len(fr.Data)/2], fr.Digest} }},
 		{"empty", base, func(fr Frame) Frame { return Frame{nil, fr.Digest} }},
@@ -84,24 +84,24 @@
 			if tc.spoil != nil {
 				fr = tc.spoil(fr)
 			}
-			_, err = Decode(tc.base, fr, most)
+			_, err = Decode(tc.base, fr, maxDocumentBytes)
 			c.Assert(err, qt.ErrorIs, ErrMismatch)
 		})
 	}
 }
 
-// A few bytes could stand for a document of any length, which would fill the memory of
-// its reader.
-func TestLengthIsBounded(t *testing.T) {
+// A frame of a few bytes can decode to a document of any length, which would fill the
+// receiver's memory.
+func TestDecodeBoundsLength(t *testing.T) {
 	c := qt.New(t)
-	fr, err := Encode(nil, make([]byte, most+1))
+	fr, err := Encode(nil, make([]byte, maxDocumentBytes+1))
 	c.Assert(err, qt.IsNil)
 	c.Assert(len(fr.Data) < 1000, qt.IsTrue)
-	_, err = Decode(nil, fr, most)
+	_, err = Decode(nil, fr, maxDocumentBytes)
 	c.Assert(err, qt.ErrorIs, ErrMismatch)
 }
 
-// Any two documents make a frame that gives back the second.
+// Decoding an encoded document returns the original, for any base.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base := rapid.SliceOfN(rapid.Byte(), 0, 400).Draw(t, "base")
@@ -111,16 +111,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, err := Decode(base, fr, most)
+		got, err := Decode(base, fr, maxDocumentBytes)
 		if err != nil || !bytes.Equal(got, doc[from:]) {
 			t.Fatalf("got %q, %v", got, err)
 		}
 	})
 }
 
-// FuzzDecode finds no frame that makes the reader fail otherwise than by an error.
+// FuzzDecode checks that no input makes Decode fail other than by an error.
 func FuzzDecode(f *testing.F) {
-	base, doc := listing(20), listing(20, 3)
+	base, doc := document(20), document(20, 3)
 	fr, err := Encode(base, doc)
 	if err != nil {
 		f.Fatal(err)
@@ -135,11 +135,11 @@
 	})
 }
 
-// BenchmarkEncode and BenchmarkDecode are the cost of a difference of two entries among
-// 1,800, and of the whole document.
+// BenchmarkEncode and BenchmarkDecode measure a difference of two entries among 1,800 and a
+// whole document.
 func BenchmarkEncode(b *testing.B) {
-	doc := listing(1800, 700, 1400)
-	for name, base := range map[string][]byte{"difference": listing(1800), "whole": nil} {
+	doc := document(1800, 700, 1400)
+	for name, base := range map[string][]byte{"difference": document(1800), "whole": nil} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
@@ -154,8 +154,8 @@
 }
 
 func BenchmarkDecode(b *testing.B) {
-	doc := listing(1800, 700, 1400)
-	for name, base := range map[string][]byte{"difference": listing(1800), "whole": nil} {
+	doc := document(1800, 700, 1400)
+	for name, base := range map[string][]byte{"difference": document(1800), "whole": nil} {
 		fr, err := Encode(base, doc)
 		if err != nil {
 			b.Fatal(err)
@@ -163,7 +163,7 @@
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := Decode(base, fr, most); err != nil {
+				if _, err := Decode(base, fr, maxDocumentBytes); err != nil {
 					b.Fatal(err)
 				}
 			}
