--- a/chart/chart.go
+++ b/chart/chart.go
@@ -1,6 +1,6 @@
-// Package chart interprets state charts that stand in YAML files: the states of
-// a voter, an instance, a backend server or a change, and the events that lead
-// from one to the next. A chart that is not sound is refused when it is loaded.
+// Package chart interprets state charts defined in YAML files: the states of a voter, an
+// instance, a backend server or a change, and the events that cause transitions between them.
+// Invalid charts are rejected when they are loaded.
 package chart
 
 import (
@@ -11,13 +11,13 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// State names a state of a chart.
+// State is the name of a state.
 type State string
 
-// Event names an event of a chart.
+// Event is the name of an event.
 type Event string
 
-// Chart is a loaded, sound state chart. It is immutable.
+// Chart is a valid state chart. It is immutable.
 type Chart struct {
 	name    string
 	initial State
@@ -25,7 +25,7 @@
 	final   map[State]bool
 }
 
-// Error lists everything that is wrong with a chart.
+// Error lists all faults of a chart.
 type Error struct {
 	Chart  string
 	Faults []string
@@ -36,8 +36,8 @@
 	return fmt.Sprintf("chart %s: %s", er.Chart, strings.Join(er.Faults, "; "))
 }
 
-// file is the format of a chart file. An event that a state does not list is
-// ignored in that state only if Ignore names it there.
+// file is the format of a chart file. An event that a state does not list has no effect in
+// that state.
 type file struct {
 	Name    string
 	Initial State
@@ -46,7 +46,7 @@
 	States  map[State]map[Event]State
 }
 
-// UnmarshalYAML maps the Pascal case keys of the file to the fields.
+// UnmarshalYAML decodes the fields under their Pascal case keys.
 func (fi *file) UnmarshalYAML(no *yaml.Node) error {
 	var raw struct {
 		Name    string                    `yaml:"Name"`
@@ -62,10 +62,10 @@
 	return nil
 }
 
-// Load reads a chart and checks it against the events that the code knows. It
-// returns an *Error that lists every fault: no initial state, a state that
-// cannot be reached, a target that does not exist, a state without a way out
-// that is not final, an event that the code or the chart does not know.
+// Load parses a chart and validates it against the events that the code knows. It returns an
+// *Error that lists every fault: a missing initial state, an unreachable state, a transition
+// to an undefined state, a state without transitions that is not final, and an event that only
+// the code or only the chart knows.
 func Load(data []byte, known ...Event) (*Chart, error) {
 	var fi file
 	if err := yaml.Unmarshal(data, &fi); err != nil {
@@ -81,8 +81,8 @@
 	return ch, nil
 }
 
-// MustLoad is Load for a chart embedded in the program. It panics on a fault,
-// which a test of the package that embeds the chart finds first.
+// MustLoad is Load for a chart embedded in the program. It panics on a fault; a test of the
+// embedding package finds the fault first.
 func MustLoad(data []byte, known ...Event) *Chart {
 	ch, err := Load(data, known...)
 	if err != nil {
@@ -113,15 +113,15 @@
 
 func (ch *Chart) stateFaults(listed []Event) []string {
 	var fs []string
-	seen := ch.reachable()
-	for st, tos := range ch.states {
-		if !seen[st] {
+	reached := ch.reachable()
+	for st, transitions := range ch.states {
+		if !reached[st] {
 			fs = append(fs, fmt.Sprintf("state %q cannot be reached", st))
 		}
-		if len(tos) == 0 && !ch.final[st] {
-			fs = append(fs, fmt.Sprintf("state %q has no way out and is not final", st))
+		if len(transitions) == 0 && !ch.final[st] {
+			fs = append(fs, fmt.Sprintf("state %q has no transitions and is not final", st))
 		}
-		for ev, to := range tos {
+		for ev, to := range transitions {
 			if !slices.Contains(listed, ev) {
 				fs = append(fs, fmt.Sprintf("state %q has event %q, which is not listed", st, ev))
 			}
@@ -139,19 +139,19 @@
 }
 
 func (ch *Chart) reachable() map[State]bool {
-	seen := map[State]bool{ch.initial: true}
-	todo := []State{ch.initial}
-	for len(todo) > 0 {
-		st := todo[0]
-		todo = todo[1:]
+	reached := map[State]bool{ch.initial: true}
+	queue := []State{ch.initial}
+	for len(queue) > 0 {
+		st := queue[0]
+		queue = queue[1:]
 		for _, to := range ch.states[st] {
-			if !seen[to] {
-				seen[to] = true
-				todo = append(todo, to)
+			if !reached[to] {
+				reached[to] = true
+				queue = append(queue, to)
 			}
 		}
 	}
-	return seen
+	return reached
 }
 
 // Name returns the chart's name.
@@ -159,18 +159,18 @@
 	return ch.name
 }
 
-// Initial returns the state in which the chart starts.
+// Initial returns the initial state.
 func (ch *Chart) Initial() State {
 	return ch.initial
 }
 
-// Final reports whether a state is one in which the chart may end.
+// Final reports whether a state is final.
 func (ch *Chart) Final(st State) bool {
 	return ch.final[st]
 }
 
-// Next returns the state that the event leads to. It returns the state itself
-// and false where the chart gives the event no meaning.
+// Next returns the state that the event leads to. It returns the state itself and false if the
+// event causes no transition.
 func (ch *Chart) Next(st State, ev Event) (State, bool) {
 	to, ok := ch.states[st][ev]
 	if !ok {
--- a/chart/chart_test.go
+++ b/chart/chart_test.go
@@ -8,7 +8,7 @@
 	"balsamwinch.example/chart"
 )
 
-const sound = `
+const validChart = `
 Name: Door
 Initial: Shut
 Final: [Gone]
@@ -21,7 +21,7 @@
 
 func TestNext(t *testing.T) {
 	c := qt.New(t)
-	ch, err := chart.Load([]byte(sound), "Open", "Close", "Remove")
+	ch, err := chart.Load([]byte(validChart), "Open", "Close", "Remove")
 	c.Assert(err, qt.IsNil)
 	for _, tc := range []struct {
 		from chart.State
@@ -42,12 +42,12 @@
 	c.Check(ch.Final("Gone"), qt.IsTrue)
 }
 
-func TestLoadRefusesUnsound(t *testing.T) {
+func TestLoadRejectsInvalidChart(t *testing.T) {
 	for _, tc := range []struct{ name, data, want string }{
 		{"initial", "Name: A\nInitial: X\nEvents: [E]\nStates: {Y: {E: Y}}", `chart A: initial state "X" does not exist; .*`},
 		{"unreachable", "Name: A\nInitial: X\nEvents: [E]\nStates: {X: {E: X}, Y: {E: Y}}", `chart A: state "Y" cannot be reached`},
 		{"target", "Name: A\nInitial: X\nEvents: [E]\nStates: {X: {E: Z}}", `chart A: state "X" goes to "Z", which does not exist`},
-		{"dead end", "Name: A\nInitial: X\nEvents: [E]\nStates: {X: {E: Y}, Y: {}}", `chart A: state "Y" has no way out and is not final`},
+		{"dead end", "Name: A\nInitial: X\nEvents: [E]\nStates: {X: {E: Y}, Y: {}}", `chart A: state "Y" has no transitions and is not final`},
 		{"unlisted", "Name: A\nInitial: X\nEvents: [E]\nStates: {X: {E: X, F: X}}", `chart A: state "X" has event "F", which is not listed`},
 		{"unknown to code", "Name: A\nInitial: X\nEvents: [E, G]\nStates: {X: {E: X}}", `chart A: event "G" is not known to the code`},
 		{"missing", "Name: A\nInitial: X\nEvents: []\nStates: {X: {}}\nFinal: [X]", `chart A: event "E" of the code is not listed`},
