--- a/view/view.go
+++ b/view/view.go
@@ -1,5 +1,5 @@
-// Package view holds the newest immutable picture of the tier that the control
-// thread publishes and the traffic threads read without waiting.
+// Package view holds an immutable view of the tier. The control thread publishes it and the
+// traffic threads read it without locking.
 package view
 
 import (
@@ -10,41 +10,41 @@
 	"balsamwinch.example/operator"
 )
 
-// Instance is one instance of balsamwinch as the others know it.
+// Instance is an instance of balsamwinch as known to the others.
 type Instance struct {
 	Name            string
 	Region          string
 	DataCentre      string
 	Entry           bool
-	CallerAddress   string // CallerAddress is where callers connect; empty without the entry role.
-	BackendAddress  string // BackendAddress is where backend servers announce themselves.
+	CallerAddress   string // address for callers; empty without the entry role
+	BackendAddress  string // address for announcements of backend servers
 	OperatorAddress string
 	PeerAddress     string
 	Draining        bool
 	Incarnation     uint64
 }
 
-// View is one picture of the tier. It is never changed after it is published.
+// View is the state of the tier as this instance knows it. It is immutable once published.
 type View struct {
 	Self          Instance
 	Configuration operator.Configuration
-	Instances     []Instance       // Instances are those believed alive, self included.
-	Servers       []backend.Record // Servers are those announced and not expired, sorted by name.
-	LeaseUntil    time.Time        // LeaseUntil is when this instance must stop serving.
-	// Entries is by how many entry instances the connection limits of backend
-	// servers are divided, as control last granted; 0 means Limits.MaxEntries.
+	Instances     []Instance       // instances believed to be alive, including this one
+	Servers       []backend.Record // announced servers that have not expired, sorted by name
+	LeaseUntil    time.Time        // time at which this instance must stop serving
+	// GrantedDivisor is the number of entry instances that share the connection limits of
+	// backend servers, as last granted by control; 0 means Limits.MaxEntries.
 	GrantedDivisor int
-	Draining       bool   // Draining says that this instance is stopping.
-	Sequence       uint64 // Sequence rises with each published view.
+	Draining       bool   // whether this instance is stopping
+	Sequence       uint64 // increases with each published view
 }
 
-// Leased reports whether the instance may serve at the given time.
+// Leased reports whether the instance's lease covers the given time.
 func (vi *View) Leased(now time.Time) bool {
 	return now.Before(vi.LeaseUntil)
 }
 
-// Divisor returns by how many entry instances this one must divide the
-// connection limit of a backend server.
+// Divisor returns the number by which this entry instance must divide the connection limit of
+// a backend server.
 func (vi *View) Divisor() int {
 	if vi.GrantedDivisor > 0 {
 		return vi.GrantedDivisor
@@ -52,12 +52,12 @@
 	return vi.Configuration.Limits.MaxEntries
 }
 
-// Cell holds the newest view. The zero Cell holds an empty view.
+// Cell holds the latest view. The zero Cell holds an empty view.
 type Cell struct {
 	pt atomic.Pointer[View]
 }
 
-// Load returns the newest view; it never returns nil.
+// Load returns the latest view; it never returns nil.
 func (ce *Cell) Load() *View {
 	if vi := ce.pt.Load(); vi != nil {
 		return vi
@@ -65,7 +65,7 @@
 	return &View{}
 }
 
-// Store publishes a view. The caller must not change it afterwards.
+// Store publishes a view, which must not be changed afterwards.
 func (ce *Cell) Store(vi *View) {
 	ce.pt.Store(vi)
 }
