--- a/timer/timer.go
+++ b/timer/timer.go
@@ -1,6 +1,6 @@
-// Package timer is the one timer service of a process. Parts subscribe to it
-// instead of starting timers of their own, so that tests drive time in one
-// place (testing/synctest replaces the clock under it).
+// Package timer provides the timer service of a process. Components use it instead of timers
+// of their own, so that tests control time in one place (testing/synctest replaces the clock
+// underneath).
 package timer
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Service hands out the time, single timeouts and periodic ticks.
+// Service provides the current time, timeouts and periodic ticks.
 type Service struct {
 	mu   sync.Mutex
 	subs map[*Subscription]struct{}
@@ -25,15 +25,14 @@
 	return time.Now()
 }
 
-// Subscription is a periodic tick. A tick that is not taken before the next one
-// is dropped.
+// Subscription is a periodic tick. A tick that is not received before the next one is dropped.
 type Subscription struct {
 	C  <-chan time.Time
 	tk *time.Ticker
 	se *Service
 }
 
-// Subscribe starts a periodic tick. The period must be above zero.
+// Subscribe starts a periodic tick. The period must be positive.
 func (se *Service) Subscribe(period time.Duration) *Subscription {
 	tk := time.NewTicker(period)
 	su := &Subscription{C: tk.C, tk: tk, se: se}
@@ -51,24 +50,24 @@
 	su.se.mu.Unlock()
 }
 
-// Subscriptions returns how many periodic ticks run now.
+// Subscriptions returns the number of active subscriptions.
 func (se *Service) Subscriptions() int {
 	se.mu.Lock()
 	defer se.mu.Unlock()
 	return len(se.subs)
 }
 
-// Timeout is a single timeout that can be moved.
+// Timeout is a one-shot timer that can be reset.
 type Timeout struct {
 	tm *time.Timer
 }
 
-// Timeout calls fn once after the delay, on a goroutine of its own.
+// Timeout calls fn once after the delay, in its own goroutine.
 func (se *Service) Timeout(delay time.Duration, fn func()) *Timeout {
 	return &Timeout{tm: time.AfterFunc(delay, fn)}
 }
 
-// Reset moves the timeout to the given delay from now.
+// Reset changes the timeout to expire after the given delay.
 func (ti *Timeout) Reset(delay time.Duration) {
 	ti.tm.Reset(delay)
 }
@@ -78,8 +77,7 @@
 	return ti.tm.Stop()
 }
 
-// Sleep waits for the delay or until the context ends, and returns the
-// context's error in the second case.
+// Sleep waits for the delay, or until the context ends and returns the context's error.
 func (se *Service) Sleep(ctx context.Context, delay time.Duration) error {
 	tm := time.NewTimer(delay)
 	defer tm.Stop()
