--- a/result/result.go
+++ b/result/result.go
@@ -1,6 +1,6 @@
-// Package result defines the numbered result codes that every program of
-// balsamwinch gives to callers, operators and logs, and the error struct that
-// carries them. docs/RESULTS.md holds the same table; a test compares the two.
+// Package result defines the numbered result codes that all programs of balsamwinch use in
+// responses and logs, and the error type that carries them. docs/RESULTS.md holds the same
+// table; a test compares the two.
 package result
 
 import (
@@ -9,91 +9,91 @@
 	"time"
 )
 
-// Code is a numbered result code. A code never changes its meaning.
+// Code is a numbered result code. The meaning of a code never changes.
 type Code int
 
-// Answers to queries.
+// Responses to queries.
 const (
-	// Complete says that every shard of one snapshot is in the answer.
+	// Complete means that the response holds every shard of one snapshot.
 	Complete Code = 0
-	// Partial says that the answer names shards which are missing.
+	// Partial means that shards are missing; the response names them.
 	Partial Code = 10
 )
 
-// Refusals: no backend server can have begun the request.
+// Rejections: no backend server can have started the request.
 const (
-	// NotRunOverloaded says that the queue bound or the limits left no room.
+	// NotRunOverloaded means that the queue or a limit is full.
 	NotRunOverloaded Code = 100
-	// NotRunDraining says that the instance is stopping.
+	// NotRunDraining means that the instance is stopping.
 	NotRunDraining Code = 101
-	// NotRunStale says that the instance's lease from control has run out.
+	// NotRunStale means that the instance's lease from control has expired.
 	NotRunStale Code = 102
-	// NotRunUnknownService says that no configuration names the service.
+	// NotRunUnknownService means that no configuration names the service.
 	NotRunUnknownService Code = 103
-	// NotRunDeadline says that the deadline left no time to ask any shard.
+	// NotRunDeadline means that the deadline left no time to query any shard.
 	NotRunDeadline Code = 104
-	// NotRunNoServer says that no selected backend server holds any shard.
+	// NotRunNoServer means that no selected backend server holds any shard.
 	NotRunNoServer Code = 105
-	// NotRunBadRequest says that the request is malformed.
+	// NotRunBadRequest means that the request is malformed.
 	NotRunBadRequest Code = 106
-	// NotRunKeyReused says that the key was used before with another request.
+	// NotRunKeyReused means that the idempotency key was used before with another request.
 	NotRunKeyReused Code = 107
-	// NotRunNoControl says that the intent of a not-repeatable request could
-	// not be recorded, so it was not sent.
+	// NotRunNoControl means that the intent of a non-repeatable request could not be recorded,
+	// so the request was not sent.
 	NotRunNoControl Code = 108
-	// NotRunQuarantined says that backend servers ended under the same request
-	// before, and none ever answered it.
+	// NotRunQuarantined means that backend servers crashed while running the same request, and
+	// none has ever answered it.
 	NotRunQuarantined Code = 109
 )
 
-// Failures after a backend server may have begun.
+// Failures after a backend server may have started the request.
 const (
-	// Incomplete says that the policy demands every shard and some are missing.
+	// Incomplete means that the policy requires every shard and some are missing.
 	Incomplete Code = 200
-	// OutcomeUnknown says that a not-repeatable request may have run.
+	// OutcomeUnknown means that a non-repeatable request may have run.
 	OutcomeUnknown Code = 201
-	// Failed says that the backend servers ran the request and reported failure.
+	// Failed means that the backend servers ran the request and reported a failure.
 	Failed Code = 202
 )
 
 // Results of configuration changes.
 const (
-	// Accepted says that the change is in force on every serving instance.
+	// Accepted means that the change is in force on every serving instance.
 	Accepted Code = 300
-	// Conflict says that a file changed since the revision named as its base.
+	// Conflict means that a file has changed since the revision given as its base.
 	Conflict Code = 301
-	// Invalid says that the merged configuration did not pass its checks.
+	// Invalid means that the merged configuration is invalid.
 	Invalid Code = 302
-	// NotLeader says that the asked instance does not lead control.
+	// NotLeader means that the instance does not lead control.
 	NotLeader Code = 303
-	// Pending says that the change is committed but not yet in force everywhere.
+	// Pending means that the change is committed but not yet in force everywhere.
 	Pending Code = 304
-	// ControlUnavailable says that no leader could be reached; the outcome of a
-	// change that was already sent is unknown and it may be resent.
+	// ControlUnavailable means that no leader could be reached. The outcome of a change that
+	// was already sent is unknown; the change may be resent.
 	ControlUnavailable Code = 305
 )
 
 // Faults of settings, keys and stored state.
 const (
-	// BadSettings says that a settings file did not pass its checks.
+	// BadSettings means that a settings file is invalid.
 	BadSettings Code = 400
-	// BadKey says that a peer had no key or a wrong one.
+	// BadKey means that a peer had no certificate or a wrong one.
 	BadKey Code = 401
-	// DamagedState says that the data folder holds damage that is not a torn tail.
+	// DamagedState means that the data folder holds damage other than a torn tail.
 	DamagedState Code = 402
-	// StorageFailed says that a write or sync failed, so the instance stopped.
+	// StorageFailed means that a write or sync failed, so the instance stopped.
 	StorageFailed Code = 403
 )
 
-// Row is one line of the table of result codes.
+// Row is one row of the table of result codes.
 type Row struct {
 	Code    Code
 	Name    string
-	Status  int // Status is the HTTP status that goes with the code.
+	Status  int // HTTP status that goes with the code
 	Meaning string
 }
 
-// Table lists every result code in ascending order.
+// Table lists all result codes in ascending order.
 var Table = []Row{
 	{Complete, "Complete", http.StatusOK, "Every shard of one snapshot is in the answer."},
 	{Partial, "Partial", http.StatusOK, "The answer holds some shards of one snapshot and names those missing."},
@@ -132,7 +132,7 @@
 	return Row{}, false
 }
 
-// String returns the name of the code, or its number when it is not known.
+// String returns the name of the code, or its number if the code is unknown.
 func (co Code) String() string {
 	if ro, ok := Lookup(co); ok {
 		return ro.Name
@@ -140,7 +140,7 @@
 	return fmt.Sprintf("Code(%d)", int(co))
 }
 
-// Status returns the HTTP status that goes with the code.
+// Status returns the HTTP status that goes with the code; it is 500 for an unknown code.
 func (co Code) Status() int {
 	if ro, ok := Lookup(co); ok {
 		return ro.Status
@@ -148,7 +148,7 @@
 	return http.StatusInternalServerError
 }
 
-// NotRun reports whether the code promises that no backend server began.
+// NotRun reports whether the code guarantees that no backend server started the request.
 func (co Code) NotRun() bool {
 	return co >= 100 && co < 200
 }
@@ -156,10 +156,10 @@
 // Error is an error with a result code.
 type Error struct {
 	Code       Code
-	Op         string        // Op names the operation that failed.
-	Detail     string        // Detail says what was expected and what was found.
-	RetryAfter time.Duration // RetryAfter is when to come back; zero if unknown.
-	Err        error         // Err is the cause, if any.
+	Op         string        // operation that failed
+	Detail     string        // what was expected and what was found
+	RetryAfter time.Duration // when to retry; zero if unknown
+	Err        error         // cause, if any
 }
 
 // Error returns the operation, code, detail and cause in one line.
--- a/result/result_test.go
+++ b/result/result_test.go
@@ -18,7 +18,7 @@
 
 var update = flag.Bool("update", false, "rewrite docs/RESULTS.md")
 
-// sections are the parts of the page, by the lowest code of each.
+// sections are the sections of the page by the lowest code of each.
 var sections = []struct {
 	from        Code
 	title, text string
@@ -45,8 +45,8 @@
 	return sb.String()
 }
 
-// A caller looks up the number of an answer in the docs. A code that was added
-// or changed without the page would be missing there or explained wrongly.
+// A code that is added or changed without regenerating the page would be missing from the
+// documentation or described wrongly.
 func TestPage(t *testing.T) {
 	c := qt.New(t)
 	if *update {
@@ -57,8 +57,8 @@
 	c.Assert(markdown(), qt.Equals, string(got))
 }
 
-// A code that has a constant and no row would be answered with its bare number
-// and the status of an internal error.
+// A code without a row in the table would be reported as a bare number with the HTTP status
+// 500.
 func TestTableIsWhole(t *testing.T) {
 	c := qt.New(t)
 	src, err := os.ReadFile("result.go")
