--- a/leaf/announce.go
+++ b/leaf/announce.go
@@ -17,80 +17,81 @@
 )
 
 const (
-	announceTimeout = 2 * time.Second
-	announceAgain   = 250 * time.Millisecond // announceAgain is the pause after no instance took an announcement.
-	maxReplyBytes   = 1 << 20
+	announceTimeout    = 2 * time.Second
+	announceRetryDelay = 250 * time.Millisecond // delay before the next attempt when no instance accepted the announcement
+	maxReplyBytes      = 1 << 20
 )
 
-// announcer tells instances of a Leaf, again and again and at once on a change.
+// announcer announces a Leaf to instances periodically, and immediately after a change.
 type announcer struct {
-	cf     Config
-	ts     *timer.Service
-	lg     *zap.Logger
-	tl     *tally
-	record func() backend.Record
-	hc     *http.Client
-	soon   chan struct{}
-	told   chan struct{} // told is closed once an instance knows that the Leaf has left.
+	cf           Config
+	ts           *timer.Service
+	lg           *zap.Logger
+	tl           *tally
+	record       func() backend.Record
+	hc           *http.Client
+	trigger      chan struct{}
+	leftAccepted chan struct{} // closed once an instance has accepted the announcement that the Leaf has left
 
-	instances []string // instances are the addresses of the newest reply; run alone uses them.
+	instances []string // addresses from the newest reply; used only by run
 }
 
 func newAnnouncer(cf Config, ts *timer.Service, lg *zap.Logger, tl *tally, record func() backend.Record) *announcer {
 	return &announcer{
 		cf: cf, ts: ts, lg: lg, tl: tl, record: record,
-		hc:   &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}, Timeout: announceTimeout},
-		soon: make(chan struct{}, 1), told: make(chan struct{}),
+		hc:      &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}, Timeout: announceTimeout},
+		trigger: make(chan struct{}, 1), leftAccepted: make(chan struct{}),
 	}
 }
 
-// announceSoon makes run announce at once.
-func (an *announcer) announceSoon() {
+// announceNow makes run send an announcement without waiting for the interval.
+func (an *announcer) announceNow() {
 	select {
-	case an.soon <- struct{}{}:
+	case an.trigger <- struct{}{}:
 	default:
 	}
 }
 
-// run announces until the context ends.
+// run sends announcements until the context ends.
 func (an *announcer) run(ctx context.Context) {
 	defer an.hc.CloseIdleConnections()
 	if len(an.cf.Announce) == 0 {
 		return
 	}
 	for ctx.Err() == nil {
-		pause := an.announce(ctx)
+		delay := an.announce(ctx)
 		wake := make(chan struct{})
-		ti := an.ts.Timeout(pause, func() { close(wake) })
+		ti := an.ts.Timeout(delay, func() { close(wake) })
 		select {
 		case <-wake:
-		case <-an.soon:
+		case <-an.trigger:
 		case <-ctx.Done():
 		}
 		ti.Stop()
 	}
 }
 
-// last waits until an instance knows that the Leaf has left.
-func (an *announcer) last(ctx context.Context) {
+// awaitLeftAccepted waits until an instance has accepted the announcement that the Leaf has
+// left, or until the context ends.
+func (an *announcer) awaitLeftAccepted(ctx context.Context) {
 	if len(an.cf.Announce) == 0 {
 		return
 	}
 	select {
-	case <-an.told:
+	case <-an.leftAccepted:
 	case <-ctx.Done():
 		an.lg.Warn("leaf.left.untold")
 	}
 }
 
-// announce tells the first instance that takes it, and returns when to do so
-// again. Instances of the newest reply are turned to first, then those of the
-// settings, so that a Leaf finds its way back when all it knew have gone.
+// announce sends an announcement to the first instance that accepts it, and returns the delay
+// until the next one. It tries the instances of the newest reply first and then those of the
+// settings, so that a Leaf reconnects when all instances of the newest reply have gone.
 func (an *announcer) announce(ctx context.Context) time.Duration {
 	re := an.record()
 	body, err := json.Marshal(re)
 	if err != nil {
-		panic(fmt.Sprintf("leaf: a record: %v", err))
+		panic(fmt.Sprintf("leaf: encoding a record: %v", err))
 	}
 	addresses := slices.Concat(an.instances, an.cf.Announce)
 	for i, ad := range addresses {
@@ -99,26 +100,27 @@
 		}
 		ar, err := an.post(ctx, ad, body)
 		if err != nil {
-			an.tl.change(func(co *Counts) { co.FailedToAnnounce++ })
+			an.tl.update(func(co *Counts) { co.FailedToAnnounce++ })
 			an.lg.Info("leaf.announce.failed", zap.String("Instance", ad), zap.Error(err))
 			continue
 		}
-		return an.taken(re, ar)
+		return an.recordAccepted(re, ar)
 	}
-	return announceAgain
+	return announceRetryDelay
 }
 
-// taken notes that an instance took an announcement.
-func (an *announcer) taken(re backend.Record, ar backend.AnnounceReply) time.Duration {
-	an.tl.change(func(co *Counts) { co.Announced++ })
+// recordAccepted records that an instance accepted an announcement, and returns the delay
+// until the next one.
+func (an *announcer) recordAccepted(re backend.Record, ar backend.AnnounceReply) time.Duration {
+	an.tl.update(func(co *Counts) { co.Announced++ })
 	if len(ar.Instances) > 0 {
 		an.instances = ar.Instances
 	}
 	if re.State == backend.Left {
 		select {
-		case <-an.told:
+		case <-an.leftAccepted:
 		default:
-			close(an.told)
+			close(an.leftAccepted)
 		}
 	}
 	if ar.RepeatMillis > 0 {
@@ -144,18 +146,18 @@
 		return ar, err
 	}
 	if rs.StatusCode != http.StatusOK {
-		return ar, &refusedError{status: rs.StatusCode, body: string(bs)}
+		return ar, &statusError{status: rs.StatusCode, body: string(bs)}
 	}
 	return ar, json.Unmarshal(bs, &ar)
 }
 
-// refusedError says that an instance did not take an announcement.
-type refusedError struct {
+// statusError means that an instance rejected an announcement.
+type statusError struct {
 	status int
 	body   string
 }
 
-// Error returns the status and what the instance said.
-func (re *refusedError) Error() string {
-	return fmt.Sprintf("status %d: %s", re.status, re.body)
+// Error returns the HTTP status and the body of the response.
+func (se *statusError) Error() string {
+	return fmt.Sprintf("status %d: %s", se.status, se.body)
 }
--- a/leaf/config.go
+++ b/leaf/config.go
@@ -1,6 +1,6 @@
-// Package leaf emulates a backend server: it announces itself, holds shards of
-// several snapshots, has slots, a connection limit, a cold start and a drain,
-// and misbehaves as it is told. It is for trials and tests and keeps no index.
+// Package leaf emulates a backend server: it announces itself, holds shards of several
+// snapshots, has slots, a connection limit, a cold start and a drain, and misbehaves as
+// configured. It is meant for experiments and tests and keeps no index.
 package leaf
 
 import (
@@ -10,52 +10,50 @@
 
 // Config holds the settings of a Leaf.
 type Config struct {
-	Server     string // Server is the name, unique among backend servers.
+	Server     string // name, unique among backend servers
 	Service    string
 	DataCentre string
 	Labels     map[string]string
-	// Address is the IP number and port of the query endpoint; port 0 lets the
-	// kernel choose.
+	// IP address and port of the query endpoint; with port 0 the kernel chooses the port.
 	Address string
-	// ControlAddress is the IP number and port of the endpoint for counts, faults
-	// and versions; its connections do not count against ConnectionLimit. None is
-	// opened if it is empty.
+	// IP address and port of the endpoint for counts, faults and versions; its connections do
+	// not count against ConnectionLimit. If empty, the endpoint is not opened.
 	ControlAddress string
-	Announce       []string // Announce are the announce addresses of instances.
+	Announce       []string // announce addresses of instances
 
-	Shards       []string // Shards are those held at the start.
-	Partition    uint64   // Partition is the number of the first partition map; default 1.
-	Version      uint64   // Version is the first index version; default 1.
-	KeepVersions int      // KeepVersions is how many snapshots are held; default 3.
-	// PublishEvery is the period of new index versions; 0 publishes only when told
-	// to. Leafs with the same period publish the same versions.
+	Shards       []string // shards held at the start
+	Partition    uint64   // number of the first partition map; default 1
+	Version      uint64   // first index version; default 1
+	KeepVersions int      // maximum number of snapshots held; default 3
+	// Interval between new index versions; 0 publishes only on request. Leafs with the same
+	// interval publish the same versions.
 	PublishEvery time.Duration
-	PublishLag   time.Duration // PublishLag delays each periodic version.
-	RowsPerReply int           // RowsPerReply is how many rows a shard answers with; default 1.
+	PublishLag   time.Duration // delay of each periodic version
+	RowsPerReply int           // rows that a shard returns; default 1
 
-	Slots           int           // Slots is how many requests run at a time; default 4.
-	Queue           int           // Queue is how many requests wait for a slot before others are shed.
-	ConnectionLimit int           // ConnectionLimit is how many connections are accepted; default 40.
-	AcceptDelay     time.Duration // AcceptDelay is the cost of a new connection.
+	Slots           int           // requests that run at a time; default 4
+	Queue           int           // requests that wait for a slot before others are shed
+	ConnectionLimit int           // maximum number of accepted connections; default 40
+	AcceptDelay     time.Duration // delay before a new connection is read
 	Latency         Latency
-	ColdFor         time.Duration // ColdFor is the length of the cold start.
-	// ColdFactor multiplies the service time when the cold start begins; it falls
-	// evenly to 1.
+	ColdFor         time.Duration // length of the cold start
+	// Factor by which the service time is multiplied when the cold start begins; it falls
+	// linearly to 1.
 	ColdFactor float64
-	StopLag    time.Duration // StopLag is how long a cancelled or timed-out request goes on.
-	DrainFor   time.Duration // DrainFor is how long the Leaf goes on, draining, when it is told to end.
-	DrainLimit time.Duration // DrainLimit bounds the wait for requests that were taken on; default 30 s.
-	LoadLag    time.Duration // LoadLag is how old the reported health and load get.
+	StopLag    time.Duration // how long a cancelled or timed-out request keeps its slot
+	DrainFor   time.Duration // how long a Leaf that is to stop keeps draining
+	DrainLimit time.Duration // limit of the wait for accepted requests at the end of the drain; default 30 s
+	LoadLag    time.Duration // age of the reported health and load
 
-	Repeat      time.Duration // Repeat is the period of announcements until an instance says another; default 1 s.
-	TTL         time.Duration // TTL is how long an announcement holds; default 5 s.
-	Incarnation uint64        // Incarnation is taken from the clock if it is 0.
-	Seed        uint64        // Seed makes service times and faults repeatable.
+	Repeat      time.Duration // interval of announcements until an instance requests another one; default 1 s
+	TTL         time.Duration // lifetime of an announcement; default 5 s
+	Incarnation uint64        // taken from the clock if 0
+	Seed        uint64        // makes service times and faults repeatable
 	Faults      Faults
 }
 
-// Latency is a lognormal distribution of service times, given by its median and
-// the standard deviation of the logarithm. A zero Median answers at once.
+// Latency is a lognormal distribution of service times, given by its median and the standard
+// deviation of the logarithm. With a zero Median, requests are answered at once.
 type Latency struct {
 	Median time.Duration
 	Sigma  float64
@@ -76,7 +74,7 @@
 	return cf
 }
 
-// versionAt returns the periodic index version of a time.
+// versionAt returns the periodic index version at the given time.
 func (cf Config) versionAt(now time.Time) uint64 {
 	if cf.PublishEvery <= 0 {
 		return cf.Version
@@ -84,8 +82,8 @@
 	return cf.Version + uint64(now.Add(-cf.PublishLag).UnixNano()/int64(cf.PublishEvery))
 }
 
-// nextVersion returns how long it is until the next periodic index version.
-func (cf Config) nextVersion(now time.Time) time.Duration {
+// untilNextVersion returns the time until the next periodic index version.
+func (cf Config) untilNextVersion(now time.Time) time.Duration {
 	since := time.Duration(now.Add(-cf.PublishLag).UnixNano() % int64(cf.PublishEvery))
 	return cf.PublishEvery - since
 }
--- a/leaf/control.go
+++ b/leaf/control.go
@@ -8,23 +8,23 @@
 	"balsamwinch.example/snapshot"
 )
 
-// The paths of the control endpoint.
+// Paths of the control endpoint.
 const (
-	CountsPath     = "/counts"     // CountsPath gives Counts.
-	FaultsPath     = "/faults"     // FaultsPath gives Faults, or takes them by POST.
-	VersionsPath   = "/versions"   // VersionsPath takes a NewVersion by POST and gives the Record.
-	PartitionsPath = "/partitions" // PartitionsPath takes a NewPartition by POST and gives the Record.
-	DrainPath      = "/drain"      // DrainPath takes a POST and gives the Record.
-	RecordPath     = "/record"     // RecordPath gives the Record.
+	CountsPath     = "/counts"     // returns Counts
+	FaultsPath     = "/faults"     // returns Faults, or sets them by POST
+	VersionsPath   = "/versions"   // accepts a NewVersion by POST and returns the Record
+	PartitionsPath = "/partitions" // accepts a NewPartition by POST and returns the Record
+	DrainPath      = "/drain"      // starts a drain by POST and returns the Record
+	RecordPath     = "/record"     // returns the Record
 )
 
-// NewVersion asks for a newer index version; 0 takes the next one.
+// NewVersion requests a newer index version; 0 means the next one.
 type NewVersion struct {
 	Version uint64
 }
 
-// NewPartition asks for a snapshot of another partition map, of which the Leaf
-// holds the given shards. A zero Version takes the newest one.
+// NewPartition requests a snapshot of another partition map, of which the Leaf holds the given
+// shards. A zero Version means the newest one.
 type NewPartition struct {
 	Partition uint64
 	Version   uint64
@@ -36,9 +36,9 @@
 	mx.HandleFunc("GET "+CountsPath, func(rw http.ResponseWriter, _ *http.Request) { writeJSON(rw, le.Counts()) })
 	mx.HandleFunc("GET "+RecordPath, func(rw http.ResponseWriter, _ *http.Request) { writeJSON(rw, le.Record()) })
 	mx.HandleFunc("GET "+FaultsPath, func(rw http.ResponseWriter, _ *http.Request) { writeJSON(rw, le.Faults()) })
-	mx.HandleFunc("POST "+FaultsPath, le.takeFaults)
-	mx.HandleFunc("POST "+VersionsPath, le.takeVersion)
-	mx.HandleFunc("POST "+PartitionsPath, le.takePartition)
+	mx.HandleFunc("POST "+FaultsPath, le.handleFaults)
+	mx.HandleFunc("POST "+VersionsPath, le.handleVersion)
+	mx.HandleFunc("POST "+PartitionsPath, le.handlePartition)
 	mx.HandleFunc("POST "+DrainPath, func(rw http.ResponseWriter, _ *http.Request) {
 		le.Drain()
 		writeJSON(rw, le.Record())
@@ -46,9 +46,9 @@
 	return mx
 }
 
-func (le *Leaf) takeFaults(rw http.ResponseWriter, hr *http.Request) {
+func (le *Leaf) handleFaults(rw http.ResponseWriter, hr *http.Request) {
 	var fa Faults
-	if !readStrict(rw, hr, &fa) {
+	if !decodeStrict(rw, hr, &fa) {
 		return
 	}
 	if err := fa.check(); err != nil {
@@ -59,18 +59,18 @@
 	writeJSON(rw, fa)
 }
 
-func (le *Leaf) takeVersion(rw http.ResponseWriter, hr *http.Request) {
+func (le *Leaf) handleVersion(rw http.ResponseWriter, hr *http.Request) {
 	var nv NewVersion
-	if !readStrict(rw, hr, &nv) {
+	if !decodeStrict(rw, hr, &nv) {
 		return
 	}
 	le.Publish(nv.Version)
 	writeJSON(rw, le.Record())
 }
 
-func (le *Leaf) takePartition(rw http.ResponseWriter, hr *http.Request) {
+func (le *Leaf) handlePartition(rw http.ResponseWriter, hr *http.Request) {
 	var np NewPartition
-	if !readStrict(rw, hr, &np) {
+	if !decodeStrict(rw, hr, &np) {
 		return
 	}
 	if np.Partition == 0 {
@@ -81,7 +81,7 @@
 	writeJSON(rw, le.Record())
 }
 
-func readStrict(rw http.ResponseWriter, hr *http.Request, out any) bool {
+func decodeStrict(rw http.ResponseWriter, hr *http.Request, out any) bool {
 	de := json.NewDecoder(http.MaxBytesReader(rw, hr.Body, maxRequestBytes))
 	de.DisallowUnknownFields()
 	if err := de.Decode(out); err != nil {
--- a/leaf/counts.go
+++ b/leaf/counts.go
@@ -7,32 +7,32 @@
 	"balsamwinch.example/backend"
 )
 
-// Counts is what a Leaf has seen since its start.
+// Counts are the counters of a Leaf since its start.
 type Counts struct {
-	Requests int                       // Requests counts the query requests that arrived.
-	Replies  map[backend.ReplyCode]int // Replies counts the replies by code.
-	Executed map[string]int            // Executed counts, for each key of a not-repeatable request, how often it was begun.
-	RanTwice int                       // RanTwice counts the keys that were begun more than once.
+	Requests int                       // query requests received
+	Replies  map[backend.ReplyCode]int // replies by code
+	Executed map[string]int            // executions started, by the key of a non-repeatable request
+	RanTwice int                       // keys whose execution was started more than once
 
-	Running          int // Running counts the requests in slots.
+	Running          int // requests in slots
 	PeakRunning      int
-	Queued           int // Queued counts the requests that wait for a slot.
-	Cancels          int // Cancels counts the Cancel requests.
-	Stopped          int // Stopped counts the requests that were cancelled, lost their connection or passed their deadline while in a slot.
-	RunningAfterStop int // RunningAfterStop counts those of them that still hold their slot.
+	Queued           int // requests that wait for a slot
+	Cancels          int // Cancel requests received
+	Stopped          int // requests that were cancelled, lost their connection or passed their deadline while in a slot
+	RunningAfterStop int // stopped requests that still hold their slot
 
-	Connections        int // Connections counts the open connections, silent ones included.
+	Connections        int // open connections, including silent ones
 	PeakConnections    int
-	Accepted           int // Accepted counts the connections ever accepted.
-	OverLimit          int // OverLimit counts the connections refused because of the limit.
-	SilentConnections  int // SilentConnections counts the open connections that went silent.
-	RefusedAfterNotice int // RefusedAfterNotice counts the requests that came while draining.
+	Accepted           int // connections accepted since the start
+	OverLimit          int // connections closed because of the limit
+	SilentConnections  int // open connections that went silent
+	RefusedAfterNotice int // requests that arrived while draining
 
-	Announced        int // Announced counts the announcements that an instance took.
-	FailedToAnnounce int // FailedToAnnounce counts the others.
+	Announced        int // announcements that an instance accepted
+	FailedToAnnounce int // announcements that failed or were rejected
 }
 
-// tally guards a Counts.
+// tally is a Counts guarded by a mutex.
 type tally struct {
 	mu sync.Mutex
 	co Counts
@@ -42,14 +42,14 @@
 	return &tally{co: Counts{Replies: make(map[backend.ReplyCode]int), Executed: make(map[string]int)}}
 }
 
-// change applies fn to the counts.
-func (tl *tally) change(fn func(co *Counts)) {
+// update calls fn on the counts.
+func (tl *tally) update(fn func(co *Counts)) {
 	tl.mu.Lock()
 	defer tl.mu.Unlock()
 	fn(&tl.co)
 }
 
-// counts returns a copy.
+// counts returns a copy of the counts.
 func (tl *tally) counts() Counts {
 	tl.mu.Lock()
 	defer tl.mu.Unlock()
@@ -59,7 +59,7 @@
 	return co
 }
 
-func (co *Counts) begin(key string) {
+func (co *Counts) countStart(key string) {
 	co.Running++
 	co.PeakRunning = max(co.PeakRunning, co.Running)
 	if key == "" {
@@ -71,7 +71,7 @@
 	}
 }
 
-func (co *Counts) accept() {
+func (co *Counts) countAccept() {
 	co.Accepted++
 	co.Connections++
 	co.PeakConnections = max(co.PeakConnections, co.Connections)
--- a/leaf/fault.go
+++ b/leaf/fault.go
@@ -7,59 +7,58 @@
 	"time"
 )
 
-// Faults says how a Leaf misbehaves. Shares are between 0 and 1 and are drawn
-// for each request. The zero Faults is a healthy server.
+// Faults describes how a Leaf misbehaves. The fractions lie between 0 and 1 and are
+// probabilities for each request. The zero Faults is a healthy server.
 type Faults struct {
-	SlowShare  float64 // SlowShare is the share of requests that take SlowFactor times as long.
+	SlowShare  float64 // fraction of requests that take SlowFactor times as long
 	SlowFactor float64
-	Stuck      bool // Stuck makes requests hold their slot without an answer or an end.
-	// Silent makes the connections of the moment at which it is set go silent;
-	// newer ones work.
+	Stuck      bool // requests hold their slot and are never answered
+	// The connections that are open when Silent is set go silent; newer ones work.
 	Silent bool
-	// SilentHeld keeps silent connections counted as open when the other end
-	// closes them, as when the close is lost too.
+	// Silent connections remain counted as open after the other end closes them, as if the
+	// close were lost too.
 	SilentHeld bool
-	Shed       float64 // Shed is the share of requests that are shed.
-	Crossed    float64 // Crossed is the share of replies that belong to another request.
-	Doubled    float64 // Doubled is the share of replies that come twice.
-	Cut        float64 // Cut is the share of requests whose connection closes once they are read; they do not run.
-	Lost       float64 // Lost is the share of requests that run and whose connection closes instead of the reply.
-	Lie        bool    // Lie makes health and load claim an idle, serving server.
+	Shed       float64 // fraction of requests that are shed
+	Crossed    float64 // fraction of replies that carry the ID of another request
+	Doubled    float64 // fraction of replies that are sent twice
+	Cut        float64 // fraction of requests whose connection is closed after they are read; they do not run
+	Lost       float64 // fraction of requests that run and whose connection is closed instead of a reply
+	Lie        bool    // health and load always report an idle, serving server
 }
 
-// lot is what the draw decided for one request.
-type lot struct {
-	service                           time.Duration
-	shed, crossed, doubled, cut, gone bool
+// requestPlan holds the service time and the faults that were drawn for one request.
+type requestPlan struct {
+	serviceTime                       time.Duration
+	shed, crossed, doubled, cut, lost bool
 }
 
-// dice draws service times and faults, repeatably for a seed.
-type dice struct {
+// sampler draws service times and faults; equal seeds give equal results.
+type sampler struct {
 	mu sync.Mutex
 	rn *rand.Rand
 }
 
-func newDice(seed uint64) *dice {
-	return &dice{rn: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15))}
+func newSampler(seed uint64) *sampler {
+	return &sampler{rn: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15))}
 }
 
-func (di *dice) draw(la Latency, fa Faults, factor float64) lot {
-	di.mu.Lock()
-	defer di.mu.Unlock()
-	lo := lot{
-		shed:    di.hit(fa.Shed),
-		crossed: di.hit(fa.Crossed),
-		doubled: di.hit(fa.Doubled),
-		cut:     di.hit(fa.Cut),
-		gone:    di.hit(fa.Lost),
+func (sm *sampler) sample(la Latency, fa Faults, factor float64) requestPlan {
+	sm.mu.Lock()
+	defer sm.mu.Unlock()
+	pl := requestPlan{
+		shed:    sm.occurs(fa.Shed),
+		crossed: sm.occurs(fa.Crossed),
+		doubled: sm.occurs(fa.Doubled),
+		cut:     sm.occurs(fa.Cut),
+		lost:    sm.occurs(fa.Lost),
 	}
-	if di.hit(fa.SlowShare) {
+	if sm.occurs(fa.SlowShare) {
 		factor *= max(fa.SlowFactor, 1)
 	}
-	lo.service = time.Duration(float64(la.Median) * math.Exp(la.Sigma*di.rn.NormFloat64()) * factor)
-	return lo
+	pl.serviceTime = time.Duration(float64(la.Median) * math.Exp(la.Sigma*sm.rn.NormFloat64()) * factor)
+	return pl
 }
 
-func (di *dice) hit(share float64) bool {
-	return share > 0 && di.rn.Float64() < share
+func (sm *sampler) occurs(probability float64) bool {
+	return probability > 0 && sm.rn.Float64() < probability
 }
--- a/leaf/leaf.go
+++ b/leaf/leaf.go
@@ -18,27 +18,27 @@
 )
 
 const (
-	headerTimeout = 30 * time.Second // headerTimeout bounds the arrival of a request's header.
-	closeTimeout  = 2 * time.Second  // closeTimeout bounds the end of the connections and the last announcement.
+	headerTimeout = 30 * time.Second // limit for receiving the header of a request
+	closeTimeout  = 2 * time.Second  // limit for closing the connections and sending the last announcement
 )
 
 // Leaf is an emulated backend server.
 type Leaf struct {
-	cf      Config
-	ts      *timer.Service
-	lg      *zap.Logger
-	ln      *listener
-	control net.Listener // control is nil if there is no control endpoint.
-	started time.Time
-	tl      *tally
-	wo      *work
-	di      *dice
-	an      *announcer
-	faults  atomic.Pointer[setFaults]
-	last    atomic.Pointer[string] // last is the id of the request before, for Crossed.
-	sampled atomic.Pointer[report] // sampled is nil without LoadLag.
-	ended   chan struct{}          // ended is closed by Close.
-	endOnce sync.Once
+	cf         Config
+	ts         *timer.Service
+	lg         *zap.Logger
+	ln         *listener
+	control    net.Listener // nil without a control endpoint
+	started    time.Time
+	tl         *tally
+	ad         *admission
+	sm         *sampler
+	an         *announcer
+	faults     atomic.Pointer[activeFaults]
+	previousID atomic.Pointer[string] // ID of the previous request, for Crossed
+	sampled    atomic.Pointer[report] // nil without LoadLag
+	closed     chan struct{}          // closed by Close
+	closeOnce  sync.Once
 
 	mu       sync.Mutex
 	state    chart.State
@@ -46,13 +46,13 @@
 	sequence uint64
 }
 
-// setFaults are the faults in force.
-type setFaults struct {
-	fa     Faults
-	lifted chan struct{} // lifted is closed when others take their place.
+// activeFaults are the faults in effect.
+type activeFaults struct {
+	fa       Faults
+	replaced chan struct{} // closed when other faults replace these
 }
 
-// New returns a Leaf that listens at once and serves once Serve runs.
+// New returns a Leaf that is already listening; Serve answers its requests.
 func New(cf Config, ts *timer.Service, lg *zap.Logger) (*Leaf, error) {
 	ln, err := net.Listen("tcp", cf.Address)
 	if err != nil {
@@ -75,7 +75,7 @@
 	le := &Leaf{
 		cf: cf, ts: ts, lg: lg.With(zap.String("Server", cf.Server)), control: control, started: now, tl: tl,
 		ln: newListener(ln, ts, tl, cf.ConnectionLimit, cf.AcceptDelay),
-		wo: newWork(cf.Slots, cf.Queue), di: newDice(cf.Seed), ended: make(chan struct{}),
+		ad: newAdmission(cf.Slots, cf.Queue), sm: newSampler(cf.Seed), closed: make(chan struct{}),
 		state:    lifecycle.Initial(),
 		ix:       newIndex(cf.KeepVersions, snapshot.ID{Partition: cf.Partition, Version: cf.versionAt(now)}, cf.Shards),
 		sequence: 1,
@@ -84,17 +84,17 @@
 		le.state, _ = lifecycle.Next(le.state, eventWarm)
 	}
 	le.an = newAnnouncer(cf, ts, le.lg, tl, le.Record)
-	le.faults.Store(&setFaults{fa: cf.Faults, lifted: make(chan struct{})})
+	le.faults.Store(&activeFaults{fa: cf.Faults, replaced: make(chan struct{})})
 	return le
 }
 
-// Address returns the IP number and port of the query endpoint.
+// Address returns the IP address and port of the query endpoint.
 func (le *Leaf) Address() string {
 	return le.ln.Addr().String()
 }
 
-// ControlAddress returns the IP number and port of the control endpoint; empty
-// if there is none.
+// ControlAddress returns the IP address and port of the control endpoint, or "" if there is
+// none.
 func (le *Leaf) ControlAddress() string {
 	if le.control == nil {
 		return ""
@@ -102,33 +102,33 @@
 	return le.control.Addr().String()
 }
 
-// Counts returns what the Leaf has seen since its start.
+// Counts returns the counters since the start of the Leaf.
 func (le *Leaf) Counts() Counts {
 	co := le.tl.counts()
-	co.Queued = le.wo.waiting()
+	co.Queued = le.ad.numQueued()
 	return co
 }
 
-// Faults returns the faults in force.
+// Faults returns the faults in effect.
 func (le *Leaf) Faults() Faults {
 	return le.faults.Load().fa
 }
 
-// SetFaults puts other faults in force. Stuck requests go on, and connections
-// that are silent end, once the new faults no longer ask for them.
+// SetFaults replaces the faults in effect. Requests that are stuck end as failed, and silent
+// connections are closed unless the new faults include Silent.
 func (le *Leaf) SetFaults(fa Faults) {
-	old := le.faults.Swap(&setFaults{fa: fa, lifted: make(chan struct{})})
+	old := le.faults.Swap(&activeFaults{fa: fa, replaced: make(chan struct{})})
 	switch {
 	case fa.Silent:
 		le.ln.silence(fa.SilentHeld)
 	case old.fa.Silent:
 		le.ln.closeAll(true)
 	}
-	close(old.lifted)
+	close(old.replaced)
 	le.lg.Info("leaf.faults", zap.Any("Faults", fa))
 }
 
-// Record returns what the Leaf announces of itself now.
+// Record returns the record that the Leaf currently announces.
 func (le *Leaf) Record() backend.Record {
 	le.mu.Lock()
 	defer le.mu.Unlock()
@@ -139,8 +139,8 @@
 	}
 }
 
-// Publish makes a newer index version of the newest partition map available; 0
-// takes the next one.
+// Publish makes another index version of the newest partition map available; 0 means the next
+// one.
 func (le *Leaf) Publish(version uint64) {
 	le.change(func() {
 		if version == 0 {
@@ -150,8 +150,8 @@
 	})
 }
 
-// Repartition makes a snapshot of another partition map available, of which the
-// Leaf holds the given shards. A zero version takes the newest one.
+// Repartition makes a snapshot of another partition map available, of which the Leaf holds the
+// given shards. A zero version means the newest one.
 func (le *Leaf) Repartition(id snapshot.ID, shards []string) {
 	le.change(func() {
 		if id.Version == 0 {
@@ -161,17 +161,17 @@
 	})
 }
 
-// Drain makes the Leaf refuse new requests and announce that. It goes on with
-// those that it has taken on.
+// Drain makes the Leaf announce that it is draining and reject new requests. Accepted requests
+// are finished.
 func (le *Leaf) Drain() {
-	le.wo.drain()
-	le.step(eventDrain)
+	le.ad.drain()
+	le.transition(eventDrain)
 }
 
-// Close ends the Leaf at once, as a kill would: connections are cut and no
-// instance is told.
+// Close stops the Leaf at once, as a kill would: connections are closed and no instance is
+// notified.
 func (le *Leaf) Close() error {
-	le.endOnce.Do(func() { close(le.ended) })
+	le.closeOnce.Do(func() { close(le.closed) })
 	err := le.ln.Close()
 	le.ln.closeAll(false)
 	if le.control != nil {
@@ -180,9 +180,9 @@
 	return err
 }
 
-// Serve answers requests and announces the Leaf until the context ends. Then it
-// drains: it announces that, refuses new requests for DrainFor, ends those that
-// it has taken on, and announces that it has left.
+// Serve answers requests and sends announcements until the context ends. Then it drains: it
+// announces this, rejects new requests for DrainFor, waits up to DrainLimit for accepted ones,
+// and announces that the Leaf has left.
 func (le *Leaf) Serve(ctx context.Context) error {
 	run, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -190,81 +190,81 @@
 	defer wg.Wait()
 	defer stop()
 	defer le.Close()
-	for _, part := range []func(context.Context){le.an.run, le.publishPeriodically, le.warmUp, le.sampleReports} {
-		wg.Go(func() { part(run) })
+	for _, loop := range []func(context.Context){le.an.run, le.publishPeriodically, le.warmUp, le.sampleReports} {
+		wg.Go(func() { loop(run) })
 	}
-	failed := make(chan error, 2)
-	query := &http.Server{Handler: le.queryHandler(), ReadHeaderTimeout: headerTimeout, ConnContext: withServed, ConnState: repeatDoubled}
-	wg.Go(func() { failed <- query.Serve(le.ln) })
+	serveErr := make(chan error, 2)
+	query := &http.Server{Handler: le.queryHandler(), ReadHeaderTimeout: headerTimeout, ConnContext: withConn, ConnState: replayDoubled}
+	wg.Go(func() { serveErr <- query.Serve(le.ln) })
 	if le.control != nil {
 		control := &http.Server{Handler: le.controlHandler(), ReadHeaderTimeout: headerTimeout}
-		wg.Go(func() { failed <- control.Serve(le.control) })
+		wg.Go(func() { serveErr <- control.Serve(le.control) })
 		defer control.Close()
 	}
 	select {
-	case err := <-failed:
+	case err := <-serveErr:
 		return err
-	case <-le.ended:
+	case <-le.closed:
 		return http.ErrServerClosed
 	case <-ctx.Done():
 		return le.leave(run, query)
 	}
 }
 
-// leave drains the Leaf and announces its end.
+// leave drains the Leaf and announces that it has left.
 func (le *Leaf) leave(ctx context.Context, query *http.Server) error {
 	le.Drain()
 	if err := le.ts.Sleep(ctx, le.cf.DrainFor); err != nil {
 		return err
 	}
-	late := make(chan struct{})
-	ti := le.ts.Timeout(le.cf.DrainLimit, func() { close(late) })
+	timedOut := make(chan struct{})
+	ti := le.ts.Timeout(le.cf.DrainLimit, func() { close(timedOut) })
 	defer ti.Stop()
 	select {
-	case <-le.wo.drain():
-	case <-late:
-		le.lg.Warn("leaf.drain.late", zap.Int("Running", le.wo.running()))
+	case <-le.ad.drain():
+	case <-timedOut:
+		le.lg.Warn("leaf.drain.late", zap.Int("Running", le.ad.numRunning()))
 	}
-	le.step(eventStop)
+	le.transition(eventStop)
 	ctx, cancel := context.WithTimeout(ctx, closeTimeout)
 	defer cancel()
-	le.an.last(ctx)
+	le.an.awaitLeftAccepted(ctx)
 	return query.Shutdown(ctx)
 }
 
-// step follows an event in the Leaf's life.
-func (le *Leaf) step(ev chart.Event) {
+// transition applies an event to the state of the Leaf.
+func (le *Leaf) transition(ev chart.Event) {
 	le.change(func() {
 		le.state, _ = lifecycle.Next(le.state, ev)
 	})
 }
 
-// change applies a change of what the Leaf announces.
+// change applies a change to what the Leaf announces, and announces it.
 func (le *Leaf) change(fn func()) {
 	le.mu.Lock()
 	fn()
 	le.sequence++
 	le.lg.Info("leaf.changed", zap.String("State", string(le.state)), zap.Stringer("Snapshot", le.ix.newest().id))
 	le.mu.Unlock()
-	le.an.announceSoon()
+	le.an.announceNow()
 }
 
 func (le *Leaf) publishPeriodically(ctx context.Context) {
 	if le.cf.PublishEvery <= 0 {
 		return
 	}
-	for le.ts.Sleep(ctx, le.cf.nextVersion(le.ts.Now())) == nil {
+	for le.ts.Sleep(ctx, le.cf.untilNextVersion(le.ts.Now())) == nil {
 		le.Publish(le.cf.versionAt(le.ts.Now()))
 	}
 }
 
 func (le *Leaf) warmUp(ctx context.Context) {
 	if le.cf.ColdFor > 0 && le.ts.Sleep(ctx, le.cf.ColdFor) == nil {
-		le.step(eventWarm)
+		le.transition(eventWarm)
 	}
 }
 
-// coldFactor is what the cold start multiplies service times with.
+// coldFactor returns the factor by which the cold start currently multiplies service times.
 func (le *Leaf) coldFactor() float64 {
 	age := le.ts.Now().Sub(le.started)
 	if age >= le.cf.ColdFor {
--- a/leaf/leaf_test.go
+++ b/leaf/leaf_test.go
@@ -28,48 +28,48 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// pipes is a listener for net.Pipe, for tests whose time is faked.
-type pipes struct {
+// pipeListener is a listener for net.Pipe connections, which work with synctest's fake time.
+type pipeListener struct {
 	conns chan net.Conn
 	once  sync.Once
 	done  chan struct{}
 }
 
-func newPipes() *pipes {
-	return &pipes{conns: make(chan net.Conn), done: make(chan struct{})}
+func newPipeListener() *pipeListener {
+	return &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}
 }
 
-func (pi *pipes) Accept() (net.Conn, error) {
+func (pl *pipeListener) Accept() (net.Conn, error) {
 	select {
-	case nc := <-pi.conns:
+	case nc := <-pl.conns:
 		return nc, nil
-	case <-pi.done:
+	case <-pl.done:
 		return nil, net.ErrClosed
 	}
 }
 
-func (pi *pipes) Close() error {
-	pi.once.Do(func() { close(pi.done) })
+func (pl *pipeListener) Close() error {
+	pl.once.Do(func() { close(pl.done) })
 	return nil
 }
 
-func (pi *pipes) Addr() net.Addr {
+func (pl *pipeListener) Addr() net.Addr {
 	return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 1}
 }
 
-func (pi *pipes) dial(ctx context.Context, _ string) (net.Conn, error) {
+func (pl *pipeListener) dial(ctx context.Context, _ string) (net.Conn, error) {
 	near, far := net.Pipe()
 	select {
-	case pi.conns <- far:
+	case pl.conns <- far:
 		return near, nil
-	case <-pi.done:
+	case <-pl.done:
 		return nil, net.ErrClosed
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// rig is a Leaf behind pipes and a client of it.
+// rig is a Leaf on a pipeListener and a client of it.
 type rig struct {
 	*Leaf
 	cl  *backend.Client
@@ -78,25 +78,25 @@
 }
 
 func newRig(t *testing.T, cf Config) *rig {
-	pi := newPipes()
+	pl := newPipeListener()
 	cf.Server, cf.Shards = "sv", []string{"a", "b"}
-	le := newLeaf(cf, timer.New(), zap.NewNop(), pi, nil)
-	ended := make(chan struct{})
+	le := newLeaf(cf, timer.New(), zap.NewNop(), pl, nil)
+	served := make(chan struct{})
 	go func() {
 		_ = le.Serve(context.Background())
-		close(ended)
+		close(served)
 	}()
-	cl := backend.NewClient(timer.New(), zap.NewNop(), backend.ClientConfig{Dial: pi.dial, SilenceTimeout: time.Second})
+	cl := backend.NewClient(timer.New(), zap.NewNop(), backend.ClientConfig{Dial: pl.dial, SilenceTimeout: time.Second})
 	t.Cleanup(func() {
 		le.SetFaults(Faults{})
 		cl.Close()
 		le.Close()
-		<-ended
+		<-served
 	})
 	return &rig{Leaf: le, cl: cl, ta: backend.Target{Server: "sv", Address: "127.0.0.1:1", MaxConnections: 20}}
 }
 
-// do sends a request and returns the reply's code, or the error's kind.
+// do sends a request and returns the code of the reply or the kind of the error.
 func (ri *rig) do(timeout time.Duration, rq backend.Request) string {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -114,7 +114,7 @@
 	return backend.Request{RequestID: id, Shard: "a", Snapshot: snapshot.ID{Partition: 1, Version: 1}, Query: json.RawMessage(`{"Q":1}`)}
 }
 
-func TestQuery(t *testing.T) {
+func TestQueryReturnsRowsOrRejectionCode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		ri := newRig(t, Config{RowsPerReply: 2, Latency: Latency{Median: 10 * time.Millisecond}})
@@ -136,9 +136,9 @@
 	})
 }
 
-// Two slots and a queue of one: of four requests at once, one is shed, and one
-// runs after the first two.
-func TestSlots(t *testing.T) {
+// With two slots and a queue of one, of four concurrent requests one is shed and one runs
+// after the first two.
+func TestRequestsBeyondSlotsAndQueueAreShed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		ri := newRig(t, Config{Slots: 2, Queue: 1, Latency: Latency{Median: 100 * time.Millisecond}})
@@ -157,17 +157,18 @@
 	})
 }
 
-// Work stops at the deadline or the Cancel, and holds its slot for the lag.
-func TestStop(t *testing.T) {
+// A request stops at its deadline or on a Cancel, and holds its slot for StopLag. A Cancel
+// that arrives before its request also stops it.
+func TestRequestStopsAtDeadlineAndCancel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		const lag = 30 * time.Millisecond
-		ri := newRig(t, Config{Slots: 2, StopLag: lag, Latency: Latency{Median: time.Hour}})
+		const stopLag = 30 * time.Millisecond
+		ri := newRig(t, Config{Slots: 2, StopLag: stopLag, Latency: Latency{Median: time.Hour}})
 		rq := request("r1")
 		rq.TimeoutMillis = 100
 		began := time.Now()
 		c.Check(ri.do(time.Second, rq), qt.Equals, "DeadlinePassed")
-		c.Check(time.Since(began), qt.Equals, 100*time.Millisecond+lag)
+		c.Check(time.Since(began), qt.Equals, 100*time.Millisecond+stopLag)
 		code := make(chan string)
 		go func() { code <- ri.do(time.Second, request("r2")) }()
 		synctest.Wait()
@@ -184,8 +185,8 @@
 	})
 }
 
-// Runs of not-repeatable requests are counted by key, lost replies included.
-func TestExecuted(t *testing.T) {
+// Executions of non-repeatable requests are counted by key, also when the reply is lost.
+func TestExecutionsAreCountedByKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		ri := newRig(t, Config{Faults: Faults{Lost: 1}})
@@ -201,7 +202,7 @@
 	})
 }
 
-func TestFaults(t *testing.T) {
+func TestFaultsTakeEffectAndEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		ri := newRig(t, Config{Slots: 1, ConnectionLimit: 3, Latency: Latency{Median: time.Millisecond}})
@@ -224,9 +225,9 @@
 	})
 }
 
-// With SilentHeld the Leaf goes on counting connections whose end is lost, and
-// connections above the limit are refused.
-func TestConnectionLimit(t *testing.T) {
+// With SilentHeld, connections that the other end has closed still count against the limit,
+// and further ones are closed.
+func TestSilentHeldConnectionsCountAgainstLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		ri := newRig(t, Config{ConnectionLimit: 1, AcceptDelay: 6 * time.Millisecond})
@@ -245,8 +246,8 @@
 	})
 }
 
-// Leafs of one period publish the same versions, and hold the last of them.
-func TestVersions(t *testing.T) {
+// Leafs with the same interval publish the same versions, and hold the newest of them.
+func TestPeriodicVersionsAgreeBetweenLeafs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		cf := Config{PublishEvery: time.Minute, KeepVersions: 2}
@@ -265,8 +266,8 @@
 	})
 }
 
-// Health and load are as old as LoadLag, and untrue with Lie.
-func TestReports(t *testing.T) {
+// Health and load are as old as LoadLag, and false with Lie.
+func TestReportedLoadIsDelayedOrFalse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		ri := newRig(t, Config{LoadLag: 500 * time.Millisecond, Latency: Latency{Median: 900 * time.Millisecond}})
@@ -283,7 +284,7 @@
 	})
 }
 
-func TestColdStart(t *testing.T) {
+func TestServiceTimeFallsDuringColdStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		ri := newRig(t, Config{ColdFor: 10 * time.Second, ColdFactor: 5})
@@ -298,7 +299,7 @@
 	})
 }
 
-// announcements are what instances have heard of a Leaf.
+// announcements records what instances have received from a Leaf.
 type announcements struct {
 	ch chan string
 }
@@ -310,9 +311,9 @@
 	}, zap.NewNop())
 }
 
-// A planned stop cuts no request: instances hear Draining before the Leaf
-// refuses, what it has taken on ends whole, and Left is the last word.
-func TestAnnounceAndLeave(t *testing.T) {
+// A planned stop must not interrupt requests: instances receive Draining before the Leaf
+// rejects requests, accepted requests finish, and Left is announced last.
+func TestShutdownAnnouncesDrainingAndFinishesRequests(t *testing.T) {
 	c := qt.New(t)
 	an := &announcements{ch: make(chan string, 100)}
 	second := httptest.NewServer(an.instance("second", backend.AnnounceReply{RepeatMillis: time.Hour.Milliseconds()}))
@@ -353,7 +354,7 @@
 	c.Check(<-served, qt.IsNil)
 }
 
-func TestControl(t *testing.T) {
+func TestControlEndpointChecksAndAppliesChanges(t *testing.T) {
 	c := qt.New(t)
 	le, err := New(Config{Server: "sv", Shards: []string{"a"}, Address: "127.0.0.1:0"}, timer.New(), zap.NewNop())
 	c.Assert(err, qt.IsNil)
@@ -373,10 +374,10 @@
 	}
 	rw := httptest.NewRecorder()
 	le.queryHandler().ServeHTTP(rw, httptest.NewRequest(http.MethodGet, backend.HealthPath, nil))
-	c.Check(rw.Body.String(), qt.Equals, `{"Server":"sv","State":"Serving"}`) // it lies
+	c.Check(rw.Body.String(), qt.Equals, `{"Server":"sv","State":"Serving"}`) // false: the Leaf is draining, but Lie is set
 }
 
-func TestParseConfigFaults(t *testing.T) {
+func TestParseConfigReportsAllFaults(t *testing.T) {
 	c := qt.New(t)
 	files, err := filepath.Glob("testdata/*.yaml")
 	c.Assert(err, qt.IsNil)
--- a/leaf/lifecycle.go
+++ b/leaf/lifecycle.go
@@ -1,16 +1,16 @@
 package leaf
 
 import (
-	_ "embed" // the chart stands in a file of its own
+	_ "embed" // for the state chart
 
 	"balsamwinch.example/chart"
 )
 
-// The events of a Leaf's life.
+// Events of a Leaf's life cycle.
 const (
-	eventWarm  chart.Event = "Warm"  // The cold start is over.
-	eventDrain chart.Event = "Drain" // The Leaf takes no more work.
-	eventStop  chart.Event = "Stop"  // All work has ended.
+	eventWarm  chart.Event = "Warm"  // the cold start has ended
+	eventDrain chart.Event = "Drain" // the Leaf accepts no more requests
+	eventStop  chart.Event = "Stop"  // all requests have ended
 )
 
 //go:embed lifecycle.yaml
--- a/leaf/listener.go
+++ b/leaf/listener.go
@@ -10,7 +10,7 @@
 	"balsamwinch.example/timer"
 )
 
-// listener accepts connections up to the limit and closes those beyond it.
+// listener accepts connections up to the limit and closes further ones.
 type listener struct {
 	net.Listener
 	ts    *timer.Service
@@ -19,11 +19,11 @@
 	delay time.Duration
 
 	mu    sync.Mutex
-	conns map[*served]struct{}
+	conns map[*serverConn]struct{}
 }
 
 func newListener(ln net.Listener, ts *timer.Service, tl *tally, limit int, delay time.Duration) *listener {
-	return &listener{Listener: ln, ts: ts, tl: tl, limit: limit, delay: delay, conns: make(map[*served]struct{})}
+	return &listener{Listener: ln, ts: ts, tl: tl, limit: limit, delay: delay, conns: make(map[*serverConn]struct{})}
 }
 
 // Accept returns the next connection within the limit.
@@ -36,53 +36,54 @@
 		if sc := ln.admit(nc); sc != nil {
 			return sc, nil
 		}
-		ln.tl.change(func(co *Counts) { co.OverLimit++ })
+		ln.tl.update(func(co *Counts) { co.OverLimit++ })
 		_ = nc.Close()
 	}
 }
 
-func (ln *listener) admit(nc net.Conn) *served {
+func (ln *listener) admit(nc net.Conn) *serverConn {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
 	if len(ln.conns) >= ln.limit {
 		return nil
 	}
-	sc := &served{Conn: nc, ln: ln, ready: ln.ts.Now().Add(ln.delay), done: make(chan struct{}), poke: make(chan struct{}, 1)}
+	sc := &serverConn{Conn: nc, ln: ln, readyAt: ln.ts.Now().Add(ln.delay), done: make(chan struct{}), deadlinePassed: make(chan struct{}, 1)}
 	ln.conns[sc] = struct{}{}
-	ln.tl.change((*Counts).accept)
+	ln.tl.update((*Counts).countAccept)
 	return sc
 }
 
-func (ln *listener) forget(sc *served) {
+func (ln *listener) remove(sc *serverConn) {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
 	delete(ln.conns, sc)
-	ln.tl.change(func(co *Counts) {
+	ln.tl.update(func(co *Counts) {
 		co.Connections--
-		if sc.quiet() {
+		if sc.isSilent() {
 			co.SilentConnections--
 		}
 	})
 }
 
-// silence makes the connections of this moment go silent. With keep, their end
-// at the other side goes unnoticed as well.
-func (ln *listener) silence(keep bool) {
+// silence makes the currently open connections go silent. With held, it also goes unnoticed
+// when the other end closes them.
+func (ln *listener) silence(held bool) {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
 	for sc := range ln.conns {
-		if sc.silence(keep) {
-			ln.tl.change(func(co *Counts) { co.SilentConnections++ })
+		if sc.silence(held) {
+			ln.tl.update(func(co *Counts) { co.SilentConnections++ })
 		}
 	}
 }
 
-// closeAll ends all connections, without regard to what they carry.
+// closeAll closes all connections, or only the silent ones, even if requests on them are in
+// flight.
 func (ln *listener) closeAll(silentOnly bool) {
 	ln.mu.Lock()
-	var scs []*served
+	var scs []*serverConn
 	for sc := range ln.conns {
-		if !silentOnly || sc.quiet() {
+		if !silentOnly || sc.isSilent() {
 			scs = append(scs, sc)
 		}
 	}
@@ -92,64 +93,64 @@
 	}
 }
 
-// served is an accepted connection that can go silent: what it is given to
-// write vanishes, and what it would read never comes, while it stays open.
-type served struct {
+// serverConn is an accepted connection that can go silent: it stays open, but data written to
+// it is lost and data that arrives is discarded.
+type serverConn struct {
 	net.Conn
-	ln    *listener
-	ready time.Time // ready is when the connection begins to work.
-	once  sync.Once
-	done  chan struct{} // done is closed with the connection.
-	poke  chan struct{} // poke wakes a silent read whose deadline was moved.
+	ln             *listener
+	readyAt        time.Time // when the connection begins to work
+	once           sync.Once
+	done           chan struct{} // closed when the connection is closed
+	deadlinePassed chan struct{} // wakes a held read when a deadline in the past is set
 
-	mu     sync.Mutex
-	silent bool
-	keep   bool
-	echo   []byte // echo is what has been written since double.
-	double bool
+	mu        sync.Mutex
+	silent    bool
+	held      bool
+	recorded  []byte // data written since startRecording
+	recording bool
 }
 
-func (sc *served) silence(keep bool) bool {
+func (sc *serverConn) silence(held bool) bool {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	was := sc.silent
+	wasSilent := sc.silent
 	sc.silent = true
-	sc.keep = keep
-	return !was
+	sc.held = held
+	return !wasSilent
 }
 
-func (sc *served) quiet() bool {
+func (sc *serverConn) isSilent() bool {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	return sc.silent
 }
 
-func (sc *served) kept() bool {
+func (sc *serverConn) isHeld() bool {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	return sc.silent && sc.keep
+	return sc.silent && sc.held
 }
 
-// Read reads what comes once the connection works.
-func (sc *served) Read(bs []byte) (int, error) {
-	if err := sc.warmUp(); err != nil {
+// Read waits until the connection works and reads from it.
+func (sc *serverConn) Read(bs []byte) (int, error) {
+	if err := sc.awaitReady(); err != nil {
 		return 0, err
 	}
 	for {
 		nu, err := sc.Conn.Read(bs)
-		if err == nil && sc.quiet() {
+		if err == nil && sc.isSilent() {
 			continue
 		}
-		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) && sc.kept() {
-			return 0, sc.hold(err)
+		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) && sc.isHeld() {
+			return 0, sc.awaitClose(err)
 		}
 		return nu, err
 	}
 }
 
-// warmUp waits until the connection begins to work.
-func (sc *served) warmUp() error {
-	left := sc.ready.Sub(sc.ln.ts.Now())
+// awaitReady waits until the connection works.
+func (sc *serverConn) awaitReady() error {
+	left := sc.readyAt.Sub(sc.ln.ts.Now())
 	if left <= 0 {
 		return nil
 	}
@@ -164,35 +165,35 @@
 	}
 }
 
-// hold waits until the connection is closed at this side or a read deadline in
-// the past is set, which is how net/http ends a read.
-func (sc *served) hold(err error) error {
+// awaitClose waits until the connection is closed at this end or a read deadline in the past
+// is set, which is how net/http aborts a read.
+func (sc *serverConn) awaitClose(err error) error {
 	select {
 	case <-sc.done:
 		return err
-	case <-sc.poke:
+	case <-sc.deadlinePassed:
 		return os.ErrDeadlineExceeded
 	}
 }
 
 // SetReadDeadline sets the deadline of reads.
-func (sc *served) SetReadDeadline(at time.Time) error {
+func (sc *serverConn) SetReadDeadline(at time.Time) error {
 	select {
-	case <-sc.poke:
+	case <-sc.deadlinePassed:
 	default:
 	}
 	if !at.IsZero() && !at.After(sc.ln.ts.Now()) {
-		sc.poke <- struct{}{}
+		sc.deadlinePassed <- struct{}{}
 	}
 	return sc.Conn.SetReadDeadline(at)
 }
 
-// Write writes, or loses what it is given if the connection is silent.
-func (sc *served) Write(bs []byte) (int, error) {
+// Write writes the data, or discards it if the connection is silent.
+func (sc *serverConn) Write(bs []byte) (int, error) {
 	sc.mu.Lock()
 	silent := sc.silent
-	if sc.double {
-		sc.echo = append(sc.echo, bs...)
+	if sc.recording {
+		sc.recorded = append(sc.recorded, bs...)
 	}
 	sc.mu.Unlock()
 	if silent {
@@ -201,28 +202,28 @@
 	return sc.Conn.Write(bs)
 }
 
-// Close ends the connection.
-func (sc *served) Close() error {
+// Close closes the connection.
+func (sc *serverConn) Close() error {
 	sc.once.Do(func() {
 		close(sc.done)
-		sc.ln.forget(sc)
+		sc.ln.remove(sc)
 	})
 	return sc.Conn.Close()
 }
 
-// startDouble makes repeat write again what is written from now on.
-func (sc *served) startDouble() {
+// startRecording records the data written from now on, which replay writes a second time.
+func (sc *serverConn) startRecording() {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	sc.double = true
+	sc.recording = true
 }
 
-func (sc *served) repeat() {
+func (sc *serverConn) replay() {
 	sc.mu.Lock()
-	echo := sc.echo
-	sc.double, sc.echo = false, nil
+	recorded := sc.recorded
+	sc.recording, sc.recorded = false, nil
 	sc.mu.Unlock()
-	if len(echo) > 0 {
-		_, _ = sc.Write(echo)
+	if len(recorded) > 0 {
+		_, _ = sc.Write(recorded)
 	}
 }
--- a/leaf/query.go
+++ b/leaf/query.go
@@ -14,12 +14,12 @@
 
 const (
 	maxRequestBytes  = 1 << 20
-	shedRetryMillis  = 20 // shedRetryMillis is when a shed request may come back.
+	shedRetryMillis  = 20 // time after which a shed request may be retried
 	drainRetryMillis = 1000
 )
 
-// Row is one row of an answer. It depends on nothing but the shard, the snapshot
-// and the query, so that replicas give the same rows and a mix shows.
+// Row is one row of an answer. It depends only on the shard, the snapshot and the query, so
+// that replicas return equal rows and an answer mixed from several snapshots can be detected.
 type Row struct {
 	Shard    string
 	Snapshot string
@@ -27,16 +27,16 @@
 	Query    json.RawMessage
 }
 
-type servedKey struct{}
+type connKey struct{}
 
-func withServed(ctx context.Context, nc net.Conn) context.Context {
-	return context.WithValue(ctx, servedKey{}, nc)
+func withConn(ctx context.Context, nc net.Conn) context.Context {
+	return context.WithValue(ctx, connKey{}, nc)
 }
 
-// repeatDoubled sends a reply again that is to come twice.
-func repeatDoubled(nc net.Conn, cs http.ConnState) {
-	if sc, ok := nc.(*served); ok && cs == http.StateIdle {
-		sc.repeat()
+// replayDoubled sends the last reply again if it was drawn to be sent twice.
+func replayDoubled(nc net.Conn, cs http.ConnState) {
+	if sc, ok := nc.(*serverConn); ok && cs == http.StateIdle {
+		sc.replay()
 	}
 }
 
@@ -52,10 +52,10 @@
 func (le *Leaf) serveQuery(rw http.ResponseWriter, hr *http.Request) {
 	var rq backend.Request
 	err := readJSON(rw, hr, &rq)
-	le.tl.change(func(co *Counts) { co.Requests++ })
-	fs := le.faults.Load()
-	lo := le.di.draw(le.cf.Latency, fs.fa, le.coldFactor())
-	if lo.cut {
+	le.tl.update(func(co *Counts) { co.Requests++ })
+	af := le.faults.Load()
+	pl := le.sm.sample(le.cf.Latency, af.fa, le.coldFactor())
+	if pl.cut {
 		panic(http.ErrAbortHandler)
 	}
 	re := backend.Reply{
@@ -63,15 +63,15 @@
 		Shard: rq.Shard, Snapshot: rq.Snapshot, Code: backend.ReplyBad,
 	}
 	if err == nil {
-		re.Code = le.answer(hr.Context(), rq, fs, lo)
+		re.Code = le.process(hr.Context(), rq, af, pl)
 	}
-	if lo.gone {
+	if pl.lost {
 		panic(http.ErrAbortHandler)
 	}
-	le.writeReply(rw, hr, rq, re, lo)
+	le.writeReply(rw, hr, rq, re, pl)
 }
 
-func (le *Leaf) writeReply(rw http.ResponseWriter, hr *http.Request, rq backend.Request, re backend.Reply, lo lot) {
+func (le *Leaf) writeReply(rw http.ResponseWriter, hr *http.Request, rq backend.Request, re backend.Reply, pl requestPlan) {
 	switch re.Code {
 	case backend.ReplyOK:
 		re.Rows = le.rows(rq)
@@ -80,17 +80,17 @@
 	case backend.ReplyDraining:
 		re.RetryAfterMillis = drainRetryMillis
 	}
-	re.Running = le.wo.running()
-	if before := le.last.Swap(&rq.RequestID); lo.crossed {
+	re.Running = le.ad.numRunning()
+	if previous := le.previousID.Swap(&rq.RequestID); pl.crossed {
 		re.RequestID = "none"
-		if before != nil {
-			re.RequestID = *before
+		if previous != nil {
+			re.RequestID = *previous
 		}
 	}
-	if sc, ok := hr.Context().Value(servedKey{}).(*served); ok && lo.doubled {
-		sc.startDouble()
+	if sc, ok := hr.Context().Value(connKey{}).(*serverConn); ok && pl.doubled {
+		sc.startRecording()
 	}
-	le.tl.change(func(co *Counts) { co.Replies[re.Code]++ })
+	le.tl.update(func(co *Counts) { co.Replies[re.Code]++ })
 	writeJSON(rw, re)
 }
 
@@ -99,95 +99,95 @@
 	for i := range rows {
 		row, err := json.Marshal(Row{Shard: rq.Shard, Snapshot: rq.Snapshot.String(), Number: i, Query: rq.Query})
 		if err != nil {
-			panic(fmt.Sprintf("leaf: a row of a decoded query: %v", err))
+			panic(fmt.Sprintf("leaf: encoding a row of a decoded query: %v", err))
 		}
 		rows[i] = row
 	}
 	return rows
 }
 
-// answer runs a request and returns what became of it.
-func (le *Leaf) answer(ctx context.Context, rq backend.Request, fs *setFaults, lo lot) backend.ReplyCode {
+// process runs a request and returns the code of its reply.
+func (le *Leaf) process(ctx context.Context, rq backend.Request, af *activeFaults, pl requestPlan) backend.ReplyCode {
 	le.mu.Lock()
 	ix := le.ix
 	le.mu.Unlock()
 	if rc := ix.check(rq.Shard, rq.Snapshot); rc != backend.ReplyOK {
 		return rc
 	}
-	if lo.shed {
+	if pl.shed {
 		return backend.ReplyShed
 	}
-	jb, wait, ve := le.wo.begin(rq.RequestID)
-	switch ve {
-	case refusedFull:
+	jb, queued, ar := le.ad.admit(rq.RequestID)
+	switch ar {
+	case rejectedFull:
 		return backend.ReplyShed
-	case refusedEarly:
+	case rejectedCancelled:
 		return backend.ReplyCancelled
-	case refusedClosed:
-		le.tl.change(func(co *Counts) { co.RefusedAfterNotice++ })
+	case rejectedDraining:
+		le.tl.update(func(co *Counts) { co.RefusedAfterNotice++ })
 		return backend.ReplyDraining
 	}
-	var until <-chan time.Time
+	var deadline <-chan time.Time
 	if rq.TimeoutMillis > 0 {
 		tm := time.NewTimer(time.Duration(rq.TimeoutMillis) * time.Millisecond)
 		defer tm.Stop()
-		until = tm.C
+		deadline = tm.C
 	}
-	if wait && !le.awaitSlot(ctx, jb, until) {
-		le.wo.end(jb, false)
+	if queued && !le.awaitSlot(ctx, jb, deadline) {
+		le.ad.finish(jb, false)
 		return backend.ReplyShed
 	}
-	return le.run(ctx, rq, jb, fs, lo, until)
+	return le.runInSlot(ctx, rq, jb, af, pl, deadline)
 }
 
-// awaitSlot waits in the queue and reports whether a slot came free in time.
-func (le *Leaf) awaitSlot(ctx context.Context, jb *job, until <-chan time.Time) bool {
-	defer le.wo.dequeue()
+// awaitSlot waits in the queue and reports whether a slot became free in time.
+func (le *Leaf) awaitSlot(ctx context.Context, jb *job, deadline <-chan time.Time) bool {
+	defer le.ad.dequeue()
 	select {
-	case le.wo.slots <- struct{}{}:
+	case le.ad.slots <- struct{}{}:
 		return true
-	case <-until:
+	case <-deadline:
 	case <-jb.stop:
 	case <-ctx.Done():
 	}
 	return false
 }
 
-// run holds a slot for the service time of a request, or until it is to stop.
-func (le *Leaf) run(ctx context.Context, rq backend.Request, jb *job, fs *setFaults, lo lot, until <-chan time.Time) backend.ReplyCode {
+// runInSlot holds a slot for the service time of a request, or until the request is stopped.
+func (le *Leaf) runInSlot(ctx context.Context, rq backend.Request, jb *job, af *activeFaults, pl requestPlan, deadline <-chan time.Time) backend.ReplyCode {
 	key := rq.Key
 	if rq.Repeatable {
 		key = ""
 	}
-	le.tl.change(func(co *Counts) { co.begin(key) })
+	le.tl.update(func(co *Counts) { co.countStart(key) })
 	defer func() {
-		le.tl.change(func(co *Counts) { co.Running-- })
-		le.wo.end(jb, true)
+		le.tl.update(func(co *Counts) { co.Running-- })
+		le.ad.finish(jb, true)
 	}()
-	if fs.fa.Stuck {
+	if af.fa.Stuck {
 		select {
-		case <-fs.lifted:
-		case <-le.ended:
+		case <-af.replaced:
+		case <-le.closed:
 		}
 		return backend.ReplyFailed
 	}
-	rc := le.serve(ctx, jb, lo.service, until)
+	rc := le.simulateWork(ctx, jb, pl.serviceTime, deadline)
 	if rc != backend.ReplyOK {
-		le.stopLate()
+		le.holdSlotAfterStop()
 	}
 	return rc
 }
 
-func (le *Leaf) serve(ctx context.Context, jb *job, service time.Duration, until <-chan time.Time) backend.ReplyCode {
-	if service <= 0 {
+func (le *Leaf) simulateWork(ctx context.Context, jb *job, serviceTime time.Duration, deadline <-chan time.Time) backend.ReplyCode {
+	if serviceTime <= 0 {
 		return backend.ReplyOK
 	}
-	tm := time.NewTimer(service)
+	tm := time.NewTimer(serviceTime)
 	defer tm.Stop()
 	select {
 	case <-tm.C:
 		return backend.ReplyOK
-	case <-until:
+	case <-deadline:
 		return backend.ReplyDeadlinePassed
 	case <-jb.stop:
 	case <-ctx.Done():
@@ -195,16 +195,16 @@
 	return backend.ReplyCancelled
 }
 
-// stopLate goes on holding the slot of a request that was told to stop.
-func (le *Leaf) stopLate() {
-	le.tl.change(func(co *Counts) {
+// holdSlotAfterStop keeps the slot of a stopped request for StopLag.
+func (le *Leaf) holdSlotAfterStop() {
+	le.tl.update(func(co *Counts) {
 		co.Stopped++
 		co.RunningAfterStop++
 	})
 	if le.cf.StopLag > 0 {
 		_ = le.ts.Sleep(context.Background(), le.cf.StopLag)
 	}
-	le.tl.change(func(co *Counts) { co.RunningAfterStop-- })
+	le.tl.update(func(co *Counts) { co.RunningAfterStop-- })
 }
 
 func (le *Leaf) serveCancel(rw http.ResponseWriter, hr *http.Request) {
@@ -213,8 +213,8 @@
 		http.Error(rw, err.Error(), http.StatusBadRequest)
 		return
 	}
-	le.tl.change(func(co *Counts) { co.Cancels++ })
-	writeJSON(rw, backend.CancelReply{RequestID: ca.RequestID, Stopped: le.wo.cancel(ca.RequestID)})
+	le.tl.update(func(co *Counts) { co.Cancels++ })
+	writeJSON(rw, backend.CancelReply{RequestID: ca.RequestID, Stopped: le.ad.cancel(ca.RequestID)})
 }
 
 func (le *Leaf) serveHealth(rw http.ResponseWriter, _ *http.Request) {
@@ -225,7 +225,7 @@
 	writeJSON(rw, le.reported().load)
 }
 
-// report is what a Leaf says of its health and load.
+// report is the health and load that a Leaf reports.
 type report struct {
 	health backend.Health
 	load   backend.Load
@@ -235,13 +235,13 @@
 	return report{
 		health: backend.Health{Server: le.cf.Server, State: le.Record().State},
 		load: backend.Load{
-			Server: le.cf.Server, Running: le.wo.running(), Slots: le.cf.Slots, Connections: le.Counts().Connections,
+			Server: le.cf.Server, Running: le.ad.numRunning(), Slots: le.cf.Slots, Connections: le.Counts().Connections,
 		},
 	}
 }
 
-// reported returns a report of the past with LoadLag, and one that was never
-// true with Lie.
+// reported returns the health and load to report: an earlier sample with LoadLag, and an idle,
+// serving server with Lie.
 func (le *Leaf) reported() report {
 	re := le.currentReport()
 	if sa := le.sampled.Load(); sa != nil {
@@ -254,7 +254,7 @@
 	return re
 }
 
-// sampleReports takes the report that is given out for the time of LoadLag.
+// sampleReports takes a sample of health and load every LoadLag.
 func (le *Leaf) sampleReports(ctx context.Context) {
 	if le.cf.LoadLag <= 0 {
 		return
--- a/leaf/rules.go
+++ b/leaf/rules.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// defaultDrainFor gives instances the time to hear of a drain before the
-	// connections end.
+	// Gives instances the time to receive the announcement of the drain before the connections
+	// are closed.
 	defaultDrainFor = 3 * time.Second
 
-	maxSlots       = 10_000
-	maxConnections = 100_000
-	maxFactor      = 10_000
-	maxRows        = 10_000
-	maxKept        = 1_000
+	maxSlots        = 10_000
+	maxConnections  = 100_000
+	maxFactor       = 10_000
+	maxRows         = 10_000
+	maxKeepVersions = 1_000
 )
 
-// ParseConfig decodes and checks the content of a settings file. It returns all
-// faults at once.
+// ParseConfig decodes and checks the content of a settings file. It returns all faults at
+// once.
 func ParseConfig(file string, data []byte) (Config, settings.Faults) {
 	cf := Config{}.withDefaults(time.Time{})
 	cf.Incarnation = 0
@@ -35,7 +35,7 @@
 	cf.checkService(ck)
 	cf.checkTimes(ck)
 	for _, sh := range cf.Faults.shares() {
-		settings.Between(ck, sh.share, 0, 1, "Faults", sh.field)
+		settings.Between(ck, sh.value, 0, 1, "Faults", sh.field)
 	}
 	settings.Between(ck, cf.Faults.SlowFactor, 0, maxFactor, "Faults", "SlowFactor")
 	return cf, ck.Faults()
@@ -67,7 +67,7 @@
 	ck.Unique("shard", cf.Shards, paths)
 	ck.Want(cf.Partition > 0, "a number from 1", cf.Partition, "Partition")
 	ck.Want(cf.Version > 0, "a number from 1", cf.Version, "Version")
-	settings.Between(ck, cf.KeepVersions, 1, maxKept, "KeepVersions")
+	settings.Between(ck, cf.KeepVersions, 1, maxKeepVersions, "KeepVersions")
 	settings.Between(ck, cf.RowsPerReply, 1, maxRows, "RowsPerReply")
 }
 
@@ -101,14 +101,14 @@
 	}
 }
 
-// share is one of the faults that are drawn for each request.
-type share struct {
+// faultShare is the value of a fault that is drawn for each request.
+type faultShare struct {
 	field string
-	share float64
+	value float64
 }
 
-func (fa Faults) shares() []share {
-	return []share{
+func (fa Faults) shares() []faultShare {
+	return []faultShare{
 		{"SlowShare", fa.SlowShare},
 		{"Shed", fa.Shed},
 		{"Crossed", fa.Crossed},
@@ -118,22 +118,22 @@
 	}
 }
 
-// check refuses shares outside 0 to 1.
+// check returns an error if a share lies outside 0 to 1.
 func (fa Faults) check() error {
 	for _, sh := range fa.shares() {
-		if sh.share < 0 || sh.share > 1 {
+		if sh.value < 0 || sh.value > 1 {
 			return &shareError{sh}
 		}
 	}
 	return nil
 }
 
-// shareError says that a share is out of range.
+// shareError means that a share is out of range.
 type shareError struct {
-	sh share
+	fs faultShare
 }
 
-// Error returns the field, what was expected and what was found.
+// Error returns the field, the accepted range and the value.
 func (se *shareError) Error() string {
-	return fmt.Sprintf("%s: want a share from 0 to 1, got %v", se.sh.field, se.sh.share)
+	return fmt.Sprintf("%s: want a share from 0 to 1, got %v", se.fs.field, se.fs.value)
 }
