--- a/load/cell.go
+++ b/load/cell.go
@@ -11,7 +11,7 @@
 	"balsamwinch.example/result"
 )
 
-// The range and precision of the latency histograms, in microseconds.
+// Range and precision of the latency histograms, in microseconds.
 const (
 	lowestMicros  = 1
 	highestMicros = int64(time.Minute / time.Microsecond)
@@ -23,11 +23,11 @@
 	return hdrhistogram.New(lowestMicros, highestMicros, digits)
 }
 
-// sample is one call with everything that is counted of it.
+// sample is the result of one call.
 type sample struct {
 	call     Call
 	service  Service
-	intended time.Time // intended is when the query was due; latency counts from here.
+	intended time.Time // when the query was due; the start of its latency
 	sent     time.Time
 	done     time.Time
 	outcome  Outcome
@@ -38,22 +38,22 @@
 	return sa.done.Sub(sa.intended)
 }
 
-// cell gathers the samples of one group in one arm and phase. It is safe for
-// many goroutines.
+// cell accumulates the samples of one group in one arm and phase. It is safe for concurrent
+// use.
 type cell struct {
 	mu       sync.Mutex
-	answered *hdrhistogram.Histogram         // answered holds all that were not refused, lost ones included.
-	refused  *hdrhistogram.Histogram         // refused holds the refusals.
-	lag      *hdrhistogram.Histogram         // lag holds how late queries were sent.
-	blocks   map[int]*hdrhistogram.Histogram // blocks holds the answered by turn.
+	answered *hdrhistogram.Histogram         // latencies of calls that were not refused, including lost ones
+	refused  *hdrhistogram.Histogram         // latencies of refused calls
+	lag      *hdrhistogram.Histogram         // delays between due time and sending
+	blocks   map[int]*hdrhistogram.Histogram // answered, by block number
 	codes    map[result.Code]int
 	reasons  map[fanout.Reason]int
 	cost     fanout.Cost
 	breaches map[BreachKind]int
 
 	calls, lost, late, useful, attempts int
-	asked, covered                      int // asked and covered count shards.
-	loaded                              time.Duration
+	shardsAsked, shardsCovered          int // numbers of shards
+	loadTime                            time.Duration
 }
 
 func newCell() *cell {
@@ -68,61 +68,61 @@
 	}
 }
 
-// add counts a sample of the arm's turn of the given number.
-func (ce *cell) add(sa sample, turn int, grace time.Duration) {
+// add counts a sample of the block with the given number.
+func (ce *cell) add(sa sample, blockNumber int, grace time.Duration) {
 	ce.mu.Lock()
 	defer ce.mu.Unlock()
 	ce.calls++
 	ce.attempts += len(sa.outcome.Attempts)
-	record(ce.lag, sa.sent.Sub(sa.intended))
+	recordDuration(ce.lag, sa.sent.Sub(sa.intended))
 	for _, br := range sa.breaches {
 		ce.breaches[br.Kind]++
 	}
 	for _, at := range sa.outcome.Attempts {
 		ce.addCost(at)
 	}
-	word := sa.outcome.Word
-	if word.Err == nil {
-		ce.codes[word.Answer.Code]++
+	final := sa.outcome.Word
+	if final.Err == nil {
+		ce.codes[final.Answer.Code]++
 	}
-	if word.Err == nil && word.Answer.Code.NotRun() {
-		record(ce.refused, sa.latency())
+	if final.Err == nil && final.Answer.Code.NotRun() {
+		recordDuration(ce.refused, sa.latency())
 		return
 	}
-	ce.addAnswered(sa, word, turn, grace)
+	ce.addAnswered(sa, final, blockNumber, grace)
 }
 
-func (ce *cell) addAnswered(sa sample, word Attempt, turn int, grace time.Duration) {
-	record(ce.answered, sa.latency())
-	if ce.blocks[turn] == nil {
-		ce.blocks[turn] = newHistogram(coarseDigits)
+func (ce *cell) addAnswered(sa sample, final Attempt, blockNumber int, grace time.Duration) {
+	recordDuration(ce.answered, sa.latency())
+	if ce.blocks[blockNumber] == nil {
+		ce.blocks[blockNumber] = newHistogram(coarseDigits)
 	}
-	record(ce.blocks[turn], sa.latency())
+	recordDuration(ce.blocks[blockNumber], sa.latency())
 	late := sa.latency() > sa.call.Deadline+grace
 	if late {
 		ce.late++
 	}
-	if word.Err != nil {
-		// Nothing came back: none of the shards that the caller asked for is covered.
+	if final.Err != nil {
+		// There was no response: none of the shards of the query is covered.
 		ce.lost++
-		ce.asked += sa.service.Leaves
+		ce.shardsAsked += sa.service.Leaves
 		return
 	}
-	an := word.Answer
-	ce.asked += len(an.Covered) + len(an.Missing)
-	ce.covered += len(an.Covered)
+	an := final.Answer
+	ce.shardsAsked += len(an.Covered) + len(an.Missing)
+	ce.shardsCovered += len(an.Covered)
 	for _, mi := range an.Missing {
 		ce.reasons[mi.Reason]++
 	}
-	if !late && useful(an, sa.service) {
+	if !late && isUseful(an, sa.service) {
 		ce.useful++
 	}
 }
 
-// useful reports whether the caller can work with an answer: it is complete, or
-// the service's policy takes a part and the part is large enough.
-func useful(an fanout.Answer, se Service) bool {
-	covered := share(len(an.Covered), len(an.Covered)+len(an.Missing))
+// isUseful reports whether the caller can use an answer: it is complete, or the service's
+// policy accepts partial answers and the covered fraction is large enough.
+func isUseful(an fanout.Answer, se Service) bool {
+	covered := fraction(len(an.Covered), len(an.Covered)+len(an.Missing))
 	return an.Code == result.Complete ||
 		an.Code == result.Partial && se.Policy == operator.Best && covered >= se.UsefulCoverage
 }
@@ -139,12 +139,12 @@
 	ce.cost.Extra += co.Extra
 }
 
-func record(hi *hdrhistogram.Histogram, du time.Duration) {
+func recordDuration(hi *hdrhistogram.Histogram, du time.Duration) {
 	_ = hi.RecordValue(min(max(du.Microseconds(), lowestMicros), highestMicros))
 }
 
-// merged returns the sum of cells, for a line over all groups.
-func merged(ces []*cell) *cell {
+// mergeCells returns the sum of cells, for a line over all groups.
+func mergeCells(ces []*cell) *cell {
 	sum := newCell()
 	for _, ce := range ces {
 		sum.merge(ce)
@@ -156,15 +156,15 @@
 	ce.answered.Merge(ot.answered)
 	ce.refused.Merge(ot.refused)
 	ce.lag.Merge(ot.lag)
-	for turn, hi := range ot.blocks {
-		if ce.blocks[turn] == nil {
-			ce.blocks[turn] = newHistogram(coarseDigits)
+	for blockNumber, hi := range ot.blocks {
+		if ce.blocks[blockNumber] == nil {
+			ce.blocks[blockNumber] = newHistogram(coarseDigits)
 		}
-		ce.blocks[turn].Merge(hi)
+		ce.blocks[blockNumber].Merge(hi)
 	}
-	addAll(ce.codes, ot.codes)
-	addAll(ce.reasons, ot.reasons)
-	addAll(ce.breaches, ot.breaches)
+	addCounts(ce.codes, ot.codes)
+	addCounts(ce.reasons, ot.reasons)
+	addCounts(ce.breaches, ot.breaches)
 	ce.cost.LeafRequests += ot.cost.LeafRequests
 	ce.cost.Hedges += ot.cost.Hedges
 	ce.cost.Retries += ot.cost.Retries
@@ -175,12 +175,12 @@
 	ce.late += ot.late
 	ce.useful += ot.useful
 	ce.attempts += ot.attempts
-	ce.asked += ot.asked
-	ce.covered += ot.covered
-	ce.loaded = max(ce.loaded, ot.loaded)
+	ce.shardsAsked += ot.shardsAsked
+	ce.shardsCovered += ot.shardsCovered
+	ce.loadTime = max(ce.loadTime, ot.loadTime)
 }
 
-func addAll[K comparable](to, from map[K]int) {
+func addCounts[K comparable](to, from map[K]int) {
 	for ke, nu := range from {
 		to[ke] += nu
 	}
--- a/load/client.go
+++ b/load/client.go
@@ -21,52 +21,51 @@
 	"balsamwinch.example/timer"
 )
 
-// Bounds of a caller's patience.
+// Limits of a caller.
 const (
-	// slack is how much longer than its deadline a caller waits for an answer.
-	slack = time.Second
-	// maxAttempts bounds how often a caller tries with one query.
+	// How much longer than its deadline a caller waits for an answer.
+	deadlineGrace = time.Second
+	// Maximum number of attempts for one query.
 	maxAttempts = 32
-	// againPause lies between attempts after the second, so that a caller does not
-	// run through its list while instances restart.
-	againPause    = 10 * time.Millisecond
-	maxIdle       = 4096
-	idleTimeout   = 30 * time.Second
-	addressesWait = time.Second
-	maxKnown      = 64
+	// Delay between attempts after the second, so that a caller does not go through its whole
+	// list while instances restart.
+	retryDelay         = 10 * time.Millisecond
+	maxIdleConnections = 4096
+	idleTimeout        = 30 * time.Second
+	addressesTimeout   = time.Second
+	maxKnownAddresses  = 64
 )
 
-// Call is one query as a caller means it.
+// Call is one query of a caller.
 type Call struct {
 	Service    string
 	RequestID  string
-	Key        string // Key makes the query not repeatable; empty means repeatable.
+	Key        string // makes the query non-repeatable; empty means repeatable
 	Deadline   time.Duration
 	Query      json.RawMessage
-	Start      int  // Start is the place in the address list at which the caller begins.
-	Duplicated bool // Duplicated sends the query a second time without waiting.
+	Start      int  // position in the address list of the first attempt
+	Duplicated bool // sends the query a second time without waiting
 	Partitions Partitions
 }
 
-// Attempt is one sending of a call and what came back.
+// Attempt is one transmission of a call and its result.
 type Attempt struct {
 	RequestID string
 	Address   string
-	Resend    bool // Resend says that an earlier attempt may have reached the tier.
-	Sent      bool // Sent says that bytes of the query may have left.
+	Resend    bool // an earlier attempt may have reached the tier
+	Sent      bool // bytes of the query may have been sent
 	Answer    fanout.Answer
-	Err       error // Err says why there is no answer.
+	Err       error // reason why there is no answer
 }
 
-// Outcome is everything that became of a call.
+// Outcome is the result of a call.
 type Outcome struct {
 	Attempts []Attempt
-	Word     Attempt // Word is the attempt that the caller takes as the tier's last word.
+	Word     Attempt // the attempt whose result the caller uses
 }
 
-// rank orders the last attempts of a call that was sent on two ways at once, by
-// what they tell: rows, another outcome, nothing though it may have run, a
-// refusal.
+// rank orders the final attempts of a duplicated call by what they tell the caller: rows,
+// another outcome, no answer although it may have run, a refusal.
 func (at Attempt) rank() int {
 	switch {
 	case at.Err == nil && at.Answer.Code.NotRun():
@@ -80,40 +79,39 @@
 	}
 }
 
-// with adds the outcome of the second way.
-func (oc Outcome) with(ot Outcome) Outcome {
-	word := oc.Word
-	if ot.Word.rank() > word.rank() {
-		word = ot.Word
+// merge adds the outcome of the duplicate.
+func (oc Outcome) merge(ot Outcome) Outcome {
+	final := oc.Word
+	if ot.Word.rank() > final.rank() {
+		final = ot.Word
 	}
-	return Outcome{Attempts: append(oc.Attempts, ot.Attempts...), Word: word}
+	return Outcome{Attempts: append(oc.Attempts, ot.Attempts...), Word: final}
 }
 
-// Client asks a tier as its callers do: it asks for addresses, keeps the list
-// for its time to live and connects to an instance itself. It stands for many
-// callers, so each call begins at another place of the list. It is safe for
-// many goroutines.
+// Client queries a tier as its callers do: it fetches addresses, keeps the list until its TTL
+// ends and connects to an instance directly. It stands for many callers, so the calls begin at
+// different positions in the list. It is safe for concurrent use.
 type Client struct {
 	hc    *http.Client
 	ts    *timer.Service
 	seeds []string
 	mu    sync.Mutex
 	lists map[string]*addressList
-	known []string // known are the addresses of all lists, newest first.
+	known []string // addresses of all lists, newest first
 }
 
-// addressList is the kept answer for one service.
+// addressList is the stored address list of one service.
 type addressList struct {
 	mu        sync.Mutex
 	addresses []string
-	until     time.Time
+	expiresAt time.Time
 }
 
-// NewClient returns a client that asks the given addresses for others.
+// NewClient returns a client that fetches addresses from the given ones.
 func NewClient(ts *timer.Service, seeds []string) *Client {
 	tr := &http.Transport{
-		MaxIdleConns:        maxIdle,
-		MaxIdleConnsPerHost: maxIdle,
+		MaxIdleConns:        maxIdleConnections,
+		MaxIdleConnsPerHost: maxIdleConnections,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
@@ -130,29 +128,29 @@
 	cl.hc.CloseIdleConnections()
 }
 
-// Ask puts a call and resends it where the protocol allows: to another address
-// if no connection could be opened or the instance was leaving, and, with the
-// same key, if the answer of a query that is not repeatable was lost.
+// Do sends a call and resends it where the protocol allows: to another address if no
+// connection could be opened or the instance was draining or stale, and with the same key if
+// the answer to a non-repeatable query was lost.
 func (cl *Client) Do(ctx context.Context, ca Call) Outcome {
 	if !ca.Duplicated {
-		return cl.ask(ctx, ca, ca.RequestID, false)
+		return cl.doWithRetries(ctx, ca, ca.RequestID, false)
 	}
 	var second Outcome
 	var wg sync.WaitGroup
 	wg.Go(func() {
-		again := ca
-		again.Start++
-		second = cl.ask(ctx, again, ca.RequestID+"-again", true)
+		duplicate := ca
+		duplicate.Start++
+		second = cl.doWithRetries(ctx, duplicate, ca.RequestID+"-again", true)
 	})
-	first := cl.ask(ctx, ca, ca.RequestID, false)
+	first := cl.doWithRetries(ctx, ca, ca.RequestID, false)
 	wg.Wait()
-	return first.with(second)
+	return first.merge(second)
 }
 
-func (cl *Client) ask(ctx context.Context, ca Call, id string, resend bool) Outcome {
-	ctx, cancel := context.WithTimeout(ctx, ca.Deadline+slack)
+func (cl *Client) doWithRetries(ctx context.Context, ca Call, id string, resend bool) Outcome {
+	ctx, cancel := context.WithTimeout(ctx, ca.Deadline+deadlineGrace)
 	defer cancel()
-	due := cl.ts.Now().Add(ca.Deadline)
+	deadline := cl.ts.Now().Add(ca.Deadline)
 	var oc Outcome
 	for nu := range maxAttempts {
 		at := Attempt{RequestID: id, Resend: resend}
@@ -161,11 +159,11 @@
 		}
 		at.Address, at.Err = cl.address(ctx, ca.Service, ca.Start+nu)
 		if at.Err == nil {
-			at = cl.send(ctx, ca, at, due.Sub(cl.ts.Now()))
+			at = cl.send(ctx, ca, at, deadline.Sub(cl.ts.Now()))
 		}
 		oc.Attempts = append(oc.Attempts, at)
 		oc.Word = at
-		if !cl.again(ca, at, due) || nu > 0 && cl.ts.Sleep(ctx, againPause) != nil {
+		if !cl.shouldRetry(ca, at, deadline) || nu > 0 && cl.ts.Sleep(ctx, retryDelay) != nil {
 			break
 		}
 		resend = resend || at.Err != nil && at.Sent
@@ -173,18 +171,18 @@
 	return oc
 }
 
-// again decides whether the call is sent once more, and drops an address list
-// that named an instance which was not there.
-func (cl *Client) again(ca Call, at Attempt, due time.Time) bool {
-	if !cl.ts.Now().Before(due) {
+// shouldRetry reports whether the call is sent again. It expires an address list that named an
+// unavailable instance.
+func (cl *Client) shouldRetry(ca Call, at Attempt, deadline time.Time) bool {
+	if !cl.ts.Now().Before(deadline) {
 		return false
 	}
 	switch {
 	case at.Err != nil:
-		cl.forget(ca.Service)
+		cl.expireAddresses(ca.Service)
 		return !at.Sent || ca.Key != ""
 	case at.Answer.Code == result.NotRunDraining, at.Answer.Code == result.NotRunStale:
-		cl.forget(ca.Service)
+		cl.expireAddresses(ca.Service)
 		return true
 	default:
 		return false
@@ -212,9 +210,9 @@
 	return at
 }
 
-// address returns the address at the given place of the service's list, and
-// asks for the list if it has run out.
-func (cl *Client) address(ctx context.Context, service string, place int) (string, error) {
+// address returns the address at the given position in the service's list, and fetches the
+// list if it is empty or has expired.
+func (cl *Client) address(ctx context.Context, service string, position int) (string, error) {
 	cl.mu.Lock()
 	li, ok := cl.lists[service]
 	if !ok {
@@ -224,56 +222,56 @@
 	cl.mu.Unlock()
 	li.mu.Lock()
 	defer li.mu.Unlock()
-	if !cl.ts.Now().Before(li.until) || len(li.addresses) == 0 {
-		if err := cl.fetch(ctx, service, li, place); err != nil {
+	if !cl.ts.Now().Before(li.expiresAt) || len(li.addresses) == 0 {
+		if err := cl.fetchAddresses(ctx, service, li, position); err != nil {
 			return "", err
 		}
 	}
-	return li.addresses[place%len(li.addresses)], nil
+	return li.addresses[position%len(li.addresses)], nil
 }
 
-// fetch asks the addresses known so far, those of the service's last list first
-// and beginning at the given place, until one gives a list.
-func (cl *Client) fetch(ctx context.Context, service string, li *addressList, place int) error {
-	var last error
-	for _, address := range cl.sources(li.addresses, place) {
+// fetchAddresses asks the known addresses until one returns a list, beginning at the given
+// position of the service's last list.
+func (cl *Client) fetchAddresses(ctx context.Context, service string, li *addressList, position int) error {
+	var lastErr error
+	for _, address := range cl.addressSources(li.addresses, position) {
 		var ad caller.Addresses
 		target := "http://" + address + caller.AddressesPath + "?Service=" + url.QueryEscape(service)
-		wait, cancel := context.WithTimeout(ctx, addressesWait)
-		last = cl.exchange(wait, http.MethodGet, target, nil, &ad)
+		fetchCtx, cancel := context.WithTimeout(ctx, addressesTimeout)
+		lastErr = cl.exchange(fetchCtx, http.MethodGet, target, nil, &ad)
 		cancel()
-		if last == nil && len(ad.Addresses) > 0 {
+		if lastErr == nil && len(ad.Addresses) > 0 {
 			li.addresses = ad.Addresses
-			li.until = cl.ts.Now().Add(time.Duration(ad.TTLMillis) * time.Millisecond)
-			cl.remember(ad.Addresses)
+			li.expiresAt = cl.ts.Now().Add(time.Duration(ad.TTLMillis) * time.Millisecond)
+			cl.rememberAddresses(ad.Addresses)
 			return nil
 		}
 	}
-	return fmt.Errorf("no known instance gave addresses for %s: %w", service, last)
+	return fmt.Errorf("no known instance returned addresses for %s: %w", service, lastErr)
 }
 
-// sources returns where to ask for addresses, in order. An instance that has
-// just started may name itself alone; if it then goes, those of older lists lead
+// addressSources returns the addresses to ask for a list, in order. An instance that has just
+// started may return only its own address; if it then stops, the addresses of older lists lead
 // back to the tier.
-func (cl *Client) sources(listed []string, place int) []string {
+func (cl *Client) addressSources(listed []string, position int) []string {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	first := listed
 	if len(first) == 0 {
 		first = cl.seeds
 	}
-	at := place % len(first)
+	at := position % len(first)
 	return distinct(first[at:], first[:at], cl.known, cl.seeds)
 }
 
-func (cl *Client) remember(addresses []string) {
+func (cl *Client) rememberAddresses(addresses []string) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	cl.known = distinct(addresses, cl.known)
-	cl.known = cl.known[:min(len(cl.known), maxKnown)]
+	cl.known = cl.known[:min(len(cl.known), maxKnownAddresses)]
 }
 
-// distinct joins lists and keeps the first of equal addresses.
+// distinct concatenates lists and keeps the first of equal addresses.
 func distinct(lists ...[]string) []string {
 	var all []string
 	for _, ad := range slices.Concat(lists...) {
@@ -284,8 +282,8 @@
 	return all
 }
 
-// forget lets the next call ask for addresses anew.
-func (cl *Client) forget(service string) {
+// expireAddresses makes the next call fetch the addresses again.
+func (cl *Client) expireAddresses(service string) {
 	cl.mu.Lock()
 	li := cl.lists[service]
 	cl.mu.Unlock()
@@ -293,12 +291,12 @@
 		return
 	}
 	li.mu.Lock()
-	li.until = time.Time{}
+	li.expiresAt = time.Time{}
 	li.mu.Unlock()
 }
 
-// exchange sends one HTTP request and decodes the JSON body of whatever status
-// comes back. A body that is cut is an error.
+// exchange sends one HTTP request and decodes the JSON body of the response, whatever its
+// status. A truncated body is an error.
 func (cl *Client) exchange(ctx context.Context, method, target string, body []byte, out any) error {
 	rq, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
 	if err != nil {
--- a/load/client_test.go
+++ b/load/client_test.go
@@ -19,31 +19,30 @@
 	"balsamwinch.example/timer"
 )
 
-// entries are fake instances that share an address list.
-type entries struct {
+// fakeInstances are fake instances that share an address list.
+type fakeInstances struct {
 	mu        sync.Mutex
 	addresses []string
 	ttl       time.Duration
-	lists     int // lists counts the address lists given out.
-	seen      []caller.Query
+	lists     int // number of address lists returned
+	received  []caller.Query
 }
 
-// add starts a fake instance that gives the reply, or closes the connection if
-// it is nil.
-func (es *entries) add(t *testing.T, reply func(qu caller.Query) *fanout.Answer) string {
+// add starts a fake instance that returns the reply, or closes the connection if it is nil.
+func (fi *fakeInstances) add(t *testing.T, reply func(qu caller.Query) *fanout.Answer) string {
 	sv := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, rq *http.Request) {
 		if rq.URL.Path == caller.AddressesPath {
-			es.mu.Lock()
-			defer es.mu.Unlock()
-			es.lists++
-			_ = json.NewEncoder(rw).Encode(caller.Addresses{Addresses: es.addresses, TTLMillis: es.ttl.Milliseconds()})
+			fi.mu.Lock()
+			defer fi.mu.Unlock()
+			fi.lists++
+			_ = json.NewEncoder(rw).Encode(caller.Addresses{Addresses: fi.addresses, TTLMillis: fi.ttl.Milliseconds()})
 			return
 		}
 		var qu caller.Query
 		_ = json.NewDecoder(rq.Body).Decode(&qu)
-		es.mu.Lock()
-		es.seen = append(es.seen, qu)
-		es.mu.Unlock()
+		fi.mu.Lock()
+		fi.received = append(fi.received, qu)
+		fi.mu.Unlock()
 		an := reply(qu)
 		if an == nil {
 			panic(http.ErrAbortHandler)
@@ -53,126 +52,125 @@
 	}))
 	t.Cleanup(sv.Close)
 	address := strings.TrimPrefix(sv.URL, "http://")
-	es.addresses = append(es.addresses, address)
+	fi.addresses = append(fi.addresses, address)
 	return address
 }
 
-// queries returns what the fake instances were sent.
-func (es *entries) queries() []caller.Query {
-	es.mu.Lock()
-	defer es.mu.Unlock()
-	return slices.Clone(es.seen)
+// queries returns the queries that the fake instances received.
+func (fi *fakeInstances) queries() []caller.Query {
+	fi.mu.Lock()
+	defer fi.mu.Unlock()
+	return slices.Clone(fi.received)
 }
 
-func coded(code result.Code) func(caller.Query) *fanout.Answer {
+func replyWith(code result.Code) func(caller.Query) *fanout.Answer {
 	return func(qu caller.Query) *fanout.Answer { return &fanout.Answer{RequestID: qu.RequestID, Code: code} }
 }
 
 func lostAnswer(caller.Query) *fanout.Answer { return nil }
 
-// refusing returns an address at which nobody listens.
-func refusing(t *testing.T) string {
+// closedAddress returns an address on which nothing listens.
+func closedAddress(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	defer ln.Close()
 	return ln.Addr().String()
 }
 
-// A caller whose list is old meets instances that are gone, that leave, or that
-// die with its query; what it may do then depends on what may have run.
-func TestAsk(t *testing.T) {
-	nobody := refusing(t)
+// A caller with an outdated list reaches instances that have stopped, are draining, or fail
+// while they process its query. It must retry only if the query can't run twice.
+func TestDoRetriesOnlyIfQueryCannotRunTwice(t *testing.T) {
+	closed := closedAddress(t)
 	for _, tt := range []struct {
 		name  string
-		first func(caller.Query) *fanout.Answer // first is nil for an instance that is gone.
+		first func(caller.Query) *fanout.Answer // nil for an instance that has stopped
 		key   string
 		want  result.Code
 		tries int
 		lost  bool
 	}{
-		{"answer", coded(result.Complete), "", result.Complete, 1, false},
-		{"refusal", coded(result.NotRunOverloaded), "", result.NotRunOverloaded, 1, false},
-		{"instance gone", nil, "", result.Complete, 2, false},
-		{"instance gone, keyed", nil, "k", result.Complete, 2, false},
-		{"instance leaves", coded(result.NotRunDraining), "", result.Complete, 2, false},
-		{"instance stale", coded(result.NotRunStale), "", result.Complete, 2, false},
+		{"answer", replyWith(result.Complete), "", result.Complete, 1, false},
+		{"refusal", replyWith(result.NotRunOverloaded), "", result.NotRunOverloaded, 1, false},
+		{"instance stopped", nil, "", result.Complete, 2, false},
+		{"instance stopped, keyed", nil, "k", result.Complete, 2, false},
+		{"instance draining", replyWith(result.NotRunDraining), "", result.Complete, 2, false},
+		{"instance stale", replyWith(result.NotRunStale), "", result.Complete, 2, false},
 		{"answer lost", lostAnswer, "", 0, 1, true},
 		{"answer lost, keyed", lostAnswer, "k", result.Complete, 2, false},
-		{"outcome unknown", coded(result.OutcomeUnknown), "k", result.OutcomeUnknown, 1, false},
+		{"outcome unknown", replyWith(result.OutcomeUnknown), "k", result.OutcomeUnknown, 1, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
-			es := &entries{ttl: time.Hour}
+			fi := &fakeInstances{ttl: time.Hour}
 			if tt.first != nil {
-				es.add(t, tt.first)
+				fi.add(t, tt.first)
 			} else {
-				es.addresses = []string{nobody}
+				fi.addresses = []string{closed}
 			}
-			second := es.add(t, coded(result.Complete))
+			second := fi.add(t, replyWith(result.Complete))
 			cl := NewClient(timer.New(), []string{second})
 			defer cl.Close()
 			oc := cl.Do(t.Context(), Call{Service: "archivo", RequestID: "q", Key: tt.key, Deadline: time.Minute, Query: json.RawMessage(`1`)})
 			c.Assert(oc.Attempts, qt.HasLen, tt.tries)
 			c.Assert(oc.Word.Err != nil, qt.Equals, tt.lost, qt.Commentf("%v", oc.Word.Err))
 			c.Assert(oc.Word.Answer.Code, qt.Equals, tt.want)
-			for _, qu := range es.queries() {
+			for _, qu := range fi.queries() {
 				c.Assert(qu.Key, qt.Equals, tt.key)
 				c.Assert(*qu.Repeatable, qt.Equals, tt.key == "")
 			}
-			qus := es.queries()
+			qus := fi.queries()
 			c.Assert(qus[len(qus)-1].Resend, qt.Equals, tt.name == "answer lost, keyed")
 		})
 	}
 }
 
-func TestAskKeepsAddresses(t *testing.T) {
+func TestDoReusesAddressList(t *testing.T) {
 	c := qt.New(t)
-	es := &entries{ttl: time.Hour}
-	first := es.add(t, coded(result.Complete))
-	es.add(t, coded(result.Complete))
+	fi := &fakeInstances{ttl: time.Hour}
+	first := fi.add(t, replyWith(result.Complete))
+	fi.add(t, replyWith(result.Complete))
 	cl := NewClient(timer.New(), []string{first})
 	defer cl.Close()
 	used := make(map[string]int)
 	for ix := range 10 {
 		used[cl.Do(t.Context(), Call{Service: "archivo", Start: ix, Deadline: time.Minute}).Word.Address]++
 	}
-	c.Assert(es.lists, qt.Equals, 1)
-	c.Assert(used, qt.DeepEquals, map[string]int{es.addresses[0]: 5, es.addresses[1]: 5})
+	c.Assert(fi.lists, qt.Equals, 1)
+	c.Assert(used, qt.DeepEquals, map[string]int{fi.addresses[0]: 5, fi.addresses[1]: 5})
 }
 
-func TestAskTwice(t *testing.T) {
+func TestDoSendsDuplicatedQueryTwice(t *testing.T) {
 	c := qt.New(t)
-	es := &entries{ttl: time.Hour}
-	first := es.add(t, coded(result.OutcomeUnknown))
-	es.add(t, coded(result.Complete))
+	fi := &fakeInstances{ttl: time.Hour}
+	first := fi.add(t, replyWith(result.OutcomeUnknown))
+	fi.add(t, replyWith(result.Complete))
 	cl := NewClient(timer.New(), []string{first})
 	defer cl.Close()
 	oc := cl.Do(t.Context(), Call{Service: "archivo", RequestID: "q", Key: "k", Duplicated: true, Deadline: time.Minute})
 	c.Assert(oc.Attempts, qt.HasLen, 2)
 	c.Assert(oc.Word.Answer.Code, qt.Equals, result.Complete)
-	qus := es.queries()
+	qus := fi.queries()
 	c.Assert(qus[0].Key+qus[1].Key, qt.Equals, "kk")
 	c.Assert(qus[0].RequestID, qt.Not(qt.Equals), qus[1].RequestID)
 	c.Assert(qus[0].Resend, qt.Not(qt.Equals), qus[1].Resend)
 }
 
-// A caller's list shrinks to an instance that has just started and names itself
-// alone, and that instance is killed; those the caller began with have gone
-// before. Without a memory of older lists every later query is lost, though the
-// tier is up.
-func TestAskFindsTheTierAgain(t *testing.T) {
+// A caller's list consists of an instance that had just started and returned only its own
+// address; that instance is killed, and the seeds have stopped before. If the client did not
+// keep older addresses, every later query would be lost although the tier is up.
+func TestDoFallsBackToOlderAddresses(t *testing.T) {
 	c := qt.New(t)
-	gone, es := &entries{}, &entries{ttl: time.Hour}
-	seed := gone.add(t, coded(result.Complete))
-	es.add(t, coded(result.Complete))
-	gone.addresses, gone.ttl = es.addresses, time.Hour
+	gone, fi := &fakeInstances{}, &fakeInstances{ttl: time.Hour}
+	seed := gone.add(t, replyWith(result.Complete))
+	fi.add(t, replyWith(result.Complete))
+	gone.addresses, gone.ttl = fi.addresses, time.Hour
 	cl := NewClient(timer.New(), []string{seed})
 	defer cl.Close()
 	c.Assert(cl.Do(t.Context(), Call{Service: "archivo", Deadline: time.Minute}).Word.Err, qt.IsNil)
 
-	cl.seeds = []string{refusing(t)}
+	cl.seeds = []string{closedAddress(t)}
 	cl.lists["archivo"].addresses = cl.seeds
 	at := cl.Do(t.Context(), Call{Service: "archivo", Deadline: time.Minute}).Word
 	c.Assert(at.Err, qt.IsNil)
-	c.Assert(at.Address, qt.Equals, es.addresses[0])
+	c.Assert(at.Address, qt.Equals, fi.addresses[0])
 }
--- a/load/drive_test.go
+++ b/load/drive_test.go
@@ -15,51 +15,50 @@
 	"balsamwinch.example/timer"
 )
 
-// stalled is a fake tier that answers in 1 ms, but nothing between the first
-// and the second second.
-func stalled(ts *timer.Service, start time.Time) {
+// answerWithStall stands for a tier that answers in 1 ms, but not at all during the second
+// second after start.
+func answerWithStall(ts *timer.Service, start time.Time) {
 	if since := ts.Now().Sub(start); since >= time.Second && since < 2*time.Second {
 		_ = ts.Sleep(context.Background(), 2*time.Second-since)
 	}
 	_ = ts.Sleep(context.Background(), time.Millisecond)
 }
 
-// A tier stalls for one of ten seconds. A tenth of the callers wait up to a
-// second, so p99 must be near a second. A loop that waits for each answer sends
-// a single query into the stall, and its p99 shows nothing: the omission is
-// coordinated with the stall.
-func TestDriveCountsAStall(t *testing.T) {
+// A tier stalls for one of ten seconds. A tenth of the callers wait up to a second, so p99
+// must be near a second. A closed loop sends a single query into the stall, and its p99 shows
+// nothing (coordinated omission).
+func TestDriveMeasuresStallFromIntendedStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		ts := timer.New()
 		var mu sync.Mutex
-		open, closed := newHistogram(fineDigits), newHistogram(fineDigits)
+		openLoop, closedLoop := newHistogram(fineDigits), newHistogram(fineDigits)
 
 		start := ts.Now()
 		ars := Arrivals(1, 10*time.Second, []float64{200})
 		dropped := Drive(t.Context(), ts, start, ars, func(_ Arrival, intended time.Time) {
-			stalled(ts, start)
+			answerWithStall(ts, start)
 			mu.Lock()
 			defer mu.Unlock()
-			record(open, ts.Now().Sub(intended))
+			recordDuration(openLoop, ts.Now().Sub(intended))
 		})
 		c.Assert(dropped, qt.Equals, 0)
-		c.Assert(open.TotalCount(), qt.Equals, int64(len(ars)))
-		c.Assert(open.ValueAtQuantile(50) <= 1100, qt.IsTrue)
-		c.Assert(open.ValueAtQuantile(99) > 800_000, qt.IsTrue, qt.Commentf("%d", open.ValueAtQuantile(99)))
+		c.Assert(openLoop.TotalCount(), qt.Equals, int64(len(ars)))
+		c.Assert(openLoop.ValueAtQuantile(50) <= 1100, qt.IsTrue)
+		c.Assert(openLoop.ValueAtQuantile(99) > 800_000, qt.IsTrue, qt.Commentf("%d", openLoop.ValueAtQuantile(99)))
 
 		start = ts.Now()
 		for ts.Now().Sub(start) < 10*time.Second {
 			sent := ts.Now()
-			stalled(ts, start)
-			record(closed, ts.Now().Sub(sent))
+			answerWithStall(ts, start)
+			recordDuration(closedLoop, ts.Now().Sub(sent))
 			_ = ts.Sleep(t.Context(), 4*time.Millisecond)
 		}
-		c.Assert(closed.ValueAtQuantile(99) <= 1100, qt.IsTrue)
+		c.Assert(closedLoop.ValueAtQuantile(99) <= 1100, qt.IsTrue)
 	})
 }
 
-func TestDriveDropsAfterItsEnd(t *testing.T) {
+func TestDriveDropsArrivalsAfterContextEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
@@ -70,7 +69,7 @@
 	})
 }
 
-func TestArrivals(t *testing.T) {
+func TestArrivalsArePoissonAndRepeatable(t *testing.T) {
 	c := qt.New(t)
 	rates := []float64{100, 0, 300}
 	ars := Arrivals(7, 100*time.Second, rates)
@@ -90,12 +89,12 @@
 	c.Assert(seen[2] > 29300 && seen[2] < 30700, qt.IsTrue, qt.Commentf("%v", seen))
 }
 
-func TestPickStaysInside(t *testing.T) {
+func TestPickStreamSkipsStreamsWithoutRate(t *testing.T) {
 	rates := []float64{0, 1, 2, 0}
 	rd := rand.New(rand.NewPCG(1, 1))
 	for range 1000 {
-		ix := pick(rd.Float64()*3, rates)
+		ix := pickStream(rd.Float64()*3, rates)
 		qt.Assert(t, ix == 1 || ix == 2, qt.IsTrue)
 	}
-	qt.Assert(t, pick(3, rates), qt.Equals, 2)
+	qt.Assert(t, pickStream(3, rates), qt.Equals, 2)
 }
--- a/load/experiment.go
+++ b/load/experiment.go
@@ -1,8 +1,8 @@
-// Package load puts an open-loop load on a tier and measures its answers: an
-// experiment file names services, arms, rates and faults, and the report says
-// how late, how complete, how dear and how honest the answers were. It plays
-// the callers and directs the emulated backend servers of package leaf; it
-// knows nothing of the inside of an instance.
+// Package load puts an open-loop load on a tier and measures its answers. An experiment file
+// names services, arms, rates and faults; the report gives latency, coverage and cost of the
+// answers and the promises that they broke. The package acts as the callers and controls the
+// emulated backend servers of package leaf; it does not depend on the internals of an
+// instance.
 package load
 
 import (
@@ -15,98 +15,98 @@
 	"balsamwinch.example/settings"
 )
 
-// Experiment is an experiment file.
+// Experiment is the content of an experiment file.
 type Experiment struct {
 	Name     string
-	Seed     uint64 // Seed makes arrivals, choices and service times repeatable.
+	Seed     uint64 // makes arrivals, choices and service times repeatable
 	Tier     TierSpec
 	Services []Service
 	Arms     []Arm
-	Block    time.Duration // Block is how long one arm is loaded before the next has its turn.
-	Settle   time.Duration // Settle is the pause after each block, once every answer is in.
-	// Grace is how much later than its deadline an answer still counts as useful:
-	// the caller's clock also counts the way there and back.
+	Block    time.Duration // how long one arm is loaded before the next one
+	Settle   time.Duration // pause after each block, once all queries have completed
+	// How much later than its deadline an answer still counts as useful: the caller's latency
+	// includes the network delay in both directions.
 	Grace  time.Duration
 	Phases []Phase
 }
 
-// TierShape is what a tier started for the experiment consists of.
+// TierSpec describes the tier that is started for the experiment.
 type TierSpec struct {
-	Instances   int      // Instances is how many instances have the role Entry.
-	Voters      int      // Voters is how many of them also have the role Control.
-	DataCentres []string // DataCentres are filled in turn by instances and backend servers.
-	MaxEntries  int      // MaxEntries is the bound that connection shares are computed from; default Instances.
+	Instances   int      // instances, all with the role Entry
+	Voters      int      // how many of the instances also have the role Control
+	DataCentres []string // assigned to instances and backend servers in turn
+	MaxEntries  int      // bound from which connection shares are computed; default Instances
 	AddressTTL  time.Duration
 }
 
-// Service describes a group of services of one shape.
+// Service describes a group of services with equal parameters.
 type Service struct {
-	Name     string // Name is the group's name; services of a group of several get a number behind it.
-	Count    int    // Count is how many services the group has; default 1.
-	Leaves   int    // Leaves is how many shards a query of the service touches.
-	Replicas int    // Replicas is how many backend servers hold each shard; default 1.
+	Name     string // name of the group; if Count is above 1, a number is appended for each service
+	Count    int    // services in the group; default 1
+	Leaves   int    // shards that a query of the service needs
+	Replicas int    // backend servers that hold each shard; default 1
 
 	Slots           int
-	Queue           int // Queue is how many requests wait at a backend server before it sheds.
+	Queue           int // requests that wait at a backend server before it sheds others
 	Connections     int
 	ConnectionDelay time.Duration
 	ServiceTime     leaf.Latency
-	StopLag         time.Duration // StopLag is how long a cancelled leaf request goes on.
+	StopLag         time.Duration // how long a cancelled leaf request keeps its slot
 	KeepVersions    int
 
 	Policy           operator.Policy
 	Deadline         time.Duration
 	ExtraLoadPercent float64
-	Weight           int // Weight is the share under overload; default 1.
+	Weight           int // weight of the service's share under overload; default 1
 	Entries          int
 
-	// UsefulCoverage is the share of its shards that an answer in part must cover
-	// to count as useful under the policy Best; default 0.9.
+	// Fraction of its shards that a partial answer must cover to count as useful under the
+	// policy Best; default 0.9.
 	UsefulCoverage float64
 
-	Rate float64 // Rate is the queries a second to each service of the group.
-	// NotRepeatable gives every query a key and lets it run at most once.
+	Rate float64 // queries per second to each service of the group
+	// Gives every query a key and lets it run at most once.
 	NotRepeatable bool
-	// DuplicateShare is the share of queries that the caller sends a second time
-	// through another instance without waiting for the first answer.
+	// Fraction of the queries that the caller sends a second time through another instance
+	// without waiting for the first answer.
 	DuplicateShare float64
 }
 
-// Arm is one of the sets of decisions that are compared.
+// Arm is one of the tactics that an experiment compares.
 type Arm struct {
 	Name    string
 	Tactics operator.Tactics
 }
 
-// Phase is a part of the experiment with one kind of trouble.
+// Phase is a part of an experiment with one surge and one set of faults.
 type Phase struct {
 	Name   string
-	Length time.Duration // Length is the time under load of all arms together.
-	Warmup bool          // Warmup leaves the phase out of the report.
-	// Reference makes this the quiet phase that the others are compared with.
+	Length time.Duration // time under load, summed over all arms
+	Warmup bool          // omits the phase from the report
+	// Makes this the phase without faults that the others are compared with.
 	Reference bool
 	Surge     Surge
 	Faults    []FaultSpec
 }
 
-// Surge replaces the rate of a group's services by a multiple of their capacity.
+// Surge sets the rate of a group's services to a multiple of their capacity.
 type Surge struct {
 	Service string
 	Times   float64
 }
 
-// The defaults of an experiment.
+// Defaults of an experiment.
 const (
-	defaultBlock      = 2 * time.Second
-	defaultSettle     = 200 * time.Millisecond
-	defaultAddressTTL = 2 * time.Second
-	defaultExtraLoad  = 5.0
-	defaultVersions   = 3
-	defaultCoverage   = 0.9
+	defaultBlock            = 2 * time.Second
+	defaultSettle           = 200 * time.Millisecond
+	defaultAddressTTL       = 2 * time.Second
+	defaultExtraLoadPercent = 5.0
+	defaultKeepVersions     = 3
+	defaultUsefulCoverage   = 0.9
 )
 
-// ReadExperiment reads and checks an experiment file. The error is
-// settings.Faults if the file has faults.
+// ReadExperiment reads and checks an experiment file. If the file has faults, the error is a
+// settings.Faults.
 func ReadExperiment(path string) (Experiment, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -115,7 +115,7 @@
 	return ParseExperiment(path, data)
 }
 
-// ParseExperiment reads and checks the content of an experiment file.
+// ParseExperiment decodes and checks the content of an experiment file.
 func ParseExperiment(file string, data []byte) (Experiment, error) {
 	ex := Experiment{Block: defaultBlock, Settle: defaultSettle, Seed: 1}
 	tr, faults := settings.Parse(file, data)
@@ -137,9 +137,9 @@
 		se.Count = orDefault(se.Count, 1)
 		se.Replicas = orDefault(se.Replicas, 1)
 		se.Weight = orDefault(se.Weight, 1)
-		se.KeepVersions = orDefault(se.KeepVersions, defaultVersions)
-		se.ExtraLoadPercent = orDefault(se.ExtraLoadPercent, defaultExtraLoad)
-		se.UsefulCoverage = orDefault(se.UsefulCoverage, defaultCoverage)
+		se.KeepVersions = orDefault(se.KeepVersions, defaultKeepVersions)
+		se.ExtraLoadPercent = orDefault(se.ExtraLoadPercent, defaultExtraLoadPercent)
+		se.UsefulCoverage = orDefault(se.UsefulCoverage, defaultUsefulCoverage)
 		se.Policy = orDefault(se.Policy, operator.Complete)
 	}
 	return ex
@@ -153,7 +153,7 @@
 	return va
 }
 
-// The ranges of an experiment's values.
+// Upper bounds of an experiment's values.
 const (
 	maxServers = 100
 	maxShards  = 200
--- a/load/experiment_test.go
+++ b/load/experiment_test.go
@@ -15,7 +15,7 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-func golden(c *qt.C, name string, got []byte) {
+func checkGolden(c *qt.C, name string, got []byte) {
 	c.Helper()
 	path := filepath.Join("testdata", name)
 	if *update {
@@ -26,7 +26,7 @@
 	c.Assert(string(got), qt.Equals, string(want))
 }
 
-func TestFaultyExperiments(t *testing.T) {
+func TestReadExperimentReportsFaults(t *testing.T) {
 	paths, err := filepath.Glob("testdata/faulty-*.yaml")
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, paths, qt.Not(qt.HasLen), 0)
@@ -35,14 +35,14 @@
 			c := qt.New(t)
 			_, err := ReadExperiment(path)
 			c.Assert(err, qt.IsNotNil)
-			golden(c, filepath.Base(path)+".faults", []byte(err.Error()+"\n"))
+			checkGolden(c, filepath.Base(path)+".faults", []byte(err.Error()+"\n"))
 		})
 	}
 }
 
-// The experiments of the repository are sound, and the operators' files that
-// they need pass the operators' own checks.
-func TestExperimentsOfTheRepository(t *testing.T) {
+// The experiments in the repository are valid, and the operators' files generated from them
+// pass the operators' checks.
+func TestRepositoryExperimentsAreValid(t *testing.T) {
 	paths, err := filepath.Glob("../experiments/*.yaml")
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, len(paths) >= 3, qt.IsTrue)
@@ -65,27 +65,27 @@
 	}
 }
 
-func small(c *qt.C) Experiment {
+func smallExperiment(c *qt.C) Experiment {
 	ex, err := ReadExperiment("testdata/small.yaml")
 	c.Assert(err, qt.IsNil)
 	return ex
 }
 
-func TestFiles(t *testing.T) {
+func TestFilesGivesEachArmItsServices(t *testing.T) {
 	c := qt.New(t)
-	files, err := small(c).Files()
+	files, err := smallExperiment(c).Files()
 	c.Assert(err, qt.IsNil)
 	var out bytes.Buffer
 	for _, fi := range files {
 		out.WriteString("-- " + fi.Name + " --\n")
 		out.Write(fi.Content)
 	}
-	golden(c, "small.files", out.Bytes())
+	checkGolden(c, "small.files", out.Bytes())
 }
 
-func TestBlocksAlternate(t *testing.T) {
+func TestBlocksAlternateArmsWithEqualArrivals(t *testing.T) {
 	c := qt.New(t)
-	ex := small(c)
+	ex := smallExperiment(c)
 	bls := ex.Blocks()[:6]
 	for ix, bl := range bls {
 		c.Assert(bl.Arm, qt.Equals, ix%2)
@@ -94,9 +94,9 @@
 	c.Assert(bls[0].seed(ex), qt.Not(qt.Equals), bls[2].seed(ex))
 }
 
-func TestShape(t *testing.T) {
+func TestExperimentServersShardsAndStreams(t *testing.T) {
 	c := qt.New(t)
-	ex := small(c)
+	ex := smallExperiment(c)
 	archivo, desk := ex.Services[0], ex.Services[1]
 	c.Assert(archivo.Capacity(), qt.Equals, 2*3/0.02)
 	c.Assert(archivo.Shards(wholeMap), qt.DeepEquals, []string{"s01", "s02", "s03"})
@@ -108,20 +108,20 @@
 	c.Assert(surge[1].Rate, qt.Equals, desk.Rate)
 }
 
-func TestSchedule(t *testing.T) {
+func TestScheduleBeginsAndEndsFaults(t *testing.T) {
 	ms := time.Millisecond
 	for _, tt := range []struct {
 		name string
 		spec FaultSpec
-		want []time.Duration // want holds the beginnings, and the ends as negative times.
+		want []time.Duration // times at which faults begin, and as negative values those at which they end
 	}{
 		{"whole block", FaultSpec{Kind: Slow, Share: 1, Factor: 2}, []time.Duration{0}},
-		{"late", FaultSpec{Kind: Stuck, After: 400 * ms}, []time.Duration{400 * ms}},
+		{"begins later", FaultSpec{Kind: Stuck, After: 400 * ms}, []time.Duration{400 * ms}},
 		{"ends", FaultSpec{Kind: Lost, After: 100 * ms, For: 200 * ms}, []time.Duration{100 * ms, -300 * ms}},
-		{"ends behind the block", FaultSpec{Kind: Lost, After: 900 * ms, For: 200 * ms}, []time.Duration{900 * ms}},
-		{"again", FaultSpec{Kind: NewVersion, After: 100 * ms, Every: 400 * ms}, []time.Duration{100 * ms, 500 * ms, 900 * ms}},
-		{"nothing to end", FaultSpec{Kind: Repartition, For: 100 * ms}, []time.Duration{0}},
-		{"again and again", FaultSpec{Kind: KillInstance, Every: 500 * ms, For: 100 * ms}, []time.Duration{0, -100 * ms, 500 * ms, -600 * ms}},
+		{"ends after the block", FaultSpec{Kind: Lost, After: 900 * ms, For: 200 * ms}, []time.Duration{900 * ms}},
+		{"repeated", FaultSpec{Kind: NewVersion, After: 100 * ms, Every: 400 * ms}, []time.Duration{100 * ms, 500 * ms, 900 * ms}},
+		{"fault without end", FaultSpec{Kind: Repartition, For: 100 * ms}, []time.Duration{0}},
+		{"repeated with end", FaultSpec{Kind: KillInstance, Every: 500 * ms, For: 100 * ms}, []time.Duration{0, -100 * ms, 500 * ms, -600 * ms}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			var got []time.Duration
--- a/load/fault.go
+++ b/load/fault.go
@@ -12,72 +12,72 @@
 // FaultKind names a kind of fault in an experiment file.
 type FaultKind string
 
-// The kinds of faults.
+// Kinds of faults.
 const (
-	Slow         FaultKind = "Slow"         // Slow makes a Share of leaf requests Factor times slower.
-	Stuck        FaultKind = "Stuck"        // Stuck makes requests hold their slots without an end.
-	Silent       FaultKind = "Silent"       // Silent makes the open connections go silent for good.
-	Shed         FaultKind = "Shed"         // Shed makes backend servers shed a Share of requests.
-	Crossed      FaultKind = "Crossed"      // Crossed gives a Share of replies to the wrong request.
-	Doubled      FaultKind = "Doubled"      // Doubled sends a Share of replies twice.
-	Cut          FaultKind = "Cut"          // Cut closes the connection of a Share of requests, which do not run.
-	LostReply    FaultKind = "LostReply"    // LostReply closes the connection of a Share of requests after they ran.
-	Lie          FaultKind = "Lie"          // Lie makes health and load endpoints claim an idle server.
-	Lost         FaultKind = "Lost"         // Lost kills backend servers without a warning.
-	NewVersion   FaultKind = "NewVersion"   // NewVersion publishes the next index version.
-	Repartition  FaultKind = "Repartition"  // Repartition splits the first shard, or merges it again.
-	KillInstance FaultKind = "KillInstance" // KillInstance kills an instance without a warning.
+	Slow         FaultKind = "Slow"         // makes a Share of leaf requests Factor times slower
+	Stuck        FaultKind = "Stuck"        // requests hold their slots and are never answered
+	Silent       FaultKind = "Silent"       // makes the open connections go silent
+	Shed         FaultKind = "Shed"         // makes backend servers shed a Share of requests
+	Crossed      FaultKind = "Crossed"      // sends a Share of replies with the ID of another request
+	Doubled      FaultKind = "Doubled"      // sends a Share of replies twice
+	Cut          FaultKind = "Cut"          // closes the connection of a Share of requests, which do not run
+	LostReply    FaultKind = "LostReply"    // closes the connection of a Share of requests after they ran
+	Lie          FaultKind = "Lie"          // makes health and load endpoints report an idle server
+	Lost         FaultKind = "Lost"         // kills backend servers without a drain
+	NewVersion   FaultKind = "NewVersion"   // publishes the next index version
+	Repartition  FaultKind = "Repartition"  // splits the first shard, or merges it again
+	KillInstance FaultKind = "KillInstance" // kills an instance without a drain
 )
 
-// FaultSpec is a fault as an experiment file states it. It begins After into
-// each block, so that each arm meets it in the same way, and ends with the
-// block or after For. With Every it begins again and again.
+// FaultSpec is a fault as stated in an experiment file. It begins After into each block, so
+// that every arm is exposed to it in the same way, and ends with the block or after For. With
+// Every it is repeated at that interval.
 type FaultSpec struct {
 	Kind    FaultKind
-	Service string // Service is the name of a group; empty means every service.
-	Shard   int    // Shard counts from 1; 0 means every shard.
-	Replica int    // Replica counts from 1; 0 means every replica.
-	// Instance is the number, from 1, of the instance to kill; 0 takes them in turn.
+	Service string // name of a group; empty means every service
+	Shard   int    // number from 1; 0 means every shard
+	Replica int    // number from 1; 0 means every replica
+	// Number, from 1, of the instance to kill; 0 kills them in turn.
 	Instance int
 	After    time.Duration
 	For      time.Duration
 	Every    time.Duration
-	Stagger  time.Duration // Stagger spreads a new version or partition over the backend servers.
+	Stagger  time.Duration // maximum random delay of a new version or partition at each backend server
 	Share    float64
 	Factor   float64
-	Held     bool // Held keeps silent connections counted against the limit of the backend server.
+	Held     bool // silent connections still count against the backend server's limit after the other end closes them
 }
 
-// Fault is what happens to the tier.
+// Fault is a fault that can be injected into a tier.
 type Fault interface{ isFault() }
 
 // Target selects backend servers.
 type Target struct {
-	Service string // Service is the name of a group; empty means every service.
-	Shard   int    // Shard counts from 1; 0 means every shard.
-	Replica int    // Replica counts from 1; 0 means every replica.
+	Service string // name of a group; empty means every service
+	Shard   int    // number from 1; 0 means every shard
+	Replica int    // number from 1; 0 means every replica
 }
 
-// The faults of a tier.
+// Faults of a tier.
 type (
 	// Misbehaviour makes backend servers misbehave until it ends.
 	Misbehaviour struct {
 		Target Target
 		Faults leaf.Faults
 	}
-	// Loss kills backend servers; they start anew when it ends.
+	// Loss kills backend servers; they restart when it ends.
 	Loss struct{ Target Target }
 	// Publication publishes the next index version of a group.
 	Publication struct {
 		Target  Target
 		Stagger time.Duration
 	}
-	// Split changes between the two partition maps of a group.
+	// Split switches between the two partition maps of a group.
 	Split struct {
 		Target  Target
 		Stagger time.Duration
 	}
-	// InstanceLoss kills an instance; it starts anew when it ends.
+	// InstanceLoss kills an instance; it restarts when it ends.
 	InstanceLoss struct{ Number int }
 )
 
@@ -129,8 +129,8 @@
 	}
 }
 
-// lasts reports whether the fault has an end that must be brought about.
-func lasts(fa Fault) bool {
+// hasEnd reports whether the fault must be ended by a step.
+func hasEnd(fa Fault) bool {
 	switch fa.(type) {
 	case Misbehaviour, Loss, InstanceLoss:
 		return true
@@ -142,19 +142,19 @@
 // Step begins or ends a fault at a time within a block.
 type Step struct {
 	At    time.Duration
-	Index int // Index is the fault's place in the phase.
+	Index int // index of the fault in the phase
 	Fault Fault
 	Ends  bool
 }
 
-// Schedule returns the steps of a block of the given length in order. A fault
-// that lasts beyond the block has no step that ends it.
+// Schedule returns the steps of a block of the given length in order. A fault that lasts
+// beyond the block has no step that ends it.
 func (ph Phase) Schedule(length time.Duration) []Step {
 	var sts []Step
 	for ix, fs := range ph.Faults {
 		for at := fs.After; at < length; at += fs.Every {
 			sts = append(sts, Step{At: at, Index: ix, Fault: fs.Fault()})
-			if end := at + fs.For; fs.For > 0 && end < length && lasts(fs.Fault()) {
+			if end := at + fs.For; fs.For > 0 && end < length && hasEnd(fs.Fault()) {
 				sts = append(sts, Step{At: end, Index: ix, Fault: fs.Fault(), Ends: true})
 			}
 			if fs.Every <= 0 {
@@ -188,8 +188,8 @@
 		ck.Want(fs.Share > 0, "above 0 for this kind", fs.Share, at("Share")...)
 	}
 	if fs.Kind == Repartition {
-		// Both parts of a split shard stand on one backend server, which counts runs
-		// by key alone: each key would seem to have run twice.
+		// One backend server holds both parts of a split shard and counts executions by key
+		// alone: each key would seem to have run twice.
 		ck.Want(ok && !se.NotRepeatable, "a service without NotRepeatable", fs.Service, at("Service")...)
 	}
 	if fs.Kind == Slow {
--- a/load/leafs.go
+++ b/load/leafs.go
@@ -13,9 +13,9 @@
 	"balsamwinch.example/timer"
 )
 
-const anyPort = "127.0.0.1:0"
+const anyLocalPort = "127.0.0.1:0"
 
-// Leafs are the emulated backend servers of an experiment in this process.
+// Leafs are the emulated backend servers of an experiment, run in this process.
 type Leafs struct {
 	ts       *timer.Service
 	lg       *zap.Logger
@@ -24,13 +24,13 @@
 	seed     uint64
 	wg       sync.WaitGroup
 
-	mu      sync.Mutex
-	running map[string]*leaf.Leaf
-	starts  uint64
+	mu        sync.Mutex
+	running   map[string]*leaf.Leaf
+	numStarts uint64
 }
 
-// StartLeafs starts every backend server of the experiment; they announce
-// themselves to the given addresses.
+// StartLeafs starts every backend server of the experiment; they announce themselves to the
+// given addresses.
 func StartLeafs(ex Experiment, announce []string, ts *timer.Service, lg *zap.Logger) (*Leafs, error) {
 	ls := &Leafs{
 		ts:       ts,
@@ -42,21 +42,21 @@
 	}
 	for _, sp := range ls.specs {
 		if err := ls.Start(sp.Name); err != nil {
-			return nil, fmt.Errorf("start of %s: %w", sp.Name, err)
+			return nil, fmt.Errorf("starting %s: %w", sp.Name, err)
 		}
 	}
 	return ls, nil
 }
 
-// Start starts a backend server that does not run.
+// Start starts a backend server that is not running.
 func (ls *Leafs) Start(server string) error {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	sp, ok := ls.spec(server)
 	if !ok || ls.running[server] != nil {
-		return fmt.Errorf("backend server %s is unknown or runs already", server)
+		return fmt.Errorf("backend server %s is unknown or already running", server)
 	}
-	ls.starts++
+	ls.numStarts++
 	le, err := leaf.New(ls.config(sp), ls.ts, ls.lg)
 	if err != nil {
 		return err
@@ -80,10 +80,10 @@
 		Server:          sp.Name,
 		Service:         sp.Label,
 		DataCentre:      sp.DataCentre,
-		Address:         anyPort,
-		ControlAddress:  anyPort,
-		Announce:        ls.rotated(),
-		Shards:          sp.Service.held(sp.Shard, wholeMap),
+		Address:         anyLocalPort,
+		ControlAddress:  anyLocalPort,
+		Announce:        ls.rotatedAnnounce(),
+		Shards:          sp.Service.shardsHeld(sp.Shard, wholeMap),
 		Partition:       wholeMap,
 		KeepVersions:    sp.Service.KeepVersions,
 		Slots:           sp.Service.Slots,
@@ -92,27 +92,27 @@
 		AcceptDelay:     sp.Service.ConnectionDelay,
 		Latency:         sp.Service.ServiceTime,
 		StopLag:         sp.Service.StopLag,
-		Seed:            ls.seed + ls.starts,
+		Seed:            ls.seed + ls.numStarts,
 	}
 }
 
-// rotated returns the announce addresses beginning at another one for each
-// start, so that the backend servers spread over the instances.
-func (ls *Leafs) rotated() []string {
+// rotatedAnnounce returns the announce addresses, beginning with another one for each start,
+// so that the backend servers are spread over the instances.
+func (ls *Leafs) rotatedAnnounce() []string {
 	if len(ls.announce) == 0 {
 		return nil
 	}
-	at := int(ls.starts) % len(ls.announce)
+	at := int(ls.numStarts) % len(ls.announce)
 	return append(append([]string(nil), ls.announce[at:]...), ls.announce[:at]...)
 }
 
-// Kill ends a backend server without a warning and returns what it had counted.
+// Kill stops a backend server without a drain and returns its counters.
 func (ls *Leafs) Kill(server string) (leaf.Counts, error) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	le := ls.running[server]
 	if le == nil {
-		return leaf.Counts{}, fmt.Errorf("backend server %s does not run", server)
+		return leaf.Counts{}, fmt.Errorf("backend server %s is not running", server)
 	}
 	delete(ls.running, server)
 	if err := le.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
@@ -121,7 +121,7 @@
 	return le.Counts(), nil
 }
 
-// Servers returns where the running backend servers take their directions.
+// Servers returns the running backend servers.
 func (ls *Leafs) Servers() []LeafServer {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
@@ -134,7 +134,7 @@
 	return lss
 }
 
-// Close ends all backend servers and waits until they have.
+// Close stops all backend servers and waits for them.
 func (ls *Leafs) Close() {
 	ls.mu.Lock()
 	for _, le := range ls.running {
--- a/load/local.go
+++ b/load/local.go
@@ -17,50 +17,50 @@
 // Instances are the instances of a tier, without its backend servers.
 type Instances interface {
 	CallerAddresses() []string
-	BackendAddresses() []string // BackendAddresses take announcements.
+	BackendAddresses() []string // addresses that accept announcements
 	OperatorAddresses() []string
-	// Kill ends the instance of the number, from 1, without a warning.
+	// Kill kills the instance with the given number, counted from 1.
 	Kill(ctx context.Context, number int) error
-	// Start starts a killed instance again with its data folder.
+	// Start restarts a killed instance with its data folder.
 	Start(ctx context.Context, number int) error
 	Close() error
 }
 
-// Running are instances that run elsewhere. They can't be killed or started.
+// ExternalInstances are instances that this process did not start and can't kill or restart.
 type ExternalInstances struct {
 	Callers   []string
 	Backends  []string
 	Operators []string
 }
 
-var errElsewhere = errors.New("the instances run elsewhere and are not killed or started from here")
+var errExternalInstances = errors.New("the instances are external and can't be killed or started")
 
 // CallerAddresses returns the addresses for callers.
-func (rg ExternalInstances) CallerAddresses() []string { return rg.Callers }
+func (ei ExternalInstances) CallerAddresses() []string { return ei.Callers }
 
 // BackendAddresses returns the addresses for announcements.
-func (rg ExternalInstances) BackendAddresses() []string { return rg.Backends }
+func (ei ExternalInstances) BackendAddresses() []string { return ei.Backends }
 
 // OperatorAddresses returns the addresses for operators.
-func (rg ExternalInstances) OperatorAddresses() []string { return rg.Operators }
+func (ei ExternalInstances) OperatorAddresses() []string { return ei.Operators }
 
-// Kill fails.
-func (ExternalInstances) Kill(context.Context, int) error { return errElsewhere }
+// Kill always returns an error.
+func (ExternalInstances) Kill(context.Context, int) error { return errExternalInstances }
 
-// Start fails.
-func (ExternalInstances) Start(context.Context, int) error { return errElsewhere }
+// Start always returns an error.
+func (ExternalInstances) Start(context.Context, int) error { return errExternalInstances }
 
-// Close leaves the instances as they are.
+// Close does nothing.
 func (ExternalInstances) Close() error { return nil }
 
-// Local is a Tier and Killer of instances and of emulated backend servers in
-// this process.
+// LocalTier is a Tier and Killer that runs instances and emulated backend servers in this
+// process.
 type LocalTier struct {
 	in Instances
 	ls *Leafs
 }
 
-// NewLocal starts the backend servers of the experiment beside the instances.
+// NewLocalTier starts the backend servers of the experiment for the given instances.
 func NewLocalTier(ex Experiment, in Instances, ts *timer.Service, lg *zap.Logger) (*LocalTier, error) {
 	ls, err := StartLeafs(ex, in.BackendAddresses(), ts, lg)
 	if err != nil {
@@ -69,16 +69,16 @@
 	return &LocalTier{in: in, ls: ls}, nil
 }
 
-// Addresses returns the callers' addresses of the instances.
-func (lo *LocalTier) Addresses() []string { return lo.in.CallerAddresses() }
+// Addresses returns the instances' addresses for callers.
+func (lt *LocalTier) Addresses() []string { return lt.in.CallerAddresses() }
 
-// Leafs returns the backend servers that run.
-func (lo *LocalTier) Leafs() []LeafServer { return lo.ls.Servers() }
+// Leafs returns the running backend servers.
+func (lt *LocalTier) Leafs() []LeafServer { return lt.ls.Servers() }
 
-// Apply sends the files as one change and returns once it is in force. Files of
-// the same name are replaced; others stay.
-func (lo *LocalTier) Apply(ctx context.Context, files []operator.File) error {
-	cl := operator.NewClient(lo.in.OperatorAddresses())
+// Apply sends the files as one change and returns once it is in effect. Files of the same name
+// are replaced; others stay.
+func (lt *LocalTier) Apply(ctx context.Context, files []operator.File) error {
+	cl := operator.NewClient(lt.in.OperatorAddresses())
 	stored, err := cl.Files(ctx)
 	if err != nil {
 		return err
@@ -101,28 +101,28 @@
 	return nil
 }
 
-// KillLeaf ends a backend server without a warning.
-func (lo *LocalTier) KillLeaf(_ context.Context, server string) (leaf.Counts, error) {
-	return lo.ls.Kill(server)
+// KillLeaf stops a backend server without a drain and returns its counters.
+func (lt *LocalTier) KillLeaf(_ context.Context, server string) (leaf.Counts, error) {
+	return lt.ls.Kill(server)
 }
 
-// StartLeaf starts a killed backend server again.
-func (lo *LocalTier) StartLeaf(_ context.Context, server string) error {
-	return lo.ls.Start(server)
+// StartLeaf restarts a killed backend server.
+func (lt *LocalTier) StartLeaf(_ context.Context, server string) error {
+	return lt.ls.Start(server)
 }
 
-// KillInstance ends an instance without a warning.
-func (lo *LocalTier) KillInstance(ctx context.Context, number int) error {
-	return lo.in.Kill(ctx, number)
+// KillInstance kills an instance.
+func (lt *LocalTier) KillInstance(ctx context.Context, number int) error {
+	return lt.in.Kill(ctx, number)
 }
 
-// StartInstance starts a killed instance again.
-func (lo *LocalTier) StartInstance(ctx context.Context, number int) error {
-	return lo.in.Start(ctx, number)
+// StartInstance restarts a killed instance.
+func (lt *LocalTier) StartInstance(ctx context.Context, number int) error {
+	return lt.in.Start(ctx, number)
 }
 
-// Close ends the backend servers and then the instances.
-func (lo *LocalTier) Close() error {
-	lo.ls.Close()
-	return lo.in.Close()
+// Close stops the backend servers and then the instances.
+func (lt *LocalTier) Close() error {
+	lt.ls.Close()
+	return lt.in.Close()
 }
--- a/load/report.go
+++ b/load/report.go
@@ -8,10 +8,10 @@
 	"balsamwinch.example/fanout"
 )
 
-// All is the group of a Line that sums the groups of an arm and phase.
+// AllGroups is the group of a Line that sums the groups of an arm and phase.
 const AllGroups = "all"
 
-// Report is what a run of an experiment measured.
+// Report is the result of an experiment.
 type Report struct {
 	Experiment string
 	Seed       uint64
@@ -20,79 +20,78 @@
 	Lines      []Line
 	Ratios     []Ratio
 	Promises   Promises
-	Breaches   []Breach `json:",omitempty"` // Breaches are the first few, as examples.
-	Losses     []string `json:",omitempty"` // Losses are the first few queries without an answer, as examples.
-	Dropped    int      // Dropped counts queries that were due but not sent; above 0 the run is not valid.
-	Skipped    []string `json:",omitempty"` // Skipped names the faults that the tier could not bring about.
+	Breaches   []Breach `json:",omitempty"` // the first few, as examples
+	Losses     []string `json:",omitempty"` // the first few queries without an answer, as examples
+	Dropped    int      // queries that were due but not sent; above 0 the run is not valid
+	Skipped    []string `json:",omitempty"` // faults that could not be injected
 }
 
-// Machine is where a run was measured.
+// Machine describes the machine of a run.
 type Machine struct {
 	Processors int
 	GoVersion  string
-	// LoadBefore is the machine's load average of one minute when the run began;
-	// 0 where it is not known.
+	// Load average of the machine over one minute when the run began; 0 if unknown.
 	LoadBefore float64
 }
 
-// Line is what was measured of one group, arm and phase. Times count from the
-// intended start of a query.
+// Line is the result of one group, arm and phase. Latencies count from the intended time of a
+// query.
 type Line struct {
 	Phase string
 	Arm   string
 	Group string
 
-	Queries   int     // Queries counts the calls that were due.
-	Offered   float64 // Offered is Queries a second under load.
-	Capacity  float64 `json:",omitempty"` // Capacity is the queries a second that the slots can carry, worked out.
-	Useful    float64 // Useful is the useful answers a second: in time, and complete or a part that is large enough.
-	Late      int     // Late counts answers behind deadline and grace.
-	Lost      int     // Lost counts queries without any answer.
-	Attempts  int     // Attempts counts the sendings of all queries.
+	Queries   int     // calls that were due
+	Offered   float64 // queries per second under load
+	Capacity  float64 `json:",omitempty"` // queries per second that the slots can process, computed from the mean service time
+	Useful    float64 // useful answers per second: in time, and complete or covering enough shards
+	Late      int     // answers after deadline and grace
+	Lost      int     // queries without any answer
+	Attempts  int     // attempts of all queries
 	P50Micros int64
 	P99Micros int64
-	// P999Micros says little if Queries is below some thousands.
+	// Not meaningful if Queries is below some thousands.
 	P999Micros int64
 	MaxMicros  int64
-	// P99LowMicros and P99HighMicros are the lowest and highest p99 of a turn.
+	// Lowest and highest p99 of a block.
 	P99LowMicros  int64
 	P99HighMicros int64
-	LagP99Micros  int64 // LagP99Micros is how late queries were sent.
+	LagP99Micros  int64 // p99 of the delay between due time and sending
 
-	Coverage         float64               // Coverage is the share of the shards asked for that were covered, refusals left out.
-	Missing          map[fanout.Reason]int `json:",omitempty"` // Missing counts the shards missing by reason.
-	Codes            map[string]int        // Codes counts the queries by result code.
+	Coverage         float64               // fraction of the requested shards that were covered, without refused queries
+	Missing          map[fanout.Reason]int `json:",omitempty"` // missing shards by reason
+	Codes            map[string]int        // queries by result code
 	Refused          int
 	RefusalP99Micros int64
 
-	LeafRequests int // LeafRequests is the sum of what the answers state.
+	LeafRequests int // leaf requests stated by the answers
 	Hedges       int
 	Retries      int
 	Restarts     int
-	ExtraLoad    float64 // ExtraLoad is the extra leaf requests by the answers, as a share of the shards asked.
+	ExtraLoad    float64 // extra leaf requests stated by the answers, as a fraction of the shards requested
 
-	LeafSeen      int     // LeafSeen is how many leaf requests the backend servers counted.
-	LeafExtraLoad float64 // LeafExtraLoad is the extra load from their count; leaf requests of lost answers are in it.
-	Sheds         int     // Sheds counts the leaf requests that were shed.
+	LeafSeen      int     // leaf requests counted by the backend servers
+	LeafExtraLoad float64 // extra load by the backend servers' count, which includes leaf requests of lost answers
+	Sheds         int     // leaf requests that were shed
 	ShedShare     float64
-	OverLimit     int // OverLimit counts the connections that backend servers refused as beyond their limit.
+	OverLimit     int // connections that backend servers refused because of their limit
 
 	Breaches map[BreachKind]int `json:",omitempty"`
 }
 
-// Promises sums what must never happen over the whole run.
+// Promises counts, over the whole run, events that must never happen.
 type Promises struct {
 	MixedAnswers  int
 	WrongAnswers  int
 	FalseCoverage int
-	Keys          int // Keys counts the not-repeatable queries.
-	Ran           int // Ran counts the keys that some backend server began.
-	RanTwice      int // RanTwice counts the keys that one shard ran more than once.
-	NotRunRan     int // NotRunRan counts the keys whose last word was "not run" and that ran.
+	Keys          int // non-repeatable queries
+	Ran           int // keys that a backend server began to run
+	RanTwice      int // keys that one shard ran more than once
+	NotRunRan     int // keys that ran although the caller's final result was "not run"
 	OverLimit     int
 }
 
-// Kept reports whether nothing happened that must never happen.
+// Kept reports whether no promise was broken.
 func (pr Promises) Kept() bool {
 	return pr.MixedAnswers+pr.WrongAnswers+pr.FalseCoverage+pr.RanTwice+pr.NotRunRan+pr.OverLimit == 0
 }
@@ -101,7 +100,7 @@
 type Ratio struct {
 	Phase string
 	Group string
-	// Of and To name the arms that are compared, or the phases if Arm is set.
+	// Of and To are the compared arms, or the compared phases if Arm is set.
 	Arm  string `json:",omitempty"`
 	Of   string
 	To   string
@@ -113,9 +112,9 @@
 	Useful   float64
 }
 
-// line returns the line of a cell. The counts are what the backend servers
-// counted while it was loaded.
-func (ce *cell) line(phase, arm, group string, ba bill) Line {
+// line returns the line of a cell. The counts are those of the backend servers while the cell
+// was loaded.
+func (ce *cell) line(phase, arm, group string, sc serverCounts) Line {
 	ce.mu.Lock()
 	defer ce.mu.Unlock()
 	asked := ce.cost.LeafRequests - ce.cost.Extra
@@ -127,7 +126,7 @@
 		P999Micros:       ce.answered.ValueAtQuantile(99.9),
 		MaxMicros:        ce.answered.Max(),
 		LagP99Micros:     ce.lag.ValueAtQuantile(99),
-		Coverage:         share(ce.covered, ce.asked),
+		Coverage:         fraction(ce.shardsCovered, ce.shardsAsked),
 		Missing:          ce.reasons,
 		Codes:            make(map[string]int),
 		Refused:          int(ce.refused.TotalCount()),
@@ -136,18 +135,18 @@
 		Hedges:           ce.cost.Hedges,
 		Retries:          ce.cost.Retries,
 		Restarts:         ce.cost.Restarts,
-		ExtraLoad:        share(ce.cost.Extra, asked),
-		LeafSeen:         ba.requests,
-		LeafExtraLoad:    share(ba.requests-asked, asked),
-		Sheds:            ba.sheds,
-		ShedShare:        share(ba.sheds, ba.requests),
-		OverLimit:        ba.overLimit,
+		ExtraLoad:        fraction(ce.cost.Extra, asked),
+		LeafSeen:         sc.requests,
+		LeafExtraLoad:    fraction(sc.requests-asked, asked),
+		Sheds:            sc.sheds,
+		ShedShare:        fraction(sc.sheds, sc.requests),
+		OverLimit:        sc.overLimit,
 		Breaches:         ce.breaches,
 	}
 	for code, nu := range ce.codes {
 		li.Codes[code.String()] = nu
 	}
-	if se := ce.loaded.Seconds(); se > 0 {
+	if se := ce.loadTime.Seconds(); se > 0 {
 		li.Offered = float64(ce.calls) / se
 		li.Useful = float64(ce.useful) / se
 	}
@@ -166,14 +165,14 @@
 	return low, high
 }
 
-func share(part, whole int) float64 {
+func fraction(part, whole int) float64 {
 	if whole == 0 {
 		return 0
 	}
 	return float64(part) / float64(whole)
 }
 
-// ratio returns of divided by to; 0 if to is 0.
+// ratio returns of divided by to, or 0 if to is 0.
 func ratio(of, to int64) float64 {
 	if to == 0 {
 		return 0
@@ -193,8 +192,8 @@
 	}
 }
 
-// ratios compares the first arm with each other arm, and each arm with itself
-// in the reference phase.
+// ratios compares the first arm with each other arm, and each arm with itself in the reference
+// phase.
 func (ex Experiment) ratios(lines []Line) []Ratio {
 	find := func(phase, arm, group string) (Line, bool) {
 		for _, li := range lines {
@@ -213,7 +212,7 @@
 				ras = append(ras, ra)
 			}
 		}
-		if re := ex.reference(); re != "" && li.Phase != re {
+		if re := ex.referencePhase(); re != "" && li.Phase != re {
 			if to, ok := find(re, li.Arm, li.Group); ok {
 				ra := compare(li, to)
 				ra.Arm, ra.Of, ra.To = li.Arm, li.Phase, re
@@ -224,7 +223,7 @@
 	return ras
 }
 
-func (ex Experiment) reference() string {
+func (ex Experiment) referencePhase() string {
 	for _, ph := range ex.Phases {
 		if ph.Reference {
 			return ph.Name
--- a/load/run_test.go
+++ b/load/run_test.go
@@ -24,10 +24,10 @@
 	"balsamwinch.example/timer"
 )
 
-// fakeTier has backend servers, but its instances make their answers up.
+// fakeTier has real emulated backend servers and fake instances.
 type fakeTier struct {
 	ls      *Leafs
-	es      *entries
+	fi      *fakeInstances
 	applied []operator.File
 	kills   []string
 }
@@ -36,10 +36,10 @@
 	ls, err := StartLeafs(ex, nil, timer.New(), zap.NewNop())
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(ls.Close)
-	return &fakeTier{ls: ls, es: &entries{ttl: time.Hour}}
+	return &fakeTier{ls: ls, fi: &fakeInstances{ttl: time.Hour}}
 }
 
-func (ft *fakeTier) Addresses() []string { return ft.es.addresses }
+func (ft *fakeTier) Addresses() []string { return ft.fi.addresses }
 func (ft *fakeTier) Leafs() []LeafServer { return ft.ls.Servers() }
 func (ft *fakeTier) Close() error        { return nil }
 func (ft *fakeTier) Apply(_ context.Context, files []operator.File) error {
@@ -52,12 +52,12 @@
 	return ft.ls.Kill(server)
 }
 func (ft *fakeTier) StartLeaf(_ context.Context, server string) error { return ft.ls.Start(server) }
-func (ft *fakeTier) KillInstance(context.Context, int) error          { return errors.New("stuck fast") }
+func (ft *fakeTier) KillInstance(context.Context, int) error          { return errors.New("kill failed") }
 func (ft *fakeTier) StartInstance(context.Context, int) error         { return nil }
 
-// madeUp answers from the snapshot 1.1, but each fifth answer has a row of
-// another, and each seventh is a refusal.
-func madeUp(c *qt.C, ex Experiment) func(caller.Query) *fanout.Answer {
+// fakeAnswers answers from the snapshot 1.1, but every fifth answer has a row of another
+// snapshot and every seventh is a refusal.
+func fakeAnswers(c *qt.C, ex Experiment) func(caller.Query) *fanout.Answer {
 	var count atomic.Int64
 	return func(qu caller.Query) *fanout.Answer {
 		nu := count.Add(1)
@@ -84,11 +84,11 @@
 	}
 }
 
-func TestRun(t *testing.T) {
+func TestRunReportsBreachesAndEqualLoad(t *testing.T) {
 	c := qt.New(t)
-	ex := small(c)
+	ex := smallExperiment(c)
 	ti := newFakeTier(c, ex)
-	ti.es.add(t, madeUp(c, ex))
+	ti.fi.add(t, fakeAnswers(c, ex))
 	re, err := NewRunner(ex, ti, timer.New(), zap.NewNop()).Run(t.Context())
 	c.Assert(err, qt.IsNil)
 	c.Assert(re.Skipped, qt.HasLen, 0)
@@ -117,18 +117,17 @@
 	c.Assert(re.Lines[0].Queries, qt.Equals, re.Lines[3].Queries, qt.Commentf("both arms are offered the same load"))
 }
 
-// A backend server runs a booking, is killed and starts again with empty counts
-// and an old index. What it ran must still be counted, or a second run elsewhere
-// would go unseen; and it must hold the newest snapshot, or its shard would be
-// missing for a reason that is the experiment's own.
-func TestDirector(t *testing.T) {
+// A restarted backend server has zero counters and an old index. The executions before the
+// kill must still be counted, or a second execution elsewhere would not be detected; and the
+// server must get the newest snapshot, or the experiment itself would make its shard missing.
+func TestFaultInjectorKeepsCountsAndSnapshotsAcrossKill(t *testing.T) {
 	c := qt.New(t)
-	ex := small(c)
+	ex := smallExperiment(c)
 	ti := newFakeTier(c, ex)
-	di := NewFaultInjector(timer.New(), ti, ex)
+	fi := NewFaultInjector(timer.New(), ti, ex)
 	apply := func(ix int, fs FaultSpec) {
 		c.Helper()
-		c.Assert(di.Apply(t.Context(), Step{Index: ix, Fault: fs.Fault()}), qt.IsNil)
+		c.Assert(fi.Apply(t.Context(), Step{Index: ix, Fault: fs.Fault()}), qt.IsNil)
 	}
 	holdings := func(server string) []backend.Holding { return ti.ls.running[server].Record().Holdings }
 	first := snapshot.ID{Partition: 1, Version: 1}
@@ -141,7 +140,7 @@
 
 	var re backend.Reply
 	rq := backend.Request{RequestID: "k/s01", Shard: "s01", Snapshot: first, Key: "k", Query: json.RawMessage(`1`)}
-	c.Assert(di.post(t.Context(), ti.ls.running["archivo-s01-r2"].Address(), backend.QueryPath, rq, &re), qt.IsNil)
+	c.Assert(fi.post(t.Context(), ti.ls.running["archivo-s01-r2"].Address(), backend.QueryPath, rq, &re), qt.IsNil)
 	c.Assert(re.Code, qt.Equals, backend.ReplyOK)
 	apply(2, FaultSpec{Kind: Lost, Service: "archivo", Shard: 1, Replica: 2})
 	apply(3, FaultSpec{Kind: Repartition, Service: "archivo"})
@@ -157,24 +156,24 @@
 	c.Assert(holdings("desk-01-s01-r1"), qt.DeepEquals, []backend.Holding{{Shard: "s01", Snapshot: first}})
 	c.Assert(ti.ls.Servers(), qt.HasLen, len(ex.Servers())-1)
 
-	c.Assert(di.ClearFaults(t.Context()), qt.IsNil)
+	c.Assert(fi.ClearFaults(t.Context()), qt.IsNil)
 	c.Assert(ti.ls.running["archivo-s02-r1"].Faults(), qt.Equals, leaf.Faults{})
 	c.Assert(slices.Contains(holdings("archivo-s01-r2"), backend.Holding{Shard: "s01b", Snapshot: newer}), qt.IsTrue)
-	counts, err := di.Counts(t.Context())
+	counts, err := fi.Counts(t.Context())
 	c.Assert(err, qt.IsNil)
 	c.Assert(counts, qt.HasLen, len(ex.Servers()))
-	c.Assert(counts["archivo-s01-r2"].Executed, qt.DeepEquals, map[string]int{"k": 1}, qt.Commentf("a kill must not hide what ran before"))
+	c.Assert(counts["archivo-s01-r2"].Executed, qt.DeepEquals, map[string]int{"k": 1}, qt.Commentf("executions before the kill must be counted"))
 
-	err = di.Apply(t.Context(), Step{Fault: InstanceLoss{Number: 1}})
-	c.Assert(err, qt.ErrorMatches, "stuck fast")
+	err = fi.Apply(t.Context(), Step{Fault: InstanceLoss{Number: 1}})
+	c.Assert(err, qt.ErrorMatches, "kill failed")
 }
 
-func TestTable(t *testing.T) {
+func TestWriteTable(t *testing.T) {
 	c := qt.New(t)
-	ex := small(c)
+	ex := smallExperiment(c)
 	line := func(phase, arm string, p99 int64) Line {
 		ce := newCell()
-		ce.loaded = 10 * time.Second
+		ce.loadTime = 10 * time.Second
 		for ix := range 100 {
 			sa := sample{call: Call{Deadline: 300 * time.Millisecond}, service: ex.Services[0], intended: time.Unix(0, 0), sent: time.Unix(0, 50_000)}
 			sa.done = time.Unix(0, int64(ix+1)*p99*10)
@@ -193,7 +192,7 @@
 			sa.outcome.Attempts = []Attempt{sa.outcome.Word}
 			ce.add(sa, ix%2, 0)
 		}
-		return ce.line(phase, arm, "archivo", bill{requests: 300, sheds: 3})
+		return ce.line(phase, arm, "archivo", serverCounts{requests: 300, sheds: 3})
 	}
 	re := Report{Experiment: "small", Seed: 1, Machine: Machine{Processors: 12, GoVersion: "go1.26", LoadBefore: 0.5}}
 	re.Lines = []Line{
@@ -209,5 +208,5 @@
 	re.Dropped = 2
 	var out bytes.Buffer
 	c.Assert(re.WriteTable(&out), qt.IsNil)
-	golden(c, "report.txt", out.Bytes())
+	checkGolden(c, "report.txt", out.Bytes())
 }
--- a/load/shape.go
+++ b/load/shape.go
@@ -11,21 +11,21 @@
 	"balsamwinch.example/operator"
 )
 
-// The numbers of the partition maps that an experiment knows. The second splits
-// the first shard of the first in two.
+// Numbers of the partition maps of an experiment. The second map splits the first shard in
+// two.
 const (
 	wholeMap = 1
 	splitMap = 2
 )
 
-// Stream is one service of a group, with the load that it gets.
+// Stream is one service of a group with the rate of its queries.
 type Stream struct {
 	Service Service
-	Label   string // Label is what the backend servers announce as their service.
+	Label   string // service that the backend servers announce
 	Rate    float64
 }
 
-// Streams returns every service of the experiment at the rates of a phase.
+// Streams returns every service of the experiment with its rate in a phase.
 func (ex Experiment) Streams(ph Phase) []Stream {
 	var sts []Stream
 	for _, se := range ex.Services {
@@ -48,9 +48,9 @@
 	return fmt.Sprintf("%s-%02d", se.Name, number)
 }
 
-// Capacity returns how many queries a second the slots of one service of the
-// group can carry, worked out from the mean service time. Waiting for the
-// slowest shard keeps a real tier below it. It is 0 if no service time is set.
+// Capacity returns the queries per second that the slots of one service of the group can
+// process, computed from the mean service time. A real tier reaches less, because queries wait
+// for the slowest shard. It is 0 if no service time is set.
 func (se Service) Capacity() float64 {
 	mean := se.ServiceTime.Median.Seconds() * math.Exp(se.ServiceTime.Sigma*se.ServiceTime.Sigma/2)
 	if mean == 0 {
@@ -63,14 +63,14 @@
 func (se Service) Shards(partition uint64) []string {
 	var shs []string
 	for nu := 1; nu <= se.Leaves; nu++ {
-		shs = append(shs, se.held(nu, partition)...)
+		shs = append(shs, se.shardsHeld(nu, partition)...)
 	}
 	return shs
 }
 
-// held returns what the backend servers of a shard of the first map hold in a
-// partition map.
-func (se Service) held(shard int, partition uint64) []string {
+// shardsHeld returns what the backend servers of a shard of the first map hold in a partition
+// map.
+func (se Service) shardsHeld(shard int, partition uint64) []string {
 	name := fmt.Sprintf("s%02d", shard)
 	if shard == 1 && partition == splitMap {
 		return []string{name + "a", name + "b"}
@@ -82,9 +82,9 @@
 type ServerSpec struct {
 	Name       string
 	Service    Service
-	Label      string // Label is the service that it announces.
-	Shard      int    // Shard is its place in the first partition map, from 1.
-	Replica    int    // Replica counts from 1.
+	Label      string // service that it announces
+	Shard      int    // number in the first partition map, from 1
+	Replica    int    // number from 1
 	DataCentre string
 }
 
@@ -123,14 +123,13 @@
 		(ta.Replica == 0 || ta.Replica == sp.Replica)
 }
 
-// serviceName returns the name under which an arm's queries reach a service:
-// each arm has a service of its own over the same backend servers, so that both
-// can run in one tier.
+// serviceName returns the name of a service in the configuration of an arm: each arm has its
+// own service over the same backend servers, so that both arms can run in one tier.
 func serviceName(label string, ar Arm) string {
 	return label + "-" + ar.Name
 }
 
-// The files of an experiment's configuration.
+// Files of an experiment's configuration.
 type (
 	configFile struct {
 		Services map[string]configService `json:",omitempty"`
@@ -149,17 +148,17 @@
 	configSelector struct{ Service string }
 )
 
-// Files returns the operators' files of the experiment: the limits, and a file
-// for each group with one service for each arm.
+// Files returns the operators' files of the experiment: the limits, and a file for each group
+// with one service for each arm.
 func (ex Experiment) Files() ([]operator.File, error) {
 	limits := operator.Limits{MaxEntries: ex.Tier.MaxEntries, AddressTTLMillis: ex.Tier.AddressTTL.Milliseconds()}
-	fi, err := configuration("10-limits.yaml", configFile{Limits: &limits})
+	fi, err := marshalConfiguration("10-limits.yaml", configFile{Limits: &limits})
 	if err != nil {
 		return nil, err
 	}
 	files := []operator.File{fi}
 	for ix, se := range ex.Services {
-		fi, err := configuration(fmt.Sprintf("%d-%s.yaml", 20+ix, se.Name), configFile{Services: ex.configServices(se)})
+		fi, err := marshalConfiguration(fmt.Sprintf("%d-%s.yaml", 20+ix, se.Name), configFile{Services: ex.configServices(se)})
 		if err != nil {
 			return nil, err
 		}
@@ -190,9 +189,9 @@
 	return ses
 }
 
-// configuration writes a file as YAML with the keys in Pascal case, as the
-// fields are named; the YAML library on its own would make them small.
-func configuration(name string, cf configFile) (operator.File, error) {
+// marshalConfiguration encodes a file as YAML with the field names as keys; the YAML library
+// alone would convert them to lower case.
+func marshalConfiguration(name string, cf configFile) (operator.File, error) {
 	data, err := json.Marshal(cf)
 	if err != nil {
 		return operator.File{}, err
@@ -201,38 +200,38 @@
 	if err := yaml.Unmarshal(data, &no); err != nil {
 		return operator.File{}, err
 	}
-	plain(&no)
+	clearStyle(&no)
 	content, err := yaml.Marshal(&no)
 	return operator.File{Name: name, Content: content}, err
 }
 
-// plain removes the style that a node has from JSON, but keeps lists of texts
-// on one line.
-func plain(no *yaml.Node) {
+// clearStyle removes the style that a node has from JSON, but keeps lists of strings on one
+// line.
+func clearStyle(no *yaml.Node) {
 	no.Style = 0
 	if no.Kind == yaml.SequenceNode && len(no.Content) > 0 && no.Content[0].Kind == yaml.ScalarNode {
 		no.Style = yaml.FlowStyle
 	}
 	for _, ch := range no.Content {
-		plain(ch)
+		clearStyle(ch)
 	}
 }
 
-// Block is one arm's turn.
+// Block is a short period in which one arm is loaded.
 type Block struct {
 	Phase  int
 	Arm    int
-	Number int // Number counts the turns of an arm within a phase, from 0.
+	Number int // number within the arm and phase, from 0
 	Length time.Duration
 }
 
-// Blocks returns the turns of all arms in order. The arms alternate in short
-// blocks, so that what else the machine does in a minute falls on each of them.
+// Blocks returns the blocks of all arms in order. The arms alternate in short blocks, so that
+// other load on the machine affects all of them equally.
 func (ex Experiment) Blocks() []Block {
 	var bls []Block
 	for pi, ph := range ex.Phases {
-		turns := max(1, int(ph.Length/ex.Block)/len(ex.Arms))
-		for nu := range turns {
+		rounds := max(1, int(ph.Length/ex.Block)/len(ex.Arms))
+		for nu := range rounds {
 			for ai := range ex.Arms {
 				bls = append(bls, Block{Phase: pi, Arm: ai, Number: nu, Length: ex.Block})
 			}
@@ -241,8 +240,8 @@
 	return bls
 }
 
-// seed returns the seed of the block's arrivals. It leaves the arm out: the
-// arms are offered the same arrivals, turn by turn.
+// seed returns the seed of the block's arrivals. It does not depend on the arm, so that all
+// arms are offered the same arrivals in blocks of the same number.
 func (bl Block) seed(ex Experiment) uint64 {
 	return ex.Seed<<32 | uint64(bl.Phase)<<16 | uint64(bl.Number)
 }
--- a/load/slope_test.go
+++ b/load/slope_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestMeasure(t *testing.T) {
+func TestMeasureRunsAllSizesAndFits(t *testing.T) {
 	c := qt.New(t)
 	me := Measure{
 		Role: "voter", Kind: "intents", Unit: "bytes", Sizes: []float64{10, 100, 1000}, Target: 5000,
@@ -43,9 +43,9 @@
 	c.Assert(sl.Sizes, qt.DeepEquals, []float64{10, 100, 1000, 10, 100, 1000})
 	var out bytes.Buffer
 	c.Assert(WriteMarkdown(&out, []Row{NewRow(sl, me.Target)}), qt.IsNil)
-	golden(c, "slope.md", out.Bytes())
+	checkGolden(c, "slope.md", out.Bytes())
 
-	me.Take = func(context.Context, float64) (float64, error) { return 0, errors.New("no room") }
+	me.Take = func(context.Context, float64) (float64, error) { return 0, errors.New("measurement failed") }
 	_, err = me.Run(t.Context(), 1, "")
-	c.Assert(err, qt.ErrorMatches, "voter/intents at size 10: no room")
+	c.Assert(err, qt.ErrorMatches, "voter/intents at size 10: measurement failed")
 }
--- a/load/table.go
+++ b/load/table.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// lateSend is the p99 of the lag behind the intended start from which the
-// latencies of a line tell more of the machine than of the tier.
-const lateSend = 10 * time.Millisecond
+// maxSendLag is the p99 of the delay between due time and sending above which the latencies of
+// a line reflect the load of the machine more than the tier.
+const maxSendLag = 10 * time.Millisecond
 
-// WriteTable writes the report for people.
+// WriteTable writes the report as text.
 func (re Report) WriteTable(wr io.Writer) error {
 	pr := printer{wr: wr}
 	pr.printf("experiment %s, seed %d, %s\n", re.Experiment, re.Seed, re.Started.UTC().Format(time.RFC3339))
@@ -26,8 +26,8 @@
 	return pr.err
 }
 
-// table writes rows with aligned columns.
-func table(pr *printer, header string, rows func(add func(cols ...string))) {
+// writeColumns writes rows with aligned columns.
+func writeColumns(pr *printer, header string, rows func(add func(cols ...string))) {
 	if pr.err != nil {
 		return
 	}
@@ -43,19 +43,19 @@
 }
 
 func (re Report) writeLines(pr *printer) {
-	table(pr, "phase\tgroup\tarm\tqueries\toffered/s\tuseful/s\tp50\tp99\tlow\thigh\tp99.9\tmax\tcoverage\tlate\tlost\trefused\tp99", func(add func(cols ...string)) {
+	writeColumns(pr, "phase\tgroup\tarm\tqueries\toffered/s\tuseful/s\tp50\tp99\tlow\thigh\tp99.9\tmax\tcoverage\tlate\tlost\trefused\tp99", func(add func(cols ...string)) {
 		for _, li := range re.Lines {
-			add(li.Phase, li.Group, li.Arm, whole(li.Queries), rate(li.Offered), rate(li.Useful),
-				millis(li.P50Micros), millis(li.P99Micros), millis(li.P99LowMicros), millis(li.P99HighMicros),
-				millis(li.P999Micros), millis(li.MaxMicros), percent(li.Coverage), whole(li.Late), whole(li.Lost),
-				whole(li.Refused), millis(li.RefusalP99Micros))
+			add(li.Phase, li.Group, li.Arm, formatInt(li.Queries), formatRate(li.Offered), formatRate(li.Useful),
+				formatMillis(li.P50Micros), formatMillis(li.P99Micros), formatMillis(li.P99LowMicros), formatMillis(li.P99HighMicros),
+				formatMillis(li.P999Micros), formatMillis(li.MaxMicros), formatPercent(li.Coverage), formatInt(li.Late), formatInt(li.Lost),
+				formatInt(li.Refused), formatMillis(li.RefusalP99Micros))
 		}
 	})
-	table(pr, "phase\tgroup\tarm\tleaf requests\thedges\tretries\trestarts\textra load\tseen by leafs\textra load\tshed\tover limit\tsent late p99\tcodes, missing", func(add func(cols ...string)) {
+	writeColumns(pr, "phase\tgroup\tarm\tleaf requests\thedges\tretries\trestarts\textra load\tseen by leafs\textra load\tshed\tover limit\tsent late p99\tcodes, missing", func(add func(cols ...string)) {
 		for _, li := range re.Lines {
-			add(li.Phase, li.Group, li.Arm, whole(li.LeafRequests), whole(li.Hedges), whole(li.Retries), whole(li.Restarts),
-				percent(li.ExtraLoad), whole(li.LeafSeen), percent(li.LeafExtraLoad), percent(li.ShedShare),
-				whole(li.OverLimit), millis(li.LagP99Micros), counted(li.Codes)+counted(li.Missing))
+			add(li.Phase, li.Group, li.Arm, formatInt(li.LeafRequests), formatInt(li.Hedges), formatInt(li.Retries), formatInt(li.Restarts),
+				formatPercent(li.ExtraLoad), formatInt(li.LeafSeen), formatPercent(li.LeafExtraLoad), formatPercent(li.ShedShare),
+				formatInt(li.OverLimit), formatMillis(li.LagP99Micros), formatCounts(li.Codes)+formatCounts(li.Missing))
 		}
 	})
 	re.writeCapacity(pr)
@@ -70,8 +70,7 @@
 	}
 }
 
-// writeComparison writes a line for each phase and group with the arms side by
-// side.
+// writeComparison writes a row for each phase and group that shows the arms side by side.
 func (re Report) writeComparison(pr *printer) {
 	arms := re.arms()
 	header := "phase\tgroup"
@@ -83,10 +82,10 @@
 	for _, ar := range arms[min(1, len(arms)):] {
 		header += fmt.Sprintf("\tp99 %s/%s", arms[0], ar)
 	}
-	table(pr, header, func(add func(cols ...string)) {
+	writeColumns(pr, header, func(add func(cols ...string)) {
 		for _, li := range re.Lines {
 			if li.Arm == arms[0] {
-				add(re.compared(li.Phase, li.Group, arms)...)
+				add(re.comparisonRow(li.Phase, li.Group, arms)...)
 			}
 		}
 	})
@@ -103,22 +102,22 @@
 	return arms
 }
 
-func (re Report) compared(phase, group string, arms []string) []string {
-	var p99, quiet, coverage, useful, extra, ratios []string
+func (re Report) comparisonRow(phase, group string, arms []string) []string {
+	var p99, toReference, coverage, useful, extra, ratios []string
 	for _, ar := range arms {
 		li := re.line(phase, ar, group)
-		p99 = append(p99, millis(li.P99Micros))
-		quiet = append(quiet, re.ratio(func(ra Ratio) bool { return ra.Arm == ar && ra.Phase == phase && ra.Group == group }))
-		coverage = append(coverage, percent(li.Coverage))
-		useful = append(useful, rate(li.Useful))
-		extra = append(extra, percent(li.ExtraLoad))
+		p99 = append(p99, formatMillis(li.P99Micros))
+		toReference = append(toReference, re.ratio(func(ra Ratio) bool { return ra.Arm == ar && ra.Phase == phase && ra.Group == group }))
+		coverage = append(coverage, formatPercent(li.Coverage))
+		useful = append(useful, formatRate(li.Useful))
+		extra = append(extra, formatPercent(li.ExtraLoad))
 		if ar != arms[0] {
 			ratios = append(ratios, re.ratio(func(ra Ratio) bool {
 				return ra.Arm == "" && ra.To == ar && ra.Phase == phase && ra.Group == group
 			}))
 		}
 	}
-	return slices.Concat([]string{phase, group}, p99, quiet, coverage, useful, extra, ratios)
+	return slices.Concat([]string{phase, group}, p99, toReference, coverage, useful, extra, ratios)
 }
 
 func (re Report) line(phase, arm, group string) Line {
@@ -130,10 +129,10 @@
 	return Line{}
 }
 
-// ratio returns the ratio of the p99 that the condition selects.
+// ratio returns the p99 of the first ratio that satisfies the condition, or "-".
 func (re Report) ratio(cond func(ra Ratio) bool) string {
 	if ix := slices.IndexFunc(re.Ratios, cond); ix >= 0 {
-		return times(re.Ratios[ix].P99)
+		return formatRatio(re.Ratios[ix].P99)
 	}
 	return "-"
 }
@@ -162,22 +161,22 @@
 func (re Report) writeLateSends(pr *printer) {
 	summed := slices.ContainsFunc(re.Lines, func(li Line) bool { return li.Group == AllGroups })
 	for _, li := range re.Lines {
-		if li.LagP99Micros <= lateSend.Microseconds() || summed && li.Group != AllGroups {
+		if li.LagP99Micros <= maxSendLag.Microseconds() || summed && li.Group != AllGroups {
 			continue
 		}
-		pr.printf("sent late: %s, %s by %s ms at p99; the machine was too busy for its latencies\n",
-			li.Phase, li.Arm, millis(li.LagP99Micros))
+		pr.printf("sent late: %s, %s by %s ms at p99; the machine was too busy for these latencies to be valid\n",
+			li.Phase, li.Arm, formatMillis(li.LagP99Micros))
 	}
 }
 
-func whole(nu int) string       { return fmt.Sprint(nu) }
-func rate(ra float64) string    { return fmt.Sprintf("%.1f", ra) }
-func times(ra float64) string   { return fmt.Sprintf("%.2f", ra) }
-func millis(mi int64) string    { return fmt.Sprintf("%.2f", float64(mi)/1000) }
-func percent(sh float64) string { return fmt.Sprintf("%.2f%%", 100*sh) }
+func formatInt(nu int) string         { return fmt.Sprint(nu) }
+func formatRate(ra float64) string    { return fmt.Sprintf("%.1f", ra) }
+func formatRatio(ra float64) string   { return fmt.Sprintf("%.2f", ra) }
+func formatMillis(mi int64) string    { return fmt.Sprintf("%.2f", float64(mi)/1000) }
+func formatPercent(sh float64) string { return fmt.Sprintf("%.2f%%", 100*sh) }
 
-// counted lists counts in the order of their names, without the complete ones.
-func counted[K ~string](co map[K]int) string {
+// formatCounts lists counts in the order of their names, without Complete.
+func formatCounts[K ~string](co map[K]int) string {
 	st := ""
 	for _, ke := range slices.Sorted(maps.Keys(co)) {
 		if ke != "Complete" {
--- a/load/tier.go
+++ b/load/tier.go
@@ -9,33 +9,32 @@
 
 // Tier is a running tier.
 type Tier interface {
-	// Addresses are the callers' addresses of the instances, each an IP number
-	// and a port.
+	// Addresses returns the instances' addresses for callers, each an IP address and a port.
 	Addresses() []string
-	// Apply brings the operators' files in force and returns once they are.
+	// Apply applies the operators' files and returns once they are in effect.
 	Apply(ctx context.Context, files []operator.File) error
-	// Leafs are the emulated backend servers. Their number and names stay.
+	// Leafs returns the emulated backend servers. Their number and names do not change.
 	Leafs() []LeafServer
-	// Close ends the tier.
+	// Close stops the tier.
 	Close() error
 }
 
-// LeafServer is where an emulated backend server takes its directions.
+// LeafServer is an emulated backend server and the address of its control endpoint.
 type LeafServer struct {
 	Server         string
 	ControlAddress string
 }
 
-// Killer is a Tier whose parts can be killed and started again. Experiments
-// with the faults Lost and KillInstance need one.
+// Killer is a Tier whose parts can be killed and restarted. Experiments with the faults Lost
+// and KillInstance need one.
 type Killer interface {
-	// KillLeaf ends a backend server without a warning and returns what it had
-	// counted, so that a request which it ran before isn't forgotten.
+	// KillLeaf stops a backend server without a drain and returns its counters, so that the
+	// requests which it has run still count.
 	KillLeaf(ctx context.Context, server string) (leaf.Counts, error)
-	// StartLeaf starts a killed backend server again.
+	// StartLeaf restarts a killed backend server.
 	StartLeaf(ctx context.Context, server string) error
-	// KillInstance ends the instance of the number, from 1, without a warning.
+	// KillInstance kills the instance with the given number, counted from 1.
 	KillInstance(ctx context.Context, number int) error
-	// StartInstance starts a killed instance again.
+	// StartInstance restarts a killed instance.
 	StartInstance(ctx context.Context, number int) error
 }
