--- a/emulate/announce.go
+++ b/emulate/announce.go
@@ -17,18 +17,18 @@
 	"balsamwinch.example/result"
 )
 
-// Announcer takes the announcements of backend servers.
+// Announcer receives the announcements of backend servers.
 type Announcer interface {
-	// Announce tells what a server is. A nil error means that it was heard.
+	// Announce publishes the state of a server. A nil error means that it was received.
 	Announce(ctx context.Context, se registry.Server) error
-	// Leave tells that a server is gone for good.
+	// Leave announces that a server has left for good.
 	Leave(ctx context.Context, id string) error
 }
 
-// controlWithin bounds one call to a control instance.
-const controlWithin = time.Second
+// controlTimeout bounds one call to a control instance.
+const controlTimeout = time.Second
 
-// Control calls control instances, one after the other until one accepts. It is
+// ControlClient calls the control instances in turn until one accepts the call. It is
 // safe for concurrent use. Errors are *result.Error.
 type ControlClient struct {
 	addresses []string
@@ -38,15 +38,16 @@
 
 var _ Announcer = (*ControlClient)(nil)
 
-// NewControl returns a client of the control instances at the addresses, IP:port.
+// NewControlClient returns a client of the control instances at the addresses, each
+// IP:port.
 func NewControlClient(addresses []string) *ControlClient {
-	return &ControlClient{addresses: slices.Clone(addresses), hc: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}, Timeout: controlWithin}}
+	return &ControlClient{addresses: slices.Clone(addresses), hc: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}, Timeout: controlTimeout}}
 }
 
-// Close closes the connections that are idle.
+// Close closes the idle connections.
 func (co *ControlClient) Close() { co.hc.CloseIdleConnections() }
 
-// Announce tells a control instance what a server is.
+// Announce sends the state of a server to a control instance.
 func (co *ControlClient) Announce(ctx context.Context, se registry.Server) error {
 	data, err := json.Marshal(announcement{
 		Service: se.Service, Address: se.Address, DataCentre: se.DataCentre, Version: se.Version,
@@ -59,42 +60,41 @@
 	return err
 }
 
-// Leave tells a control instance that a server is gone.
+// Leave tells a control instance that a server has left.
 func (co *ControlClient) Leave(ctx context.Context, id string) error {
 	_, err := co.call(ctx, http.MethodDelete, "/servers/"+url.PathEscape(id), nil)
 	return err
 }
 
-// Configure has a configuration accepted.
+// Configure submits a configuration and returns once it is accepted.
 func (co *ControlClient) Configure(ctx context.Context, data []byte) error {
 	_, err := co.call(ctx, http.MethodPut, "/configuration", data)
 	return err
 }
 
-// Newest returns the newest accepted configuration.
+// LatestConfiguration returns the latest accepted configuration.
 func (co *ControlClient) LatestConfiguration(ctx context.Context) ([]byte, error) {
 	return co.call(ctx, http.MethodGet, "/configuration", nil)
 }
 
-// Evacuate has a data centre evacuated.
+// Evacuate evacuates a data centre.
 func (co *ControlClient) Evacuate(ctx context.Context, dataCentre string) error {
 	_, err := co.call(ctx, http.MethodPut, "/evacuations/"+url.PathEscape(dataCentre), nil)
 	return err
 }
 
-// Withdraw has an evacuation withdrawn.
+// WithdrawEvacuation withdraws the evacuation of a data centre.
 func (co *ControlClient) WithdrawEvacuation(ctx context.Context, dataCentre string) error {
 	_, err := co.call(ctx, http.MethodDelete, "/evacuations/"+url.PathEscape(dataCentre), nil)
 	return err
 }
 
-// call asks one control instance after the other, each once, beginning with
-// another one each time.
+// call tries each control instance once, starting with a different one on each call.
 func (co *ControlClient) call(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	first := co.next.Add(1)
-	last := &result.Error{Code: result.ControlUnavailable, Op: method + " " + path, Detail: "no control instance is known"}
+	lastErr := &result.Error{Code: result.ControlUnavailable, Op: method + " " + path, Detail: "no control instance is known"}
 	for ix := range uint64(len(co.addresses)) {
-		data, status, err := co.one(ctx, method, co.addresses[(first+ix)%uint64(len(co.addresses))], path, body)
+		data, status, err := co.callInstance(ctx, method, co.addresses[(first+ix)%uint64(len(co.addresses))], path, body)
 		switch {
 		case err == nil && status == http.StatusOK:
 			return data, nil
@@ -103,12 +103,12 @@
 		case err == nil:
 			err = fmt.Errorf("status %d: %s", status, data)
 		}
-		last.Detail, last.Err = "no control instance accepted the call", err
+		lastErr.Detail, lastErr.Err = "no control instance accepted the call", err
 	}
-	return nil, last
+	return nil, lastErr
 }
 
-func (co *ControlClient) one(ctx context.Context, method, address, path string, body []byte) ([]byte, int, error) {
+func (co *ControlClient) callInstance(ctx context.Context, method, address, path string, body []byte) ([]byte, int, error) {
 	rq, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, 0, err
--- a/emulate/caller_test.go
+++ b/emulate/caller_test.go
@@ -9,10 +9,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// An entry instance ends on receipt of a request on a connection that was used
-// before. net/http would send such a request again, and what was to run once would
-// run twice by the caller's own doing.
-func TestCallerSendsOnce(t *testing.T) {
+// Guards against a request that runs twice because the caller's HTTP client retried it:
+// net/http retries a request whose reused connection closes before the response, as when
+// an entry instance exits on receiving it.
+func TestCallerNeverRetries(t *testing.T) {
 	var arrived atomic.Int64
 	hs := httptest.NewServer(http.HandlerFunc(func(wr http.ResponseWriter, _ *http.Request) {
 		if arrived.Add(1) == 2 {
--- a/emulate/configuration.go
+++ b/emulate/configuration.go
@@ -8,8 +8,8 @@
 	"balsamwinch.example/settings"
 )
 
-// Configuration is what an operator writes, in YAML or JSON. Times are written
-// like 250ms.
+// Configuration is what an operator writes, in YAML or JSON. Times are written like
+// 250ms.
 type Configuration struct {
 	Version  uint64
 	Routes   []Route
@@ -17,33 +17,33 @@
 	Limits   Limits
 }
 
-// Route says what happens to the requests of one host whose path begins with one
-// prefix. Either Service, Weights or Shards is given.
+// Route configures the requests for one host whose path begins with one prefix. Exactly
+// one of Service, Weights and Shards is set.
 type Route struct {
 	Name        string
 	Host        string
 	Prefix      string
-	Kind        string // Kind is Repeatable or NotRepeatable; default NotRepeatable.
+	Kind        string // Repeatable or NotRepeatable; default NotRepeatable
 	Timeout     time.Duration
 	Aim         time.Duration
 	MaxAttempts int
 	Service     string
-	Weights     map[string]int // Weights divides the requests among services.
+	Weights     map[string]int // share of the requests for each service
 	Shards      []string
 	TopK        int
 	LeastShare  float64
 }
 
-// Service is a service that routes name.
+// Service is a service that routes refer to.
 type Service struct {
 	Name        string
 	HealthPath  string
-	Connections int           // Connections is what one backend server accepts from all callers together.
-	Warmup      time.Duration // Warmup is how long a server is cold after it starts.
-	WarmupRate  float64       // WarmupRate is how many requests a second it bears then; 0 if that isn't bounded.
+	Connections int           // maximum connections of one backend server, from all callers together
+	Warmup      time.Duration // length of the warm-up after a server starts
+	WarmupRate  float64       // requests per second that a server can take during warm-up; 0 for no limit
 }
 
-// Limits bound what a caller may send and how long it may take.
+// Limits bound the size of a caller's requests and how long it may take to send them.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int
@@ -53,25 +53,25 @@
 
 // Encode returns the configuration as JSON.
 func (cf Configuration) Encode() []byte {
-	type plain struct {
+	type document struct {
 		Version  uint64
 		Routes   []map[string]any
 		Services []map[string]any
 		Limits   map[string]any
 	}
-	pl := plain{Version: cf.Version, Limits: map[string]any{
+	doc := document{Version: cf.Version, Limits: map[string]any{
 		"HeaderBytes": cf.Limits.HeaderBytes, "BodyBytes": cf.Limits.BodyBytes,
 		"HeaderTimeout": cf.Limits.HeaderTimeout.String(), "IdleTimeout": cf.Limits.IdleTimeout.String(),
 	}}
 	for _, ro := range cf.Routes {
-		pl.Routes = append(pl.Routes, ro.encode())
+		doc.Routes = append(doc.Routes, ro.encode())
 	}
 	for _, se := range cf.Services {
-		pl.Services = append(pl.Services, se.encode())
+		doc.Services = append(doc.Services, se.encode())
 	}
-	data, err := json.Marshal(pl)
+	data, err := json.Marshal(doc)
 	if err != nil {
-		panic(err) // A map of numbers and texts can always be encoded, but for infinite shares.
+		panic(err) // Numbers and strings can always be encoded, except for an infinite LeastShare.
 	}
 	return data
 }
@@ -103,8 +103,9 @@
 	return out
 }
 
-// table reads a configuration. The error is settings.Faults or a *route.Fault.
-func table(data []byte) (*route.Table, error) {
+// parseTable parses a configuration. The error is settings.Faults or a
+// *route.ConfigError.
+func parseTable(data []byte) (*route.Table, error) {
 	var cf Configuration
 	if fs := settings.Decode("configuration", data, &cf); len(fs) > 0 {
 		return nil, fs
--- a/emulate/dialect.go
+++ b/emulate/dialect.go
@@ -10,23 +10,23 @@
 	"balsamwinch.example/tier"
 )
 
-// The headers of the dialect.
+// The header names of the dialect.
 const (
-	headerRequestID = "Request-Id"
-	headerDeadline  = "Timeout-Millis"
-	headerExpect    = "Expect-Server"
-	headerStamp     = "Server-Stamp"
-	headerNotRun    = "Not-Run"
-	headerLoad      = "Server-Load"
-	headerServer    = "Server-Id"
-	headerParts     = "Part-Stamps"
-	headerMissing   = "Missing-Parts"
+	headerRequestID    = "Request-Id"
+	headerDeadline     = "Timeout-Millis"
+	headerExpectServer = "Expect-Server"
+	headerStamp        = "Server-Stamp"
+	headerNotRun       = "Not-Run"
+	headerServerLoad   = "Server-Load"
+	headerServerID     = "Server-Id"
+	headerPartStamps   = "Part-Stamps"
+	headerMissingParts = "Missing-Parts"
 )
 
-// Dialect is the product's own dialect. Operators call PUT and GET
-// /configuration, backend servers PUT and DELETE /servers/{id}, callers
-// GET /addresses?DataCentre=NAME, and GET /ready tells whether an entry instance
-// serves.
+// Dialect is the HTTP dialect of the project itself. Operators call PUT and GET
+// /configuration, backend servers PUT and DELETE /servers/{id}, callers GET
+// /addresses?DataCentre=NAME, and GET /ready reports whether an entry instance serves
+// callers.
 type Dialect struct{}
 
 var _ tier.Dialect = Dialect{}
@@ -34,25 +34,25 @@
 // Names returns the header names.
 func (Dialect) Names() gateway.HeaderNames {
 	return gateway.HeaderNames{
-		RequestID: headerRequestID, Deadline: headerDeadline, ExpectServer: headerExpect,
-		Stamp: headerStamp, NotRun: headerNotRun, ServerLoad: headerLoad,
-		ServerID: headerServer, PartStamps: headerParts, MissingParts: headerMissing,
+		RequestID: headerRequestID, Deadline: headerDeadline, ExpectServer: headerExpectServer,
+		Stamp: headerStamp, NotRun: headerNotRun, ServerLoad: headerServerLoad,
+		ServerID: headerServerID, PartStamps: headerPartStamps, MissingParts: headerMissingParts,
 	}
 }
 
-// Table reads a configuration in YAML or JSON. The error lists its faults.
-func (Dialect) Table(data []byte) (*route.Table, error) { return table(data) }
+// Table parses a configuration in YAML or JSON. The error lists its faults.
+func (Dialect) Table(data []byte) (*route.Table, error) { return parseTable(data) }
 
-// Tables returns what reads one configuration after the other.
+// Tables returns a parser for successive configurations.
 func (di Dialect) Tables() tier.ConfigurationParser { return di }
 
 // ControlHandler serves operators and backend servers.
 func (Dialect) ControlHandler(co tier.ControlAPI) http.Handler {
 	mx := http.NewServeMux()
 	ch := &controlHandler{co: co}
-	mx.HandleFunc("PUT /configuration", ch.write)
-	mx.HandleFunc("GET /configuration", ch.read)
-	mx.HandleFunc("GET /evacuations", ch.evacuations)
+	mx.HandleFunc("PUT /configuration", ch.putConfiguration)
+	mx.HandleFunc("GET /configuration", ch.getConfiguration)
+	mx.HandleFunc("GET /evacuations", ch.listEvacuations)
 	mx.HandleFunc("PUT /evacuations/{DataCentre}", ch.evacuate)
 	mx.HandleFunc("DELETE /evacuations/{DataCentre}", ch.evacuate)
 	mx.HandleFunc("PUT /servers/{id}", ch.announce)
@@ -60,7 +60,7 @@
 	return mx
 }
 
-// AddressHandler tells callers which entry instances to use.
+// AddressHandler serves the list of entry instances that callers should use.
 func (Dialect) AddressHandler(ad tier.AddressAPI) http.Handler {
 	mx := http.NewServeMux()
 	mx.HandleFunc("GET /addresses", func(wr http.ResponseWriter, rq *http.Request) {
@@ -71,12 +71,12 @@
 	return mx
 }
 
-// ReadyHandler tells whether an entry instance serves callers.
+// ReadyHandler reports whether an entry instance serves callers.
 func (Dialect) ReadyHandler(ready func() bool) http.Handler {
 	mx := http.NewServeMux()
 	mx.HandleFunc("GET /ready", func(wr http.ResponseWriter, _ *http.Request) {
 		if !ready() {
-			writeFault(wr, http.StatusServiceUnavailable, "not ready")
+			writeError(wr, http.StatusServiceUnavailable, "not ready")
 			return
 		}
 		tier.WriteJSON(wr, http.StatusOK, struct{}{})
@@ -94,80 +94,82 @@
 	DataCentres []string
 }
 
-type faultAnswer struct {
+type errorResponse struct {
 	Detail string
 }
 
-// announcement is the body of a backend server's call; its id is in the path.
+// announcement is the body of a backend server's announcement; the server's ID is in the
+// path.
 type announcement struct {
 	Service    string
 	Address    string
 	DataCentre string
 	Version    string
 	Slots      int
-	State      string // State is Ready or Draining.
+	State      string // Ready or Draining
 	Sequence   uint64
 	WarmMillis int64
-	Born       int64 `json:",omitempty"` // Born is when the server started, in Unix milliseconds; it may be left out.
+	Born       int64 `json:",omitempty"` // start time of the server in Unix milliseconds; optional
 }
 
-const badState = "State: want Ready or Draining"
+const invalidStateDetail = "State: want Ready or Draining"
 
 type controlHandler struct {
 	co tier.ControlAPI
 }
 
-func (ch *controlHandler) write(wr http.ResponseWriter, rq *http.Request) {
-	data, ok := ch.body(wr, rq)
+func (ch *controlHandler) putConfiguration(wr http.ResponseWriter, rq *http.Request) {
+	data, ok := ch.readBody(wr, rq)
 	if !ok {
 		return
 	}
-	tb, err := table(data)
+	tb, err := parseTable(data)
 	if err != nil {
-		writeFault(wr, http.StatusBadRequest, err.Error())
+		writeError(wr, http.StatusBadRequest, err.Error())
 		return
 	}
 	if err := ch.co.Accept(rq.Context(), tb.Version(), data); err != nil {
-		writeFault(wr, tier.AcceptStatus(err), err.Error())
+		writeError(wr, tier.AcceptStatus(err), err.Error())
 		return
 	}
 	tier.WriteJSON(wr, http.StatusOK, struct{}{})
 }
 
-func (ch *controlHandler) read(wr http.ResponseWriter, rq *http.Request) {
+func (ch *controlHandler) getConfiguration(wr http.ResponseWriter, rq *http.Request) {
 	_, data, err := ch.co.Newest(rq.Context())
 	if err != nil {
-		writeFault(wr, http.StatusServiceUnavailable, err.Error())
+		writeError(wr, http.StatusServiceUnavailable, err.Error())
 		return
 	}
 	wr.Header().Set("Content-Type", "application/yaml")
 	_, _ = wr.Write(data)
 }
 
-// evacuations answers with the evacuated data centres as far as this instance knows.
-func (ch *controlHandler) evacuations(wr http.ResponseWriter, _ *http.Request) {
+// listEvacuations responds with the evacuated data centres that this instance knows of.
+func (ch *controlHandler) listEvacuations(wr http.ResponseWriter, _ *http.Request) {
 	tier.WriteJSON(wr, http.StatusOK, evacuationList(ch.co.Evacuated()))
 }
 
-// evacuate takes an order to evacuate a data centre, or DELETE to withdraw that.
+// evacuate handles PUT, which evacuates a data centre, and DELETE, which withdraws the
+// evacuation.
 func (ch *controlHandler) evacuate(wr http.ResponseWriter, rq *http.Request) {
 	err := ch.co.Evacuate(rq.Context(), rq.PathValue("DataCentre"), rq.Method == http.MethodPut, rq.RemoteAddr)
 	if err != nil {
-		writeFault(wr, tier.EvacuateStatus(err), err.Error())
+		writeError(wr, tier.EvacuateStatus(err), err.Error())
 		return
 	}
 	tier.WriteJSON(wr, http.StatusOK, struct{}{})
 }
 
 func (ch *controlHandler) announce(wr http.ResponseWriter, rq *http.Request) {
-	data, ok := ch.body(wr, rq)
+	data, ok := ch.readBody(wr, rq)
 	if !ok {
 		return
 	}
 	var an announcement
 	if err := json.Unmarshal(data, &an); err != nil {
 		ch.co.Ignore(rq.PathValue("id"), err.Error())
-		writeFault(wr, http.StatusBadRequest, err.Error())
+		writeError(wr, http.StatusBadRequest, err.Error())
 		return
 	}
 	se := registry.Server{
@@ -179,8 +181,8 @@
 	case registry.Draining.String():
 		se.State = registry.Draining
 	default:
-		ch.co.Ignore(se.ID, badState)
-		writeFault(wr, http.StatusBadRequest, badState)
+		ch.co.Ignore(se.ID, invalidStateDetail)
+		writeError(wr, http.StatusBadRequest, invalidStateDetail)
 		return
 	}
 	ch.co.Announce(se)
@@ -192,14 +194,14 @@
 	tier.WriteJSON(wr, http.StatusOK, struct{}{})
 }
 
-func (ch *controlHandler) body(wr http.ResponseWriter, rq *http.Request) ([]byte, bool) {
+func (ch *controlHandler) readBody(wr http.ResponseWriter, rq *http.Request) ([]byte, bool) {
 	data, status, detail := gateway.ReadBody(wr, rq, ch.co.BodyLimit())
 	if status != 0 {
-		writeFault(wr, status, detail)
+		writeError(wr, status, detail)
 	}
 	return data, status == 0
 }
 
-func writeFault(wr http.ResponseWriter, status int, detail string) {
-	tier.WriteJSON(wr, status, faultAnswer{detail})
+func writeError(wr http.ResponseWriter, status int, detail string) {
+	tier.WriteJSON(wr, status, errorResponse{detail})
 }
--- a/emulate/emulate_test.go
+++ b/emulate/emulate_test.go
@@ -24,34 +24,36 @@
 	"balsamwinch.example/timer"
 )
 
-// patience bounds every wait for a condition. It is no timing bound: a test that
-// holds is through long before.
+// patience bounds every wait for a condition. It is not a timing assertion: a passing
+// test takes far less.
 const patience = time.Minute
 
-// heard is an Announcer that keeps what it is told.
-type heard struct {
-	mu   sync.Mutex
-	all  []registry.Server
-	gone []string
-	err  error
-	told chan struct{}
+// recordingAnnouncer is an Announcer that records its calls.
+type recordingAnnouncer struct {
+	mu            sync.Mutex
+	announced     []registry.Server
+	left          []string
+	err           error
+	announcements chan struct{}
 }
 
-func newHeard() *heard { return &heard{told: make(chan struct{}, 1000)} }
+func newRecordingAnnouncer() *recordingAnnouncer {
+	return &recordingAnnouncer{announcements: make(chan struct{}, 1000)}
+}
 
-func (he *heard) Announce(_ context.Context, se registry.Server) error {
-	he.mu.Lock()
-	defer he.mu.Unlock()
-	he.all = append(he.all, se)
-	he.told <- struct{}{}
-	return he.err
+func (ra *recordingAnnouncer) Announce(_ context.Context, se registry.Server) error {
+	ra.mu.Lock()
+	defer ra.mu.Unlock()
+	ra.announced = append(ra.announced, se)
+	ra.announcements <- struct{}{}
+	return ra.err
 }
 
-func (he *heard) Leave(_ context.Context, id string) error {
-	he.mu.Lock()
-	defer he.mu.Unlock()
-	he.gone = append(he.gone, id)
-	return he.err
+func (ra *recordingAnnouncer) Leave(_ context.Context, id string) error {
+	ra.mu.Lock()
+	defer ra.mu.Unlock()
+	ra.left = append(ra.left, id)
+	return ra.err
 }
 
 func newServer(t *testing.T, cf Config, an Announcer) *Server {
@@ -61,8 +63,8 @@
 	return se
 }
 
-// ask sends a request straight to a server's handler.
-func ask(se *Server, path string, header ...string) *httptest.ResponseRecorder {
+// serveRequest passes a request to a server's handler.
+func serveRequest(se *Server, path string, header ...string) *httptest.ResponseRecorder {
 	rq := httptest.NewRequest(http.MethodGet, path, nil)
 	for ix := 0; ix < len(header); ix += 2 {
 		rq.Header.Set(header[ix], header[ix+1])
@@ -72,7 +74,7 @@
 	return wr
 }
 
-func TestAnswers(t *testing.T) {
+func TestResponseAndCounts(t *testing.T) {
 	tests := []struct {
 		name   string
 		tr     Faults
@@ -82,22 +84,22 @@
 		stamp  string
 		counts Counts
 	}{
-		{"whole", Faults{}, []string{headerRequestID, "r1"}, 200, "", Stamp("a", "r1"), Counts{1, 1, 0}},
-		{"meant for it", Faults{}, []string{headerRequestID, "r1", headerExpect, "a"}, 200, "", Stamp("a", "r1"), Counts{1, 1, 0}},
-		{"meant for another", Faults{}, []string{headerRequestID, "r1", headerExpect, "b"}, 421, "1", "", Counts{1, 0, 1}},
-		{"no id", Faults{}, nil, 400, "1", "", Counts{1, 0, 1}},
+		{"complete", Faults{}, []string{headerRequestID, "r1"}, 200, "", Stamp("a", "r1"), Counts{1, 1, 0}},
+		{"expected server matches", Faults{}, []string{headerRequestID, "r1", headerExpectServer, "a"}, 200, "", Stamp("a", "r1"), Counts{1, 1, 0}},
+		{"another server expected", Faults{}, []string{headerRequestID, "r1", headerExpectServer, "b"}, 421, "1", "", Counts{1, 0, 1}},
+		{"no request ID", Faults{}, nil, 400, "1", "", Counts{1, 0, 1}},
 		{"shed", Faults{Shed: 1}, []string{headerRequestID, "r1"}, 503, "1", "", Counts{1, 0, 1}},
 		{"failed", Faults{Fail: 1}, []string{headerRequestID, "r1"}, 500, "", Stamp("a", "r1"), Counts{1, 1, 0}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			se := newServer(t, Config{ID: "a", Service: "s", Records: 3, ReportLoad: true, Slots: 2}, newHeard())
+			se := newServer(t, Config{ID: "a", Service: "s", Records: 3, ReportLoad: true, Slots: 2}, newRecordingAnnouncer())
 			se.SetFaults(tt.tr)
-			wr := ask(se, "/arm/x", tt.header...)
+			wr := serveRequest(se, "/arm/x", tt.header...)
 			qt.Check(t, wr.Code, qt.Equals, tt.status)
 			qt.Check(t, wr.Header().Get(headerNotRun), qt.Equals, tt.notRun)
 			qt.Check(t, wr.Header().Get(headerStamp), qt.Equals, tt.stamp)
-			qt.Check(t, wr.Header().Get(headerLoad) != "", qt.IsTrue)
+			qt.Check(t, wr.Header().Get(headerServerLoad) != "", qt.IsTrue)
 			qt.Check(t, se.Counts("arm"), qt.Equals, tt.counts)
 			if tt.status == http.StatusOK {
 				qt.Check(t, wr.Body.Bytes(), qt.DeepEquals, Records("s", "/arm/x", 3))
@@ -106,48 +108,49 @@
 	}
 }
 
-// A server with one slot and a queue of one works on the first request, holds the
-// second, refuses the third unrun, and answers the second with a refusal too once
-// its caller no longer waits.
-func TestSlotsAndQueue(t *testing.T) {
-	se := newServer(t, Config{ID: "a", Slots: 1, Queue: 1, ReportLoad: true}, newHeard())
-	se.slots <- struct{}{} // The first request.
+// A server with one slot and a queue of one runs the first request, queues the second and
+// rejects the third without running it. It also rejects a queued request whose caller's
+// deadline has passed.
+func TestQueueFullRejected(t *testing.T) {
+	se := newServer(t, Config{ID: "a", Slots: 1, Queue: 1, ReportLoad: true}, newRecordingAnnouncer())
+	se.slots <- struct{}{} // the first request
 	second := make(chan *httptest.ResponseRecorder, 1)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() {
-		second <- ask(se, "/x", headerRequestID, "r2", headerDeadline, strconv.FormatInt(patience.Milliseconds(), 10))
+		second <- serveRequest(se, "/x", headerRequestID, "r2", headerDeadline, strconv.FormatInt(patience.Milliseconds(), 10))
 	}()
 	for se.waiting.Load() != 1 {
 		qt.Assert(t, se.ts.Sleep(ctx, time.Millisecond), qt.IsNil)
 	}
-	third := ask(se, "/x", headerRequestID, "r3")
+	third := serveRequest(se, "/x", headerRequestID, "r3")
 	qt.Assert(t, third.Code, qt.Equals, http.StatusServiceUnavailable)
-	qt.Assert(t, third.Header().Get(headerLoad), qt.Equals, "1,1,1")
+	qt.Assert(t, third.Header().Get(headerServerLoad), qt.Equals, "1,1,1")
 	<-se.slots
 	qt.Assert(t, (<-second).Code, qt.Equals, http.StatusOK)
 
 	se.slots <- struct{}{}
-	late := ask(se, "/x", headerRequestID, "r4", headerDeadline, "1")
+	late := serveRequest(se, "/x", headerRequestID, "r4", headerDeadline, "1")
 	qt.Assert(t, late.Code, qt.Equals, http.StatusServiceUnavailable)
 	qt.Assert(t, late.Header().Get(headerNotRun), qt.Equals, "1")
 	<-se.slots
 }
 
-// Work that outlasts the caller counts as run: the answer must not say otherwise.
-func TestDeadlineWhileRunning(t *testing.T) {
-	se := newServer(t, Config{ID: "a", ServiceTime: ServiceTime{Median: patience}}, newHeard())
-	wr := ask(se, "/x", headerRequestID, "r1", headerDeadline, "1")
+// Guards against a response that claims that a request did not run, if its deadline
+// passes while it runs.
+func TestDeadlineWhileRunningIsNotReportedAsNotRun(t *testing.T) {
+	se := newServer(t, Config{ID: "a", ServiceTime: ServiceTime{Median: patience}}, newRecordingAnnouncer())
+	wr := serveRequest(se, "/x", headerRequestID, "r1", headerDeadline, "1")
 	qt.Assert(t, wr.Code, qt.Equals, http.StatusGatewayTimeout)
 	qt.Assert(t, wr.Header().Get(headerNotRun), qt.Equals, "")
 	qt.Assert(t, wr.Header().Get(headerStamp), qt.Equals, Stamp("a", "r1"))
 }
 
-// Bytes go wrong on the wire only with a listener.
-func TestSpoiltAnswers(t *testing.T) {
+// Needs a listener, because the faults are in the bytes on the wire.
+func TestFaultyResponseIsAnError(t *testing.T) {
 	for name, tr := range map[string]Faults{"cut": {Cut: 1}, "garble": {Garble: 1}, "truncate": {Truncate: 1}} {
 		t.Run(name, func(t *testing.T) {
-			se := newServer(t, Config{ID: "a", Records: 4}, newHeard())
+			se := newServer(t, Config{ID: "a", Records: 4}, newRecordingAnnouncer())
 			se.SetFaults(tr)
 			stop := serve(t, se)
 			defer stop()
@@ -170,13 +173,13 @@
 	}
 }
 
-// The connection beyond the limit is reset; once one is closed, another gets in.
-func TestConnectionLimit(t *testing.T) {
-	se := newServer(t, Config{ID: "a", Connections: 1}, newHeard())
+// A connection beyond the limit is reset; once another one closes, a new one is accepted.
+func TestConnectionBeyondLimitIsReset(t *testing.T) {
+	se := newServer(t, Config{ID: "a", Connections: 1}, newRecordingAnnouncer())
 	defer serve(t, se)()
 	first, err := net.Dial("tcp4", se.Address())
 	qt.Assert(t, err, qt.IsNil)
-	// The reset may come before the dial returns or after.
+	// The reset may arrive before the dial returns or after.
 	second, err := net.Dial("tcp4", se.Address())
 	if err == nil {
 		_, err = second.Read(make([]byte, 1))
@@ -197,16 +200,16 @@
 	}
 }
 
-// The first request of a connection holds its slot longer, a second one doesn't.
-func TestConnectionCost(t *testing.T) {
-	se := newServer(t, Config{ID: "a", ConnectionCost: time.Second}, newHeard())
+// Only the first request on a connection holds its slot for longer.
+func TestOnlyFirstRequestPaysConnectionCost(t *testing.T) {
+	se := newServer(t, Config{ID: "a", ConnectionCost: time.Second}, newRecordingAnnouncer())
 	rq := httptest.NewRequest(http.MethodGet, "/x", nil)
 	rq = rq.WithContext(context.WithValue(rq.Context(), connectionKey{}, &connection{}))
 	qt.Assert(t, se.connectionCost(rq), qt.Equals, time.Second)
 	qt.Assert(t, se.connectionCost(rq), qt.Equals, time.Duration(0))
 }
 
-func TestPauses(t *testing.T) {
+func TestWorkStopsDuringPauses(t *testing.T) {
 	now := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
 	// Pauses of 100 ms begin at 1000, 2000 and so on.
@@ -230,27 +233,28 @@
 	qt.Check(t, newPauses(Pause{}, 1, now).end(now, time.Minute), qt.Equals, now.Add(time.Minute))
 }
 
-// A server that leaves as planned says that it drains, then that it is gone, with
-// growing sequence numbers, and ends for good. A server that nobody hears ends too.
-func TestDrain(t *testing.T) {
-	for _, he := range []*heard{newHeard(), {told: make(chan struct{}, 1000), err: errors.New("nobody")}} {
-		se := newServer(t, Config{ID: "a", Service: "s", DataCentre: "d", Slots: 2, AnnounceInterval: time.Hour}, he)
+// A server that leaves as planned announces that it drains, then that it has left, with
+// increasing sequence numbers, and stops for good. It also stops if no announcement is
+// received.
+func TestDrainAnnouncesAndStops(t *testing.T) {
+	for _, ra := range []*recordingAnnouncer{newRecordingAnnouncer(), {announcements: make(chan struct{}, 1000), err: errors.New("not received")}} {
+		se := newServer(t, Config{ID: "a", Service: "s", DataCentre: "d", Slots: 2, AnnounceInterval: time.Hour}, ra)
 		done := make(chan error, 1)
 		go func() { done <- se.Serve(t.Context()) }()
-		<-he.told
-		qt.Assert(t, se.Drain(t.Context()), qt.ErrorIs, he.err)
+		<-ra.announcements
+		qt.Assert(t, se.Drain(t.Context()), qt.ErrorIs, ra.err)
 		qt.Assert(t, <-done, qt.Equals, error(suture.ErrDoNotRestart))
-		qt.Assert(t, he.gone, qt.DeepEquals, []string{"a"})
-		qt.Assert(t, he.all, qt.DeepEquals, []registry.Server{
+		qt.Assert(t, ra.left, qt.DeepEquals, []string{"a"})
+		qt.Assert(t, ra.announced, qt.DeepEquals, []registry.Server{
 			{ID: "a", Service: "s", DataCentre: "d", Address: se.Address(), Slots: 2, Sequence: 1},
 			{ID: "a", Service: "s", DataCentre: "d", Address: se.Address(), Slots: 2, Sequence: 2, State: registry.Draining},
 		})
 	}
 }
 
-// calls are control calls that keep what they are told.
-type calls struct {
-	*heard
+// recordingControl is a tier.ControlAPI that records its calls.
+type recordingControl struct {
+	*recordingAnnouncer
 	version uint64
 	data    []byte
 	ignored []string
@@ -258,60 +262,68 @@
 	evacuated evacuation.Set
 }
 
-func (ca *calls) Accept(_ context.Context, version uint64, data []byte) error {
-	ca.version, ca.data = version, data
-	return ca.err
+func (rc *recordingControl) Accept(_ context.Context, version uint64, data []byte) error {
+	rc.version, rc.data = version, data
+	return rc.err
 }
 
-func (ca *calls) Newest(context.Context) (uint64, []byte, error) { return ca.version, ca.data, ca.err }
+func (rc *recordingControl) Newest(context.Context) (uint64, []byte, error) {
+	return rc.version, rc.data, rc.err
+}
 
-func (ca *calls) Evacuate(_ context.Context, dataCentre string, evacuate bool, _ string) error {
-	if ca.err != nil {
-		return ca.err
+func (rc *recordingControl) Evacuate(_ context.Context, dataCentre string, evacuate bool, _ string) error {
+	if rc.err != nil {
+		return rc.err
 	}
-	ca.evacuated, _ = ca.evacuated.Apply(evacuation.Change{DataCentre: dataCentre, Evacuate: evacuate, BaseRevision: ca.evacuated.Revision})
+	rc.evacuated, _ = rc.evacuated.Apply(evacuation.Change{DataCentre: dataCentre, Evacuate: evacuate, BaseRevision: rc.evacuated.Revision})
 	return nil
 }
 
-func (ca *calls) Evacuated() evacuation.Set { return ca.evacuated }
+func (rc *recordingControl) Evacuated() evacuation.Set { return rc.evacuated }
 
-func (ca *calls) Announce(se registry.Server) { _ = ca.heard.Announce(context.Background(), se) }
+func (rc *recordingControl) Announce(se registry.Server) {
+	_ = rc.recordingAnnouncer.Announce(context.Background(), se)
+}
 
-func (ca *calls) Leave(id string)  { _ = ca.heard.Leave(context.Background(), id) }
-func (ca *calls) BodyLimit() int64 { return 1 << 16 }
+func (rc *recordingControl) Leave(id string) {
+	_ = rc.recordingAnnouncer.Leave(context.Background(), id)
+}
+func (rc *recordingControl) BodyLimit() int64 { return 1 << 16 }
 
-func (ca *calls) Ignore(id, detail string) { ca.ignored = append(ca.ignored, id+": "+detail) }
+func (rc *recordingControl) Ignore(id, detail string) {
+	rc.ignored = append(rc.ignored, id+": "+detail)
+}
 
-// What a server and an operator say through the client arrives at control
-// unchanged, also if another instance before it doesn't answer.
-func TestDialectCalls(t *testing.T) {
+// The calls of a server and an operator arrive at control unchanged, also if the instance
+// that is called first doesn't respond.
+func TestControlCallsReachHandler(t *testing.T) {
 	dead := httptest.NewServer(http.NotFoundHandler())
 	dead.Close()
-	cs := &calls{heard: newHeard()}
-	hs := httptest.NewServer(Dialect{}.ControlHandler(cs))
+	rc := &recordingControl{recordingAnnouncer: newRecordingAnnouncer()}
+	hs := httptest.NewServer(Dialect{}.ControlHandler(rc))
 	defer hs.Close()
 	co := NewControlClient([]string{dead.Listener.Addr().String(), hs.Listener.Addr().String()})
 	defer co.Close()
 	se := registry.Server{ID: "a/b", Service: "s", Address: "127.0.0.1:1", DataCentre: "d", Version: "v", Slots: 3, State: registry.Draining, Sequence: 9, WarmMillis: 5}
 	qt.Assert(t, co.Announce(t.Context(), se), qt.IsNil)
 	qt.Assert(t, co.Leave(t.Context(), "a/b"), qt.IsNil)
-	qt.Assert(t, cs.all, qt.DeepEquals, []registry.Server{se})
-	qt.Assert(t, cs.gone, qt.DeepEquals, []string{"a/b"})
+	qt.Assert(t, rc.announced, qt.DeepEquals, []registry.Server{se})
+	qt.Assert(t, rc.left, qt.DeepEquals, []string{"a/b"})
 	data := testConfiguration(7).Encode()
 	qt.Assert(t, co.Configure(t.Context(), data), qt.IsNil)
-	qt.Assert(t, cs.version, qt.Equals, uint64(7))
+	qt.Assert(t, rc.version, qt.Equals, uint64(7))
 	got, err := co.LatestConfiguration(t.Context())
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, string(got), qt.Equals, string(data))
 	qt.Assert(t, co.Configure(t.Context(), data[:len(data)-1]), qt.ErrorMatches, "(?s).*configuration:.*")
-	cs.err = errors.New("no majority")
+	rc.err = errors.New("no majority")
 	qt.Assert(t, co.Configure(t.Context(), data), qt.IsNotNil)
 }
 
-// An operator sends a sound configuration that is larger than control keeps. It is
-// told so, as in every other dialect, and the client doesn't send it again to the
-// next instance, as it does one whose outcome is unknown.
-func TestConfigurationTooLarge(t *testing.T) {
+// A valid configuration that is larger than control stores gets status 413, as in every
+// other dialect, and the client doesn't retry it at the next instance, as it does a
+// configuration whose outcome is unknown.
+func TestTooLargeConfigurationIsNotRetried(t *testing.T) {
 	tests := []struct {
 		name   string
 		err    error
@@ -320,12 +332,12 @@
 		asked  int64
 	}{
 		{"accepted", nil, http.StatusOK, 0, 1},
-		{"larger than control keeps", &result.Error{Code: result.Invalid, Op: "propose document"}, http.StatusRequestEntityTooLarge, result.NotRunBadRequest, 1},
-		{"not sure", &result.Error{Code: result.ControlUnavailable, Op: "propose document"}, http.StatusServiceUnavailable, result.ControlUnavailable, 2},
+		{"too large", &result.Error{Code: result.Invalid, Op: "propose document"}, http.StatusRequestEntityTooLarge, result.NotRunBadRequest, 1},
+		{"outcome unknown", &result.Error{Code: result.ControlUnavailable, Op: "propose document"}, http.StatusServiceUnavailable, result.ControlUnavailable, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			ha := Dialect{}.ControlHandler(&calls{heard: &heard{err: tt.err}})
+			ha := Dialect{}.ControlHandler(&recordingControl{recordingAnnouncer: &recordingAnnouncer{err: tt.err}})
 			var asked atomic.Int64
 			hs := httptest.NewServer(http.HandlerFunc(func(wr http.ResponseWriter, rq *http.Request) {
 				asked.Add(1)
@@ -348,7 +360,7 @@
 	}
 }
 
-func TestConfiguration(t *testing.T) {
+func TestParseConfiguration(t *testing.T) {
 	tb, err := Dialect{}.Table([]byte(`
 Version: 3
 Routes:
@@ -385,9 +397,9 @@
 	}
 }
 
-// Someone tries the whole tier on one machine: it forms, takes a configuration,
-// hears backend servers and answers merged and plain requests rightly.
-func TestLocal(t *testing.T) {
+// A whole tier on one machine forms, accepts a configuration, receives the announcements
+// of backend servers and answers merged and plain requests correctly.
+func TestLocalTierAnswersRequests(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
 	ts := timer.New()
@@ -416,20 +428,21 @@
 	}
 }
 
-// The time between two announcements passes without anybody waiting for it.
-func TestAnnouncements(t *testing.T) {
+// Announcements repeat at the interval and carry the remaining warm-up time. The interval
+// passes in fake time.
+func TestAnnouncementsCarryRemainingWarmup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		he := newHeard()
-		se := &Server{cf: Config{ID: "a", Warmup: 1500 * time.Millisecond, AnnounceInterval: time.Second}, an: he, ts: timer.New(), lg: zap.NewNop(), started: time.Now()}
+		ra := newRecordingAnnouncer()
+		se := &Server{cf: Config{ID: "a", Warmup: 1500 * time.Millisecond, AnnounceInterval: time.Second}, an: ra, ts: timer.New(), lg: zap.NewNop(), started: time.Now()}
 		se.li = newListener(fakeListener{}, 0)
 		ctx, cancel := context.WithTimeout(t.Context(), 2500*time.Millisecond)
 		defer cancel()
-		se.announceAll(ctx)
-		var warm []int64
-		for _, an := range he.all {
-			warm = append(warm, an.WarmMillis)
+		se.announceLoop(ctx)
+		var warmMillis []int64
+		for _, an := range ra.announced {
+			warmMillis = append(warmMillis, an.WarmMillis)
 		}
-		qt.Assert(t, warm, qt.DeepEquals, []int64{1500, 500, 0})
+		qt.Assert(t, warmMillis, qt.DeepEquals, []int64{1500, 500, 0})
 	})
 }
 
--- a/emulate/fault.go
+++ b/emulate/fault.go
@@ -8,13 +8,14 @@
 	"balsamwinch.example/result"
 )
 
-// EntryNames returns the names of the entry instances, in the order of Callers.
-func (lo *LocalTier) EntryNames() []string { return lo.names(true) }
+// EntryNames returns the names of the entry instances, in the order of CallerAddresses.
+func (lo *LocalTier) EntryNames() []string { return lo.instanceNames(true) }
 
-// ControlNames returns the names of the control instances, in the order of Control.
-func (lo *LocalTier) ControlNames() []string { return lo.names(false) }
+// ControlNames returns the names of the control instances, in the order of
+// ControlAddresses.
+func (lo *LocalTier) ControlNames() []string { return lo.instanceNames(false) }
 
-func (lo *LocalTier) names(entry bool) []string {
+func (lo *LocalTier) instanceNames(entry bool) []string {
 	var out []string
 	for _, in := range lo.instances {
 		if in.se.Entry() == entry {
@@ -24,7 +25,7 @@
 	return out
 }
 
-// instance returns the instance with a name.
+// instance returns the instance with the name.
 func (lo *LocalTier) instance(op, name string) (*localInstance, error) {
 	for _, in := range lo.instances {
 		if in.se.Name == name {
@@ -34,26 +35,26 @@
 	return nil, &result.Error{Code: result.BadSettings, Op: op, Detail: "no instance " + name}
 }
 
-// Stop stops an instance gracefully and returns how it ended.
+// Stop stops an instance gracefully and returns the error that it exited with.
 func (lo *LocalTier) Stop(name string) error {
 	in, err := lo.instance("stop", name)
 	if err != nil {
 		return err
 	}
-	ru := in.life()
+	ru := in.current()
 	ru.stop()
 	<-ru.done
 	return ru.err
 }
 
-// Kill ends an instance at once, without a word to anybody. Only one that runs in
-// a process of its own can be killed.
+// Kill ends an instance at once, without a graceful stop. Only an instance that runs in a
+// process of its own can be killed.
 func (lo *LocalTier) Kill(name string) error {
 	in, err := lo.instance("kill", name)
 	if err != nil {
 		return err
 	}
-	ru := in.life()
+	ru := in.current()
 	if ru.kill == nil {
 		return &result.Error{Code: result.BadSettings, Op: "kill", Detail: name + " runs in this process"}
 	}
@@ -62,8 +63,9 @@
 	return nil
 }
 
-// Hang makes an instance stand still with all its connections open: its machine takes
-// what is sent, and nothing answers. Only one that runs in a process of its own can hang.
+// Hang suspends an instance with all its connections open: its machine still receives
+// what is sent, but nothing responds. Only an instance that runs in a process of its own
+// can hang.
 func (lo *LocalTier) Hang(name string) error { return lo.signal("hang", name, syscall.SIGSTOP) }
 
 // Resume ends a Hang.
@@ -74,33 +76,33 @@
 	if err != nil {
 		return err
 	}
-	ru := in.life()
+	ru := in.current()
 	if ru.signal == nil {
 		return &result.Error{Code: result.BadSettings, Op: op, Detail: name + " runs in this process"}
 	}
 	return ru.signal(si)
 }
 
-// LoseDisk removes the data of a control instance that has ended.
+// DeleteData removes the data of a control instance that has exited.
 func (lo *LocalTier) DeleteData(name string) error {
-	in, err := lo.instance("lose the disk", name)
+	in, err := lo.instance("delete data", name)
 	if err != nil {
 		return err
 	}
 	return os.RemoveAll(in.se.DataFolder)
 }
 
-// Start starts an instance again that has ended, and returns once it listens.
+// Start restarts an instance that has exited, and returns once it listens.
 func (lo *LocalTier) Start(ctx context.Context, name string) error {
 	in, err := lo.instance("start", name)
 	if err != nil {
 		return err
 	}
-	// One that said again that the tier is new could form a second group.
+	// An instance that declared again that the tier is new could form a second group.
 	se := in.se
 	se.FirstStart = false
-	if err := lo.run(in, se); err != nil {
+	if err := lo.launch(in, se); err != nil {
 		return err
 	}
-	return lo.awaitOne(ctx, in, (*localInstance).listens)
+	return lo.awaitInstance(ctx, in, (*localInstance).listens)
 }
--- a/emulate/fault_test.go
+++ b/emulate/fault_test.go
@@ -31,10 +31,9 @@
 	os.Exit(m.Run())
 }
 
-// An entry instance is killed and a control instance stopped, loses its disk, and
-// both are started again: each listens again at its old address, and the
-// configuration is still there.
-func TestInstancesEndAndStart(t *testing.T) {
+// An entry instance is killed; a control instance is stopped and loses its disk. After a
+// restart each listens at its old address, and the configuration is still there.
+func TestInstanceRestartsAtItsAddress(t *testing.T) {
 	t.Setenv(instanceVariable, "1")
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
@@ -49,60 +48,60 @@
 	qt.Assert(t, lo.EntryNames(), qt.DeepEquals, []string{"entry-1"})
 	qt.Assert(t, lo.ControlNames(), qt.HasLen, 3)
 	qt.Assert(t, lo.Kill("entry-1"), qt.IsNil)
-	qt.Assert(t, statusOf(ctx, lo.instances[3].se.Listen.Ready), qt.Equals, 0)
+	qt.Assert(t, readyStatus(ctx, lo.instances[3].se.Listen.Ready), qt.Equals, 0)
 	qt.Assert(t, lo.Stop("control-1"), qt.IsNil)
 	qt.Assert(t, lo.DeleteData("control-1"), qt.IsNil)
 	qt.Assert(t, lo.Start(ctx, "control-1"), qt.IsNil)
 	qt.Assert(t, lo.Start(ctx, "entry-1"), qt.IsNil)
 	qt.Assert(t, lo.Configure(ctx, testConfiguration(1)), qt.IsNil)
-	qt.Assert(t, lo.Kill("nobody"), qt.ErrorMatches, ".*no instance nobody.*")
+	qt.Assert(t, lo.Kill("unknown"), qt.ErrorMatches, ".*no instance unknown.*")
 }
 
-// seenBy keeps what a server saw.
-type seenBy struct {
+// recordedEvents records the events of a server.
+type recordedEvents struct {
 	mu  sync.Mutex
 	all []ServerEvent
 }
 
-func (sb *seenBy) note(sn ServerEvent) {
-	sb.mu.Lock()
-	defer sb.mu.Unlock()
-	sb.all = append(sb.all, sn)
+func (re *recordedEvents) add(ev ServerEvent) {
+	re.mu.Lock()
+	defer re.mu.Unlock()
+	re.all = append(re.all, ev)
 }
 
-func (sb *seenBy) kinds() []ServerEventKind {
-	sb.mu.Lock()
-	defer sb.mu.Unlock()
+func (re *recordedEvents) kinds() []ServerEventKind {
+	re.mu.Lock()
+	defer re.mu.Unlock()
 	var out []ServerEventKind
-	for _, sn := range sb.all {
-		out = append(out, sn.Kind)
+	for _, ev := range re.all {
+		out = append(out, ev.Kind)
 	}
 	return out
 }
 
-func TestSeen(t *testing.T) {
-	var sb seenBy
-	se := newServer(t, Config{ID: "a", Service: "s", OnEvent: sb.note}, newHeard())
-	ask(se, "/x", headerRequestID, "r1", headerExpect, "a")
-	ask(se, "/x", headerRequestID, "r2", headerExpect, "b")
-	qt.Assert(t, sb.kinds(), qt.DeepEquals, []ServerEventKind{EventRequestReceived, EventRequestStarted, EventRequestReceived, EventRequestRejected})
+func TestServerEvents(t *testing.T) {
+	var re recordedEvents
+	se := newServer(t, Config{ID: "a", Service: "s", OnEvent: re.add}, newRecordingAnnouncer())
+	serveRequest(se, "/x", headerRequestID, "r1", headerExpectServer, "a")
+	serveRequest(se, "/x", headerRequestID, "r2", headerExpectServer, "b")
+	qt.Assert(t, re.kinds(), qt.DeepEquals, []ServerEventKind{EventRequestReceived, EventRequestStarted, EventRequestReceived, EventRequestRejected})
 	qt.Assert(t, se.Announced(), qt.IsFalse)
 	qt.Assert(t, se.announce(t.Context()), qt.IsNil)
 	qt.Assert(t, se.Announced(), qt.IsTrue)
-	qt.Assert(t, sb.kinds(), qt.HasLen, 4)
+	qt.Assert(t, re.kinds(), qt.HasLen, 4)
 	qt.Assert(t, se.Drain(t.Context()), qt.IsNil)
-	qt.Assert(t, sb.kinds()[4:], qt.DeepEquals, []ServerEventKind{EventDrainAcknowledged})
-	last := sb.all[3]
-	last.At = time.Time{}
-	qt.Assert(t, last, qt.Equals, ServerEvent{Kind: EventRequestRejected, Server: "a", Service: "s", Request: "r2", Path: "/x", Expected: "b"})
+	qt.Assert(t, re.kinds()[4:], qt.DeepEquals, []ServerEventKind{EventDrainAcknowledged})
+	lastEvent := re.all[3]
+	lastEvent.At = time.Time{}
+	qt.Assert(t, lastEvent, qt.Equals, ServerEvent{Kind: EventRequestRejected, Server: "a", Service: "s", Request: "r2", Path: "/x", Expected: "b"})
 }
 
-// An answer to another request is one by all that it says, and one that is sent
-// twice stands twice on the connection.
-func TestOtherAndTwice(t *testing.T) {
-	se := newServer(t, Config{ID: "a", Service: "s", Records: 1}, newHeard())
+// Under Faults.WrongRequest the header, stamp and body are all those of another request.
+// Under Faults.Duplicate the response is on the connection twice.
+func TestWrongRequestAndDuplicateFaults(t *testing.T) {
+	se := newServer(t, Config{ID: "a", Service: "s", Records: 1}, newRecordingAnnouncer())
 	se.SetFaults(Faults{WrongRequest: 1})
-	wr := ask(se, "/x", headerRequestID, "r1")
+	wr := serveRequest(se, "/x", headerRequestID, "r1")
 	qt.Check(t, wr.Header().Get(headerRequestID), qt.Equals, "r1-other")
 	qt.Check(t, wr.Header().Get(headerStamp), qt.Equals, Stamp("a", "r1-other"))
 	qt.Check(t, wr.Body.Bytes(), qt.DeepEquals, Records("s", "/x-other", 1))
@@ -126,21 +125,21 @@
 	}
 }
 
-// A server that stands still begins nothing until it goes on; a late one answers
-// later, and a silent one not at all until its caller leaves.
-func TestHaltLateSilent(t *testing.T) {
+// A paused server starts nothing until the pause ends. Under Faults.Late the response is
+// delayed, and under Faults.Silent there is none until the caller gives up.
+func TestHaltDelayAndSilentFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var sb seenBy
+		var re recordedEvents
 		se := &Server{
-			cf: Config{ID: "a", Slots: 1, ServiceTimeFactor: 1, OnEvent: sb.note}, ts: timer.New(), slots: make(chan struct{}, 1), counts: make(map[string]Counts),
+			cf: Config{ID: "a", Slots: 1, ServiceTimeFactor: 1, OnEvent: re.add}, ts: timer.New(), slots: make(chan struct{}, 1), counts: make(map[string]Counts),
 			ps: newPauses(Pause{}, 1, time.Now()), rd: newPauses(Pause{}, 1, time.Now()).rd,
 		}
 		se.SetFaults(Faults{Late: 1})
 		start := time.Now()
 		se.Halt(time.Second)
-		ask(se, "/x", headerRequestID, "r1")
+		serveRequest(se, "/x", headerRequestID, "r1")
 		took := time.Since(start)
-		qt.Check(t, took >= time.Second+lateLeast && took <= time.Second+lateMost, qt.IsTrue, qt.Commentf("%v", took))
+		qt.Check(t, took >= time.Second+minResponseDelay && took <= time.Second+maxResponseDelay, qt.IsTrue, qt.Commentf("%v", took))
 		se.SetFaults(Faults{Silent: 1})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
@@ -151,6 +150,6 @@
 		se.ServeHTTP(wr, rq)
 		qt.Check(t, time.Since(start), qt.Equals, time.Minute)
 		qt.Check(t, wr.Body.Len(), qt.Equals, 0)
-		qt.Check(t, sb.kinds(), qt.DeepEquals, []ServerEventKind{EventRequestReceived, EventRequestStarted, EventRequestReceived, EventRequestStarted})
+		qt.Check(t, re.kinds(), qt.DeepEquals, []ServerEventKind{EventRequestReceived, EventRequestStarted, EventRequestReceived, EventRequestStarted})
 	})
 }
--- a/emulate/listener.go
+++ b/emulate/listener.go
@@ -9,10 +9,10 @@
 // listener accepts connections up to a limit and resets those beyond it.
 type listener struct {
 	net.Listener
-	limit int64
-	open  atomic.Int64
-	over  atomic.Int64
-	note  func(ServerEventKind) // note is told of each connection; may be nil.
+	limit        int64
+	open         atomic.Int64
+	rejected     atomic.Int64
+	onConnection func(ServerEventKind) // called for each connection; may be nil
 }
 
 func newListener(li net.Listener, limit int) *listener {
@@ -27,34 +27,34 @@
 			return nil, err
 		}
 		if li.open.Add(1) <= li.limit || li.limit <= 0 {
-			li.tell(EventConnectionAccepted)
-			return &accepted{Conn: nc, li: li}, nil
+			li.notify(EventConnectionAccepted)
+			return &countedConn{Conn: nc, li: li}, nil
 		}
 		li.open.Add(-1)
-		li.over.Add(1)
+		li.rejected.Add(1)
 		if tc, ok := nc.(*net.TCPConn); ok {
-			_ = tc.SetLinger(0) // This makes the close a reset.
+			_ = tc.SetLinger(0) // makes Close reset the connection
 		}
 		_ = nc.Close()
-		li.tell(EventConnectionReset)
+		li.notify(EventConnectionReset)
 	}
 }
 
-func (li *listener) tell(kind ServerEventKind) {
-	if li.note != nil {
-		li.note(kind)
+func (li *listener) notify(kind ServerEventKind) {
+	if li.onConnection != nil {
+		li.onConnection(kind)
 	}
 }
 
-// accepted is a connection that counts until it is closed.
-type accepted struct {
+// countedConn is a connection that counts towards the limit until it is closed.
+type countedConn struct {
 	net.Conn
 	li   *listener
 	once sync.Once
 }
 
-// Close closes the connection and lets another one in.
-func (ac *accepted) Close() error {
-	ac.once.Do(func() { ac.li.open.Add(-1) })
-	return ac.Conn.Close()
+// Close closes the connection and frees its place within the limit.
+func (cc *countedConn) Close() error {
+	cc.once.Do(func() { cc.li.open.Add(-1) })
+	return cc.Conn.Close()
 }
--- a/emulate/process.go
+++ b/emulate/process.go
@@ -15,20 +15,20 @@
 	"balsamwinch.example/tier"
 )
 
-// running is one life of an instance.
-type running struct {
-	stop func() // stop makes it stop gracefully.
-	kill func() // kill ends it at once; nil if that can't be done.
-	// signal sends a signal to its process; nil if it has none of its own.
+// instanceRun is one run of an instance, from its start to its exit.
+type instanceRun struct {
+	stop func() // requests a graceful stop
+	kill func() // ends it at once; nil if it runs in this process
+	// signal sends a signal to its process; nil if it runs in this process.
 	signal func(os.Signal) error
-	done   chan struct{} // done is closed when it has ended.
-	err    error         // err is how it ended; to be read after done.
+	done   chan struct{} // closed when it has exited
+	err    error         // error that it exited with; valid after done
 }
 
-// runHere runs an instance in this process.
-func runHere(se tier.Settings, lg *zap.Logger) *running {
+// runInProcess runs an instance in this process.
+func runInProcess(se tier.Settings, lg *zap.Logger) *instanceRun {
 	ctx, stop := context.WithCancel(context.Background())
-	ru := &running{stop: stop, done: make(chan struct{})}
+	ru := &instanceRun{stop: stop, done: make(chan struct{})}
 	go func() {
 		defer close(ru.done)
 		ru.err = tier.Run(ctx, se, nil, Dialect{}, lg.Named(se.Name))
@@ -36,9 +36,9 @@
 	return ru
 }
 
-// runProcess runs an instance in a process of its own, which gets the settings at
-// its standard input and stops when that ends.
-func runProcess(se tier.Settings, program []string, logs string) (*running, error) {
+// runSubprocess runs an instance in a process of its own, which reads the settings from
+// its standard input and stops when that is closed.
+func runSubprocess(se tier.Settings, program []string, logs string) (*instanceRun, error) {
 	cm := exec.Command(program[0], program[1:]...)
 	in, err := cm.StdinPipe()
 	if err != nil {
@@ -55,7 +55,7 @@
 	if err := cm.Start(); err != nil {
 		return nil, err
 	}
-	ru := &running{done: make(chan struct{})}
+	ru := &instanceRun{done: make(chan struct{})}
 	killed := make(chan struct{}, 1)
 	ru.stop = func() { _ = in.Close() }
 	ru.kill = func() {
@@ -66,20 +66,20 @@
 		_ = cm.Process.Kill()
 	}
 	ru.signal = cm.Process.Signal
-	sent := gob.NewEncoder(in).Encode(se)
+	encodeErr := gob.NewEncoder(in).Encode(se)
 	go func() {
 		defer close(ru.done)
 		err := cm.Wait()
 		if len(killed) == 0 {
-			ru.err = errors.Join(sent, err)
+			ru.err = errors.Join(encodeErr, err)
 		}
 	}()
 	return ru, nil
 }
 
-// ServeInstance runs the instance whose settings a Local with a Program writes to
-// in. It stops gracefully when in or the context ends: whoever started it can't
-// leave it behind.
+// ServeInstance runs the instance whose settings a LocalTier with a Program writes to in.
+// It stops gracefully when in or the context ends, so the instance doesn't outlive the
+// process that started it.
 func ServeInstance(ctx context.Context, in io.Reader, lg *zap.Logger) error {
 	var se tier.Settings
 	if err := gob.NewDecoder(in).Decode(&se); err != nil {
--- a/emulate/serve.go
+++ b/emulate/serve.go
@@ -13,85 +13,85 @@
 	"balsamwinch.example/registry"
 )
 
-// HealthPath is where a server says whether it is well.
+// HealthPath is the path of a server's health check.
 const HealthPath = "/health"
 
-// connection is what a server remembers of a connection.
+// connection is the state of a connection to a server.
 type connection struct {
 	used atomic.Bool
 }
 
 type connectionKey struct{}
 
-// ServeHTTP answers one request as a backend server does: it may refuse it, make
-// it wait for a slot, and works on it for a while.
+// ServeHTTP handles one request as a backend server does: it may reject it, queue it for
+// a slot, and takes some time to run it.
 func (se *Server) ServeHTTP(wr http.ResponseWriter, rq *http.Request) {
 	ctx := rq.Context()
 	if rq.URL.Path != HealthPath {
-		se.note(EventRequestReceived, rq)
+		se.emit(EventRequestReceived, rq)
 	}
-	if se.rest(ctx, 0) != nil { // A paused server stands still, whatever it is asked.
+	if se.sleep(ctx, 0) != nil { // A paused server handles no request, not even a health check.
 		return
 	}
 	if rq.URL.Path == HealthPath {
 		se.serveHealth(wr)
 		return
 	}
-	se.count(rq, Counts{Arrived: 1})
+	se.addCounts(rq, Counts{Arrived: 1})
 	id := rq.Header.Get(headerRequestID)
 	if id != "" {
 		wr.Header().Set(headerRequestID, id)
 	}
-	tr := *se.tr.Load()
-	expected := rq.Header.Get(headerExpect)
+	fa := *se.faults.Load()
+	expected := rq.Header.Get(headerExpectServer)
 	switch {
 	case id == "":
-		se.refuse(wr, rq, http.StatusBadRequest)
+		se.reject(wr, rq, http.StatusBadRequest)
 		return
 	case expected != "" && expected != se.cf.ID:
-		se.refuse(wr, rq, http.StatusMisdirectedRequest)
+		se.reject(wr, rq, http.StatusMisdirectedRequest)
 		return
-	case se.chance(tr.Shed):
-		se.refuse(wr, rq, http.StatusServiceUnavailable)
+	case se.chance(fa.Shed):
+		se.reject(wr, rq, http.StatusServiceUnavailable)
 		return
 	}
-	ctx, cancel := deadline(ctx, rq)
+	ctx, cancel := withDeadline(ctx, rq)
 	defer cancel()
-	if !se.take(ctx) {
+	if !se.acquireSlot(ctx) {
 		if rq.Context().Err() == nil {
-			se.refuse(wr, rq, http.StatusServiceUnavailable)
+			se.reject(wr, rq, http.StatusServiceUnavailable)
 		}
 		return
 	}
 	defer func() { <-se.slots }()
-	se.count(rq, Counts{Ran: 1})
-	se.note(EventRequestStarted, rq)
-	if se.chance(tr.Silent) {
+	se.addCounts(rq, Counts{Ran: 1})
+	se.emit(EventRequestStarted, rq)
+	if se.chance(fa.Silent) {
 		<-rq.Context().Done()
 		return
 	}
-	err := se.rest(ctx, se.work(tr)+se.connectionCost(rq))
+	err := se.sleep(ctx, se.drawServiceTime(fa)+se.connectionCost(rq))
 	if rq.Context().Err() == nil {
-		se.endsUnder(rq)
+		se.crashOn(rq)
 	}
 	switch {
 	case rq.Context().Err() != nil: // The caller has closed the connection.
 	case err != nil:
-		se.fail(wr, id, http.StatusGatewayTimeout)
+		se.respondError(wr, id, http.StatusGatewayTimeout)
 	default:
-		se.answer(wr, rq, id, tr)
+		se.respond(wr, rq, id, fa)
 	}
 }
 
 func (se *Server) serveHealth(wr http.ResponseWriter) {
-	wr.Header().Set(headerServer, se.cf.ID)
+	wr.Header().Set(headerServerID, se.cf.ID)
 	if registry.State(se.state.Load()) != registry.Ready {
 		wr.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// deadline ends the context when the caller stops waiting.
-func deadline(ctx context.Context, rq *http.Request) (context.Context, context.CancelFunc) {
+// withDeadline returns a context that ends when the caller stops waiting.
+func withDeadline(ctx context.Context, rq *http.Request) (context.Context, context.CancelFunc) {
 	ms, err := strconv.ParseInt(rq.Header.Get(headerDeadline), 10, 64)
 	if err != nil || ms <= 0 {
 		return context.WithCancel(ctx)
@@ -99,9 +99,9 @@
 	return context.WithTimeout(ctx, time.Duration(ms)*time.Millisecond)
 }
 
-// take waits for a slot. It returns false if the queue is full or the context
-// ends first.
-func (se *Server) take(ctx context.Context) bool {
+// acquireSlot waits for a slot. It returns false if the queue is full or the context ends
+// first.
+func (se *Server) acquireSlot(ctx context.Context) bool {
 	select {
 	case se.slots <- struct{}{}:
 		return true
@@ -120,28 +120,28 @@
 	}
 }
 
-// rest sleeps for as long as some work takes, pauses on the way included.
-func (se *Server) rest(ctx context.Context, work time.Duration) error {
+// sleep waits as long as the work takes, including the pauses in between.
+func (se *Server) sleep(ctx context.Context, work time.Duration) error {
 	now := se.ts.Now()
-	if left := se.ps.end(now, work).Sub(now); left > 0 {
-		return se.ts.Sleep(ctx, left)
+	if remaining := se.ps.end(now, work).Sub(now); remaining > 0 {
+		return se.ts.Sleep(ctx, remaining)
 	}
 	return ctx.Err()
 }
 
-// work draws how long the work for one request takes.
-func (se *Server) work(tr Faults) time.Duration {
+// drawServiceTime draws how long one request runs.
+func (se *Server) drawServiceTime(fa Faults) time.Duration {
 	se.mu.Lock()
-	took := se.cf.ServiceTime.draw(se.rd)
+	base := se.cf.ServiceTime.draw(se.rd)
 	se.mu.Unlock()
 	factor := se.cf.ServiceTimeFactor
-	if tr.SlowFactor > 0 {
-		factor *= tr.SlowFactor
+	if fa.SlowFactor > 0 {
+		factor *= fa.SlowFactor
 	}
 	if se.ts.Now().Sub(se.started) < se.cf.Warmup {
 		factor *= se.cf.WarmupFactor
 	}
-	return time.Duration(factor * float64(took))
+	return time.Duration(factor * float64(base))
 }
 
 func (se *Server) connectionCost(rq *http.Request) time.Duration {
@@ -152,54 +152,54 @@
 	return se.cf.ConnectionCost
 }
 
-func (se *Server) chance(share float64) bool {
-	if share <= 0 {
+func (se *Server) chance(probability float64) bool {
+	if probability <= 0 {
 		return false
 	}
 	se.mu.Lock()
 	defer se.mu.Unlock()
-	return se.rd.Float64() < share
+	return se.rd.Float64() < probability
 }
 
-// refuse says that the request has not run and won't.
-func (se *Server) refuse(wr http.ResponseWriter, rq *http.Request, status int) {
-	se.count(rq, Counts{NotRun: 1})
-	se.note(EventRequestRejected, rq)
+// reject responds that the request has not run and will not run.
+func (se *Server) reject(wr http.ResponseWriter, rq *http.Request, status int) {
+	se.addCounts(rq, Counts{NotRun: 1})
+	se.emit(EventRequestRejected, rq)
 	wr.Header().Set(headerNotRun, "1")
 	se.reportLoad(wr)
 	wr.WriteHeader(status)
 }
 
-func (se *Server) fail(wr http.ResponseWriter, id string, status int) {
+func (se *Server) respondError(wr http.ResponseWriter, id string, status int) {
 	wr.Header().Set(headerStamp, Stamp(se.cf.ID, id))
 	se.reportLoad(wr)
 	wr.WriteHeader(status)
 }
 
-// answer gives the records, or spoils the answer as the trouble wants.
-func (se *Server) answer(wr http.ResponseWriter, rq *http.Request, id string, tr Faults) {
-	if se.chance(tr.Fail) {
-		se.fail(wr, id, http.StatusInternalServerError)
+// respond sends the records, or a faulty response as the faults demand.
+func (se *Server) respond(wr http.ResponseWriter, rq *http.Request, id string, fa Faults) {
+	if se.chance(fa.Fail) {
+		se.respondError(wr, id, http.StatusInternalServerError)
 		return
 	}
-	if se.chance(tr.Cut) {
-		se.spoil(wr, "")
+	if se.chance(fa.Cut) {
+		se.writeRaw(wr, "")
 		return
 	}
-	if se.chance(tr.Garble) {
-		se.spoil(wr, "\x00\x01 these bytes are no answer\r\n\r\n")
+	if se.chance(fa.Garble) {
+		se.writeRaw(wr, "\x00\x01 these bytes are no answer\r\n\r\n")
 		return
 	}
-	if se.chance(tr.Late) && se.ts.Sleep(rq.Context(), se.lateness()) != nil {
+	if se.chance(fa.Late) && se.ts.Sleep(rq.Context(), se.drawResponseDelay()) != nil {
 		return
 	}
 	path := rq.URL.Path
-	if se.chance(tr.WrongRequest) {
-		id, path = id+otherSuffix, path+otherSuffix
+	if se.chance(fa.WrongRequest) {
+		id, path = id+wrongRequestSuffix, path+wrongRequestSuffix
 		wr.Header().Set(headerRequestID, id)
 	}
 	body := Records(se.cf.Service, path, se.cf.Records)
-	if se.chance(tr.Duplicate) {
+	if se.chance(fa.Duplicate) {
 		se.sendTwice(wr, id, body)
 		return
 	}
@@ -211,15 +211,15 @@
 		hd.Set("Connection", "close")
 	}
 	se.reportLoad(wr)
-	if se.chance(tr.Truncate) {
+	if se.chance(fa.Truncate) {
 		_, _ = wr.Write(body[:len(body)/2])
-		panic(http.ErrAbortHandler) // This is how net/http is told to cut an answer short.
+		panic(http.ErrAbortHandler) // makes net/http close the connection in the middle of the response
 	}
 	_, _ = wr.Write(body)
 }
 
-// spoil writes some bytes in place of an answer and closes the connection.
-func (se *Server) spoil(wr http.ResponseWriter, bytes string) {
+// writeRaw writes some bytes instead of a response and closes the connection.
+func (se *Server) writeRaw(wr http.ResponseWriter, bytes string) {
 	nc, _, err := http.NewResponseController(wr).Hijack()
 	if err != nil {
 		return
@@ -228,41 +228,42 @@
 	_ = nc.Close()
 }
 
-// otherSuffix makes a request's id and path those of another one.
-const otherSuffix = "-other"
+// wrongRequestSuffix turns the ID and path of a request into those of another one.
+const wrongRequestSuffix = "-other"
 
 const (
-	lateLeast = 50 * time.Millisecond
-	lateMost  = 400 * time.Millisecond
-	// keptOpen is how long a connection stays open on which an answer was sent twice.
-	keptOpen = time.Second
+	minResponseDelay = 50 * time.Millisecond
+	maxResponseDelay = 400 * time.Millisecond
+	// duplicateCloseDelay is how long a connection stays open after a response was sent
+	// twice.
+	duplicateCloseDelay = time.Second
 )
 
-// lateness draws how much later an answer comes.
-func (se *Server) lateness() time.Duration {
+// drawResponseDelay draws the delay of a late response.
+func (se *Server) drawResponseDelay() time.Duration {
 	se.mu.Lock()
 	defer se.mu.Unlock()
-	return lateLeast + time.Duration(se.rd.Float64()*float64(lateMost-lateLeast))
+	return minResponseDelay + time.Duration(se.rd.Float64()*float64(maxResponseDelay-minResponseDelay))
 }
 
-// sendTwice writes an answer twice, and closes the connection only later: who has
-// taken the first answer and uses the connection again gets the second one.
+// sendTwice writes a response twice and closes the connection only later, so that a
+// caller that reuses the connection after the first copy reads the second one.
 func (se *Server) sendTwice(wr http.ResponseWriter, id string, body []byte) {
 	nc, _, err := http.NewResponseController(wr).Hijack()
 	if err != nil {
 		return
 	}
-	one := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s",
+	response := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s",
 		headerRequestID, id, headerStamp, Stamp(se.cf.ID, id), len(body), body)
-	_, _ = io.WriteString(nc, one+one)
-	se.ts.Timeout(keptOpen, func() { _ = nc.Close() })
+	_, _ = io.WriteString(nc, response+response)
+	se.ts.Timeout(duplicateCloseDelay, func() { _ = nc.Close() })
 }
 
-// reportLoad states the requests that run and wait, and the slots.
+// reportLoad adds a header with the running requests, the queued requests and the slots.
 func (se *Server) reportLoad(wr http.ResponseWriter) {
 	if !se.cf.ReportLoad {
 		return
 	}
-	figures := []string{strconv.Itoa(len(se.slots)), strconv.FormatInt(se.waiting.Load(), 10), strconv.Itoa(se.cf.Slots)}
-	wr.Header().Set(headerLoad, strings.Join(figures, ","))
+	values := []string{strconv.Itoa(len(se.slots)), strconv.FormatInt(se.waiting.Load(), 10), strconv.Itoa(se.cf.Slots)}
+	wr.Header().Set(headerServerLoad, strings.Join(values, ","))
 }
--- a/emulate/server.go
+++ b/emulate/server.go
@@ -1,8 +1,8 @@
-// Package emulate plays what stands around the routed tier, so that the tier can
-// be tried and measured on one machine: backend servers with slots, queues,
-// pauses and faults, and a dialect of the product's own in which they, operators
-// and callers speak with the instances. It also runs a whole tier on loopback
-// addresses. It decides nothing that the tier decides.
+// Package emulate simulates the environment of the routed tier, so that the tier can be
+// tested and measured on one machine: backend servers with slots, queues, pauses and
+// faults, and an HTTP dialect for the communication of backend servers, operators and
+// callers with the instances. It also runs a whole tier on loopback addresses. It
+// contains none of the tier's own logic.
 package emulate
 
 import (
@@ -23,37 +23,37 @@
 	"balsamwinch.example/timer"
 )
 
-// Config describes an emulated backend server. A zero field switches off what it
-// describes, where no default is named.
+// Config describes an emulated backend server. A zero field disables what it describes,
+// unless a default is given.
 type Config struct {
-	ID         string // ID is new at each start.
+	ID         string // new for each start
 	Service    string
 	DataCentre string
-	Version    string // Version is that of the server's software.
-	Born       int64  // Born is when this start began, in Unix milliseconds; 0 says nothing of it.
-	Address    string // Address is the IP:port to listen on; default any port at 127.0.0.1.
-	Slots      int    // Slots is how many requests are worked on at once; at least 1.
-	Queue      int    // Queue is how many requests wait for a slot before further ones are refused.
-	// Connections is how many connections are accepted from all callers together;
-	// those beyond are reset. Default: no limit.
+	Version    string // software version of the server
+	Born       int64  // start time in Unix milliseconds; 0 if not announced
+	Address    string // IP:port to listen on; default any port at 127.0.0.1
+	Slots      int    // maximum concurrent requests; at least 1
+	Queue      int    // maximum requests that wait for a slot; further ones are rejected
+	// Connections is the maximum number of connections, from all callers together; those
+	// beyond are reset. Default: no limit.
 	Connections int
-	// ConnectionCost is how much longer the first request of a connection holds its
-	// slot.
+	// ConnectionCost is the additional time for which the first request on a connection
+	// holds its slot.
 	ConnectionCost    time.Duration
 	ServiceTime       ServiceTime
 	Pause             Pause
-	ServiceTimeFactor float64           // Pace multiplies all work; default 1.
-	Warmup            time.Duration     // Warm is for how long after its start the server is slow.
-	WarmupFactor      float64           // WarmFactor is how slow it is then; default 1.
-	Records           int               // Records is how many records an answer has.
-	ReportLoad        bool              // ReportLoad adds the load to each answer.
-	AnnounceInterval  time.Duration     // Announcement is the time between two announcements; default 1 s.
-	DrainDelay        time.Duration     // DrainFor is how long a draining server goes on serving.
-	IdleTimeout       time.Duration     // IdleTimeout is when an idle connection is closed; default 30 s.
-	Seed              uint64            // Seed makes work, pauses and faults repeatable.
-	OnEvent           func(ServerEvent) // Note is told what the server sees, by many goroutines at once; may be nil.
-	// Ended is called once the server has ended under a request with FatalText in its
-	// path; nil: it doesn't end under any.
+	ServiceTimeFactor float64           // multiplies all service times; default 1
+	Warmup            time.Duration     // time after the start during which the server is slow
+	WarmupFactor      float64           // multiplies service times during Warmup; default 1
+	Records           int               // records in each response
+	ReportLoad        bool              // adds the load to each response
+	AnnounceInterval  time.Duration     // default 1 s
+	DrainDelay        time.Duration     // how long a draining server continues to serve
+	IdleTimeout       time.Duration     // when an idle connection is closed; default 30 s
+	Seed              uint64            // makes service times, pauses and faults reproducible
+	OnEvent           func(ServerEvent) // called for each event, concurrently; may be nil
+	// OnCrash is called once the server has crashed on a request with CrashPathMarker in
+	// its path; if nil, no request crashes the server.
 	OnCrash func(se *Server)
 }
 
@@ -83,11 +83,11 @@
 	return cf
 }
 
-// Counts are what a server counted of the requests with one first path segment.
+// Counts are a server's counts of the requests with the same first path segment.
 type Counts struct {
-	Arrived int // Arrived counts the requests read, whatever became of them.
-	Ran     int // Ran counts those that were begun.
-	NotRun  int // NotRun counts those that were refused.
+	Arrived int // requests read, whatever their outcome
+	Ran     int // requests that started to run
+	NotRun  int // requests that were rejected
 }
 
 // Plus returns the sum of two counts.
@@ -97,29 +97,29 @@
 
 // Server is an emulated backend server. It is safe for concurrent use.
 type Server struct {
-	cf      Config
-	an      Announcer
-	ts      *timer.Service
-	lg      *zap.Logger
-	li      *listener
-	hs      *http.Server
-	ps      *pauses
-	started time.Time
-	slots   chan struct{}
-	waiting atomic.Int64
-	state   atomic.Int64 // state is a registry.State.
-	tr      atomic.Pointer[Faults]
-	seq     atomic.Uint64
-	heard   atomic.Bool
-	ended   atomic.Bool // ended says that a request has ended the server.
+	cf        Config
+	an        Announcer
+	ts        *timer.Service
+	lg        *zap.Logger
+	li        *listener
+	hs        *http.Server
+	ps        *pauses
+	started   time.Time
+	slots     chan struct{}
+	waiting   atomic.Int64
+	state     atomic.Int64 // a registry.State
+	faults    atomic.Pointer[Faults]
+	sequence  atomic.Uint64
+	announced atomic.Bool
+	crashed   atomic.Bool // whether a request has crashed the server
 
-	mu     sync.Mutex // mu guards what follows.
+	mu     sync.Mutex // guards the fields below
 	rd     *rand.Rand
 	counts map[string]Counts
 }
 
-// New returns a server that listens, but answers and announces itself only while
-// Serve runs. Calls that announce it go to an.
+// New returns a server that listens, but responds to requests and announces itself only
+// while Serve runs. It announces itself to an.
 func New(cf Config, an Announcer, ts *timer.Service, lg *zap.Logger) (*Server, error) {
 	cf = cf.withDefaults()
 	li, err := net.Listen("tcp4", cf.Address)
@@ -129,10 +129,10 @@
 	se := &Server{
 		cf: cf, an: an, ts: ts, lg: lg, li: newListener(li, cf.Connections), started: ts.Now(),
 		slots: make(chan struct{}, cf.Slots), counts: make(map[string]Counts),
-		ps: newPauses(cf.Pause, cf.Seed, ts.Now()), rd: rand.New(rand.NewPCG(cf.Seed, workStream)),
+		ps: newPauses(cf.Pause, cf.Seed, ts.Now()), rd: rand.New(rand.NewPCG(cf.Seed, serviceTimeStream)),
 	}
-	se.li.note = func(kind ServerEventKind) { se.note(kind, nil) }
-	se.tr.Store(&Faults{})
+	se.li.onConnection = func(kind ServerEventKind) { se.emit(kind, nil) }
+	se.faults.Store(&Faults{})
 	se.hs = &http.Server{
 		Handler: se, IdleTimeout: cf.IdleTimeout,
 		ConnContext: func(ctx context.Context, _ net.Conn) context.Context {
@@ -142,24 +142,24 @@
 	return se, nil
 }
 
-// FatalText is in the path of requests under which servers end.
+// CrashPathMarker is in the path of requests that crash the servers which run them.
 const CrashPathMarker = "fatal"
 
-// endsUnder ends the server if the request is one that does that: all its connections at
-// once, and without a word to control.
-func (se *Server) endsUnder(rq *http.Request) {
+// crashOn crashes the server if the request is one that does: it closes all connections
+// at once, without announcing it to control.
+func (se *Server) crashOn(rq *http.Request) {
 	if se.cf.OnCrash == nil || !strings.Contains(rq.URL.Path, CrashPathMarker) {
 		return
 	}
-	if !se.ended.Swap(true) {
-		se.note(EventServerCrashed, rq)
+	if !se.crashed.Swap(true) {
+		se.emit(EventServerCrashed, rq)
 		_ = se.hs.Close()
 		se.cf.OnCrash(se)
 	}
 	panic(http.ErrAbortHandler)
 }
 
-// ID returns the server's id.
+// ID returns the server's ID.
 func (se *Server) ID() string { return se.cf.ID }
 
 // Service returns the service that the server belongs to.
@@ -168,36 +168,36 @@
 // Address returns the IP:port that the server listens on.
 func (se *Server) Address() string { return se.li.Addr().String() }
 
-// SetTrouble makes the server suffer from a trouble from now on.
-func (se *Server) SetFaults(tr Faults) { se.tr.Store(&tr) }
+// SetFaults replaces the faults of the server.
+func (se *Server) SetFaults(fa Faults) { se.faults.Store(&fa) }
 
-// Halt makes the server stand still for a time from now on, whatever it is asked.
-// Work that was begun before goes on.
+// Halt pauses the server for a time from now on, health checks included. Requests that
+// already run continue.
 func (se *Server) Halt(length time.Duration) { se.ps.halt(se.ts.Now().Add(length)) }
 
-// Announced reports whether control has heard of the server.
-func (se *Server) Announced() bool { return se.heard.Load() }
+// Announced reports whether control has received an announcement of the server.
+func (se *Server) Announced() bool { return se.announced.Load() }
 
-// Counts returns what was counted of the requests whose path begins with the
-// segment, as "a" in /a/b.
+// Counts returns the counts of the requests whose path begins with the segment, such as
+// "a" in /a/b.
 func (se *Server) Counts(segment string) Counts {
 	se.mu.Lock()
 	defer se.mu.Unlock()
 	return se.counts[segment]
 }
 
-// OverLimit counts the connections that were reset as beyond the limit.
-func (se *Server) RejectedConnections() int { return int(se.li.over.Load()) }
+// RejectedConnections returns how many connections were reset because of the limit.
+func (se *Server) RejectedConnections() int { return int(se.li.rejected.Load()) }
 
-// Serve answers requests and announces the server until the context ends; then
-// all connections are closed at once, as in a crash. It returns
-// suture.ErrDoNotRestart once the server has drained.
+// Serve handles requests and announces the server until the context ends; then all
+// connections are closed at once, as in a crash. It returns suture.ErrDoNotRestart once
+// the server has drained.
 func (se *Server) Serve(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = se.hs.Close() })
 	defer stop()
-	beat, cancel := context.WithCancel(ctx)
+	announceCtx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
-	wg.Go(func() { se.announceAll(beat) })
+	wg.Go(func() { se.announceLoop(announceCtx) })
 	err := se.hs.Serve(se.li)
 	cancel()
 	wg.Wait()
@@ -210,8 +210,8 @@
 	return err
 }
 
-// announceAll announces the server again and again until it has left.
-func (se *Server) announceAll(ctx context.Context) {
+// announceLoop announces the server at intervals until it has left.
+func (se *Server) announceLoop(ctx context.Context) {
 	for ctx.Err() == nil && registry.State(se.state.Load()) != registry.Gone {
 		if err := se.announce(ctx); err != nil && ctx.Err() == nil {
 			se.lg.Warn("announcement-failed", zap.String("Server", se.cf.ID), zap.Error(err))
@@ -225,39 +225,40 @@
 	state := registry.State(se.state.Load())
 	err := se.an.Announce(ctx, registry.Server{
 		ID: se.cf.ID, Service: se.cf.Service, Address: se.Address(), DataCentre: se.cf.DataCentre, Version: se.cf.Version,
-		Slots: se.cf.Slots, State: state, Sequence: se.seq.Add(1), WarmMillis: warm.Milliseconds(), Born: se.cf.Born,
+		Slots: se.cf.Slots, State: state, Sequence: se.sequence.Add(1), WarmMillis: warm.Milliseconds(), Born: se.cf.Born,
 	})
 	if err == nil {
-		se.heard.Store(true)
+		se.announced.Store(true)
 		if state == registry.Draining {
-			se.note(EventDrainAcknowledged, nil)
+			se.emit(EventDrainAcknowledged, nil)
 		}
 	}
 	return err
 }
 
-// Drain makes the server leave as planned: it says that it drains, goes on
-// serving for DrainFor, says that it is gone, and ends once its requests have.
-// If control doesn't hear it, it ends all the same and the error says so.
+// Drain makes the server leave as planned: it announces that it drains, continues to
+// serve for DrainDelay, announces that it has left, and shuts down once its requests have
+// finished. If control doesn't receive an announcement, the server shuts down all the
+// same and the error reports it.
 func (se *Server) Drain(ctx context.Context) error {
 	se.state.Store(int64(registry.Draining))
-	told := se.announce(ctx)
+	announceErr := se.announce(ctx)
 	_ = se.ts.Sleep(ctx, se.cf.DrainDelay)
 	se.state.Store(int64(registry.Gone))
-	told = errors.Join(told, se.an.Leave(ctx, se.cf.ID))
-	return errors.Join(told, se.hs.Shutdown(ctx))
+	announceErr = errors.Join(announceErr, se.an.Leave(ctx, se.cf.ID))
+	return errors.Join(announceErr, se.hs.Shutdown(ctx))
 }
 
-func (se *Server) count(rq *http.Request, add Counts) {
+func (se *Server) addCounts(rq *http.Request, add Counts) {
 	segment, _, _ := strings.Cut(strings.TrimPrefix(rq.URL.Path, "/"), "/")
 	se.mu.Lock()
 	defer se.mu.Unlock()
-	if _, ok := se.counts[segment]; !ok && len(se.counts) >= mostSegments {
+	if _, ok := se.counts[segment]; !ok && len(se.counts) >= maxSegments {
 		segment = ""
 	}
 	se.counts[segment] = se.counts[segment].Plus(add)
 }
 
-// mostSegments bounds the first path segments that are counted apart; requests
-// with further ones are counted together under the empty one.
-const mostSegments = 64
+// maxSegments bounds the first path segments with separate counts; requests with further
+// ones are counted together under the empty segment.
+const maxSegments = 64
--- a/emulate/servers.go
+++ b/emulate/servers.go
@@ -12,11 +12,10 @@
 	"balsamwinch.example/timer"
 )
 
-// crashWithin bounds the wait for a server that crashes.
-const crashWithin = 5 * time.Second
+// crashTimeout bounds the wait for a server to crash.
+const crashTimeout = 5 * time.Second
 
-// Servers are backend servers that run in this process. It is safe for concurrent
-// use.
+// Servers are backend servers that run in this process. It is safe for concurrent use.
 type Servers struct {
 	co   *ControlClient
 	ts   *timer.Service
@@ -25,14 +24,14 @@
 	stop context.CancelFunc
 	done <-chan error
 
-	mu     sync.Mutex // mu guards what follows.
+	mu     sync.Mutex // guards the fields below
 	all    []*Server
 	byID   map[string]*Server
 	tokens map[string]suture.ServiceToken
 }
 
-// StartServers starts backend servers that announce themselves to the control
-// instances at the addresses.
+// StartServers starts backend servers that announce themselves to the control instances
+// at the addresses.
 func StartServers(cfs []Config, control []string, ts *timer.Service, lg *zap.Logger) (*Servers, error) {
 	ss := &Servers{
 		co: NewControlClient(control), ts: ts, lg: lg,
@@ -52,7 +51,7 @@
 	return ss, nil
 }
 
-// Start starts one more backend server.
+// Start starts another backend server.
 func (ss *Servers) Start(cf Config) (*Server, error) {
 	se, err := New(cf, ss.co, ss.ts, ss.lg)
 	if err != nil {
@@ -66,8 +65,8 @@
 	return se, nil
 }
 
-// Crash ends a server at once, without a word to control, and waits for its end.
-// One that has ended is no error.
+// Crash ends a server at once, without announcing it to control, and waits until it has
+// ended. A server that has already ended is not an error.
 func (ss *Servers) Crash(se *Server) error {
 	ss.mu.Lock()
 	to, ok := ss.tokens[se.ID()]
@@ -76,17 +75,19 @@
 	if !ok {
 		return nil
 	}
-	return ss.sp.RemoveAndWait(to, crashWithin)
+	return ss.sp.RemoveAndWait(to, crashTimeout)
 }
 
-// All returns the servers in the order of their start, with those that have ended.
+// All returns the servers in the order in which they were started, including those that
+// have ended.
 func (ss *Servers) All() []*Server {
 	ss.mu.Lock()
 	defer ss.mu.Unlock()
 	return slices.Clone(ss.all)
 }
 
-// Service returns the service of the server with an id; false if there is none.
+// Service returns the service of the server with the ID; false if there is no such
+// server.
 func (ss *Servers) Service(id string) (string, bool) {
 	ss.mu.Lock()
 	defer ss.mu.Unlock()
@@ -97,8 +98,8 @@
 	return se.Service(), true
 }
 
-// Counts returns the sum of what the servers counted of the requests whose path
-// begins with the segment.
+// Counts returns the sum of the servers' counts of the requests whose path begins with
+// the segment.
 func (ss *Servers) Counts(segment string) Counts {
 	var out Counts
 	for _, se := range ss.All() {
@@ -107,7 +108,8 @@
 	return out
 }
 
-// OverLimit counts the connections that were reset as beyond a server's limit.
+// RejectedConnections returns how many connections were reset because of a server's
+// limit.
 func (ss *Servers) RejectedConnections() int {
 	out := 0
 	for _, se := range ss.All() {
@@ -116,7 +118,7 @@
 	return out
 }
 
-// Close ends all servers at once, without a word to control.
+// Close ends all servers at once, without announcing it to control.
 func (ss *Servers) Close() {
 	ss.stop()
 	<-ss.done
--- a/emulate/work.go
+++ b/emulate/work.go
@@ -8,78 +8,79 @@
 	"time"
 )
 
-// The streams of random numbers that one seed drives.
+// The streams of random numbers that are derived from one seed.
 const (
-	workStream = iota
+	serviceTimeStream = iota
 	pauseStream
 )
 
-// Work is how long requests take: a lognormal distribution with a tail.
+// ServiceTime is the distribution of the service times of requests: lognormal with a
+// tail.
 type ServiceTime struct {
 	Median     time.Duration
-	Sigma      float64 // Sigma is the standard deviation of the logarithm.
-	TailShare  float64 // TailShare is the share of the requests that take TailFactor times as long.
+	Sigma      float64 // standard deviation of the logarithm
+	TailShare  float64 // fraction of the requests that take TailFactor times as long
 	TailFactor float64
 }
 
-func (wo ServiceTime) draw(rd *rand.Rand) time.Duration {
-	took := float64(wo.Median) * math.Exp(wo.Sigma*rd.NormFloat64())
-	if rd.Float64() < wo.TailShare {
-		took *= wo.TailFactor
+func (st ServiceTime) draw(rd *rand.Rand) time.Duration {
+	duration := float64(st.Median) * math.Exp(st.Sigma*rd.NormFloat64())
+	if rd.Float64() < st.TailShare {
+		duration *= st.TailFactor
 	}
-	return time.Duration(took)
+	return time.Duration(duration)
 }
 
-// Pause is how a server stands still at times: for a length between Least and
-// Most, and from one beginning to the next between EveryLeast and EveryMost.
+// Pause describes the recurring pauses of a server: each lasts between Least and Most,
+// and starts between EveryLeast and EveryMost after the start of the previous one.
 type Pause struct {
 	Least, Most           time.Duration
 	EveryLeast, EveryMost time.Duration
 }
 
-// Trouble is what goes wrong at a server that seems well. Shares are from 0 to 1.
+// Faults are the faults of a server whose health checks still succeed. All except
+// SlowFactor are fractions from 0 to 1.
 type Faults struct {
-	SlowFactor   float64 // Slow multiplies the work; 0 means 1.
-	Shed         float64 // Shed is the share of requests that are refused though there is room.
-	Fail         float64 // Fail is the share of requests that run and are answered with status 500.
-	Cut          float64 // Cut is the share of requests that run and whose connection is closed instead of an answer.
-	Garble       float64 // Garble is the share of requests that run and are answered with bytes that are not HTTP.
-	Truncate     float64 // Truncate is the share of answers that end in the middle.
-	Silent       float64 // Silent is the share of requests that run and are never answered.
-	Duplicate    float64 // Twice is the share of answers that are sent twice on the connection, which stays open for a while.
-	Late         float64 // Late is the share of answers that come some 50 to 400 ms later, whatever the deadline.
-	WrongRequest float64 // Other is the share of answers that are those to another request.
+	SlowFactor   float64 // multiplies service times; 0 means 1
+	Shed         float64 // requests that are rejected although there is a free slot
+	Fail         float64 // requests that run and get status 500
+	Cut          float64 // requests that run and whose connection is closed instead of a response
+	Garble       float64 // requests that run and get bytes that are not HTTP
+	Truncate     float64 // responses that end in the middle
+	Silent       float64 // requests that run and never get a response
+	Duplicate    float64 // responses that are sent twice on the connection, which stays open for a while
+	Late         float64 // responses that are delayed by 50 to 400 ms, whatever the deadline
+	WrongRequest float64 // responses that belong to another request
 }
 
-// span is a time in which a server stands still.
+// span is the time of one pause.
 type span struct {
 	from, to time.Time
 }
 
-// pauses is when a server stands still.
+// pauses are the pauses of a server.
 type pauses struct {
 	pa Pause
 
-	mu    sync.Mutex
-	rd    *rand.Rand
-	begin time.Time // begin is when the last drawn pause begins.
-	spans []span    // spans are those that are not over, the next one first.
+	mu        sync.Mutex
+	rd        *rand.Rand
+	lastStart time.Time // start of the last drawn pause
+	spans     []span    // pauses that have not ended, the next one first
 
-	halted atomic.Int64 // halted is until when the server stands still besides, in Unix nanoseconds.
+	haltedUntil atomic.Int64 // when the pause of Halt ends, in Unix nanoseconds
 }
 
 func newPauses(pa Pause, seed uint64, now time.Time) *pauses {
-	return &pauses{pa: pa, rd: rand.New(rand.NewPCG(seed, pauseStream)), begin: now}
+	return &pauses{pa: pa, rd: rand.New(rand.NewPCG(seed, pauseStream)), lastStart: now}
 }
 
-// halt makes the server stand still until a time.
-func (ps *pauses) halt(until time.Time) { ps.halted.Store(until.UnixNano()) }
+// halt pauses the server until a time.
+func (ps *pauses) halt(until time.Time) { ps.haltedUntil.Store(until.UnixNano()) }
 
-// end returns when work that begins now is done, if nothing is worked on during
-// pauses.
+// end returns when work that starts now is done, if nothing runs during pauses.
 func (ps *pauses) end(now time.Time, work time.Duration) time.Time {
-	if left := time.Duration(ps.halted.Load() - now.UnixNano()); left > 0 {
-		now = now.Add(left)
+	if remaining := time.Duration(ps.haltedUntil.Load() - now.UnixNano()); remaining > 0 {
+		now = now.Add(remaining)
 	}
 	if ps.pa.Most <= 0 || ps.pa.EveryMost <= 0 {
 		return now.Add(work)
@@ -91,7 +92,7 @@
 	}
 	at := now
 	for ix := 0; ; ix++ {
-		sp := ps.span(ix)
+		sp := ps.pauseAt(ix)
 		if !sp.to.After(at) {
 			continue
 		}
@@ -105,17 +106,19 @@
 	}
 }
 
-// span returns a pause that is not over, counted from 0, and draws it if needed.
-func (ps *pauses) span(ix int) span {
+// pauseAt returns the pause with the index among those that have not ended, and draws it
+// if needed.
+func (ps *pauses) pauseAt(ix int) span {
 	for len(ps.spans) <= ix {
-		ps.begin = ps.begin.Add(ps.between(ps.pa.EveryLeast, ps.pa.EveryMost))
-		ps.spans = append(ps.spans, span{ps.begin, ps.begin.Add(ps.between(ps.pa.Least, ps.pa.Most))})
+		ps.lastStart = ps.lastStart.Add(ps.drawBetween(ps.pa.EveryLeast, ps.pa.EveryMost))
+		ps.spans = append(ps.spans, span{ps.lastStart, ps.lastStart.Add(ps.drawBetween(ps.pa.Least, ps.pa.Most))})
 	}
 	return ps.spans[ix]
 }
 
-// between draws a time of at least a millisecond, so that drawing gets on.
-func (ps *pauses) between(least, most time.Duration) time.Duration {
-	least = max(time.Millisecond, least)
-	return least + time.Duration(ps.rd.Float64()*float64(max(0, most-least)))
+// drawBetween draws a duration of at least a millisecond, so that drawing pauses makes
+// progress.
+func (ps *pauses) drawBetween(shortest, longest time.Duration) time.Duration {
+	shortest = max(time.Millisecond, shortest)
+	return shortest + time.Duration(ps.rd.Float64()*float64(max(0, longest-shortest)))
 }
