--- a/emulate/experiment/experiment_test.go
+++ b/emulate/experiment/experiment_test.go
@@ -25,10 +25,10 @@
 	return ex
 }
 
-// The shipped experiment is run on a small tier for a moment: every request that
-// was due is accounted for once, none is answered wrongly, and the backend servers
-// counted at least one arrival for each part that came.
-func TestRun(t *testing.T) {
+// Runs the shipped experiment on a small tier for a short time: each request that was due
+// is counted once, no response is wrong, and the backend servers count at least as many
+// arrivals as they ran and rejected.
+func TestShippedExperiment(t *testing.T) {
 	ex := readRouted(t)
 	ex.Tier.Entries, ex.Tier.Controls, ex.Servers.Shards, ex.Servers.Replicas = 2, 1, 3, 2
 	ex.Warmup, ex.Block, ex.Length = 0, 500*time.Millisecond, 2*time.Second
@@ -38,13 +38,13 @@
 	qt.Assert(t, re.Wrong(), qt.Equals, 0, qt.Commentf("%v", re.Examples))
 	qt.Assert(t, len(re.Lines), qt.Equals, 4)
 	due := make(map[string]int)
-	for _, li := range re.Lines {
-		qt.Check(t, li.Whole+li.Partial+li.Refused+li.Failed+li.Silent, qt.Equals, li.Due, qt.Commentf("%+v", li))
-		qt.Check(t, li.Whole > 0, qt.IsTrue, qt.Commentf("%+v", li))
-		if first, ok := due[li.Group]; ok {
-			qt.Check(t, li.Due, qt.Equals, first) // The arms get the same arrivals.
+	for _, me := range re.Lines {
+		qt.Check(t, me.Whole+me.Partial+me.Refused+me.Failed+me.Silent, qt.Equals, me.Due, qt.Commentf("%+v", me))
+		qt.Check(t, me.Whole > 0, qt.IsTrue, qt.Commentf("%+v", me))
+		if first, ok := due[me.Group]; ok {
+			qt.Check(t, me.Due, qt.Equals, first) // The arms get the same arrivals.
 		}
-		due[li.Group] = li.Due
+		due[me.Group] = me.Due
 	}
 	for _, co := range re.Arms {
 		qt.Check(t, co.Asked, qt.Equals, 3*due[groupMerged]+due[groupPlain])
@@ -55,40 +55,40 @@
 	qt.Assert(t, strings.Count(out.String(), "\n") > 10, qt.IsTrue)
 }
 
-// An answer counts once, under what the caller can tell of it.
-func TestNote(t *testing.T) {
-	expect := emulate.Expectation{
+// Each response is counted once, under the outcome that the caller can observe.
+func TestResponseCountedOnce(t *testing.T) {
+	expected := emulate.Expectation{
 		Services: []string{"a", "b"}, Records: 1, TopK: 1,
 		Service: func(id string) (string, bool) { return id[:1], id != "" },
 	}
-	qu := emulate.Request{ID: "r", Path: "/x"}
-	one := emulate.Records("a", "/x", 1)
+	req := emulate.Request{ID: "r", Path: "/x"}
+	body := emulate.Records("a", "/x", 1)
 	stamp := emulate.Stamp("a1", "r")
 	tests := []struct {
 		name string
 		an   emulate.Response
 		err  error
-		of   func(*cell) int
+		of   func(*recorder) int
 	}{
-		{"partial", emulate.Response{Status: http.StatusOK, Body: one, Stamps: []string{stamp}, Missing: 1}, nil, func(ce *cell) int { return ce.partial }},
-		{"missing untold", emulate.Response{Status: http.StatusOK, Body: one, Stamps: []string{stamp}}, nil, func(ce *cell) int { return ce.wrong }},
-		{"part twice", emulate.Response{Status: http.StatusOK, Body: one, Stamps: []string{stamp, stamp}}, nil, func(ce *cell) int { return ce.wrong }},
-		{"other body", emulate.Response{Status: http.StatusOK, Body: one[1:], Stamps: []string{stamp}, Missing: 1}, nil, func(ce *cell) int { return ce.wrong }},
-		{"stamp of another", emulate.Response{Status: http.StatusOK, Body: one, Stamps: []string{emulate.Stamp("a1", "q")}, Missing: 1}, nil, func(ce *cell) int { return ce.wrong }},
-		{"refused", emulate.Response{Status: http.StatusServiceUnavailable}, nil, func(ce *cell) int { return ce.refused }},
-		{"failed", emulate.Response{Status: http.StatusBadGateway}, nil, func(ce *cell) int { return ce.failed }},
-		{"silent", emulate.Response{}, errors.New("closed"), func(ce *cell) int { return ce.silent }},
+		{"partial", emulate.Response{Status: http.StatusOK, Body: body, Stamps: []string{stamp}, Missing: 1}, nil, func(rec *recorder) int { return rec.partial }},
+		{"missing part not reported", emulate.Response{Status: http.StatusOK, Body: body, Stamps: []string{stamp}}, nil, func(rec *recorder) int { return rec.wrong }},
+		{"duplicate part", emulate.Response{Status: http.StatusOK, Body: body, Stamps: []string{stamp, stamp}}, nil, func(rec *recorder) int { return rec.wrong }},
+		{"wrong body", emulate.Response{Status: http.StatusOK, Body: body[1:], Stamps: []string{stamp}, Missing: 1}, nil, func(rec *recorder) int { return rec.wrong }},
+		{"stamp of another request", emulate.Response{Status: http.StatusOK, Body: body, Stamps: []string{emulate.Stamp("a1", "q")}, Missing: 1}, nil, func(rec *recorder) int { return rec.wrong }},
+		{"refused", emulate.Response{Status: http.StatusServiceUnavailable}, nil, func(rec *recorder) int { return rec.refused }},
+		{"failed", emulate.Response{Status: http.StatusBadGateway}, nil, func(rec *recorder) int { return rec.failed }},
+		{"silent", emulate.Response{}, errors.New("closed"), func(rec *recorder) int { return rec.silent }},
 	}
 	for _, tt := range tests {
-		ce := newCell(expect, 1)
-		ce.note(qu, tt.an, tt.err, 0, time.Millisecond, 2*time.Millisecond)
-		qt.Check(t, tt.of(ce), qt.Equals, 1, qt.Commentf("%s", tt.name))
-		qt.Check(t, ce.whole+ce.partial+ce.refused+ce.failed+ce.silent+ce.wrong, qt.Equals, 1, qt.Commentf("%s", tt.name))
-		qt.Check(t, ce.due, qt.Equals, 1)
+		rec := newRecorder(expected, 1)
+		rec.record(req, tt.an, tt.err, 0, time.Millisecond, 2*time.Millisecond)
+		qt.Check(t, tt.of(rec), qt.Equals, 1, qt.Commentf("%s", tt.name))
+		qt.Check(t, rec.whole+rec.partial+rec.refused+rec.failed+rec.silent+rec.wrong, qt.Equals, 1, qt.Commentf("%s", tt.name))
+		qt.Check(t, rec.due, qt.Equals, 1)
 	}
 }
 
-func TestParse(t *testing.T) {
+func TestParseRejectsInvalidFile(t *testing.T) {
 	data, err := os.ReadFile(routedFile)
 	qt.Assert(t, err, qt.IsNil)
 	tests := []struct{ old, repl, want string }{
--- a/emulate/experiment/run.go
+++ b/emulate/experiment/run.go
@@ -26,21 +26,21 @@
 	groupPlain  = "plain"
 )
 
-// groups are in the order of the streams of arrivals.
+// groups are in the order of the arrival streams.
 var groups = [...]string{groupMerged, groupPlain}
 
 const (
-	readyWithin = time.Minute
-	stopWithin  = 2 * time.Second
-	// mostMicros and digits are the range of the histograms.
-	mostMicros = int64(time.Minute / time.Microsecond)
-	digits     = 3
-	// mostExamples bounds the wrong answers that a report quotes.
-	mostExamples = 5
+	readyTimeout = time.Minute
+	stopTimeout  = 2 * time.Second
+	// maxMicros and significantDigits are the range of the histograms.
+	maxMicros         = int64(time.Minute / time.Microsecond)
+	significantDigits = 3
+	// maxExamples bounds the wrong responses that a report quotes.
+	maxExamples = 5
 )
 
-// cell is what was measured of one group in one arm.
-type cell struct {
+// recorder records the results of one group in one arm.
+type recorder struct {
 	expect emulate.Expectation
 
 	mu                      sync.Mutex
@@ -53,28 +53,28 @@
 	examples                []string
 }
 
-func newCell(ex emulate.Expectation, turns int) *cell {
-	ce := &cell{expect: ex, answered: newHistogram(), lag: newHistogram()}
+func newRecorder(ex emulate.Expectation, turns int) *recorder {
+	rec := &recorder{expect: ex, answered: newHistogram(), lag: newHistogram()}
 	for range turns {
-		ce.turns = append(ce.turns, newHistogram())
+		rec.turns = append(rec.turns, newHistogram())
 	}
-	return ce
+	return rec
 }
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, mostMicros, digits) }
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxMicros, significantDigits) }
 
 // runner runs one experiment.
 type runner struct {
-	ex    Experiment
-	ts    *timer.Service
-	ca    *emulate.Caller
-	ss    *emulate.Servers
-	at    []string // at is where the entry instances are.
-	cells map[string]map[string]*cell
+	ex        Experiment
+	ts        *timer.Service
+	ca        *emulate.Caller
+	ss        *emulate.Servers
+	entries   []string // addresses of the entry instances
+	recorders map[string]map[string]*recorder
 }
 
-// Run starts a tier and backend servers in this process, runs the experiment on
-// them and returns what was measured.
+// Run starts a tier and backend servers in this process, runs the experiment on them and
+// returns the results.
 func Run(ctx context.Context, ex Experiment, ts *timer.Service, lg *zap.Logger) (re Report, err error) {
 	re = Report{Experiment: ex.Name, Seed: ex.Seed, Started: ts.Now(), Processors: runtime.NumCPU(), LoadBefore: loadAverage()}
 	folder, err := os.MkdirTemp("", "balsamload-routed-")
@@ -82,16 +82,16 @@
 		return re, err
 	}
 	defer os.RemoveAll(folder)
-	ready, cancel := context.WithTimeout(ctx, readyWithin)
+	ready, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	lo, err := emulate.StartLocalTier(ready, emulate.LocalConfig{
-		Entries: ex.Tier.Entries, Controls: ex.Tier.Controls, DataCentres: ex.Tier.DataCentres, Folder: folder, StopTimeout: stopWithin,
+		Entries: ex.Tier.Entries, Controls: ex.Tier.Controls, DataCentres: ex.Tier.DataCentres, Folder: folder, StopTimeout: stopTimeout,
 	}, ts, lg)
 	if err != nil {
 		return re, err
 	}
 	defer func() { err = errors.Join(err, lo.Close()) }()
-	ss, err := emulate.StartServers(ex.configs(), lo.ControlAddresses(), ts, lg)
+	ss, err := emulate.StartServers(ex.serverConfigs(), lo.ControlAddresses(), ts, lg)
 	if err != nil {
 		return re, err
 	}
@@ -99,56 +99,56 @@
 	if err := lo.Configure(ready, ex.Configuration()); err != nil {
 		return re, err
 	}
-	ru := &runner{ex: ex, ts: ts, ca: emulate.NewCaller(), ss: ss, at: lo.CallerAddresses()}
+	ru := &runner{ex: ex, ts: ts, ca: emulate.NewCaller(), ss: ss, entries: lo.CallerAddresses()}
 	defer ru.ca.Close()
 	ru.reset(0)
-	if err := ru.await(ready); err != nil {
+	if err := ru.awaitReady(ready); err != nil {
 		return re, err
 	}
 	return ru.measure(ctx, re)
 }
 
-// measure loads the tier for the warm-up and then for the report.
+// measure runs the warm-up load and then the measured load.
 func (ru *runner) measure(ctx context.Context, re Report) (Report, error) {
-	warm := ru.ex.turns(ru.ex.Warmup)
-	ru.reset(warm)
-	if _, err := ru.turns(ctx, 0, warm); err != nil {
+	warmupRounds := ru.ex.roundsIn(ru.ex.Warmup)
+	ru.reset(warmupRounds)
+	if _, err := ru.runRounds(ctx, 0, warmupRounds); err != nil {
 		return re, err
 	}
 	before := make(map[string]emulate.Counts)
 	for _, ar := range ru.ex.Arms {
 		before[ar.Name] = ru.ss.Counts(ar.Name)
 	}
-	over := ru.ss.RejectedConnections()
+	rejectedBefore := ru.ss.RejectedConnections()
 	ru.reset(ru.ex.Rounds())
-	dropped, err := ru.turns(ctx, warm, ru.ex.Rounds())
+	dropped, err := ru.runRounds(ctx, warmupRounds, ru.ex.Rounds())
 	if err != nil {
 		return re, err
 	}
-	re.Dropped, re.OverLimit = dropped, ru.ss.RejectedConnections()-over
+	re.Dropped, re.OverLimit = dropped, ru.ss.RejectedConnections()-rejectedBefore
 	for _, ar := range ru.ex.Arms {
-		re.add(ar, ru.cells[ar.Name], before[ar.Name], ru.ss.Counts(ar.Name))
+		re.add(ar, ru.recorders[ar.Name], before[ar.Name], ru.ss.Counts(ar.Name))
 	}
 	return re, nil
 }
 
-// reset begins to measure anew.
+// reset discards all results.
 func (ru *runner) reset(turns int) {
-	ru.cells = make(map[string]map[string]*cell)
+	ru.recorders = make(map[string]map[string]*recorder)
 	for _, ar := range ru.ex.Arms {
 		merged := emulate.Expectation{Services: ru.ex.shards(), Service: ru.ss.Service, Records: ru.ex.Servers.Records, TopK: ru.ex.Merged.TopK}
-		plain := emulate.Expectation{Services: []string{plainName}, Service: ru.ss.Service, Records: ru.ex.Servers.Records}
-		ru.cells[ar.Name] = map[string]*cell{groupMerged: newCell(merged, turns), groupPlain: newCell(plain, turns)}
+		plain := emulate.Expectation{Services: []string{plainService}, Service: ru.ss.Service, Records: ru.ex.Servers.Records}
+		ru.recorders[ar.Name] = map[string]*recorder{groupMerged: newRecorder(merged, turns), groupPlain: newRecorder(plain, turns)}
 	}
 }
 
-// await waits until each entry instance gives whole answers.
-func (ru *runner) await(ctx context.Context) error {
-	for ix, address := range ru.at {
+// awaitReady waits until each entry instance sends complete responses.
+func (ru *runner) awaitReady(ctx context.Context) error {
+	for ix, address := range ru.entries {
 		for _, ar := range ru.ex.Arms {
 			for _, gr := range groups {
-				qu := ru.question(ar, gr, "ready", fmt.Sprintf("ready-%d-%s-%s", ix, ar.Name, gr))
-				if _, err := ru.ca.AwaitComplete(ctx, ru.ts, address, qu, ru.cells[ar.Name][gr].expect); err != nil {
+				req := ru.request(ar, gr, "ready", fmt.Sprintf("ready-%d-%s-%s", ix, ar.Name, gr))
+				if _, err := ru.ca.AwaitComplete(ctx, ru.ts, address, req, ru.recorders[ar.Name][gr].expect); err != nil {
 					return err
 				}
 			}
@@ -157,7 +157,7 @@
 	return nil
 }
 
-func (ru *runner) question(ar Arm, group, path, id string) emulate.Request {
+func (ru *runner) request(ar Arm, group, path, id string) emulate.Request {
 	timeout := ru.ex.Merged.Timeout
 	if group == groupPlain {
 		timeout = ru.ex.Plain.Timeout
@@ -165,20 +165,20 @@
 	return emulate.Request{ID: id, Host: host, Path: "/" + ar.Name + "/" + group + "/" + path, Timeout: timeout}
 }
 
-// turns gives each arm its turn a number of times, every other time in the
-// opposite order, and returns how many requests were dropped.
-func (ru *runner) turns(ctx context.Context, first, count int) (dropped int, err error) {
+// runRounds gives each arm a number of turns, in reverse order every other round, and
+// returns how many requests were dropped.
+func (ru *runner) runRounds(ctx context.Context, first, count int) (dropped int, err error) {
 	arms := ru.ex.Arms
-	for nth := range count {
-		turn := first + nth
-		ars := load.Arrivals(ru.ex.Seed<<16+uint64(turn), ru.ex.Block, []float64{ru.ex.Merged.Rate, ru.ex.Plain.Rate})
+	for index := range count {
+		round := first + index
+		ars := load.Arrivals(ru.ex.Seed<<16+uint64(round), ru.ex.Block, []float64{ru.ex.Merged.Rate, ru.ex.Plain.Rate})
 		for ix := range arms {
 			ar := arms[ix]
-			if turn%2 == 1 {
+			if round%2 == 1 {
 				ar = arms[len(arms)-1-ix]
 			}
 			dropped += load.Drive(ctx, ru.ts, ru.ts.Now(), ars, func(at load.Arrival, intended time.Time) {
-				ru.fire(ctx, ar, turn, nth, at, intended)
+				ru.send(ctx, ar, round, index, at, intended)
 			})
 			if ctx.Err() != nil {
 				return dropped, ctx.Err()
@@ -188,59 +188,58 @@
 	return dropped, nil
 }
 
-// fire sends one request and notes what came of it, counted from its intended
+// send sends one request and records its outcome, with the latency from its intended
 // start.
-func (ru *runner) fire(ctx context.Context, ar Arm, turn, nth int, at load.Arrival, intended time.Time) {
+func (ru *runner) send(ctx context.Context, ar Arm, round, index int, at load.Arrival, intended time.Time) {
 	group := groups[at.Stream]
-	ce := ru.cells[ar.Name][group]
+	rec := ru.recorders[ar.Name][group]
 	lag := ru.ts.Now().Sub(intended)
-	qu := ru.question(ar, group, strconv.FormatUint(at.Seed, 16), fmt.Sprintf("%s-%d-%x", ar.Name, turn, at.Seed))
-	an, err := ru.ca.Send(ctx, ru.at[at.Seed%uint64(len(ru.at))], qu)
-	ce.note(qu, an, err, nth, lag, ru.ts.Now().Sub(intended))
+	req := ru.request(ar, group, strconv.FormatUint(at.Seed, 16), fmt.Sprintf("%s-%d-%x", ar.Name, round, at.Seed))
+	res, err := ru.ca.Send(ctx, ru.entries[at.Seed%uint64(len(ru.entries))], req)
+	rec.record(req, res, err, index, lag, ru.ts.Now().Sub(intended))
 }
 
-func (ce *cell) note(qu emulate.Request, an emulate.Response, err error, turn int, lag, took time.Duration) {
+func (rec *recorder) record(req emulate.Request, res emulate.Response, err error, turn int, lag, took time.Duration) {
 	var fault error
-	if err == nil && an.Status == http.StatusOK {
-		fault = ce.expect.Check(qu, an)
-	}
-	ce.mu.Lock()
-	defer ce.mu.Unlock()
-	ce.due++
-	ce.asked += len(ce.expect.Services)
-	record(ce.lag, lag)
+	if err == nil && res.Status == http.StatusOK {
+		fault = rec.expect.Check(req, res)
+	}
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.due++
+	rec.asked += len(rec.expect.Services)
+	recordDuration(rec.lag, lag)
 	switch {
 	case err != nil:
-		ce.silent++
+		rec.silent++
 		return
-	case an.Status == http.StatusServiceUnavailable || an.Status == http.StatusTooManyRequests:
-		ce.refused++
+	case res.Status == http.StatusServiceUnavailable || res.Status == http.StatusTooManyRequests:
+		rec.refused++
 		return
-	case an.Status != http.StatusOK:
-		ce.failed++
+	case res.Status != http.StatusOK:
+		rec.failed++
 		return
 	case fault != nil:
-		ce.wrong++
-		if len(ce.examples) < mostExamples {
-			ce.examples = append(ce.examples, fault.Error())
+		rec.wrong++
+		if len(rec.examples) < maxExamples {
+			rec.examples = append(rec.examples, fault.Error())
 		}
 		return
-	case an.Missing > 0:
-		ce.partial++
+	case res.Missing > 0:
+		rec.partial++
 	default:
-		ce.whole++
+		rec.whole++
 	}
-	ce.covered += len(an.Stamps)
-	record(ce.answered, took)
-	record(ce.turns[turn], took)
+	rec.covered += len(res.Stamps)
+	recordDuration(rec.answered, took)
+	recordDuration(rec.turns[turn], took)
 }
 
-func record(hi *hdrhistogram.Histogram, took time.Duration) {
-	_ = hi.RecordValue(min(mostMicros, max(1, took.Microseconds()))) // A value in range is no error.
+func recordDuration(hi *hdrhistogram.Histogram, took time.Duration) {
+	_ = hi.RecordValue(min(maxMicros, max(1, took.Microseconds()))) // A value in range is not an error.
 }
 
-// loadAverage returns the machine's load average of one minute; 0 where it is not
-// known.
+// loadAverage returns the machine's load average over one minute; 0 if unknown.
 func loadAverage() float64 {
 	data, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
