--- a/emulate/soak/answers.go
+++ b/emulate/soak/answers.go
@@ -18,7 +18,7 @@
 	groupOnce   = "once"
 )
 
-// groups are in the order of the streams of arrivals.
+// groups are in the order of the arrival streams.
 var groups = [...]string{groupMerged, groupPlain, groupOnce}
 
 // Request is a caller's request.
@@ -26,138 +26,138 @@
 	ID    string
 	Group string
 	Path  string
-	Entry string // Entry is where it was sent.
+	Entry string // address of the entry instance that it was sent to
 }
 
-// request is what is known of a request.
+// request is the state of a request.
 type request struct {
 	Request
-	life   int    // life is that of the entry instance.
-	floor  uint64 // floor is the version that was surely in force there when it was sent.
-	ran    int    // ran counts the backend servers that began it, for all shards.
-	notRun int    // notRun is the status that says that nothing ran; 0 for none.
-	at     map[string]bool
+	incarnation  int             // incarnation of the entry instance
+	minVersion   uint64          // version that was certainly in force there when it was sent
+	starts       int             // number of times that a backend server started it, over all shards
+	notRunStatus int             // status that reported that nothing ran; 0 for none
+	arrivedAt    map[string]bool // services at whose servers it has arrived
 }
 
-// Sent tells of a request before it is sent.
-func (ju *Checker) RequestSent(rq Request) {
-	ju.mu.Lock()
-	defer ju.mu.Unlock()
-	li := ju.life(rq.Entry)
-	ju.requests[rq.ID] = &request{Request: rq, life: li.number, floor: li.floor, at: make(map[string]bool)}
+// RequestSent records a request before it is sent.
+func (ch *Checker) RequestSent(rq Request) {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
+	en := ch.entry(rq.Entry)
+	ch.requests[rq.ID] = &request{Request: rq, incarnation: en.incarnation, minVersion: en.minVersion, arrivedAt: make(map[string]bool)}
 }
 
-// saysNotRun reports whether a status says that a request has not run and never
+// isNotRunStatus reports whether a status means that a request has not run and never
 // will.
-func saysNotRun(status int) bool {
+func isNotRunStatus(status int) bool {
 	return slices.Contains([]int{http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable}, status)
 }
 
-// Answered tells of an answer with any status.
-func (ju *Checker) RequestAnswered(at time.Time, id string, an emulate.Response) {
-	ju.mu.Lock()
-	defer ju.mu.Unlock()
-	rq, ok := ju.requests[id]
+// RequestAnswered checks a response with any status.
+func (ch *Checker) RequestAnswered(at time.Time, id string, res emulate.Response) {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
+	rq, ok := ch.requests[id]
 	if !ok {
 		return
 	}
 	switch {
-	case an.Status == http.StatusOK:
-		ju.parts(at, rq, an)
-	case saysNotRun(an.Status):
-		rq.notRun = an.Status
-		ju.blame(at, rq, an)
-		ju.notRun(at, rq, "")
+	case res.Status == http.StatusOK:
+		ch.checkParts(at, rq, res)
+	case isNotRunStatus(res.Status):
+		rq.notRunStatus = res.Status
+		ch.checkFalseQuarantine(at, rq, res)
+		ch.checkNotRun(at, rq, "")
 	}
 }
 
-// notRun checks that a request that was answered as not run has not run.
-func (ju *Checker) notRun(at time.Time, rq *request, server string) {
-	br := Violation{Request: rq.ID, Instance: server}
-	ju.look(CheckNotRun, rq.ran == 0, br, at, func() string {
-		return fmt.Sprintf("answered with %d by %s, and ran %d times", rq.notRun, rq.Entry, rq.ran)
+// checkNotRun checks that a request that was reported as not run has not run.
+func (ch *Checker) checkNotRun(at time.Time, rq *request, server string) {
+	vi := Violation{Request: rq.ID, Instance: server}
+	ch.check(CheckNotRun, rq.starts == 0, vi, at, func() string {
+		return fmt.Sprintf("got status %d from %s, but ran %d times", rq.notRunStatus, rq.Entry, rq.starts)
 	})
 }
 
-// parts checks what an answer is made of.
-func (ju *Checker) parts(at time.Time, rq *request, an emulate.Response) {
-	br := Violation{Request: rq.ID, Instance: rq.Entry}
-	services, ok := ju.stamped(at, rq, an)
+// checkParts checks the parts of a response.
+func (ch *Checker) checkParts(at time.Time, rq *request, res emulate.Response) {
+	vi := Violation{Request: rq.ID, Instance: rq.Entry}
+	services, ok := ch.verifyStamps(at, rq, res)
 	if !ok {
-		return // What belongs to another request says nothing of this one's shards.
+		return // Parts of another request say nothing about the shards of this one.
 	}
 	seen := slices.Compact(slices.Sorted(slices.Values(services)))
-	ju.look(CheckDuplicateParts, len(seen) == len(services), br, at, func() string { return fmt.Sprintf("parts of %v", services) })
-	var among []offer
-	for _, of := range ju.offers {
-		if !of.at.After(at) && within(seen, of.layout.of(rq.Group)) {
-			among = append(among, of)
+	ch.check(CheckDuplicateParts, len(seen) == len(services), vi, at, func() string { return fmt.Sprintf("duplicate part among %v", services) })
+	var candidates []sentVersion
+	for _, sv := range ch.sentVersions {
+		if !sv.at.After(at) && isSubset(seen, sv.layout.services(rq.Group)) {
+			candidates = append(candidates, sv)
 		}
 	}
-	ju.look(CheckShards, len(among) > 0, br, at, func() string { return fmt.Sprintf("parts of %v are of no one version", seen) })
-	if len(among) > 0 {
-		full := slices.DeleteFunc(slices.Clone(among), func(of offer) bool {
-			return len(services)+an.Missing != len(of.layout.of(rq.Group))
+	ch.check(CheckShards, len(candidates) > 0, vi, at, func() string { return fmt.Sprintf("parts of %v do not belong to a single version", seen) })
+	if len(candidates) > 0 {
+		complete := slices.DeleteFunc(slices.Clone(candidates), func(sv sentVersion) bool {
+			return len(services)+res.Missing != len(sv.layout.services(rq.Group))
 		})
-		ju.look(CheckPartCount, len(services) > 0 && len(full) > 0, br, at, func() string {
-			return fmt.Sprintf("%d parts and %d missing", len(services), an.Missing)
+		ch.check(CheckPartCount, len(services) > 0 && len(complete) > 0, vi, at, func() string {
+			return fmt.Sprintf("%d parts and %d missing", len(services), res.Missing)
 		})
-		ju.version(at, rq, among)
+		ch.checkVersion(at, rq, candidates)
 	}
-	ju.look(CheckRecords, ju.recorded(rq, services, an.Body), br, at, func() string {
-		return fmt.Sprintf("%d bytes are not the greatest records of %v", len(an.Body), services)
+	ch.check(CheckRecords, ch.bodyMatches(rq, services, res.Body), vi, at, func() string {
+		return fmt.Sprintf("%d bytes are not the greatest records of %v", len(res.Body), services)
 	})
 }
 
-// stamped returns the services of an answer's parts; false if one is no part of
-// the request.
-func (ju *Checker) stamped(at time.Time, rq *request, an emulate.Response) ([]string, bool) {
+// verifyStamps returns the services of a response's parts; false if one of them doesn't
+// belong to the request.
+func (ch *Checker) verifyStamps(at time.Time, rq *request, res emulate.Response) ([]string, bool) {
 	var out []string
-	right := true
-	for _, st := range an.Stamps {
+	valid := true
+	for _, st := range res.Stamps {
 		id, ok := emulate.VerifyStamp(st, rq.ID)
-		service, known := ju.servers[id]
-		ju.look(CheckStamp, ok && known, Violation{Request: rq.ID, Instance: rq.Entry}, at, func() string {
-			return fmt.Sprintf("%q is no stamp for the request", st)
+		service, known := ch.servers[id]
+		ch.check(CheckStamp, ok && known, Violation{Request: rq.ID, Instance: rq.Entry}, at, func() string {
+			return fmt.Sprintf("%q is not a valid stamp for the request", st)
 		})
-		right = right && ok && known
+		valid = valid && ok && known
 		out = append(out, service)
 	}
-	return out, right
+	return out, valid
 }
 
-func within(some, all []string) bool {
-	return !slices.ContainsFunc(some, func(one string) bool { return !slices.Contains(all, one) })
+func isSubset(subset, all []string) bool {
+	return !slices.ContainsFunc(subset, func(one string) bool { return !slices.Contains(all, one) })
 }
 
-// recorded reports whether a body is made of the parts of services.
-func (ju *Checker) recorded(rq *request, services []string, body []byte) bool {
+// bodyMatches reports whether a body consists of the parts of the services.
+func (ch *Checker) bodyMatches(rq *request, services []string, body []byte) bool {
 	var parts [][]byte
 	for _, service := range services {
-		parts = append(parts, emulate.Records(service, rq.Path, ju.cf.Servers.Records))
+		parts = append(parts, emulate.Records(service, rq.Path, ch.cf.Servers.Records))
 	}
 	if rq.Group == groupMerged {
-		return bytes.Equal(body, scatter.MergeTopK(parts, emulate.RecordBytes, ju.cf.Merged.TopK))
+		return bytes.Equal(body, scatter.MergeTopK(parts, emulate.RecordBytes, ch.cf.Merged.TopK))
 	}
 	return len(parts) == 1 && bytes.Equal(body, parts[0])
 }
 
-// version checks that an answer is of no older version than one whose answer had
-// come before the request was sent, at one entry instance. The versions are those
-// that it may be of: they are fewer than were sent, since each change of a version
-// leads plain requests to another service.
-func (ju *Checker) version(at time.Time, rq *request, among []offer) {
-	li := ju.life(rq.Entry)
-	if li.number != rq.life {
-		return // The instance was replaced meanwhile, and which one answered is not known.
+// checkVersion checks that a response is not of an older version than one that the same
+// entry instance sent before the request was sent. The candidates are the versions that
+// the response may be of. They are fewer than the versions that were sent, because each
+// new version routes plain requests to another service.
+func (ch *Checker) checkVersion(at time.Time, rq *request, candidates []sentVersion) {
+	en := ch.entry(rq.Entry)
+	if en.incarnation != rq.incarnation {
+		return // The instance was replaced in the meantime, and it isn't known which one responded.
 	}
-	newest := among[len(among)-1].version
-	ju.look(CheckVersion, newest >= rq.floor, Violation{Request: rq.ID, Instance: rq.Entry}, at, func() string {
-		return fmt.Sprintf("answered by version %d or older, %d was in force before", newest, rq.floor)
+	newest := candidates[len(candidates)-1].version
+	ch.check(CheckVersion, newest >= rq.minVersion, Violation{Request: rq.ID, Instance: rq.Entry}, at, func() string {
+		return fmt.Sprintf("answered by version %d or older, %d was in force before", newest, rq.minVersion)
 	})
-	for _, of := range among {
-		if of.version >= rq.floor {
-			li.floor = max(li.floor, of.version)
+	for _, sv := range candidates {
+		if sv.version >= rq.minVersion {
+			en.minVersion = max(en.minVersion, sv.version)
 			return
 		}
 	}
--- a/emulate/soak/arrivals.go
+++ b/emulate/soak/arrivals.go
@@ -7,138 +7,141 @@
 	"balsamwinch.example/emulate"
 )
 
-// arrivals are the times of what reached the servers of one service.
-type arrivals struct {
+// serviceArrivals are the arrival times of requests at the servers of one service.
+type serviceArrivals struct {
 	firsts, extras []time.Time
 }
 
-// Saw tells what a backend server saw.
-func (ju *Checker) RecordServerEvent(sn emulate.ServerEvent) {
-	ju.mu.Lock()
-	defer ju.mu.Unlock()
-	switch sn.Kind {
+// RecordServerEvent checks an event at a backend server.
+func (ch *Checker) RecordServerEvent(ev emulate.ServerEvent) {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
+	switch ev.Kind {
 	case emulate.EventDrainAcknowledged:
-		ju.left(sn)
+		ch.drainAcknowledged(ev)
 	case emulate.EventConnectionAccepted, emulate.EventConnectionReset:
-		ju.connected(sn)
+		ch.checkConnection(ev)
 	case emulate.EventRequestReceived:
-		ju.arrived(sn)
+		ch.checkArrival(ev)
 	case emulate.EventRequestStarted:
-		ju.ran(sn)
+		ch.checkStart(ev)
 	case emulate.EventServerCrashed:
-		ju.ended(sn)
+		ch.serverCrashed(ev)
 	}
 }
 
-// left notes when a server's leaving was acknowledged first. It counts as a look:
-// from now on each arrival there is judged, and at best none comes.
-func (ju *Checker) left(sn emulate.ServerEvent) {
-	if _, ok := ju.leaving[sn.Server]; !ok {
-		ju.leaving[sn.Server] = sn.At
-		ju.look(CheckDrain, true, Violation{}, sn.At, nil)
+// drainAcknowledged records when control first acknowledged that a server is draining. It
+// counts as an evaluation of CheckDrain: from now on each arrival at the server is
+// checked, and at best there is none.
+func (ch *Checker) drainAcknowledged(ev emulate.ServerEvent) {
+	if _, ok := ch.drainAckedAt[ev.Server]; !ok {
+		ch.drainAckedAt[ev.Server] = ev.At
+		ch.check(CheckDrain, true, Violation{}, ev.At, nil)
 	}
 }
 
-// connected checks that a server's connections stay within its limit.
-func (ju *Checker) connected(sn emulate.ServerEvent) {
-	if sn.Kind == emulate.EventConnectionReset {
-		ju.resets[sn.Server]++
+// checkConnection checks that the connections of a server stay within its limit.
+func (ch *Checker) checkConnection(ev emulate.ServerEvent) {
+	if ev.Kind == emulate.EventConnectionReset {
+		ch.resets[ev.Server]++
 	}
-	held := sn.Kind == emulate.EventConnectionAccepted || ju.resets[sn.Server] <= ju.cf.Checks.OverLimit
-	ju.look(CheckConnections, held, Violation{Instance: sn.Server}, sn.At, func() string {
-		return fmt.Sprintf("%d connections were reset as beyond the limit of %d", ju.resets[sn.Server], ju.cf.Servers.Connections)
+	held := ev.Kind == emulate.EventConnectionAccepted || ch.resets[ev.Server] <= ch.cf.Checks.OverLimit
+	ch.check(CheckConnections, held, Violation{Instance: ev.Server}, ev.At, func() string {
+		return fmt.Sprintf("%d connections were reset as beyond the limit of %d", ch.resets[ev.Server], ch.cf.Servers.Connections)
 	})
 }
 
-// arrived checks that a request came to a server that may still get some, and
-// within the budget.
-func (ju *Checker) arrived(sn emulate.ServerEvent) {
-	ju.fatal(sn)
-	if left, ok := ju.leaving[sn.Server]; ok {
-		after := sn.At.Sub(left)
-		ju.look(CheckDrain, after <= ju.cf.Checks.Drain+ju.cf.Checks.DrainSlack, Violation{Request: sn.Request, Instance: sn.Server}, sn.At, func() string {
-			return fmt.Sprintf("a request came %v after the server's leaving was acknowledged", after)
+// checkArrival checks that a request arrived at a server that may still receive requests,
+// and within the retry budget.
+func (ch *Checker) checkArrival(ev emulate.ServerEvent) {
+	ch.checkQuarantine(ev)
+	if acknowledged, ok := ch.drainAckedAt[ev.Server]; ok {
+		after := ev.At.Sub(acknowledged)
+		ch.check(CheckDrain, after <= ch.cf.Checks.Drain+ch.cf.Checks.DrainSlack, Violation{Request: ev.Request, Instance: ev.Server}, ev.At, func() string {
+			return fmt.Sprintf("a request arrived %v after the server's draining was acknowledged", after)
 		})
 	}
-	ju.evacuation(sn)
-	rq, ok := ju.requests[sn.Request]
+	ch.checkEvacuation(ev)
+	rq, ok := ch.requests[ev.Request]
 	if !ok {
 		return
 	}
-	service := sn.Service
-	if meant, ok := ju.servers[sn.Expected]; ok {
-		service = meant
+	service := ev.Service
+	if expected, ok := ch.servers[ev.Expected]; ok {
+		service = expected
 	}
-	ar := ju.budgets[service]
+	ar := ch.arrivals[service]
 	if ar == nil {
-		ar = &arrivals{}
-		ju.budgets[service] = ar
+		ar = &serviceArrivals{}
+		ch.arrivals[service] = ar
 	}
-	if !rq.at[service] {
-		rq.at[service] = true
-		ju.firsts++
-		ar.firsts = append(ar.firsts, sn.At)
+	if !rq.arrivedAt[service] {
+		rq.arrivedAt[service] = true
+		ch.firsts++
+		ar.firsts = append(ar.firsts, ev.At)
 		return
 	}
-	ju.extras++
-	ar.extras = append(ar.extras, sn.At)
-	ju.budget(sn, service, ar)
+	ch.extras++
+	ar.extras = append(ar.extras, ev.At)
+	ch.checkBudget(ev, service, ar)
 }
 
-// evacuation checks that a request came to a server of a data centre that may get some.
-func (ju *Checker) evacuation(sn emulate.ServerEvent) {
-	since, ok := ju.evacuated[ju.centres[sn.Server]]
+// checkEvacuation checks that a request arrived at a server whose data centre may still
+// receive requests.
+func (ch *Checker) checkEvacuation(ev emulate.ServerEvent) {
+	since, ok := ch.evacuatedSince[ch.dataCentres[ev.Server]]
 	if !ok {
 		return
 	}
-	after := sn.At.Sub(since)
-	ju.look(CheckEvacuated, after <= ju.cf.Checks.Drain+ju.cf.Checks.DrainSlack, Violation{Request: sn.Request, Instance: sn.Server}, sn.At, func() string {
-		return fmt.Sprintf("a request came %v after the evacuation of %s was acknowledged", after, ju.centres[sn.Server])
+	after := ev.At.Sub(since)
+	ch.check(CheckEvacuated, after <= ch.cf.Checks.Drain+ch.cf.Checks.DrainSlack, Violation{Request: ev.Request, Instance: ev.Server}, ev.At, func() string {
+		return fmt.Sprintf("a request arrived %v after the evacuation of %s was acknowledged", after, ch.dataCentres[ev.Server])
 	})
 }
 
-// budget checks the window that ends with an arrival beyond the first. The first
-// arrivals are counted for a moment longer: an entry instance counts a request when
-// it takes it, which may be a whole timeout before the first arrival of another.
-func (ju *Checker) budget(sn emulate.ServerEvent, service string, ar *arrivals) {
-	bu := ju.cf.Checks.Budget
-	from := sn.At.Add(-bu.Window)
-	ar.extras = since(ar.extras, from)
-	ar.firsts = since(ar.firsts, from.Add(-ju.cf.Merged.Timeout))
-	bound := bu.Ratio*float64(len(ar.firsts)) + bu.Slack
-	ju.look(CheckBudget, float64(len(ar.extras)) <= bound, Violation{Request: sn.Request, Instance: sn.Server}, sn.At, func() string {
-		return fmt.Sprintf("%d arrivals beyond the first of %d requests of %s in %v, at most %.1f", len(ar.extras), len(ar.firsts), service, bu.Window, bound)
+// checkBudget checks the window that ends with an arrival beyond the first. First
+// arrivals are counted for one timeout longer: an entry instance counts a request when it
+// accepts it, which may be a whole timeout before the first arrival of another request.
+func (ch *Checker) checkBudget(ev emulate.ServerEvent, service string, ar *serviceArrivals) {
+	budget := ch.cf.Checks.Budget
+	from := ev.At.Add(-budget.Window)
+	ar.extras = dropBefore(ar.extras, from)
+	ar.firsts = dropBefore(ar.firsts, from.Add(-ch.cf.Merged.Timeout))
+	bound := budget.Ratio*float64(len(ar.firsts)) + budget.Slack
+	ch.check(CheckBudget, float64(len(ar.extras)) <= bound, Violation{Request: ev.Request, Instance: ev.Server}, ev.At, func() string {
+		return fmt.Sprintf("%d arrivals beyond the first of %d requests of %s in %v, at most %.1f", len(ar.extras), len(ar.firsts), service, budget.Window, bound)
 	})
 }
 
-// since drops the times at the front up to one.
-func since(times []time.Time, from time.Time) []time.Time {
+// dropBefore drops the times up to and including from at the front of an ordered list.
+func dropBefore(times []time.Time, from time.Time) []time.Time {
 	for len(times) > 0 && !times[0].After(from) {
 		times = times[1:]
 	}
 	return times
 }
 
-// ran checks that a request that was begun may run.
-func (ju *Checker) ran(sn emulate.ServerEvent) {
-	rq, ok := ju.requests[sn.Request]
+// checkStart checks that a request that started to run may run.
+func (ch *Checker) checkStart(ev emulate.ServerEvent) {
+	rq, ok := ch.requests[ev.Request]
 	if !ok {
 		return
 	}
-	rq.ran++
-	if rq.notRun != 0 {
-		ju.notRun(sn.At, rq, sn.Server)
+	rq.starts++
+	if rq.notRunStatus != 0 {
+		ch.checkNotRun(ev.At, rq, ev.Server)
 	}
 	if rq.Group == groupOnce {
-		ju.look(CheckOnce, rq.ran <= 1, Violation{Request: rq.ID, Instance: sn.Server}, sn.At, func() string {
-			return fmt.Sprintf("begun %d times", rq.ran)
+		ch.check(CheckOnce, rq.starts <= 1, Violation{Request: rq.ID, Instance: ev.Server}, ev.At, func() string {
+			return fmt.Sprintf("started %d times", rq.starts)
 		})
 	}
 }
 
-// Load returns the first arrivals of requests at services and those beyond.
-func (ju *Checker) ArrivalCounts() (firsts, extras int) {
-	ju.mu.Lock()
-	defer ju.mu.Unlock()
-	return ju.firsts, ju.extras
+// ArrivalCounts returns how many requests arrived at services, and how many further
+// arrivals they had there.
+func (ch *Checker) ArrivalCounts() (firsts, extras int) {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
+	return ch.firsts, ch.extras
 }
--- a/emulate/soak/fatal.go
+++ b/emulate/soak/fatal.go
@@ -15,149 +15,151 @@
 )
 
 const (
-	// newsWithin is how long after the third server has ended an instance may not know of
-	// the request.
-	newsWithin = 4 * time.Second
-	// downFor is how long a server is away that has ended under a request.
-	downFor = time.Second
-	// restartedWithin is how long after the last attempt the last such server is back.
-	restartedWithin = 2 * time.Second
-	// fatalEvery is how often the caller of such a request sends it again, and
-	// popularEvery how often others ask the same beside it.
-	fatalEvery   = 250 * time.Millisecond
-	popularEvery = 40 * time.Millisecond
-	// threeServers and threeAttempts are what the tier promises: a request under which so
-	// many servers have ended reaches servers in so many more attempts at most.
-	threeServers  = 3
-	threeAttempts = 3
+	// quarantineDelay is how long after the third server has crashed an instance may be
+	// unaware of the quarantine.
+	quarantineDelay = 4 * time.Second
+	// restartDelay is how long a server that has crashed on a request stays down.
+	restartDelay = time.Second
+	// restartTimeout is how long after the last attempt the last such server is back.
+	restartTimeout = 2 * time.Second
+	// fatalInterval is the interval at which the caller repeats such a request, and
+	// popularInterval the interval at which other callers send a harmless request at the
+	// same time.
+	fatalInterval   = 250 * time.Millisecond
+	popularInterval = 40 * time.Millisecond
+	// The guarantee of the tier: a request on which quarantineCrashes servers have
+	// crashed reaches servers in at most maxLateAttempts further attempts.
+	quarantineCrashes = 3
+	maxLateAttempts   = 3
 )
 
-// harm is what a request did to servers.
-type harm struct {
-	ended    int
-	third    time.Time           // third is when the third one ended.
-	attempts map[string]struct{} // attempts are those that reached a server later than newsWithin after that.
+// fatalRequest is what is known of a request that crashes servers.
+type fatalRequest struct {
+	crashes       int
+	quarantinedAt time.Time           // when the third server crashed
+	lateAttempts  map[string]struct{} // attempts that reached a server more than quarantineDelay after that
 }
 
-// ended notes that a server has ended under a request. The third end counts as a look:
-// from then on each arrival is judged, and at best none comes.
-func (ju *Checker) ended(sn emulate.ServerEvent) {
-	ha := ju.harms[sn.Path]
-	if ha == nil {
-		ha = &harm{attempts: make(map[string]struct{})}
-		ju.harms[sn.Path] = ha
+// serverCrashed records that a server crashed on a request. The third crash counts as an
+// evaluation of CheckQuarantine: from then on each arrival is checked, and at best there
+// is none.
+func (ch *Checker) serverCrashed(ev emulate.ServerEvent) {
+	fr := ch.fatalRequests[ev.Path]
+	if fr == nil {
+		fr = &fatalRequest{lateAttempts: make(map[string]struct{})}
+		ch.fatalRequests[ev.Path] = fr
 	}
-	if ha.ended++; ha.ended == threeServers {
-		ha.third = sn.At
-		ju.look(CheckQuarantine, true, Violation{}, sn.At, nil)
+	if fr.crashes++; fr.crashes == quarantineCrashes {
+		fr.quarantinedAt = ev.At
+		ch.check(CheckQuarantine, true, Violation{}, ev.At, nil)
 	}
 }
 
-// fatal checks that a request under which servers ended reaches no more of them.
-func (ju *Checker) fatal(sn emulate.ServerEvent) {
-	ha := ju.harms[sn.Path]
-	if ha == nil || ha.ended < threeServers || sn.At.Sub(ha.third) <= newsWithin {
+// checkQuarantine checks that a request that has crashed servers stops reaching servers.
+func (ch *Checker) checkQuarantine(ev emulate.ServerEvent) {
+	fr := ch.fatalRequests[ev.Path]
+	if fr == nil || fr.crashes < quarantineCrashes || ev.At.Sub(fr.quarantinedAt) <= quarantineDelay {
 		return
 	}
-	ha.attempts[sn.Request] = struct{}{}
-	ju.look(CheckQuarantine, len(ha.attempts) <= threeAttempts, Violation{Request: sn.Request, Instance: sn.Server}, sn.At, func() string {
-		return fmt.Sprintf("%d attempts of %s reached servers later than %v after the third had ended, %d ended in all", len(ha.attempts), sn.Path, newsWithin, ha.ended)
+	fr.lateAttempts[ev.Request] = struct{}{}
+	ch.check(CheckQuarantine, len(fr.lateAttempts) <= maxLateAttempts, Violation{Request: ev.Request, Instance: ev.Server}, ev.At, func() string {
+		return fmt.Sprintf("%d attempts of %s reached servers more than %v after the third crash, %d servers crashed in total", len(fr.lateAttempts), ev.Path, quarantineDelay, fr.crashes)
 	})
 }
 
-// quarantined is in the body of an answer that refuses a request as one under which
-// servers end.
-var quarantined = fmt.Appendf(nil, `"Code":%d,`, result.NotRunQuarantined)
+// quarantineCode is in the body of a response that rejects a request because servers
+// crash on it.
+var quarantineCode = fmt.Appendf(nil, `"Code":%d,`, result.NotRunQuarantined)
 
-// blame checks that a request which harms nobody is not refused as one that does, and
-// counts a look where one that does is refused.
-func (ju *Checker) blame(at time.Time, rq *request, an emulate.Response) {
-	if !bytes.Contains(an.Body, quarantined) {
+// checkFalseQuarantine checks that no harmless request is rejected as one that crashes
+// servers. A rightly rejected request counts as an evaluation that held.
+func (ch *Checker) checkFalseQuarantine(at time.Time, rq *request, res emulate.Response) {
+	if !bytes.Contains(res.Body, quarantineCode) {
 		return
 	}
-	ju.look(CheckFalseQuarantine, strings.Contains(rq.Path, emulate.CrashPathMarker), Violation{Request: rq.ID, Instance: rq.Entry}, at, func() string {
-		return "refused as a request under which servers end"
+	ch.check(CheckFalseQuarantine, strings.Contains(rq.Path, emulate.CrashPathMarker), Violation{Request: rq.ID, Instance: rq.Entry}, at, func() string {
+		return "rejected as a request that crashes servers"
 	})
 }
 
-// crashed is a server that ended under a request.
-type crashed struct {
+// crashedServer is a server that crashed on a request.
+type crashedServer struct {
 	position int
 	se       *emulate.Server
 	at       time.Time
 }
 
-// noteCrash notes that a server has ended under a request.
-func (fl *fleet) noteCrash(position int, se *emulate.Server) {
+// recordCrash records that a server crashed on a request.
+func (fl *fleet) recordCrash(position int, se *emulate.Server) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	fl.ended = append(fl.ended, crashed{position, se, fl.ts.Now()})
+	fl.crashed = append(fl.crashed, crashedServer{position, se, fl.ts.Now()})
 }
 
-// restartCrashed puts new servers in the places of those that ended long enough ago under a
-// request, and returns how many are still to come.
+// restartCrashed replaces the servers that crashed on a request at least restartDelay
+// ago, and returns how many are still down.
 func (fl *fleet) restartCrashed() (int, error) {
 	fl.mu.Lock()
-	var due, left []crashed
-	for _, fa := range fl.ended {
-		if fl.ts.Now().Sub(fa.at) >= downFor {
-			due = append(due, fa)
+	var due, waiting []crashedServer
+	for _, cs := range fl.crashed {
+		if fl.ts.Now().Sub(cs.at) >= restartDelay {
+			due = append(due, cs)
 		} else {
-			left = append(left, fa)
+			waiting = append(waiting, cs)
 		}
 	}
-	fl.ended = left
+	fl.crashed = waiting
 	fl.mu.Unlock()
 	var errs []error
-	for _, fa := range due {
-		errs = append(errs, fl.replace(fa.position, fa.se, ""))
+	for _, cs := range due {
+		errs = append(errs, fl.replace(cs.position, cs.se, ""))
 	}
-	return len(left), errors.Join(errs...)
+	return len(waiting), errors.Join(errs...)
 }
 
-// fatal has a caller send a request that ends each server that runs it, at one instance
-// after the other, until long after all instances must know it, while others ask a
-// popular one beside it.
-func (pl *player) fatal(ctx context.Context, fa Fault) error {
+// queryOfDeath sends a request that crashes each server that runs it, to one instance
+// after another, until well after all instances must know about it. At the same time it
+// sends a popular, harmless request.
+func (ij *injector) queryOfDeath(ctx context.Context, fa Fault) error {
 	group := groups[int(fa.Value*float64(len(groups)))]
-	mark := strconv.FormatInt(int64(fa.At), 36)
-	until := pl.ts.Now().Add(fa.For + newsWithin)
+	suffix := strconv.FormatInt(int64(fa.At), 36)
+	until := ij.ts.Now().Add(fa.For + quarantineDelay)
 	var wg sync.WaitGroup
-	var beside error
-	wg.Go(func() { beside = pl.repeat(ctx, "popular-"+mark, group, until, popularEvery) })
-	err := pl.repeat(ctx, emulate.CrashPathMarker+"-"+mark, group, until, fatalEvery)
+	var popularErr error
+	wg.Go(func() { popularErr = ij.repeat(ctx, "popular-"+suffix, group, until, popularInterval) })
+	err := ij.repeat(ctx, emulate.CrashPathMarker+"-"+suffix, group, until, fatalInterval)
 	wg.Wait()
-	err = errors.Join(err, beside)
+	err = errors.Join(err, popularErr)
 	for ctx.Err() == nil {
-		left, er := pl.fl.restartCrashed()
-		err = errors.Join(err, er)
-		if left == 0 {
+		waiting, restartErr := ij.fl.restartCrashed()
+		err = errors.Join(err, restartErr)
+		if waiting == 0 {
 			break
 		}
-		_ = pl.ts.Sleep(ctx, fatalEvery)
+		_ = ij.ts.Sleep(ctx, fatalInterval)
 	}
 	return err
 }
 
-// repeat sends a request of one content at one instance after the other, and restarts
-// servers meanwhile. The error names those that could not be.
-func (pl *player) repeat(ctx context.Context, content, group string, until time.Time, every time.Duration) (err error) {
+// repeat sends requests with the same content to one instance after another, and restarts
+// crashed servers meanwhile. The error lists the restarts that failed.
+func (ij *injector) repeat(ctx context.Context, content, group string, until time.Time, interval time.Duration) (err error) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	for nth := 0; ctx.Err() == nil && pl.ts.Now().Before(until); nth++ {
-		list := *pl.ru.at.Load()
+	for nth := 0; ctx.Err() == nil && ij.ts.Now().Before(until); nth++ {
+		list := *ij.ru.entries.Load()
 		rq := Request{
 			ID: fmt.Sprintf("%s-%s-%d", content, group, nth), Group: group, Path: "/" + group + "/" + content, Entry: list[nth%len(list)],
 		}
 		wg.Go(func() {
-			pl.ju.RequestSent(rq)
-			if an, err := pl.ru.ca.Send(ctx, rq.Entry, emulate.Request{ID: rq.ID, Host: host, Path: rq.Path, Timeout: pl.ru.timeout(group)}); err == nil {
-				pl.ju.RequestAnswered(pl.ts.Now(), rq.ID, an)
+			ij.ch.RequestSent(rq)
+			if res, err := ij.ru.ca.Send(ctx, rq.Entry, emulate.Request{ID: rq.ID, Host: host, Path: rq.Path, Timeout: ij.ru.timeout(group)}); err == nil {
+				ij.ch.RequestAnswered(ij.ts.Now(), rq.ID, res)
 			}
 		})
-		_ = pl.ts.Sleep(ctx, every)
-		_, er := pl.fl.restartCrashed()
-		err = errors.Join(err, er)
+		_ = ij.ts.Sleep(ctx, interval)
+		_, restartErr := ij.fl.restartCrashed()
+		err = errors.Join(err, restartErr)
 	}
 	return err
 }
--- a/emulate/soak/fleet.go
+++ b/emulate/soak/fleet.go
@@ -13,32 +13,35 @@
 	"balsamwinch.example/timer"
 )
 
-// heardPoll is how often is looked whether control has heard of a new server.
-const heardPoll = 20 * time.Millisecond
+// announcedPollInterval is the interval between two checks whether control has received
+// the announcement of a new server.
+const announcedPollInterval = 20 * time.Millisecond
 
-// fleet is the backend servers: at each time one in each position, and some that
-// leave or stand where another one was. It is safe for concurrent use.
+// fleet is the backend servers: one in each position at a time, and some that are
+// draining or have taken over the address of another server. It is safe for concurrent
+// use.
 type fleet struct {
 	cf Settings
 	ss *emulate.Servers
-	ju *Checker
+	ch *Checker
 	ts *timer.Service
 
-	// network is where servers listen: a loopback address of this run alone.
+	// listenAddress is where servers listen: a loopback address that only this run uses.
 	//
-	// A server that comes back at its address, or another one that gets it, needs the
-	// port again. On the usual loopback address, any process may have taken it meanwhile
-	// for a connection that it opened, and the fault could not be played.
-	network string
-
-	mu        sync.Mutex
-	positions []*emulate.Server
-	started   int
-	ended     []crashed // ended are those that ended under a request and were not replaced yet.
+	// A server that restarts at its address, and another one that takes the address over,
+	// need the same port again. On the usual loopback address any process may have taken
+	// the port in the meantime for an outgoing connection, and the fault could not be
+	// injected.
+	listenAddress string
+
+	mu         sync.Mutex
+	positions  []*emulate.Server
+	numStarted int
+	crashed    []crashedServer // servers that crashed on a request and are not replaced yet
 }
 
-// anyNetwork returns a loopback address that hardly anybody else uses.
-func anyNetwork() string {
+// randomLoopback returns a random loopback address that is very unlikely to be in use.
+func randomLoopback() string {
 	const first, count = 2, 250
 	return fmt.Sprintf("127.%d.%d.%d:0", first+rand.IntN(count), first+rand.IntN(count), first+rand.IntN(count))
 }
@@ -49,43 +52,44 @@
 	return all[position/cf.Servers.Replicas]
 }
 
-// start starts a server of a service under a new id; address may be empty.
-func (fl *fleet) start(service, address string, nth int) (*emulate.Server, error) {
-	return fl.startAs("", service, address, nth)
+// start starts a server of a service under a new ID; address may be empty.
+func (fl *fleet) start(service, address string, position int) (*emulate.Server, error) {
+	return fl.startAs("", service, address, position)
 }
 
-// startAs starts a server under an id, a new one if it is empty. All servers say when
-// they started, so that one which had the id before can be told apart.
-func (fl *fleet) startAs(id, service, address string, nth int) (*emulate.Server, error) {
+// startAs starts a server under an ID, or under a new one if id is empty. All servers
+// announce their start time, so that a server can be told apart from an earlier one with
+// the same ID.
+func (fl *fleet) startAs(id, service, address string, position int) (*emulate.Server, error) {
 	se := fl.cf.Servers
 	if address == "" {
-		address = fl.network
+		address = fl.listenAddress
 	}
 	fl.mu.Lock()
-	fl.started++
-	number := fl.started
+	fl.numStarted++
+	number := fl.numStarted
 	fl.mu.Unlock()
 	if id == "" {
 		id = fmt.Sprintf("%s-%d", service, number)
 	}
 	cf := emulate.Config{
 		ID: id, Service: service, Address: address, Born: fl.ts.Now().UnixMilli(),
-		DataCentre: fl.cf.Tier.DataCentres[nth%len(fl.cf.Tier.DataCentres)],
+		DataCentre: fl.cf.Tier.DataCentres[position%len(fl.cf.Tier.DataCentres)],
 		Slots:      se.Slots, Queue: se.Queue, Connections: se.Connections, ConnectionCost: se.ConnectionCost,
 		ServiceTime: se.Work, Pause: se.Pause, Records: se.Records, ReportLoad: true,
-		DrainDelay: fl.cf.Checks.Drain + lingerFor, Seed: fl.cf.Seed*mostServers + uint64(number), OnEvent: fl.ju.RecordServerEvent,
-		OnCrash: func(se *emulate.Server) { fl.noteCrash(nth, se) },
+		DrainDelay: fl.cf.Checks.Drain + lingerDelay, Seed: fl.cf.Seed*maxServers + uint64(number), OnEvent: fl.ch.RecordServerEvent,
+		OnCrash: func(se *emulate.Server) { fl.recordCrash(position, se) },
 	}
 	if len(se.Paces) > 0 {
-		cf.ServiceTimeFactor = se.Paces[nth%len(se.Paces)]
+		cf.ServiceTimeFactor = se.Paces[position%len(se.Paces)]
 	}
-	fl.ju.ServerStarted(cf.ID, service, cf.DataCentre)
+	fl.ch.ServerStarted(cf.ID, service, cf.DataCentre)
 	return fl.ss.Start(cf)
 }
 
-// fill starts a server in each position.
-func (fl *fleet) fill() error {
-	for position := range fl.cf.positions() {
+// startAll starts a server in each position.
+func (fl *fleet) startAll() error {
+	for position := range fl.cf.numPositions() {
 		se, err := fl.start(fl.cf.service(position, 0), "", position)
 		if err != nil {
 			return err
@@ -95,33 +99,33 @@
 	return nil
 }
 
-// at returns the server in a position.
-func (fl *fleet) at(position int) *emulate.Server {
+// serverAt returns the server in a position.
+func (fl *fleet) serverAt(position int) *emulate.Server {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	return fl.positions[position]
 }
 
-// replace puts a new server of the same service in the place of one, unless
-// another one is there already.
+// replace replaces a server by a new one of the same service, unless its position already
+// has another one.
 func (fl *fleet) replace(position int, old *emulate.Server, address string) error {
-	if fl.at(position) != old {
+	if fl.serverAt(position) != old {
 		return nil
 	}
-	return fl.put(position)(fl.start(old.Service(), address, position))
+	return fl.setPosition(position)(fl.start(old.Service(), address, position))
 }
 
-// again starts a server that has ended once more under its id and at its address,
-// unless another one is in its place already.
-func (fl *fleet) again(position int, old *emulate.Server) error {
-	if fl.at(position) != old {
+// restart restarts a server under its ID and at its address, unless its position already
+// has another one.
+func (fl *fleet) restart(position int, old *emulate.Server) error {
+	if fl.serverAt(position) != old {
 		return nil
 	}
-	return fl.put(position)(fl.startAs(old.ID(), old.Service(), old.Address(), position))
+	return fl.setPosition(position)(fl.startAs(old.ID(), old.Service(), old.Address(), position))
 }
 
-// put returns what puts a server that was started in a position.
-func (fl *fleet) put(position int) func(*emulate.Server, error) error {
+// setPosition returns a function that puts a newly started server into a position.
+func (fl *fleet) setPosition(position int) func(*emulate.Server, error) error {
 	return func(se *emulate.Server, err error) error {
 		if err != nil {
 			return err
@@ -133,9 +137,10 @@
 	}
 }
 
-// next starts the servers of a further generation of shards, waits until control
-// has heard of them all, and returns them in the order of their positions.
-func (fl *fleet) next(ctx context.Context, generation int) ([]*emulate.Server, error) {
+// startGeneration starts the servers of a new generation of shards, waits until control
+// has received the announcements of all of them, and returns them in the order of their
+// positions.
+func (fl *fleet) startGeneration(ctx context.Context, generation int) ([]*emulate.Server, error) {
 	var out []*emulate.Server
 	for position := range fl.cf.Servers.Shards * fl.cf.Servers.Replicas {
 		se, err := fl.start(fl.cf.service(position, generation), "", position)
@@ -144,19 +149,19 @@
 		}
 		out = append(out, se)
 	}
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
 	for _, se := range out {
 		for !se.Announced() {
-			if err := fl.ts.Sleep(ctx, heardPoll); err != nil {
-				return nil, fmt.Errorf("control has not heard of %s: %w", se.ID(), err)
+			if err := fl.ts.Sleep(ctx, announcedPollInterval); err != nil {
+				return nil, fmt.Errorf("control has not received the announcement of %s: %w", se.ID(), err)
 			}
 		}
 	}
 	return out, nil
 }
 
-// swap puts servers in the first positions and returns those that were there.
+// swap puts servers into the first positions and returns those that they replace.
 func (fl *fleet) swap(ses []*emulate.Server) []*emulate.Server {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -165,9 +170,9 @@
 	return old
 }
 
-// drain has servers leave as planned, all at once. That control is away meanwhile is
-// another fault and no reason to say that this one wasn't played: a server that nobody
-// hears ends all the same, and its leaving was not acknowledged.
+// drain drains servers concurrently. An unavailable control is a fault of its own and
+// doesn't count as a failure to inject this one: a server whose announcements nobody
+// receives stops all the same, only its draining was not acknowledged.
 func drain(ctx context.Context, ses ...*emulate.Server) error {
 	errs := make([]error, len(ses))
 	var wg sync.WaitGroup
--- a/emulate/soak/fleet_test.go
+++ b/emulate/soak/fleet_test.go
@@ -14,22 +14,22 @@
 	"balsamwinch.example/timer"
 )
 
-// deaf is an Announcer that fails in one way.
-type deaf struct{ err error }
+// failingAnnouncer is an Announcer whose calls return one error.
+type failingAnnouncer struct{ err error }
 
-func (de deaf) Announce(context.Context, registry.Server) error { return de.err }
-func (de deaf) Leave(context.Context, string) error             { return de.err }
+func (fa failingAnnouncer) Announce(context.Context, registry.Server) error { return fa.err }
+func (fa failingAnnouncer) Leave(context.Context, string) error             { return fa.err }
 
-// All control instances are down while a server leaves: the leaving is played all
-// the same. Any other failure is told.
-func TestDrainUnheard(t *testing.T) {
+// A server that drains while all control instances are down is not a failure to inject
+// the fault. Any other error is returned.
+func TestDrainWhileControlIsDown(t *testing.T) {
 	other := errors.New("other")
 	for _, tt := range []struct{ err, want error }{
 		{&result.Error{Code: result.ControlUnavailable, Op: "announce"}, nil},
 		{other, other},
 		{nil, nil},
 	} {
-		se, err := emulate.New(emulate.Config{ID: "a", Service: "s"}, deaf{tt.err}, timer.New(), zap.NewNop())
+		se, err := emulate.New(emulate.Config{ID: "a", Service: "s"}, failingAnnouncer{tt.err}, timer.New(), zap.NewNop())
 		qt.Assert(t, err, qt.IsNil)
 		qt.Check(t, errors.Is(drain(t.Context(), se), tt.want), qt.IsTrue, qt.Commentf("%v", tt.err))
 	}
--- a/emulate/soak/operator.go
+++ b/emulate/soak/operator.go
@@ -14,34 +14,34 @@
 )
 
 const (
-	host       = "soak.example"
-	bodyBytes  = 1 << 20
-	headBytes  = 16 << 10
-	headWithin = 3 * time.Second
-	idleWithin = 30 * time.Second
-	// sendAgain is how long an operator waits until he sends again what had no clear
-	// answer.
-	sendAgain = 50 * time.Millisecond
-	// callWithin bounds what an operator does until it counts as not done.
-	callWithin = 20 * time.Second
+	host           = "soak.example"
+	maxBodyBytes   = 1 << 20
+	maxHeaderBytes = 16 << 10
+	headerTimeout  = 3 * time.Second
+	idleTimeout    = 30 * time.Second
+	// retryDelay is how long an operator waits before retrying a call without a clear
+	// outcome.
+	retryDelay = 50 * time.Millisecond
+	// operationTimeout bounds an operator's action, retries included.
+	operationTimeout = 20 * time.Second
 )
 
-// operator writes configurations. It is safe for concurrent use, as several
-// operators would be.
+// operator writes configurations. It is safe for concurrent use and stands for several
+// operators.
 type operator struct {
 	cf Settings
-	ju *Checker
+	ch *Checker
 	ts *timer.Service
 	co *emulate.ControlClient
 
-	mu         sync.Mutex
-	version    uint64
-	generation int
-	newest     []byte // newest is what was acknowledged last, of the highest version.
-	newestAs   uint64
+	mu            sync.Mutex
+	version       uint64
+	generation    int
+	latest        []byte // the highest acknowledged version
+	latestVersion uint64
 }
 
-// layout returns what a version leads requests to.
+// layout returns where a version routes requests.
 func (cf Settings) layout(version uint64, generation int) Layout {
 	return Layout{Shards: cf.shards(generation), Plain: cf.plainServices()[version%uint64(cf.PlainServices)]}
 }
@@ -63,11 +63,11 @@
 	return out
 }
 
-// configuration returns a version.
+// configuration returns the configuration of a version.
 func (cf Settings) configuration(version uint64, la Layout) emulate.Configuration {
 	out := emulate.Configuration{
 		Version: version,
-		Limits:  emulate.Limits{HeaderBytes: headBytes, BodyBytes: bodyBytes, HeaderTimeout: headWithin, IdleTimeout: idleWithin},
+		Limits:  emulate.Limits{HeaderBytes: maxHeaderBytes, BodyBytes: maxBodyBytes, HeaderTimeout: headerTimeout, IdleTimeout: idleTimeout},
 	}
 	for ix, st := range cf.streams() {
 		ro := emulate.Route{
@@ -88,9 +88,9 @@
 	return out
 }
 
-// write makes a new version and returns what it is sent as. It is a new generation
-// of shards if wanted.
-func (op *operator) write(repartition bool) (uint64, []byte) {
+// newVersion returns a new version and its configuration, with a new generation of shards
+// if repartition is set.
+func (op *operator) newVersion(repartition bool) (uint64, []byte) {
 	op.mu.Lock()
 	defer op.mu.Unlock()
 	op.version++
@@ -99,101 +99,104 @@
 	}
 	la := op.cf.layout(op.version, op.generation)
 	data := op.cf.configuration(op.version, la).Encode()
-	op.ju.ConfigurationSent(op.ts.Now(), op.version, la, data)
+	op.ch.ConfigurationSent(op.ts.Now(), op.version, la, data)
 	return op.version, data
 }
 
 // send sends a version until it is acknowledged.
 func (op *operator) send(ctx context.Context, version uint64, data []byte) error {
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
 	for {
 		err := op.co.Configure(ctx, data)
 		if err == nil {
-			op.ju.ConfigurationAcknowledged(version)
+			op.ch.ConfigurationAcknowledged(version)
 			op.mu.Lock()
 			defer op.mu.Unlock()
-			if version > op.newestAs {
-				op.newest, op.newestAs = data, version
+			if version > op.latestVersion {
+				op.latest, op.latestVersion = data, version
 			}
 			return nil
 		}
-		if refused(err) || op.ts.Sleep(ctx, sendAgain) != nil {
+		if isRejected(err) || op.ts.Sleep(ctx, retryDelay) != nil {
 			return fmt.Errorf("version %d: %w", version, err)
 		}
 	}
 }
 
-// order sends an order until it is acknowledged.
-func (op *operator) order(ctx context.Context, send func(context.Context) error) error {
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+// retryUntilAcknowledged retries a call until it is acknowledged.
+func (op *operator) retryUntilAcknowledged(ctx context.Context, send func(context.Context) error) error {
+	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
 	for {
 		err := send(ctx)
-		if err == nil || op.ts.Sleep(ctx, sendAgain) != nil {
+		if err == nil || op.ts.Sleep(ctx, retryDelay) != nil {
 			return err
 		}
 	}
 }
 
-// refused reports whether control said that a configuration is invalid.
-func refused(err error) bool {
+// isRejected reports whether control rejected a configuration as invalid.
+func isRejected(err error) bool {
 	var re *result.Error
 	return errors.As(err, &re) && re.Code == result.NotRunBadRequest
 }
 
-// again sends the newest acknowledged configuration once more.
-func (op *operator) again(ctx context.Context) error {
+// resendLatest sends the latest acknowledged configuration again.
+func (op *operator) resendLatest(ctx context.Context) error {
 	op.mu.Lock()
-	version, data := op.newestAs, op.newest
+	version, data := op.latestVersion, op.latest
 	op.mu.Unlock()
 	err := op.send(ctx, version, data)
-	if err == nil || refused(err) {
-		op.ju.CheckRefusal(op.ts.Now(), fmt.Sprintf("version %d was refused when it was sent again: %v", version, err), err == nil)
+	if err == nil || isRejected(err) {
+		op.ch.CheckRefusal(op.ts.Now(), fmt.Sprintf("version %d was rejected when it was sent again: %v", version, err), err == nil)
 	}
 	return err
 }
 
-// invalid sends a configuration whose merged route asks a service that there is
-// none of, with a version far above all others: were it in force, all would show.
-func (op *operator) invalid(ctx context.Context) error {
+// sendInvalid sends a configuration whose merged route names a service that doesn't
+// exist, with a version far above all others: if it came into force, all requests would
+// be affected.
+func (op *operator) sendInvalid(ctx context.Context) error {
 	op.mu.Lock()
-	version := op.version + invalidAbove
+	version := op.version + invalidVersionOffset
 	op.mu.Unlock()
 	cf := op.cf.configuration(version, op.cf.layout(version, 0))
 	cf.Routes[0].Shards = append(cf.Routes[0].Shards, "nobody")
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
 	for {
 		err := op.co.Configure(ctx, cf.Encode())
-		if err == nil || refused(err) {
-			op.ju.CheckRefusal(op.ts.Now(), "a configuration that names an unknown service was accepted", err != nil)
+		if err == nil || isRejected(err) {
+			op.ch.CheckRefusal(op.ts.Now(), "a configuration that names an unknown service was accepted", err != nil)
 			return nil
 		}
-		if op.ts.Sleep(ctx, sendAgain) != nil {
+		if op.ts.Sleep(ctx, retryDelay) != nil {
 			return err
 		}
 	}
 }
 
-// invalidAbove is how far the version of an invalid configuration is above others.
-const invalidAbove = 1_000_000
+// invalidVersionOffset is how far the version of an invalid configuration is above the
+// others.
+const invalidVersionOffset = 1_000_000
 
-// readBack reads the configuration until somebody answers, and has it judged.
+// readBack reads the configuration until there is a response, and passes it to the
+// checker.
 func (op *operator) readBack(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
 	for {
-		before := op.ju.LatestAcknowledged()
+		before := op.ch.LatestAcknowledged()
 		data, err := op.co.LatestConfiguration(ctx)
 		if err == nil {
-			var he struct{ Version uint64 }
-			_ = json.Unmarshal(data, &he) // What can't be read has version 0 and is a breach.
-			op.ju.ConfigurationRead(op.ts.Now(), before, he.Version, data)
+			var header struct{ Version uint64 }
+			_ = json.Unmarshal(data, &header) // Unreadable data has version 0 and is a violation.
+			op.ch.ConfigurationRead(op.ts.Now(), before, header.Version, data)
 			return
 		}
-		if op.ts.Sleep(ctx, sendAgain) != nil {
-			op.ju.ConfigurationRead(op.ts.Now(), before, 0, nil)
+		if op.ts.Sleep(ctx, retryDelay) != nil {
+			op.ch.ConfigurationRead(op.ts.Now(), before, 0, nil)
 			return
 		}
 	}
--- a/emulate/soak/report.go
+++ b/emulate/soak/report.go
@@ -13,7 +13,7 @@
 	"balsamwinch.example/emulate"
 )
 
-// Report is what a run found.
+// Report holds the results of a run.
 type Report struct {
 	Soak       string
 	Seed       uint64
@@ -21,42 +21,42 @@
 	Length     time.Duration
 	Processors int
 	Groups     []Group
-	Arrived    int     // Arrived counts the first arrivals of requests at services.
-	Extra      int     // Extra counts those beyond the first.
-	ExtraLoad  float64 // ExtraLoad is Extra as a share of Arrived.
+	Arrived    int     // first arrivals of requests at services
+	Extra      int     // arrivals beyond the first
+	ExtraLoad  float64 // Extra as a fraction of Arrived
 	Faults     []FaultCounts
-	Problems   []string `json:",omitempty"` // Problems are faults that could not be played to their end.
+	Problems   []string `json:",omitempty"` // faults that could not be injected completely
 	Checks     []Tally
 	Breaches   []Violation `json:",omitempty"`
-	Dropped    int         // Dropped counts requests that were due but not sent.
-	// SentLateP99Micros is how late requests were sent: far above a millisecond, the
-	// machine was too busy for times to say anything of the tier.
+	Dropped    int         // requests that were due but not sent
+	// SentLateP99Micros is how late requests were sent. Far above a millisecond, the
+	// machine was too busy for its latencies to say anything about the tier.
 	SentLateP99Micros int64
 }
 
-// Played is how often a kind of fault was drawn and played.
+// FaultCounts counts how often a kind of fault was drawn and injected.
 type FaultCounts struct {
 	Kind   Kind
 	Drawn  int
 	Played int
 }
 
-// Group is what became of the requests of one group. Times are those of answers
-// with status 200, counted from the intended start of the request.
+// Group holds the outcomes of the requests of one group. Latencies are those of responses
+// with status 200, from the intended start of the request.
 type Group struct {
 	Group     string
 	Requests  int
-	Whole     int // Whole counts the answers that lack no part.
-	Partial   int // Partial counts those that lack some.
-	Refused   int // Refused counts the answers that say that nothing ran.
-	Failed    int // Failed counts the answers with any other status.
-	Silent    int // Silent counts the requests without an answer within their time.
-	Late      int // Late counts those of Whole and Partial that came after the aim.
+	Whole     int // responses that lack no part
+	Partial   int // responses that lack some parts
+	Refused   int // responses that report that nothing ran
+	Failed    int // responses with any other status
+	Silent    int // requests without a response before their timeout
+	Late      int // responses in Whole and Partial that exceeded the target latency
 	P50Micros int64
 	P99Micros int64
 }
 
-// Broken counts the breaches of all checks.
+// NumViolations returns the number of violations of all checks.
 func (re Report) NumViolations() int {
 	out := 0
 	for _, ta := range re.Checks {
@@ -65,8 +65,8 @@
 	return out
 }
 
-// figures count what becomes of requests.
-type figures struct {
+// requestStats counts the outcomes of requests.
+type requestStats struct {
 	mu     sync.Mutex
 	groups map[string]*Group
 	times  map[string]*hdrhistogram.Histogram
@@ -74,58 +74,58 @@
 }
 
 const (
-	mostMicros = int64(time.Minute / time.Microsecond)
-	digits     = 3
+	maxMicros         = int64(time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
-func newFigures() *figures {
-	fi := &figures{groups: make(map[string]*Group), times: make(map[string]*hdrhistogram.Histogram), lag: hdrhistogram.New(1, mostMicros, digits)}
+func newRequestStats() *requestStats {
+	st := &requestStats{groups: make(map[string]*Group), times: make(map[string]*hdrhistogram.Histogram), lag: hdrhistogram.New(1, maxMicros, significantDigits)}
 	for _, gr := range groups {
-		fi.groups[gr], fi.times[gr] = &Group{Group: gr}, hdrhistogram.New(1, mostMicros, digits)
+		st.groups[gr], st.times[gr] = &Group{Group: gr}, hdrhistogram.New(1, maxMicros, significantDigits)
 	}
-	return fi
+	return st
 }
 
-// sent notes how late a request was sent.
-func (fi *figures) sent(lag time.Duration) {
-	fi.mu.Lock()
-	defer fi.mu.Unlock()
-	record(fi.lag, lag)
+// recordLag records how late a request was sent.
+func (st *requestStats) recordLag(lag time.Duration) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	recordDuration(st.lag, lag)
 }
 
-func record(hi *hdrhistogram.Histogram, took time.Duration) {
-	_ = hi.RecordValue(min(mostMicros, max(1, took.Microseconds()))) // A value in range is no error.
+func recordDuration(hi *hdrhistogram.Histogram, took time.Duration) {
+	_ = hi.RecordValue(min(maxMicros, max(1, took.Microseconds()))) // A value in range is not an error.
 }
 
-// note counts what came of a request.
-func (fi *figures) note(group string, an emulate.Response, err error, took, aim time.Duration) {
-	fi.mu.Lock()
-	defer fi.mu.Unlock()
-	gr := fi.groups[group]
+// record records the outcome of a request.
+func (st *requestStats) record(group string, res emulate.Response, err error, took, targetLatency time.Duration) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	gr := st.groups[group]
 	gr.Requests++
 	switch {
 	case err != nil:
 		gr.Silent++
 		return
-	case saysNotRun(an.Status):
+	case isNotRunStatus(res.Status):
 		gr.Refused++
 		return
-	case an.Status != http.StatusOK:
+	case res.Status != http.StatusOK:
 		gr.Failed++
 		return
-	case an.Missing > 0:
+	case res.Missing > 0:
 		gr.Partial++
 	default:
 		gr.Whole++
 	}
-	if took > aim {
+	if took > targetLatency {
 		gr.Late++
 	}
-	record(fi.times[group], took)
+	recordDuration(st.times[group], took)
 }
 
-// report adds what was counted.
-func (ru *runner) report(re *Report) {
+// fillReport adds the results to the report.
+func (ru *runner) fillReport(re *Report) {
 	ru.st.mu.Lock()
 	defer ru.st.mu.Unlock()
 	for _, name := range groups {
@@ -135,20 +135,20 @@
 		re.Groups = append(re.Groups, gr)
 	}
 	re.SentLateP99Micros = ru.st.lag.ValueAtQuantile(99)
-	re.Arrived, re.Extra = ru.ju.ArrivalCounts()
+	re.Arrived, re.Extra = ru.ch.ArrivalCounts()
 	if re.Arrived > 0 {
 		re.ExtraLoad = float64(re.Extra) / float64(re.Arrived)
 	}
-	drawn := count(DrawSchedule(ru.cf.Seed, ru.cf))
+	drawn := countKinds(DrawSchedule(ru.cf.Seed, ru.cf))
 	for _, ki := range Kinds() {
 		if drawn[ki] > 0 {
-			re.Faults = append(re.Faults, FaultCounts{ki, drawn[ki], ru.pl.played[ki]})
+			re.Faults = append(re.Faults, FaultCounts{ki, drawn[ki], ru.ij.injected[ki]})
 		}
 	}
-	re.Problems, re.Checks, re.Breaches = ru.pl.problems, ru.ju.Tallies(), ru.ju.Violations()
+	re.Problems, re.Checks, re.Breaches = ru.ij.problems, ru.ch.Tallies(), ru.ch.Violations()
 }
 
-// WriteTable writes the report for people.
+// WriteTable writes the report as text.
 func (re Report) WriteTable(wr io.Writer) error {
 	tw := tabwriter.NewWriter(wr, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(tw, "soak %s, seed %d, %v, %s, GOMAXPROCS %d\n\n", re.Soak, re.Seed, re.Length, re.Started.UTC().Format(time.RFC3339), re.Processors)
@@ -158,18 +158,18 @@
 	}
 	fmt.Fprintf(tw, "\narrived %d, beyond the first %d, extra load %.2f %%; not sent %d, sent late p99 %.1f ms\n\n", re.Arrived, re.Extra, 100*re.ExtraLoad, re.Dropped, millis(re.SentLateP99Micros))
 	fmt.Fprintln(tw, "fault\tdrawn\tplayed\t")
-	for _, pl := range re.Faults {
-		fmt.Fprintf(tw, "%s\t%d\t%d\t\n", pl.Kind, pl.Drawn, pl.Played)
+	for _, fc := range re.Faults {
+		fmt.Fprintf(tw, "%s\t%d\t%d\t\n", fc.Kind, fc.Drawn, fc.Played)
 	}
 	fmt.Fprintln(tw, "\ncheck\tlooked at\tbroken\t")
 	for _, ta := range re.Checks {
 		fmt.Fprintf(tw, "%s\t%d\t%d\t\n", ta.Check, ta.Looked, ta.Broken)
 	}
 	for _, st := range re.Problems {
-		fmt.Fprintf(tw, "not played to its end: %s\n", st)
+		fmt.Fprintf(tw, "not injected completely: %s\n", st)
 	}
-	for _, br := range re.Breaches {
-		fmt.Fprintf(tw, "broken, seed %d: %v\n", re.Seed, br)
+	for _, vi := range re.Breaches {
+		fmt.Fprintf(tw, "violation, seed %d: %v\n", re.Seed, vi)
 	}
 	return tw.Flush()
 }
--- a/emulate/soak/run.go
+++ b/emulate/soak/run.go
@@ -20,18 +20,18 @@
 )
 
 const (
-	readyWithin = time.Minute
-	// lookUpEvery is how often callers ask which entry instances to use.
-	lookUpEvery = 500 * time.Millisecond
-	// afterwards is how long is waited after the load for what backend servers may
-	// still begin of it.
-	afterwards = time.Second
+	readyTimeout = time.Minute
+	// lookupInterval is the interval at which callers ask which entry instances to use.
+	lookupInterval = 500 * time.Millisecond
+	// settleDelay is the wait after the load for requests that backend servers may still
+	// start.
+	settleDelay = time.Second
 )
 
-// Program says how instances are run.
+// Program configures the processes of the instances.
 type Program struct {
-	Command   []string // Command calls emulate.ServeInstance with its standard input.
-	LogFolder string   // Logs is a folder for the instances' logs; empty: nowhere.
+	Command   []string // must call emulate.ServeInstance with its standard input
+	LogFolder string   // folder for the instances' logs; if empty, they are discarded
 }
 
 // streams returns the streams in the order of groups.
@@ -41,29 +41,29 @@
 
 // runner runs one soak.
 type runner struct {
-	cf Settings
-	ts *timer.Service
-	lo *emulate.LocalTier
-	ca *emulate.Caller
-	ju *Checker
-	pl *player
-	st *figures
-	at atomic.Pointer[[]string] // at is where callers send requests.
+	cf      Settings
+	ts      *timer.Service
+	lo      *emulate.LocalTier
+	ca      *emulate.Caller
+	ch      *Checker
+	ij      *injector
+	st      *requestStats
+	entries atomic.Pointer[[]string] // addresses of the entry instances that callers use
 }
 
-// Run starts a tier and backend servers, loads them while the faults of the seed
-// are played, and returns what was found.
+// Run starts a tier and backend servers, puts them under load while it injects the faults
+// of the seed, and returns the results.
 func Run(ctx context.Context, cf Settings, pr Program, ts *timer.Service, lg *zap.Logger) (re Report, err error) {
 	folder, err := os.MkdirTemp("", "balsamload-soak-")
 	if err != nil {
 		return re, err
 	}
 	defer os.RemoveAll(folder)
-	ready, cancel := context.WithTimeout(ctx, readyWithin)
+	ready, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	lo, err := emulate.StartLocalTier(ready, emulate.LocalConfig{
 		Entries: cf.Tier.Entries, Controls: cf.Tier.Controls, DataCentres: cf.Tier.DataCentres, Folder: folder,
-		StopTimeout: stopWithin, Program: pr.Command, LogFolder: pr.LogFolder,
+		StopTimeout: stopTimeout, Program: pr.Command, LogFolder: pr.LogFolder,
 	}, ts, lg)
 	if err != nil {
 		return re, err
@@ -78,57 +78,57 @@
 	defer co.Close()
 	ru := newRunner(cf, lo, ss, co, ts)
 	defer ru.ca.Close()
-	if err := ru.form(ready); err != nil {
+	if err := ru.prepare(ready); err != nil {
 		return re, err
 	}
 	re = Report{Soak: cf.Name, Seed: cf.Seed, Started: ts.Now(), Processors: runtime.GOMAXPROCS(0), Length: cf.Length}
-	ru.ju.Start(re.Started)
+	ru.ch.Start(re.Started)
 	dropped, err := ru.load(ctx, re.Started)
 	if err != nil {
 		return re, err
 	}
 	ru.finish(ctx)
 	re.Dropped = dropped
-	ru.report(&re)
+	ru.fillReport(&re)
 	return re, nil
 }
 
 func newRunner(cf Settings, lo *emulate.LocalTier, ss *emulate.Servers, co *emulate.ControlClient, ts *timer.Service) *runner {
-	pl := &player{cf: cf, lo: lo, ss: ss, ts: ts, played: make(map[Kind]int), turns: make(map[string]*sync.Mutex)}
-	ju := NewChecker(cf, pl.underWay)
-	pl.ju = ju
-	pl.fl = &fleet{cf: cf, ss: ss, ju: ju, ts: ts, network: anyNetwork()}
-	pl.op = &operator{cf: cf, ju: ju, ts: ts, co: co}
-	pl.ru = &runner{cf: cf, ts: ts, lo: lo, ca: emulate.NewCaller(), ju: ju, pl: pl, st: newFigures()}
-	return pl.ru
+	ij := &injector{cf: cf, lo: lo, ss: ss, ts: ts, injected: make(map[Kind]int), entryLocks: make(map[string]*sync.Mutex)}
+	ch := NewChecker(cf, ij.activeFaults)
+	ij.ch = ch
+	ij.fl = &fleet{cf: cf, ss: ss, ch: ch, ts: ts, listenAddress: randomLoopback()}
+	ij.op = &operator{cf: cf, ch: ch, ts: ts, co: co}
+	ij.ru = &runner{cf: cf, ts: ts, lo: lo, ca: emulate.NewCaller(), ch: ch, ij: ij, st: newRequestStats()}
+	return ij.ru
 }
 
-// form starts the backend servers, has the first configuration accepted and waits
-// until each entry instance gives whole answers of every group.
-func (ru *runner) form(ctx context.Context) error {
-	if err := ru.pl.fl.fill(); err != nil {
+// prepare starts the backend servers, has the first configuration accepted and waits
+// until each entry instance sends complete responses for every group.
+func (ru *runner) prepare(ctx context.Context) error {
+	if err := ru.ij.fl.startAll(); err != nil {
 		return err
 	}
-	version, data := ru.pl.op.write(false)
-	if err := ru.pl.op.send(ctx, version, data); err != nil {
+	version, data := ru.ij.op.newVersion(false)
+	if err := ru.ij.op.send(ctx, version, data); err != nil {
 		return err
 	}
 	la := ru.cf.layout(version, 0)
 	for ix, address := range ru.lo.CallerAddresses() {
-		ru.ju.EntryStarted(address)
+		ru.ch.EntryStarted(address)
 		for _, gr := range groups {
-			ex := emulate.Expectation{Services: la.of(gr), Service: ru.pl.ss.Service, Records: ru.cf.Servers.Records}
+			ex := emulate.Expectation{Services: la.services(gr), Service: ru.ij.ss.Service, Records: ru.cf.Servers.Records}
 			if gr == groupMerged {
 				ex.TopK = ru.cf.Merged.TopK
 			}
-			qu := emulate.Request{ID: fmt.Sprintf("ready-%d-%s", ix, gr), Host: host, Path: "/" + gr + "/ready", Timeout: ru.timeout(gr)}
-			if _, err := ru.ca.AwaitComplete(ctx, ru.ts, address, qu, ex); err != nil {
+			req := emulate.Request{ID: fmt.Sprintf("ready-%d-%s", ix, gr), Host: host, Path: "/" + gr + "/ready", Timeout: ru.timeout(gr)}
+			if _, err := ru.ca.AwaitComplete(ctx, ru.ts, address, req, ex); err != nil {
 				return err
 			}
 		}
 	}
 	list := ru.lo.CallerAddresses()
-	ru.at.Store(&list)
+	ru.entries.Store(&list)
 	return nil
 }
 
@@ -141,64 +141,64 @@
 	return 0
 }
 
-// load sends the requests while the faults are played, and returns how many were
-// due but not sent.
+// load sends the requests while faults are injected, and returns how many were due but
+// not sent.
 func (ru *runner) load(ctx context.Context, start time.Time) (int, error) {
-	look, stop := context.WithCancel(ctx)
+	refreshCtx, stop := context.WithCancel(ctx)
 	var wg sync.WaitGroup
-	wg.Go(func() { ru.lookUp(look) })
-	wg.Go(func() { ru.pl.playAll(ctx, start, DrawSchedule(ru.cf.Seed, ru.cf)) })
+	wg.Go(func() { ru.refreshEntries(refreshCtx) })
+	wg.Go(func() { ru.ij.injectAll(ctx, start, DrawSchedule(ru.cf.Seed, ru.cf)) })
 	var rates []float64
 	for _, st := range ru.cf.streams() {
 		rates = append(rates, st.Rate)
 	}
 	ars := load.Arrivals(ru.cf.Seed, ru.cf.Length, rates)
-	dropped := load.Drive(ctx, ru.ts, start, ars, func(at load.Arrival, intended time.Time) { ru.fire(ctx, at, intended) })
+	dropped := load.Drive(ctx, ru.ts, start, ars, func(at load.Arrival, intended time.Time) { ru.send(ctx, at, intended) })
 	stop()
 	wg.Wait()
 	return dropped, ctx.Err()
 }
 
-// lookUp keeps the list of entry instances as callers do: from one control
-// instance after the other, and the old list while none answers.
-func (ru *runner) lookUp(ctx context.Context) {
+// refreshEntries updates the list of entry instances as callers do: it asks one control
+// instance after another, and keeps the old list while none responds.
+func (ru *runner) refreshEntries(ctx context.Context) {
 	at := ru.lo.LookupAddresses()
 	for nth := 0; ctx.Err() == nil; nth++ {
 		dc := ru.cf.Tier.DataCentres[nth%len(ru.cf.Tier.DataCentres)]
 		if list, _, err := ru.ca.EntryAddresses(ctx, at[nth%len(at)], dc); err == nil && len(list) > 0 {
-			ru.at.Store(&list)
+			ru.entries.Store(&list)
 		}
-		_ = ru.ts.Sleep(ctx, lookUpEvery)
+		_ = ru.ts.Sleep(ctx, lookupInterval)
 	}
 }
 
-// fire sends one request and notes what came of it, counted from its intended
+// send sends one request and records its outcome, with the latency from its intended
 // start.
-func (ru *runner) fire(ctx context.Context, ar load.Arrival, intended time.Time) {
+func (ru *runner) send(ctx context.Context, ar load.Arrival, intended time.Time) {
 	group := groups[ar.Stream]
-	list := *ru.at.Load()
+	list := *ru.entries.Load()
 	rq := Request{
 		ID: fmt.Sprintf("%s-%x", group, ar.Seed), Group: group, Path: "/" + group + "/" + strconv.FormatUint(ar.Seed, 16),
 		Entry: list[ar.Seed%uint64(len(list))],
 	}
-	ru.st.sent(ru.ts.Now().Sub(intended))
-	ru.ju.RequestSent(rq)
-	an, err := ru.ca.Send(ctx, rq.Entry, emulate.Request{ID: rq.ID, Host: host, Path: rq.Path, Timeout: ru.timeout(group)})
+	ru.st.recordLag(ru.ts.Now().Sub(intended))
+	ru.ch.RequestSent(rq)
+	res, err := ru.ca.Send(ctx, rq.Entry, emulate.Request{ID: rq.ID, Host: host, Path: rq.Path, Timeout: ru.timeout(group)})
 	now := ru.ts.Now()
 	if err == nil {
-		ru.ju.RequestAnswered(now, rq.ID, an)
+		ru.ch.RequestAnswered(now, rq.ID, res)
 	}
-	ru.st.note(group, an, err, now.Sub(intended), ru.cf.streams()[ar.Stream].Aim)
+	ru.st.record(group, res, err, now.Sub(intended), ru.cf.streams()[ar.Stream].Aim)
 }
 
-// finish waits for what may still begin, and reads back what was acknowledged:
-// once, and once more after all control instances were killed and started again.
+// finish waits for requests that may still start, and reads back what was acknowledged:
+// once immediately, and again after all control instances were killed and restarted.
 func (ru *runner) finish(ctx context.Context) {
-	_ = ru.ts.Sleep(ctx, afterwards)
-	ru.pl.op.readBack(ctx)
+	_ = ru.ts.Sleep(ctx, settleDelay)
+	ru.ij.op.readBack(ctx)
 	names := ru.lo.ControlNames()
-	if err := errors.Join(each(names, ru.lo.Kill), ru.pl.startAll(names)); err != nil {
-		ru.pl.problems = append(ru.pl.problems, fmt.Sprintf("the restart of all at the end: %v", err))
+	if err := errors.Join(concurrently(names, ru.lo.Kill), ru.ij.startInstances(names)); err != nil {
+		ru.ij.problems = append(ru.ij.problems, fmt.Sprintf("restart of all control instances at the end: %v", err))
 	}
-	ru.pl.op.readBack(ctx)
+	ru.ij.op.readBack(ctx)
 }
--- a/emulate/soak/run_test.go
+++ b/emulate/soak/run_test.go
@@ -15,7 +15,7 @@
 	"balsamwinch.example/timer"
 )
 
-// shipped are the soaks of the repository.
+// shipped are the soak files of the repository.
 var shipped = []string{"../../experiments/routed/soak.yaml", "../../experiments/routed/soak-grown.yaml"}
 
 // instanceVariable makes this test program run one instance instead of the tests.
@@ -31,10 +31,9 @@
 	os.Exit(m.Run())
 }
 
-// The shipped soak is run on a small tier for a moment, with faults that end soon:
-// nothing that the tier promises is broken, each request is accounted for once, and
-// the faults that were drawn were played.
-func TestRun(t *testing.T) {
+// Runs the shipped soak on a small tier for a short time, with short faults: no check
+// fails, each request is counted once, and all drawn faults are injected.
+func TestShippedSoak(t *testing.T) {
 	t.Setenv(instanceVariable, "1")
 	cf, err := Read(shipped[0])
 	qt.Assert(t, err, qt.IsNil)
@@ -44,7 +43,7 @@
 	cf.Length, cf.Quiet = 2500*time.Millisecond, 200*time.Millisecond
 	cf.Faults.Every, cf.Faults.Least, cf.Faults.Most = 60*time.Millisecond, 50*time.Millisecond, 400*time.Millisecond
 	cf.Faults.Weights[EntryKill] = 6
-	// On a loaded machine an arrival may be noted long after it was sent.
+	// On a loaded machine an arrival may be recorded long after it was sent.
 	cf.Checks.DrainSlack = 30 * time.Second
 	program, err := os.Executable()
 	qt.Assert(t, err, qt.IsNil)
@@ -52,27 +51,27 @@
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, re.NumViolations(), qt.Equals, 0, qt.Commentf("seed %d: %v", re.Seed, re.Breaches))
 	qt.Assert(t, re.Problems, qt.HasLen, 0)
-	looked := make(map[Check]int)
+	evaluated := make(map[Check]int)
 	for _, ta := range re.Checks {
-		looked[ta.Check] = ta.Looked
+		evaluated[ta.Check] = ta.Looked
 	}
 	for _, ck := range []Check{CheckStamp, CheckShards, CheckDuplicateParts, CheckPartCount, CheckRecords, CheckOnce, CheckVersion, CheckAccepted, CheckConnections} {
-		qt.Check(t, looked[ck] > 0, qt.IsTrue, qt.Commentf("%s", ck))
+		qt.Check(t, evaluated[ck] > 0, qt.IsTrue, qt.Commentf("%s", ck))
 	}
 	for _, gr := range re.Groups {
 		qt.Check(t, gr.Whole+gr.Partial+gr.Refused+gr.Failed+gr.Silent, qt.Equals, gr.Requests, qt.Commentf("%+v", gr))
 		qt.Check(t, gr.Whole > 0, qt.IsTrue, qt.Commentf("%+v", gr))
 	}
 	qt.Check(t, len(re.Faults) > 5, qt.IsTrue, qt.Commentf("%v", re.Faults))
-	for _, pl := range re.Faults {
-		qt.Check(t, pl.Played, qt.Equals, pl.Drawn, qt.Commentf("%s", pl.Kind))
+	for _, fc := range re.Faults {
+		qt.Check(t, fc.Played, qt.Equals, fc.Drawn, qt.Commentf("%s", fc.Kind))
 	}
 	var out bytes.Buffer
 	qt.Assert(t, re.WriteTable(&out), qt.IsNil)
 	t.Log(out.String())
 }
 
-func TestParse(t *testing.T) {
+func TestParseRejectsInvalidFile(t *testing.T) {
 	data, err := os.ReadFile(shipped[0])
 	qt.Assert(t, err, qt.IsNil)
 	tests := []struct{ old, repl, want string }{
--- a/emulate/soak/schedule.go
+++ b/emulate/soak/schedule.go
@@ -11,34 +11,34 @@
 
 // The kinds of faults.
 const (
-	ControlStop   Kind = "ControlStop"   // ControlStop stops a control instance as planned and starts it again.
-	ControlKill   Kind = "ControlKill"   // ControlKill kills a control instance and starts it again.
-	ControlLose   Kind = "ControlLose"   // ControlLose is ControlKill and the data is lost.
-	ControlAll    Kind = "ControlAll"    // ControlAll kills all control instances and starts them again.
-	EntryStop     Kind = "EntryStop"     // EntryStop stops an entry instance as planned and replaces it.
-	EntryKill     Kind = "EntryKill"     // EntryKill kills an entry instance and replaces it.
-	ServerCrash   Kind = "ServerCrash"   // ServerCrash ends a backend server at once; a new one comes at its address.
-	ServerSilent  Kind = "ServerSilent"  // ServerSilent accepts requests and never answers them.
-	ServerSlow    Kind = "ServerSlow"    // ServerSlow takes several times as long.
-	ServerShed    Kind = "ServerShed"    // ServerShed refuses a part of the requests.
-	ServerHalt    Kind = "ServerHalt"    // ServerHalt stands still.
-	ReplyTwice    Kind = "ReplyTwice"    // ReplyTwice sends a part of the answers twice.
-	ReplyLate     Kind = "ReplyLate"     // ReplyLate answers a part of the requests late.
-	ReplyCut      Kind = "ReplyCut"      // ReplyCut cuts a part of the answers short, or sends none, or bytes that are none.
-	ReplyOther    Kind = "ReplyOther"    // ReplyOther answers a part of the requests for another one.
-	ServerDrain   Kind = "ServerDrain"   // ServerDrain is replaced and leaves as planned.
-	ServerReplace Kind = "ServerReplace" // ServerReplace ends a server at once; its address goes to one of another service.
-	ServiceCrash  Kind = "ServiceCrash"  // ServiceCrash is ServerCrash of all servers of a service.
-	ServiceShed   Kind = "ServiceShed"   // ServiceShed is all servers of a service that refuse all requests.
-	Repartition   Kind = "Repartition"   // Repartition gives all shards new services, then the old ones leave.
-	ConfigBurst   Kind = "ConfigBurst"   // ConfigBurst is several configurations without a wait between.
-	ConfigTwo     Kind = "ConfigTwo"     // ConfigTwo is two operators at once, with different versions.
-	ConfigAgain   Kind = "ConfigAgain"   // ConfigAgain sends the newest acknowledged configuration again.
-	ConfigInvalid Kind = "ConfigInvalid" // ConfigInvalid sends one that must be refused.
-	ServerAgain   Kind = "ServerAgain"   // ServerAgain ends a backend server at once; it starts again under its id.
-	RequestFatal  Kind = "RequestFatal"  // RequestFatal is a request that ends each server that runs it, sent again and again.
-	Evacuate      Kind = "Evacuate"      // Evacuate has a data centre evacuated, and that withdrawn.
-	ControlHang   Kind = "ControlHang"   // ControlHang makes a control instance stand still with its connections open.
+	ControlStop   Kind = "ControlStop"   // stops a control instance gracefully and restarts it
+	ControlKill   Kind = "ControlKill"   // kills a control instance and restarts it
+	ControlLose   Kind = "ControlLose"   // kills a control instance and restarts it without its data
+	ControlAll    Kind = "ControlAll"    // kills all control instances and restarts them
+	EntryStop     Kind = "EntryStop"     // stops an entry instance gracefully and replaces it
+	EntryKill     Kind = "EntryKill"     // kills an entry instance and replaces it
+	ServerCrash   Kind = "ServerCrash"   // crashes a backend server; a new one takes its address
+	ServerSilent  Kind = "ServerSilent"  // makes a server accept requests and never respond
+	ServerSlow    Kind = "ServerSlow"    // makes a server several times slower
+	ServerShed    Kind = "ServerShed"    // makes a server reject some requests
+	ServerHalt    Kind = "ServerHalt"    // pauses a server
+	ReplyTwice    Kind = "ReplyTwice"    // sends some responses twice
+	ReplyLate     Kind = "ReplyLate"     // delays some responses
+	ReplyCut      Kind = "ReplyCut"      // truncates some responses, or sends none, or invalid bytes
+	ReplyOther    Kind = "ReplyOther"    // answers some requests with the response to another one
+	ServerDrain   Kind = "ServerDrain"   // replaces a server, which drains gracefully
+	ServerReplace Kind = "ServerReplace" // crashes a server; its address goes to one of another service
+	ServiceCrash  Kind = "ServiceCrash"  // crashes all servers of a service; new ones take their addresses
+	ServiceShed   Kind = "ServiceShed"   // makes all servers of a service reject all requests
+	Repartition   Kind = "Repartition"   // gives all shards new services, then drains the old servers
+	ConfigBurst   Kind = "ConfigBurst"   // sends several configurations without a delay in between
+	ConfigTwo     Kind = "ConfigTwo"     // two operators send different versions concurrently
+	ConfigAgain   Kind = "ConfigAgain"   // sends the latest acknowledged configuration again
+	ConfigInvalid Kind = "ConfigInvalid" // sends a configuration that must be rejected
+	ServerAgain   Kind = "ServerAgain"   // crashes a backend server and restarts it under its ID
+	RequestFatal  Kind = "RequestFatal"  // repeats a request that crashes each server that runs it
+	Evacuate      Kind = "Evacuate"      // evacuates a data centre and withdraws the evacuation
+	ControlHang   Kind = "ControlHang"   // suspends a control instance with its connections open
 )
 
 // Kinds returns all kinds.
@@ -48,65 +48,66 @@
 		ServerCrash, ServerSilent, ServerSlow, ServerShed, ServerHalt,
 		ReplyTwice, ReplyLate, ReplyCut, ReplyOther, ServerDrain, ServerReplace, ServiceCrash, ServiceShed,
 		Repartition, ConfigBurst, ConfigTwo, ConfigAgain, ConfigInvalid,
-		ServerAgain, ControlHang, RequestFatal, Evacuate, // At the end, so that seeds of before draw what they drew.
+		ServerAgain, ControlHang, RequestFatal, Evacuate, // Appended, so that existing seeds draw the same faults as before.
 	}
 }
 
-// part is the part of the tier in which a fault is.
-type part int
+// component is the part of the tier in which a fault occurs.
+type component int
 
 const (
-	partControl part = iota
-	partEntry
-	partServer
-	partShards
-	partOperator
-	partRequest
-	partDataCentre
+	componentControl component = iota
+	componentEntry
+	componentServer
+	componentShards
+	componentOperator
+	componentRequest
+	componentDataCentre
 )
 
-func (ki Kind) part() part {
+func (ki Kind) component() component {
 	switch ki {
 	case ControlStop, ControlKill, ControlLose, ControlAll, ControlHang:
-		return partControl
+		return componentControl
 	case EntryStop, EntryKill:
-		return partEntry
+		return componentEntry
 	case Repartition:
-		return partShards
+		return componentShards
 	case RequestFatal:
-		return partRequest
+		return componentRequest
 	case Evacuate:
-		return partDataCentre
+		return componentDataCentre
 	case ConfigBurst, ConfigTwo, ConfigAgain, ConfigInvalid:
-		return partOperator
+		return componentOperator
 	default:
-		return partServer
+		return componentServer
 	}
 }
 
 const (
-	// stopWithin is how long an instance may take to stop. Callers keep an address
-	// for 2 s, and an entry instance keeps 1.8 s of the stop for its last answers.
-	stopWithin = 4 * time.Second
-	// lingerFor is how long a server that has drained goes on listening, so that a
-	// request that comes too late is seen.
-	lingerFor = 2 * time.Second
-	// applyWithin is how long the operator waits from the word that new shards are
-	// accepted to the leaving of the old ones.
-	applyWithin = 3 * time.Second
+	// stopTimeout is how long an instance may take to stop. Callers keep using an
+	// address for 2 s, and an entry instance reserves 1.8 s of the stop for its last
+	// responses.
+	stopTimeout = 4 * time.Second
+	// lingerDelay is how long a server continues to listen after it has drained, so that
+	// a request that arrives too late is recorded.
+	lingerDelay = 2 * time.Second
+	// applyDelay is how long the operator waits from the acknowledgement of new shards to
+	// the draining of the old ones.
+	applyDelay = 3 * time.Second
 )
 
-// mending returns how long a fault goes on after its time, until all is as before.
-func (cf Settings) mending(ki Kind) time.Duration {
+// recoveryTime returns how long the effects of a fault may last beyond its duration.
+func (cf Settings) recoveryTime(ki Kind) time.Duration {
 	switch ki {
 	case EntryStop:
-		return stopWithin
+		return stopTimeout
 	case ServerDrain:
-		return cf.Checks.Drain + lingerFor
+		return cf.Checks.Drain + lingerDelay
 	case RequestFatal:
-		return newsWithin + restartedWithin
+		return quarantineDelay + restartTimeout
 	case Repartition:
-		return applyWithin + cf.Checks.Drain + lingerFor
+		return applyDelay + cf.Checks.Drain + lingerDelay
 	default:
 		return 0
 	}
@@ -115,119 +116,119 @@
 // Fault is one fault of a schedule.
 type Fault struct {
 	Kind   Kind
-	At     time.Duration // At counts from the start of the load.
+	At     time.Duration // since the start of the load
 	For    time.Duration
-	Target int     // Target is the number of the instance or backend server, from 0.
-	Value  float64 // Value is from 0 to 1 and says how bad it is, for kinds that know more and less.
+	Target int     // index of the instance or backend server
+	Value  float64 // severity from 0 to 1, for kinds that have degrees
 }
 
-// drawer draws a schedule.
-type drawer struct {
+// generator generates a schedule.
+type generator struct {
 	cf  Settings
 	rd  *rand.Rand
 	out []Fault
 }
 
-// Draw returns the faults of a run in the order of their beginnings. Equal
-// arguments give equal faults. No fault reaches into Quiet, no more than AtOnce are
-// under way, one entry instance is always left alone, no backend server has two
-// faults, and control has one at a time with Mend between.
+// DrawSchedule returns the faults of a run in the order of their starts. Equal arguments
+// give equal faults. No fault extends into Quiet, at most AtOnce are active at a time,
+// at any time at least one entry instance has no fault, no backend server has two faults,
+// and control has one at a time with Mend in between.
 func DrawSchedule(seed uint64, cf Settings) []Fault {
-	dr := &drawer{cf: cf, rd: rand.New(rand.NewPCG(seed, scheduleStream))}
-	for at := dr.pause(); at < cf.Length-cf.Quiet; at += dr.pause() {
-		fa, ok := dr.fault(at)
-		if ok && dr.room(fa) {
-			dr.out = append(dr.out, fa)
+	ge := &generator{cf: cf, rd: rand.New(rand.NewPCG(seed, scheduleStream))}
+	for at := ge.drawGap(); at < cf.Length-cf.Quiet; at += ge.drawGap() {
+		fa, ok := ge.drawFault(at)
+		if ok && ge.allowed(fa) {
+			ge.out = append(ge.out, fa)
 		}
 	}
-	return dr.out
+	return ge.out
 }
 
-// scheduleStream tells the random numbers of the schedule from others of the seed.
+// scheduleStream separates the random numbers of the schedule from others of the seed.
 const scheduleStream = 7
 
-func (dr *drawer) pause() time.Duration {
-	return max(time.Millisecond, time.Duration(dr.rd.ExpFloat64()*float64(dr.cf.Faults.Every)))
+func (ge *generator) drawGap() time.Duration {
+	return max(time.Millisecond, time.Duration(ge.rd.ExpFloat64()*float64(ge.cf.Faults.Every)))
 }
 
-// fault draws a fault that begins at the time; false if no kind has a weight.
-func (dr *drawer) fault(at time.Duration) (Fault, bool) {
-	ki, ok := dr.kind()
+// drawFault draws a fault that starts at the time; false if no kind has a weight.
+func (ge *generator) drawFault(at time.Duration) (Fault, bool) {
+	ki, ok := ge.drawKind()
 	if !ok {
 		return Fault{}, false
 	}
-	fc := dr.cf.Faults
-	fa := Fault{Kind: ki, At: at, For: fc.Least + time.Duration(dr.rd.Float64()*float64(fc.Most-fc.Least)), Value: dr.rd.Float64()}
-	many := map[part]int{partControl: dr.cf.Tier.Controls, partEntry: dr.cf.Tier.Entries, partServer: dr.cf.positions(), partDataCentre: len(dr.cf.Tier.DataCentres)}[ki.part()]
-	target := dr.rd.Uint64()
-	if many > 0 {
-		fa.Target = int(target % uint64(many))
+	fc := ge.cf.Faults
+	fa := Fault{Kind: ki, At: at, For: fc.Least + time.Duration(ge.rd.Float64()*float64(fc.Most-fc.Least)), Value: ge.rd.Float64()}
+	numTargets := map[component]int{componentControl: ge.cf.Tier.Controls, componentEntry: ge.cf.Tier.Entries, componentServer: ge.cf.numPositions(), componentDataCentre: len(ge.cf.Tier.DataCentres)}[ki.component()]
+	target := ge.rd.Uint64()
+	if numTargets > 0 {
+		fa.Target = int(target % uint64(numTargets))
 	}
 	return fa, true
 }
 
-func (dr *drawer) kind() (Kind, bool) {
+func (ge *generator) drawKind() (Kind, bool) {
 	sum := 0
-	for _, we := range dr.cf.Faults.Weights {
-		sum += we
+	for _, weight := range ge.cf.Faults.Weights {
+		sum += weight
 	}
 	if sum == 0 {
 		return "", false
 	}
-	left := dr.rd.IntN(sum)
+	remaining := ge.rd.IntN(sum)
 	for _, ki := range Kinds() {
-		if left -= dr.cf.Faults.Weights[ki]; left < 0 {
+		if remaining -= ge.cf.Faults.Weights[ki]; remaining < 0 {
 			return ki, true
 		}
 	}
 	return "", false
 }
 
-// end returns when all is as before.
-func (fa Fault) end(cf Settings) time.Duration { return fa.At + fa.For + cf.mending(fa.Kind) }
+// end returns when the effects of the fault have ended.
+func (fa Fault) end(cf Settings) time.Duration { return fa.At + fa.For + cf.recoveryTime(fa.Kind) }
 
-// room reports whether a fault may be under way with those drawn before it.
-func (dr *drawer) room(fa Fault) bool {
-	if fa.end(dr.cf) > dr.cf.Length-dr.cf.Quiet {
+// allowed reports whether a fault may be active together with those drawn before it.
+func (ge *generator) allowed(fa Fault) bool {
+	if fa.end(ge.cf) > ge.cf.Length-ge.cf.Quiet {
 		return false
 	}
-	under, entries := 0, 0
-	for _, ot := range dr.out {
-		end := ot.end(dr.cf)
-		if ot.Kind.part() == partControl && fa.Kind.part() == partControl && end+dr.cf.Faults.Mend > fa.At {
+	numActive, entries := 0, 0
+	for _, other := range ge.out {
+		end := other.end(ge.cf)
+		if other.Kind.component() == componentControl && fa.Kind.component() == componentControl && end+ge.cf.Faults.Mend > fa.At {
 			return false
 		}
 		if end <= fa.At {
 			continue
 		}
-		under++
-		if ot.Kind.part() != fa.Kind.part() {
+		numActive++
+		if other.Kind.component() != fa.Kind.component() {
 			continue
 		}
-		switch fa.Kind.part() {
-		case partShards, partRequest, partDataCentre:
+		switch fa.Kind.component() {
+		case componentShards, componentRequest, componentDataCentre:
 			return false
-		case partEntry:
+		case componentEntry:
 			entries++
 			fallthrough
-		case partServer:
-			if fa.meets(ot, dr.cf) {
+		case componentServer:
+			if fa.overlaps(other, ge.cf) {
 				return false
 			}
 		}
 	}
-	if fa.Kind.part() == partEntry && entries+1 >= dr.cf.Tier.Entries {
+	if fa.Kind.component() == componentEntry && entries+1 >= ge.cf.Tier.Entries {
 		return false
 	}
-	return under < dr.cf.Faults.AtOnce
+	return numActive < ge.cf.Faults.AtOnce
 }
 
-// positions returns how many backend servers there are at a time.
-func (cf Settings) positions() int {
+// numPositions returns the number of backend servers at a time.
+func (cf Settings) numPositions() int {
 	return (cf.Servers.Shards + cf.PlainServices) * cf.Servers.Replicas
 }
 
-// targets returns the positions of the backend servers that a fault is at.
+// targets returns the positions of the backend servers that a fault affects.
 func (fa Fault) targets(cf Settings) []int {
 	if fa.Kind != ServiceCrash && fa.Kind != ServiceShed {
 		return []int{fa.Target}
@@ -240,14 +241,14 @@
 	return out
 }
 
-// meets reports whether two faults of backend servers, or of entry instances, have
-// a target in common.
-func (fa Fault) meets(ot Fault, cf Settings) bool {
-	return slices.ContainsFunc(fa.targets(cf), func(ta int) bool { return slices.Contains(ot.targets(cf), ta) })
+// overlaps reports whether two faults of backend servers, or of entry instances, have a
+// target in common.
+func (fa Fault) overlaps(other Fault, cf Settings) bool {
+	return slices.ContainsFunc(fa.targets(cf), func(ta int) bool { return slices.Contains(other.targets(cf), ta) })
 }
 
-// count returns how many faults of each kind a schedule has.
-func count(fas []Fault) map[Kind]int {
+// countKinds returns how many faults of each kind a schedule has.
+func countKinds(fas []Fault) map[Kind]int {
 	out := make(map[Kind]int)
 	for _, fa := range fas {
 		out[fa.Kind]++
--- a/emulate/soak/schedule_test.go
+++ b/emulate/soak/schedule_test.go
@@ -13,10 +13,10 @@
 	"balsamwinch.example/emulate/experiment"
 )
 
-// drawnSettings draws settings of any shape.
-func drawnSettings(t *rapid.T) Settings {
-	seconds := func(least, most int, name string) time.Duration {
-		return time.Duration(rapid.IntRange(least*10, most*10).Draw(t, name)) * time.Second / 10
+// drawSettings draws arbitrary settings.
+func drawSettings(t *rapid.T) Settings {
+	seconds := func(low, high int, name string) time.Duration {
+		return time.Duration(rapid.IntRange(low*10, high*10).Draw(t, name)) * time.Second / 10
 	}
 	cf := Settings{
 		Tier:          experiment.Tier{Entries: rapid.IntRange(1, 5).Draw(t, "entries"), Controls: rapid.IntRange(1, 5).Draw(t, "controls"), DataCentres: []string{"a", "b"}},
@@ -37,90 +37,91 @@
 	return cf
 }
 
-// What Draw says of its faults holds for every seed and all settings.
+// The guarantees in the doc comment of DrawSchedule hold for every seed and all settings.
 func TestDraw(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cf, seed := drawnSettings(t), rapid.Uint64().Draw(t, "seed")
+		cf, seed := drawSettings(t), rapid.Uint64().Draw(t, "seed")
 		fas := DrawSchedule(seed, cf)
 		if !slices.Equal(fas, DrawSchedule(seed, cf)) {
-			t.Fatal("the same seed gave other faults")
+			t.Fatal("the same seed gave different faults")
 		}
 		if !slices.IsSortedFunc(fas, func(one, other Fault) int { return cmp.Compare(one.At, other.At) }) {
-			t.Fatal("not in order")
+			t.Fatal("the faults are not in the order of their starts")
 		}
 		for ix, fa := range fas {
-			if fault := ill(cf, fa, fas[:ix]); fault != "" {
+			if fault := violation(cf, fa, fas[:ix]); fault != "" {
 				t.Fatalf("%v: %s, before: %v", fa, fault, fas[:ix])
 			}
 		}
 	})
 }
 
-// ill returns what is wrong with a fault that comes after others.
-func ill(cf Settings, fa Fault, before []Fault) string {
-	target := map[part]int{partControl: cf.Tier.Controls, partEntry: cf.Tier.Entries, partServer: cf.positions(), partShards: 1, partOperator: 1, partRequest: 1, partDataCentre: len(cf.Tier.DataCentres)}
+// violation returns what is wrong with a fault that comes after others; empty if nothing
+// is.
+func violation(cf Settings, fa Fault, before []Fault) string {
+	target := map[component]int{componentControl: cf.Tier.Controls, componentEntry: cf.Tier.Entries, componentServer: cf.numPositions(), componentShards: 1, componentOperator: 1, componentRequest: 1, componentDataCentre: len(cf.Tier.DataCentres)}
 	switch {
 	case cf.Faults.Weights[fa.Kind] == 0:
 		return "its kind has no weight"
 	case fa.end(cf) > cf.Length-cf.Quiet:
-		return "it reaches into the quiet end"
+		return "it extends into the quiet end"
 	case fa.For < cf.Faults.Least || fa.For > cf.Faults.Most || fa.Value < 0 || fa.Value >= 1:
 		return "a value out of its bounds"
-	case fa.Target < 0 || fa.Target >= target[fa.Kind.part()]:
+	case fa.Target < 0 || fa.Target >= target[fa.Kind.component()]:
 		return "no such target"
 	}
-	under, entries := 1, 0
-	for _, ot := range before {
-		same := ot.Kind.part() == fa.Kind.part()
-		if same && fa.Kind.part() == partControl && fa.At < ot.end(cf)+cf.Faults.Mend {
-			return "control was not mended"
+	numActive, entries := 1, 0
+	for _, other := range before {
+		same := other.Kind.component() == fa.Kind.component()
+		if same && fa.Kind.component() == componentControl && fa.At < other.end(cf)+cf.Faults.Mend {
+			return "control had not recovered"
 		}
-		if ot.end(cf) <= fa.At {
+		if other.end(cf) <= fa.At {
 			continue
 		}
-		under++
+		numActive++
 		switch {
-		case same && fa.Kind.part() == partEntry:
+		case same && fa.Kind.component() == componentEntry:
 			entries++
-		case same && fa.Kind.part() == partShards:
+		case same && fa.Kind.component() == componentShards:
 			return "two repartitions at once"
-		case same && fa.Kind.part() == partDataCentre:
+		case same && fa.Kind.component() == componentDataCentre:
 			return "two evacuations at once"
 		}
-		if same && (fa.Kind.part() == partEntry || fa.Kind.part() == partServer) && slices.ContainsFunc(places(cf, fa), func(ta int) bool { return slices.Contains(places(cf, ot), ta) }) {
+		if same && (fa.Kind.component() == componentEntry || fa.Kind.component() == componentServer) && slices.ContainsFunc(affectedPositions(cf, fa), func(ta int) bool { return slices.Contains(affectedPositions(cf, other), ta) }) {
 			return "its target has a fault"
 		}
 	}
-	if under > cf.Faults.AtOnce {
-		return fmt.Sprintf("%d at once", under)
+	if numActive > cf.Faults.AtOnce {
+		return fmt.Sprintf("%d at once", numActive)
 	}
-	if fa.Kind.part() == partEntry && entries+1 >= cf.Tier.Entries {
-		return "no entry instance is left alone"
+	if fa.Kind.component() == componentEntry && entries+1 >= cf.Tier.Entries {
+		return "no entry instance without a fault"
 	}
 	return ""
 }
 
-// places lists by trial what a fault is at.
-func places(cf Settings, fa Fault) []int {
+// affectedPositions lists what a fault affects, independently of Fault.targets.
+func affectedPositions(cf Settings, fa Fault) []int {
 	var out []int
-	for position := range max(cf.positions(), cf.Tier.Entries) {
+	for position := range max(cf.numPositions(), cf.Tier.Entries) {
 		whole := fa.Kind == ServiceCrash || fa.Kind == ServiceShed
-		if position == fa.Target || whole && position < cf.positions() && cf.service(position, 0) == cf.service(fa.Target, 0) {
+		if position == fa.Target || whole && position < cf.numPositions() && cf.service(position, 0) == cf.service(fa.Target, 0) {
 			out = append(out, position)
 		}
 	}
 	return out
 }
 
-// The shipped files play every kind of fault within a few seeds.
-func TestShippedFilesDrawAll(t *testing.T) {
+// The shipped files inject every kind of fault within a few seeds.
+func TestShippedFilesDrawAllKinds(t *testing.T) {
 	for _, file := range shipped {
 		cf, err := Read(file)
 		qt.Assert(t, err, qt.IsNil)
 		drawn := make(map[Kind]int)
 		for seed := range uint64(10) {
-			for ki, many := range count(DrawSchedule(seed+1, cf)) {
-				drawn[ki] += many
+			for ki, num := range countKinds(DrawSchedule(seed+1, cf)) {
+				drawn[ki] += num
 			}
 		}
 		for _, ki := range Kinds() {
--- a/emulate/soak/settings.go
+++ b/emulate/soak/settings.go
@@ -1,12 +1,10 @@
-// Package soak puts the routed tier under load while things around it and in it
-// fail, several at once, and checks all the while that what the tier promises
-// holds. Instances run in processes of their own, so that they can be killed;
-// backend servers, callers and operators run in this one and tell a Judge what
-// they did and saw.
+// Package soak puts the routed tier under load while faults occur in it and around it,
+// several at a time, and continuously checks the tier's guarantees. Instances run in
+// processes of their own, so that they can be killed; backend servers, callers and
+// operators run in this process and report what they do to a Checker.
 //
-// The faults are drawn from a seed before the run. What the scheduler of the
-// machine does is not: the same seed plays the same faults, and may yet show
-// something else.
+// The faults are drawn from a seed before the run. The machine's scheduling is not: the
+// same seed injects the same faults, but the results may differ.
 package soak
 
 import (
@@ -18,49 +16,49 @@
 	"balsamwinch.example/tier"
 )
 
-// Settings are a soak file. Times are written like 250ms.
+// Settings are the content of a soak file. Durations are written like 250ms.
 type Settings struct {
 	Name    string
-	Seed    uint64 // Seed makes arrivals, work and the schedule of faults repeatable.
+	Seed    uint64 // makes arrivals, service times and the schedule of faults reproducible
 	Tier    experiment.Tier
 	Servers experiment.Servers
-	// PlainServices is how many services take plain requests in turn, one for each
-	// version of the configuration: by its service an answer shows its version.
+	// PlainServices is the number of services that take plain requests in turn, one for
+	// each version of the configuration: the service of a response reveals its version.
 	PlainServices int
-	Merged        experiment.Stream // Merged requests ask all shards.
-	Plain         experiment.Stream // Plain requests ask one service.
-	Once          experiment.Stream // Once is like Plain, for requests that may run once only.
-	MaxAttempts   int               // MaxAttempts bounds the backend servers asked for one request, for each shard.
-	Length        time.Duration     // Length is how long the load lasts.
-	Quiet         time.Duration     // Quiet is the end of it, in which no fault is under way.
+	Merged        experiment.Stream // requests to all shards
+	Plain         experiment.Stream // requests to one service
+	Once          experiment.Stream // like Plain, for requests that are not repeatable
+	MaxAttempts   int               // maximum backend servers tried for one request, per shard
+	Length        time.Duration     // duration of the load
+	Quiet         time.Duration     // final part of Length without active faults
 	Faults        Faults
 	Checks        Checks
 }
 
-// Faults say what goes wrong.
+// Faults configures the faults.
 type Faults struct {
-	Every       time.Duration // Every is the mean time from one beginning to the next.
-	Least, Most time.Duration // Least and Most bound how long one lasts, besides what mending takes.
-	AtOnce      int           // AtOnce is how many may be under way.
-	// Mend is the time from the end of a fault of control to the next: what the tier
-	// may need until it bears another loss.
+	Every       time.Duration // mean interval between the starts of two faults
+	Least, Most time.Duration // bounds of a fault's duration, without the recovery
+	AtOnce      int           // maximum number of active faults
+	// Mend is the minimum time from the end of one control fault to the start of the
+	// next: what the tier may need until it can tolerate another loss.
 	Mend    time.Duration
-	Weights map[Kind]int // Weights say how often each kind is drawn; those not named never.
+	Weights map[Kind]int // relative frequency of each kind; a kind that isn't listed never occurs
 }
 
-// Checks are the bounds that the checks keep to.
+// Checks are the bounds of the checks.
 type Checks struct {
-	Drain      time.Duration // Drain is how long a server whose leaving was acknowledged may get requests.
-	DrainSlack time.Duration // DrainSlack is added to it, since a loaded machine notes an arrival late.
-	// OverLimit is how many connections one backend server may reset as beyond its
-	// limit: it counts a connection until it has read that the other end closed it,
-	// so one that was replaced at once can seem one too many.
+	Drain      time.Duration // how long a server may receive requests after its draining was acknowledged
+	DrainSlack time.Duration // added to Drain, since a loaded machine records an arrival late
+	// OverLimit is the number of connections that one backend server may reset because of
+	// its limit. The server counts a connection until it has read that the peer closed
+	// it, so an immediately replaced connection can exceed the limit.
 	OverLimit int
-	Budget    tier.Budget // Budget bounds the arrivals beyond the first for each service.
+	Budget    tier.Budget // bounds the arrivals beyond the first, for each service
 }
 
-// Read reads and checks a soak file. The error is settings.Faults if the file has
-// faults.
+// Read reads and checks a soak file. The error is settings.Faults if the content is
+// invalid.
 func Read(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -69,7 +67,7 @@
 	return Parse(path, data)
 }
 
-// Parse reads and checks the content of a soak file.
+// Parse parses and checks the content of a soak file.
 func Parse(file string, data []byte) (Settings, error) {
 	de := tier.Defaults()
 	cf := Settings{
@@ -83,21 +81,21 @@
 }
 
 const (
-	mostInstances = 200
-	mostServers   = 1000
-	mostRate      = 100_000
+	maxInstances = 200
+	maxServers   = 1000
+	maxRate      = 100_000
 )
 
 func (cf Settings) check(ck *settings.Checker) {
 	ck.Name(cf.Name, "Name")
-	cf.Tier.Check(ck, mostInstances)
+	cf.Tier.Check(ck, maxInstances)
 	cf.Servers.Check(ck)
-	settings.Between(ck, cf.PlainServices, 2, mostServers, "PlainServices")
-	settings.Between(ck, cf.MaxAttempts, 1, mostServers, "MaxAttempts")
+	settings.Between(ck, cf.PlainServices, 2, maxServers, "PlainServices")
+	settings.Between(ck, cf.MaxAttempts, 1, maxServers, "MaxAttempts")
 	cf.Merged.Check(ck, "Merged")
 	cf.Plain.Check(ck, "Plain")
 	cf.Once.Check(ck, "Once")
-	settings.Between(ck, cf.Merged.TopK, 1, mostServers, "Merged", "TopK")
+	settings.Between(ck, cf.Merged.TopK, 1, maxServers, "Merged", "TopK")
 	ck.Want(cf.Merged.Rate+cf.Plain.Rate+cf.Once.Rate > 0, "a rate above 0", 0, "Merged", "Rate")
 	ck.Want(cf.Length > cf.Quiet && cf.Quiet >= 0, "more than Quiet", cf.Length, "Length")
 	cf.checkFaults(ck)
