--- a/gateway/call.go
+++ b/gateway/call.go
@@ -144,7 +144,7 @@
 	pl.PartialDeadline, pl.NoServerDeadline = pl.Deadline, pl.Deadline
 	if ca.ro.TargetLatency > 0 {
 		due := ca.start.Add(ca.ro.TargetLatency - 2*ca.sv.cf.CallerDelay)
-		pl.PartialDeadline = due.Add(-ca.sv.cf.HoldMargin)
+		pl.PartialDeadline = due.Add(-ca.sv.cf.PartialMargin)
 		pl.NoServerDeadline = ca.start.Add(ca.ro.TargetLatency / offerDivisor)
 	}
 	if shards > 1 {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -48,12 +48,12 @@
 
 // Config configures a Server.
 type Config struct {
-	Names       HeaderNames
-	Name        string        // name of this instance, unique among entry instances
-	DataCentre  string        // data centre of this instance
-	CallerDelay time.Duration // one-way network delay to a caller
-	HoldMargin  time.Duration // time reserved between the end of waiting for missing parts and the route's target latency
-	MaxInFlight int           // limit of requests in flight
+	Names         HeaderNames
+	Name          string        // name of this instance, unique among entry instances
+	DataCentre    string        // data centre of this instance
+	CallerDelay   time.Duration // one-way network delay to a caller
+	PartialMargin time.Duration // time reserved between the end of waiting for missing parts and the route's target latency
+	MaxInFlight   int           // limit of requests in flight
 	// Warmup sets the burst factor and slack of requests to cold backend servers. Rate and
 	// duration come from the configuration of each service.
 	Warmup warmup.Limit
--- a/gateway/lines_test.go
+++ b/gateway/lines_test.go
@@ -99,7 +99,7 @@
 	up := upstream.New(upstream.Config{Names: logHeaderNames.Upstream(), Connect: lr.connect}, ts, zap.NewNop())
 	t.Cleanup(up.Close)
 	bu := budget.New(budget.Config{Ratio: 100, Slack: 100}, ts.Now().Add(-time.Hour))
-	cf := Config{Names: logHeaderNames, CallerDelay: 3 * time.Millisecond, HoldMargin: time.Millisecond, MaxInFlight: 100}
+	cf := Config{Names: logHeaderNames, CallerDelay: 3 * time.Millisecond, PartialMargin: time.Millisecond, MaxInFlight: 100}
 	lr.sv = New(cf, ts, lg, up, replica.New(replica.Config{}), bu, quarantine.New())
 	lr.sv.SetEntries(1)
 	return lr
--- a/gateway/rig_test.go
+++ b/gateway/rig_test.go
@@ -88,7 +88,7 @@
 	rg.bu = budget.New(se.budget, rg.ts.Now().Add(-se.budget.Window))
 	re := replica.New(replica.Config{Seed: 1, HedgeFraction: 0.08})
 	rg.gw = New(Config{
-		Names: names, CallerDelay: callerDelay, HoldMargin: holdMargin, MaxInFlight: se.maxInFlight,
+		Names: names, CallerDelay: callerDelay, PartialMargin: holdMargin, MaxInFlight: se.maxInFlight,
 	}, rg.ts, lg, rg.up, re, rg.bu, quarantine.New())
 	if !se.justStarted {
 		rg.gw.started = rg.gw.started.Add(-startupDuration)
--- a/tier/entry.go
+++ b/tier/entry.go
@@ -103,7 +103,7 @@
 	en := &entry{parser: di.Tables(), re: re, qa: qa, ts: ts, lg: lg}
 	en.gw = gateway.New(gateway.Config{
 		Names: di.Names(), Name: se.Name, DataCentre: se.DataCentre,
-		CallerDelay: se.Timing.CallerDistance, HoldMargin: holdMargin, MaxInFlight: maxInFlight,
+		CallerDelay: se.Timing.CallerDistance, PartialMargin: holdMargin, MaxInFlight: maxInFlight,
 		Warmup: warmup.Limit{BurstFactor: se.Warmup.Overage, Slack: se.Warmup.Slack},
 	}, ts, lg, up, re, bu, qa)
 	en.su = feed.NewSubscriber(feed.SubscriberConfig{
