--- a/feed/cluster_test.go
+++ b/feed/cluster_test.go
@@ -448,7 +448,7 @@
 	en.findings = append(en.findings, fis...)
 }
 
-func (en *entry) SuspectsHeard(_ string, rcs []quarantine.Record) []quarantine.Record {
+func (en *entry) SuspectsReceived(_ string, rcs []quarantine.Record) []quarantine.Record {
 	return en.qa.Merge(time.Now(), rcs)
 }
 
--- a/feed/subscriber.go
+++ b/feed/subscriber.go
@@ -61,7 +61,7 @@
 	OutliersFound(fis []outlier.Finding)
 	// SuspectsHeard passes requests that a control instance suspects of crashing servers.
 	// It returns those with new information.
-	SuspectsHeard(control string, rcs []quarantine.Record) []quarantine.Record
+	SuspectsReceived(control string, rcs []quarantine.Record) []quarantine.Record
 }
 
 // SubscriberConfig configures a subscriber.
--- a/feed/suspects.go
+++ b/feed/suspects.go
@@ -45,7 +45,7 @@
 	}
 	// All control instances send the same, and only the first has new information.
 	now := su.ts.Now()
-	for _, rc := range su.ob.SuspectsHeard(so.name, rcs) {
+	for _, rc := range su.ob.SuspectsReceived(so.name, rcs) {
 		su.ll.info(now, "suspect-heard", append(suspectFields(rc), zap.String("Control", so.name))...)
 	}
 }
--- a/feed/tcp_test.go
+++ b/feed/tcp_test.go
@@ -43,7 +43,7 @@
 
 func (*channelObserver) OutliersFound([]outlier.Finding) {}
 
-func (*channelObserver) SuspectsHeard(string, []quarantine.Record) []quarantine.Record { return nil }
+func (*channelObserver) SuspectsReceived(string, []quarantine.Record) []quarantine.Record { return nil }
 
 // waitFor receives notifications until one satisfies done.
 func waitFor[T any](c *qt.C, from <-chan T, done func(T) bool) {
--- a/tier/entry.go
+++ b/tier/entry.go
@@ -186,7 +186,7 @@
 func (en *entry) OutliersFound(fis []outlier.Finding) { en.re.ApplyFindings(en.ts.Now(), fis) }
 
 // SuspectsHeard merges what other instances know of requests under which servers crashed.
-func (en *entry) SuspectsHeard(_ string, rcs []quarantine.Record) []quarantine.Record {
+func (en *entry) SuspectsReceived(_ string, rcs []quarantine.Record) []quarantine.Record {
 	return en.qa.Merge(en.ts.Now(), rcs)
 }
 
--- a/tier/peerservers.go
+++ b/tier/peerservers.go
@@ -61,7 +61,7 @@
 
 // SuspectsHeard merges what another control instance knows of requests under which
 // servers crashed: an entry instance may have a link to only one of the two.
-func (ps *peerServers) SuspectsHeard(control string, rcs []quarantine.Record) []quarantine.Record {
+func (ps *peerServers) SuspectsReceived(control string, rcs []quarantine.Record) []quarantine.Record {
 	return ps.hearSuspects(control, rcs)
 }
 
