--- a/emulate/dialect.go
+++ b/emulate/dialect.go
@@ -44,7 +44,7 @@
 func (Dialect) Table(data []byte) (*route.Table, error) { return parseTable(data) }
 
 // Tables returns a parser for successive configurations.
-func (di Dialect) Tables() tier.ConfigurationParser { return di }
+func (di Dialect) NewParser() tier.ConfigurationParser { return di }
 
 // ControlHandler serves operators and backend servers.
 func (Dialect) ControlHandler(co tier.ControlAPI) http.Handler {
--- a/tier/dialect.go
+++ b/tier/dialect.go
@@ -20,7 +20,7 @@
 	// Names returns the header names.
 	Names() gateway.HeaderNames
 	// Tables returns a new parser for accepted configurations.
-	Tables() ConfigurationParser
+	NewParser() ConfigurationParser
 	// ControlHandler returns the API for operators and backend servers.
 	ControlHandler(co ControlAPI) http.Handler
 	// AddressHandler returns the API that tells callers which entry instances to use.
--- a/tier/entry.go
+++ b/tier/entry.go
@@ -100,7 +100,7 @@
 	re := replica.New(replica.Config{DataCentre: se.DataCentre, Seed: uint64(now.UnixNano())})
 	bu := budget.New(budget.Config{Ratio: se.Budget.Ratio, Slack: int(se.Budget.Slack), Window: se.Budget.Window, Fraction: budgetFraction}, now)
 	qa := quarantine.New()
-	en := &entry{parser: di.Tables(), re: re, qa: qa, ts: ts, lg: lg}
+	en := &entry{parser: di.NewParser(), re: re, qa: qa, ts: ts, lg: lg}
 	en.gw = gateway.New(gateway.Config{
 		Names: di.Names(), Name: se.Name, DataCentre: se.DataCentre,
 		CallerDelay: se.Timing.CallerDistance, PartialMargin: holdMargin, MaxInFlight: maxInFlight,
