--- a/emulate/dialect.go
+++ b/emulate/dialect.go
@@ -32,7 +32,7 @@
 var _ tier.Dialect = Dialect{}
 
 // Names returns the header names.
-func (Dialect) Names() gateway.HeaderNames {
+func (Dialect) HeaderNames() gateway.HeaderNames {
 	return gateway.HeaderNames{
 		RequestID: headerRequestID, Deadline: headerDeadline, ExpectServer: headerExpectServer,
 		Stamp: headerStamp, NotRun: headerNotRun, ServerLoad: headerServerLoad,
--- a/tier/dialect.go
+++ b/tier/dialect.go
@@ -18,7 +18,7 @@
 // the format of configurations, and the HTTP APIs.
 type Dialect interface {
 	// Names returns the header names.
-	Names() gateway.HeaderNames
+	HeaderNames() gateway.HeaderNames
 	// Tables returns a new parser for accepted configurations.
 	NewParser() ConfigurationParser
 	// ControlHandler returns the API for operators and backend servers.
--- a/tier/entry.go
+++ b/tier/entry.go
@@ -59,7 +59,7 @@
 }
 
 func runEntry(ctx context.Context, se Settings, ls *liveSettings, di Dialect, lc link.Config, ts *timer.Service, lg *zap.Logger, mws []MetricsWriter) error {
-	up := upstream.New(upstream.Config{Names: di.Names().Upstream()}, ts, lg)
+	up := upstream.New(upstream.Config{Names: di.HeaderNames().Upstream()}, ts, lg)
 	en := newEntry(se, ls, di, lc, up, ts, lg)
 	li, err := listen(se.Listen.Callers)
 	if err != nil {
@@ -102,7 +102,7 @@
 	qa := quarantine.New()
 	en := &entry{parser: di.NewParser(), re: re, qa: qa, ts: ts, lg: lg}
 	en.gw = gateway.New(gateway.Config{
-		Names: di.Names(), Name: se.Name, DataCentre: se.DataCentre,
+		Names: di.HeaderNames(), Name: se.Name, DataCentre: se.DataCentre,
 		CallerDelay: se.Timing.CallerDistance, PartialMargin: holdMargin, MaxInFlight: maxInFlight,
 		Warmup: warmup.Limit{BurstFactor: se.Warmup.Overage, Slack: se.Warmup.Slack},
 	}, ts, lg, up, re, bu, qa)
