--- a/emulate/dialect.go
+++ b/emulate/dialect.go
@@ -41,7 +41,7 @@
 }
 
 // Table parses a configuration in YAML or JSON. The error lists its faults.
-func (Dialect) Table(data []byte) (*route.Table, error) { return parseTable(data) }
+func (Dialect) Parse(data []byte) (*route.Table, error) { return parseTable(data) }
 
 // Tables returns a parser for successive configurations.
 func (di Dialect) NewParser() tier.ConfigurationParser { return di }
--- a/emulate/emulate_test.go
+++ b/emulate/emulate_test.go
@@ -361,7 +361,7 @@
 }
 
 func TestParseConfiguration(t *testing.T) {
-	tb, err := Dialect{}.Table([]byte(`
+	tb, err := Dialect{}.Parse([]byte(`
 Version: 3
 Routes:
   - {Name: all, Host: a.example, Prefix: /all/, Kind: Repeatable, Timeout: 1s, Aim: 200ms, MaxAttempts: 3, Shards: [p, q], TopK: 5, LeastShare: 0.5}
@@ -380,7 +380,7 @@
 		"unknown kind":    "Routes: [{Name: a, Kind: Often}]",
 		"unknown service": "Routes: [{Name: a, Host: h, Prefix: /, Timeout: 1s, Service: s}]",
 	} {
-		_, err := Dialect{}.Table([]byte(text))
+		_, err := Dialect{}.Parse([]byte(text))
 		qt.Check(t, err, qt.IsNotNil, qt.Commentf("%s", name))
 	}
 }
--- a/tier/dialect.go
+++ b/tier/dialect.go
@@ -33,7 +33,7 @@
 // parts that successive configurations are likely to share. It is not safe for concurrent
 // use.
 type ConfigurationParser interface {
-	Table(data []byte) (*route.Table, error)
+	Parse(data []byte) (*route.Table, error)
 }
 
 // ControlAPI is what a control instance offers to operators and backend servers. Errors
--- a/tier/entry.go
+++ b/tier/entry.go
@@ -138,7 +138,7 @@
 
 // ConfigurationChanged parses a configuration and puts it in force.
 func (en *entry) ConfigurationChanged(version uint64, data []byte) error {
-	tb, err := en.parser.Table(data)
+	tb, err := en.parser.Parse(data)
 	if err != nil {
 		return &result.Error{Code: result.Invalid, Op: "read configuration", Err: err}
 	}
--- a/tier/roster.go
+++ b/tier/roster.go
@@ -113,7 +113,7 @@
 	if data == nil {
 		return nil
 	}
-	tb, err := ro.parser.Table(data)
+	tb, err := ro.parser.Parse(data)
 	if err != nil {
 		ro.lg.Error("configuration-not-read", zap.Uint64("Version", version), zap.Error(err))
 		return nil
--- a/tier/roster_test.go
+++ b/tier/roster_test.go
@@ -19,7 +19,7 @@
 // fixedParser returns a fixed table, or an error if it is nil.
 type fixedParser struct{ tb *route.Table }
 
-func (fp fixedParser) Table([]byte) (*route.Table, error) {
+func (fp fixedParser) Parse([]byte) (*route.Table, error) {
 	if fp.tb == nil {
 		return nil, errors.New("not a configuration")
 	}
