--- a/fleet/dial.go
+++ b/fleet/dial.go
@@ -159,7 +159,7 @@
 		nd.dispatchRequest(li, ms.Request, ms, len(ms.Data))
 	case ReadRequest:
 		nd.dispatchRequest(li, ms.Request, ms, 0)
-	case EvacuationOrder:
+	case EvacuationRequest:
 		nd.dispatchRequest(li, ms.Request, ms, len(ms.Order.DataCentre))
 	case Evacuations:
 		nd.enqueue(evacuationsReceived{set: ms.Set}, 0)
--- a/fleet/evacuate.go
+++ b/fleet/evacuate.go
@@ -30,7 +30,7 @@
 	or := evacuation.Change{DataCentre: dataCentre, Evacuate: evacuate, BaseRevision: nd.evacuations.Load().Revision}
 	for {
 		an, err := nd.askLeader(ctx, opEvacuate, func(request uint64) peer.Message {
-			return EvacuationOrder{Request: request, Order: or}
+			return EvacuationRequest{Request: request, Order: or}
 		})
 		switch {
 		case err != nil:
@@ -59,7 +59,7 @@
 }
 
 // handleOrder proposes an evacuation order.
-func (th *thread) handleOrder(ms EvacuationOrder, reply func(Answer)) {
+func (th *thread) handleOrder(ms EvacuationRequest, reply func(Answer)) {
 	switch {
 	case !th.isLeader():
 		th.reject(reply, reasonNotLeader)
--- a/fleet/lead.go
+++ b/fleet/lead.go
@@ -58,7 +58,7 @@
 		th.handleProposal(ms, ev.reply)
 	case ReadRequest:
 		th.handleRead(ms, ev.reply)
-	case EvacuationOrder:
+	case EvacuationRequest:
 		th.handleOrder(ms, ev.reply)
 	}
 }
--- a/fleet/message.go
+++ b/fleet/message.go
@@ -83,7 +83,7 @@
 
 // EvacuationOrder asks the leader to commit a change of the evacuations. The Answer follows
 // once it is applied.
-type EvacuationOrder struct {
+type EvacuationRequest struct {
 	Request uint64
 	Order   evacuation.Change
 }
@@ -131,7 +131,7 @@
 func (Answer) Kind() peer.Kind { return KindAnswer }
 
 // Kind returns KindEvacuationOrder.
-func (EvacuationOrder) Kind() peer.Kind { return KindEvacuationOrder }
+func (EvacuationRequest) Kind() peer.Kind { return KindEvacuationOrder }
 
 // Kind returns KindEvacuations.
 func (Evacuations) Kind() peer.Kind { return KindEvacuations }
@@ -147,7 +147,7 @@
 		Proposal{},
 		ReadRequest{},
 		Answer{},
-		EvacuationOrder{},
+		EvacuationRequest{},
 		Evacuations{},
 	}
 }
