--- a/fleet/message.go
+++ b/fleet/message.go
@@ -16,7 +16,7 @@
 	KindProposal
 	KindReadRequest
 	KindAnswer
-	KindEvacuationOrder
+	KindEvacuationRequest
 	KindEvacuations
 )
 
@@ -131,7 +131,7 @@
 func (Answer) Kind() peer.Kind { return KindAnswer }
 
 // Kind returns KindEvacuationOrder.
-func (EvacuationRequest) Kind() peer.Kind { return KindEvacuationOrder }
+func (EvacuationRequest) Kind() peer.Kind { return KindEvacuationRequest }
 
 // Kind returns KindEvacuations.
 func (Evacuations) Kind() peer.Kind { return KindEvacuations }
