--- a/capacity/fanout.go
+++ b/capacity/fanout.go
@@ -91,7 +91,7 @@
 func newTierOf(leaves int, connected bool) (*tierOf, error) {
 	ts := timer.New()
 	ti := &tierOf{}
-	vi := &view.View{Configuration: configuration(leaves), LeaseUntil: time.Now().Add(leaseLength), Servers: recordsOf(leaves * replicas)}
+	vi := &view.View{Configuration: configuration(leaves), LeaseExpiry: time.Now().Add(leaseLength), Servers: recordsOf(leaves * replicas)}
 	for ix := range vi.Servers {
 		re := &vi.Servers[ix]
 		re.Slots, re.ConnectionLimit = 1000, 8
--- a/fanout/bench_test.go
+++ b/fanout/bench_test.go
@@ -53,7 +53,7 @@
 }
 
 func benchmarkRun(b *testing.B, count int, fixed bool) {
-	vi := &view.View{Sequence: 1, LeaseUntil: time.Now().Add(time.Hour)}
+	vi := &view.View{Sequence: 1, LeaseExpiry: time.Now().Add(time.Hour)}
 	var shards []string
 	for ix := range count {
 		sh := fmt.Sprintf("shard-%d", ix)
--- a/fanout/engine_test.go
+++ b/fanout/engine_test.go
@@ -89,7 +89,7 @@
 	vi := *et.ce.Load()
 	vi.Sequence++
 	if vi.Sequence == 1 {
-		vi.LeaseUntil = time.Now().Add(time.Hour)
+		vi.LeaseExpiry = time.Now().Add(time.Hour)
 		vi.Configuration = operator.Configuration{Revision: 7, Services: map[string]operator.Service{
 			"s":     {Partitions: []operator.Partition{{Number: 1, Shards: []string{"a", "b"}}}, Selector: operator.Selector{Service: "s"}, Policy: operator.Complete},
 			"alone": {Partitions: []operator.Partition{{Number: 1, Shards: []string{"x"}}}, Selector: operator.Selector{Service: "alone"}, ServeWithoutControl: true},
@@ -220,7 +220,7 @@
 }
 
 func TestRunResultCodes(t *testing.T) {
-	expireLease := func(et *engineTest) { et.publish(func(vi *view.View) { vi.LeaseUntil = time.Now() }) }
+	expireLease := func(et *engineTest) { et.publish(func(vi *view.View) { vi.LeaseExpiry = time.Now() }) }
 	tests := []struct {
 		name   string
 		change func(et *engineTest, qu *Query)
--- a/fanout/keyed_test.go
+++ b/fanout/keyed_test.go
@@ -68,7 +68,7 @@
 		}, "Complete [a b] []", []string{"begin, 0 sent", "finish Complete"}},
 		{"lease expired while recording", func(et *engineTest, _ *Query) {
 			et.begin = func() (once.Decision, error) {
-				et.publish(func(vi *view.View) { vi.LeaseUntil = time.Now() })
+				et.publish(func(vi *view.View) { vi.LeaseExpiry = time.Now() })
 				return once.Decision{Status: once.Fresh}, nil
 			}
 		}, "NotRunStale [] [] the control lease has expired", []string{"begin, 0 sent", "finish NotRunStale"}},
@@ -93,7 +93,7 @@
 // only, and the caller would book again under another key.
 func TestResendWithoutControlIsOutcomeUnknown(t *testing.T) {
 	runEngineTest(t, func(c *qt.C, et *engineTest) {
-		et.publish(func(vi *view.View) { vi.LeaseUntil = time.Now() })
+		et.publish(func(vi *view.View) { vi.LeaseExpiry = time.Now() })
 		qu := et.onceQuery()
 		c.Assert(et.en.Run(c.Context(), qu).Code, qt.Equals, result.NotRunStale)
 		qu.Resend = true
--- a/instance/metrics.go
+++ b/instance/metrics.go
@@ -16,7 +16,7 @@
 		return float64(in.ce.Load().Configuration.Revision)
 	})
 	in.set.NewGauge("balsamwinch_lease_seconds", func() float64 {
-		return max(0, in.ce.Load().LeaseUntil.Sub(in.ts.Now()).Seconds())
+		return max(0, in.ce.Load().LeaseExpiry.Sub(in.ts.Now()).Seconds())
 	})
 	in.set.NewGauge("balsamwinch_instances", func() float64 {
 		return float64(len(in.ce.Load().Instances))
@@ -92,6 +92,6 @@
 	case vi.Configuration.Revision == 0:
 		http.Error(rw, "no configuration", http.StatusServiceUnavailable)
 	default:
-		fmt.Fprintf(rw, "OK revision %d, lease %s\n", vi.Configuration.Revision, vi.LeaseUntil.Sub(in.ts.Now()).Round(time.Millisecond))
+		fmt.Fprintf(rw, "OK revision %d, lease %s\n", vi.Configuration.Revision, vi.LeaseExpiry.Sub(in.ts.Now()).Round(time.Millisecond))
 	}
 }
--- a/instance/thread.go
+++ b/instance/thread.go
@@ -245,7 +245,7 @@
 		Configuration:  th.cfg,
 		Instances:      th.instances,
 		Servers:        th.servers,
-		LeaseUntil:     th.leaseUntil,
+		LeaseExpiry:    th.leaseUntil,
 		GrantedDivisor: th.entries,
 		Draining:       th.draining,
 		Sequence:       th.sequence,
--- a/view/view.go
+++ b/view/view.go
@@ -30,7 +30,7 @@
 	Configuration operator.Configuration
 	Instances     []Instance       // instances believed to be alive, including this one
 	Servers       []backend.Record // announced servers that have not expired, sorted by name
-	LeaseUntil    time.Time        // time at which this instance must stop serving
+	LeaseExpiry   time.Time        // time at which this instance must stop serving
 	// GrantedDivisor is the number of entry instances that share the connection limits of
 	// backend servers, as last granted by control; 0 means Limits.MaxEntries.
 	GrantedDivisor int
@@ -40,7 +40,7 @@
 
 // Leased reports whether the instance's lease covers the given time.
 func (vi *View) Leased(now time.Time) bool {
-	return now.Before(vi.LeaseUntil)
+	return now.Before(vi.LeaseExpiry)
 }
 
 // Divisor returns the number by which this entry instance must divide the connection limit of
