--- a/replica/balancer_test.go
+++ b/replica/balancer_test.go
@@ -247,9 +247,9 @@
 
 func TestFailuresEject(t *testing.T) {
 	tests := []struct {
-		outcome Outcome
-		count   int
-		aside   bool
+		outcome   Outcome
+		count     int
+		unhealthy bool
 	}{
 		{Failed, 1, false},
 		{Failed, 2, true},
@@ -265,7 +265,7 @@
 			for range tt.count {
 				fx.finish("a", ms, tt.outcome)
 			}
-			c.Assert(fx.unhealthy("a"), qt.Equals, tt.aside)
+			c.Assert(fx.unhealthy("a"), qt.Equals, tt.unhealthy)
 		})
 	}
 }
@@ -278,15 +278,15 @@
 	fx := newFixture(c, ready("a"), ready("b"))
 	fx.train("a", "b")
 	fx.finish("a", ms, Unreachable)
-	fell := fx.now
+	ejectedAt := fx.now
 	var probes []time.Duration
-	for fx.now.Sub(fell) < 20*time.Second {
+	for fx.now.Sub(ejectedAt) < 20*time.Second {
 		fx.advance(10 * ms)
 		pk, _ := fx.ba.Choose(fx.now, Request{Service: "s", Class: "w", NoProbe: true})
 		c.Assert(pk.Server.ID, qt.Equals, "b")
 		fx.ba.Done(fx.now, pk, Report{Outcome: Served})
 		if pk := fx.choose(); pk.Server.ID == "a" {
-			probes = append(probes, fx.now.Sub(fell))
+			probes = append(probes, fx.now.Sub(ejectedAt))
 			c.Assert(pk.Unhealthy, qt.IsTrue)
 			second := fx.choose()
 			c.Assert(second.Server.ID, qt.Equals, "b")
--- a/replica/choose.go
+++ b/replica/choose.go
@@ -69,7 +69,8 @@
 // data centre and then chooses at random. Suspect servers are used only if no healthy one
 // is left, ejected servers last. After its ejection a server gets a single probe request,
 // and a slow server gets an occasional one. Choose returns false only if every ready server
-// is in Avoid or has reached its limit of requests in flight.
+// is in Avoid, was replaced, has reached its limit of requests in flight, or is cold and may
+// not receive a request now.
 func (ba *Balancer) Choose(now time.Time, rq Request) (Pick, bool) {
 	ba.mu.Lock()
 	defer ba.mu.Unlock()
--- a/replica/latency.go
+++ b/replica/latency.go
@@ -7,7 +7,7 @@
 
 const (
 	// Latencies are counted in logarithmic buckets that start at minLatency.
-	// bucketsPerDoubling buckets double a latency; the last bucket is at about a minute.
+	// bucketsPerDoubling buckets double a latency; the last bucket starts at about 96 s.
 	minLatency         = 100 * time.Microsecond
 	bucketsPerDoubling = 8
 	numBuckets         = 20 * bucketsPerDoubling
--- a/replica/samples_sim_test.go
+++ b/replica/samples_sim_test.go
@@ -12,14 +12,15 @@
 )
 
 // collector simulates the control instance that receives the samples of entry instances.
-// Its intervals are those of packages tier and feed.
+// Its intervals are those of packages tier (observationInterval, urgentObservationDelay)
+// and feed (outlierInterval).
 type collector struct {
 	sm             *sim
 	de             *outlier.Detector
 	slowSince      map[string]time.Duration // slowSince is since when a server is found slow.
 	heard          map[string]int           // heard counts the entry instances that know of a server.
-	detectedAt     map[string]time.Duration // detectedAt is when 99 of 100 entry instances first knew of a server.
-	clearedAt      map[string]time.Duration // clearedAt is when the last finding of a server ended.
+	detectedAt     map[string]time.Duration // detectedAt is when the first finding of a slow server reached the entry instances.
+	clearedAt      map[string]time.Duration // clearedAt is when the end of the last finding of a server reached the entry instances.
 	falsePositives int                      // falsePositives counts findings about servers that aren't slow.
 	falseTime      time.Duration            // falseTime is the total time for which they held.
 }
@@ -101,8 +102,8 @@
 
 // wasSlow reports whether a server is slow at a time.
 func (co *collector) wasSlow(id string, at time.Duration) bool {
-	for _, of := range co.sm.servers {
-		for _, se := range of {
+	for _, replicas := range co.sm.servers {
+		for _, se := range replicas {
 			if se.record.ID == id {
 				return slices.ContainsFunc(se.slow, func(sl simSlow) bool { return at >= sl.from && at < sl.until })
 			}
@@ -143,8 +144,8 @@
 				sm.run()
 				var detected, cleared []time.Duration
 				slow := 0
-				for _, of := range sm.servers {
-					for _, se := range of {
+				for _, replicas := range sm.servers {
+					for _, se := range replicas {
 						if len(se.slow) == 0 {
 							continue
 						}
--- a/replica/samples_test.go
+++ b/replica/samples_test.go
@@ -160,10 +160,10 @@
 // Only samples that show a fault are urgent; those of healthy servers can wait.
 func TestUrgentOnFaults(t *testing.T) {
 	for _, tc := range []struct {
-		name    string
-		took    time.Duration
-		re      Report
-		presses bool
+		name   string
+		took   time.Duration
+		re     Report
+		urgent bool
 	}{
 		{"quick", 10 * ms, Report{Outcome: Served}, false},
 		{"slow", 60 * ms, Report{Outcome: Served}, true},
@@ -183,7 +183,7 @@
 			pk := fx.chooseServer("a")
 			fx.advance(tc.took)
 			fx.ba.Done(fx.now, pk, tc.re)
-			c.Assert(len(fx.ba.Urgent()) == 1, qt.Equals, tc.presses)
+			c.Assert(len(fx.ba.Urgent()) == 1, qt.Equals, tc.urgent)
 		})
 	}
 }
--- a/replica/sim_test.go
+++ b/replica/sim_test.go
@@ -147,7 +147,7 @@
 	for sh := range sc.shards {
 		speeds := slices.Clone(sc.speeds)
 		sm.rn.Shuffle(len(speeds), func(ix, iy int) { speeds[ix], speeds[iy] = speeds[iy], speeds[ix] })
-		var of []*simServer
+		var replicas []*simServer
 		for re, speed := range speeds {
 			service := fmt.Sprintf("shard-%d", sh)
 			se := &simServer{sm: sm, speed: speed, record: registry.Server{
@@ -158,9 +158,9 @@
 				se.phase = time.Duration(sm.rn.Int64N(int64(sc.pauseEvery)))
 			}
 			records[service] = append(records[service], se.record)
-			of = append(of, se)
+			replicas = append(replicas, se)
 		}
-		sm.servers = append(sm.servers, of)
+		sm.servers = append(sm.servers, replicas)
 	}
 	sm.assignFaults()
 	for en := range sc.entries {
@@ -180,8 +180,8 @@
 // assignFaults assigns the slow and failing spans to servers of different shards.
 func (sm *sim) assignFaults() {
 	for _, sl := range sm.slow {
-		for _, of := range sm.servers {
-			for _, se := range of {
+		for _, replicas := range sm.servers {
+			for _, se := range replicas {
 				if sm.rn.Float64() < sl.fraction {
 					se.slow = append(se.slow, sl)
 					break
@@ -190,8 +190,8 @@
 		}
 	}
 	for _, fa := range sm.failing {
-		for _, of := range sm.servers {
-			for _, se := range of {
+		for _, replicas := range sm.servers {
+			for _, se := range replicas {
 				if sm.rn.Float64() < fa.serverFraction {
 					se.failing = append(se.failing, fa)
 					break
--- a/replica/warm.go
+++ b/replica/warm.go
@@ -17,7 +17,7 @@
 type permit struct {
 	cold   bool
 	chance float64       // chance is drawn from 0 to 1; this instance takes part if it is below the probability.
-	sentAt time.Duration // sentAt is when the last request was sent, or an initial offset from when the server turned cold.
+	sentAt time.Duration // sentAt is when the last request was sent; at first a random time, at most MinInterval before the server turned cold.
 }
 
 // used returns the permit after a request.
