--- a/scatter/connection_sim_test.go
+++ b/scatter/connection_sim_test.go
@@ -82,9 +82,9 @@
 func (bm *burstModel) run() {
 	bm.after(0, bm.arrive)
 	for len(bm.events) > 0 {
-		st := heap.Pop(&bm.events).(modelEvent)
-		bm.now = st.at
-		st.run()
+		ev := heap.Pop(&bm.events).(modelEvent)
+		bm.now = ev.at
+		ev.run()
 	}
 }
 
--- a/scatter/query_of_death_test.go
+++ b/scatter/query_of_death_test.go
@@ -44,7 +44,7 @@
 	c.Assert(qu.State(), qt.Equals, Failed, qt.Commentf("too many shards have used all their attempts"))
 }
 
-// Servers fail one after the other under a query with only a few attempts left to make. The
+// Servers fail one after the other under a query that has made only a few attempts. The
 // query continues with one server at a time and fails after the third.
 func TestQueryFailsAfterThreeLostServers(t *testing.T) {
 	c := qt.New(t)
--- a/scatter/scatter.go
+++ b/scatter/scatter.go
@@ -13,15 +13,18 @@
 
 // Plan configures a query.
 type Plan struct {
-	Shards               int           // Shards is the number of parts of a complete answer, at least 1.
-	MinParts             int           // MinParts is how many parts an answer needs.
-	MaxAttempts          int           // MaxAttempts is how many backend servers may run the request for one shard.
-	Repeatable           bool          // Repeatable is set if a request may run more than once.
-	NoServerDeadline     time.Time     // NoServerDeadline is when a shard without any server to try is given up.
-	NoConnectionDeadline time.Time     // NoConnectionDeadline is when a shard without a free connection to its servers is given up; zero means NoServerDeadline.
-	PartialDeadline      time.Time     // PartialDeadline is until when missing parts are awaited once MinParts are in.
-	Deadline             time.Time     // Deadline is when the query expires.
-	RetryDelay           time.Duration // RetryDelay is the delay before a shard is retried after a refusal, and the first delay if no connection is free.
+	Shards               int       // Shards is the number of parts of a complete answer, at least 1.
+	MinParts             int       // MinParts is how many parts an answer needs.
+	MaxAttempts          int       // MaxAttempts is how many backend servers may run the request for one shard.
+	Repeatable           bool      // Repeatable is set if a request may run more than once.
+	NoServerDeadline     time.Time // NoServerDeadline is when a shard without any server to try is given up.
+	NoConnectionDeadline time.Time // NoConnectionDeadline is when a shard is given up that gets no attempt for another cause, such as no free connection; zero means NoServerDeadline.
+	PartialDeadline      time.Time // PartialDeadline is until when missing parts are awaited once MinParts are in.
+	Deadline             time.Time // Deadline is when the query expires.
+	// RetryDelay is the delay before a shard is retried after its second refusal, and by how
+	// much the delay grows with each further one; after the first refusal there is none. It
+	// is also the first delay if no connection is free.
+	RetryDelay time.Duration
 	// Probe is set if servers have failed under the same request before. One server is
 	// tried alone, and others only once it has answered.
 	Probe      bool
@@ -152,8 +155,8 @@
 // Cause returns why a shard has no part yet.
 func (qu *Query) Cause(index int) Cause { return qu.shards[index].cause }
 
-// NeedsAttempt reports whether a shard has neither a part nor an attempt in flight, and is
-// not given up.
+// NeedsAttempt reports whether the query is running and a shard has neither a part nor an
+// attempt in flight, and is not given up.
 func (qu *Query) NeedsAttempt(index int) bool {
 	sh := &qu.shards[index]
 	return qu.state == Running && !sh.hasPart && !sh.givenUp && sh.inFlight == 0
@@ -197,9 +200,9 @@
 	return !qu.answered && (qu.pl.Probe || qu.numLost >= cautiousAfter)
 }
 
-// mayHedge reports whether one more hedge is allowed beside those already planned. As long
-// as no shard has answered, hedging against a slow server does not help, and the request
-// may be crashing every server that has it.
+// mayHedge reports whether one more hedge is allowed beside those already planned. Hedges
+// help against a slow server. If no shard has answered, the cause is another one, and the
+// request may be crashing every server that has it.
 func (qu *Query) mayHedge(planned int) bool {
 	return qu.answered || qu.earlyHedges+planned < maxEarlyHedges
 }
--- a/scatter/scatter_test.go
+++ b/scatter/scatter_test.go
@@ -102,8 +102,8 @@
 	qt.Assert(t, qu.MayHaveRun(), qt.IsTrue)
 }
 
-// Backend servers that refuse a request have not run it, so others are tried, but each try
-// costs an arrival: after a few refusals the shard is given up.
+// Backend servers that refuse a request have not run it, so others are tried. But each
+// attempt reaches a server, so after a few refusals the shard is given up.
 func TestRefusalsAreBounded(t *testing.T) {
 	qu := newStartedQuery(t, plan(1, 1))
 	now := 1
