--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -76,8 +76,8 @@
 
 // RecordLoss records an attempt that no server answered and returns the resulting record.
 // The loss of a probe doesn't count against its request if the service had lost another
-// request before and has answered none since: then its servers fail, or cut off their
-// callers, whatever they run.
+// request before the probe began and has answered none since: then its servers fail, or cut
+// off their callers, whatever they run.
 func (tr *Tracker) RecordLoss(now time.Time, lo Loss) Record {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
