--- a/outlier/detector_test.go
+++ b/outlier/detector_test.go
@@ -46,8 +46,9 @@
 }
 
 // A backend server becomes nine times slower while each entry instance sends it one request
-// in two seconds. Alone, each instance would learn it only from several slow answers.
-// Together they must find it within a second, and its recovery as soon.
+// in two seconds. Alone, each instance would learn it only from several slow answers, and
+// the callers of all instances would have waited by then. Together they must find it within
+// a second, and its recovery as soon.
 func TestSlowServerIsFoundWithinASecond(t *testing.T) {
 	c := qt.New(t)
 	fe := newFeeder()
