--- a/upstream/fake_test.go
+++ b/upstream/fake_test.go
@@ -182,8 +182,8 @@
 }
 
 func awaitReadable(cn *conn) {
-	for news := false; !news; runtime.Gosched() {
-		_ = cn.raw.Control(func(fd uintptr) { news = checkIdle(int(fd)) != nil })
+	for readable := false; !readable; runtime.Gosched() {
+		_ = cn.raw.Control(func(fd uintptr) { readable = checkIdle(int(fd)) != nil })
 	}
 }
 
--- a/upstream/incarnation_test.go
+++ b/upstream/incarnation_test.go
@@ -19,13 +19,13 @@
 			}
 		}, qc)})
 		first := Target{ID: "i-1", Incarnation: 10, MaxConnections: 1}
-		again := Target{ID: "i-1", Incarnation: 20, MaxConnections: 1}
+		restarted := Target{ID: "i-1", Incarnation: 20, MaxConnections: 1}
 		checkAnswered(qc, cl.Do(t.Context(), first, newGet()), true)
 		checkAnswered(qc, cl.Do(t.Context(), first, newGet()), false)
-		cl.Retain(map[string]Target{"i-1": again})
+		cl.Retain(map[string]Target{"i-1": restarted})
 		checkCount(qc, cl, 0, 0)
-		checkAnswered(qc, cl.Do(t.Context(), again, newGet()), true)
+		checkAnswered(qc, cl.Do(t.Context(), restarted, newGet()), true)
 		checkAnswered(qc, cl.Do(t.Context(), first, newGet()), false)
-		checkAnswered(qc, cl.Do(t.Context(), again, newGet()), false)
+		checkAnswered(qc, cl.Do(t.Context(), restarted, newGet()), false)
 	})
 }
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -269,8 +269,8 @@
 // dialFailure distinguishes an unreachable server from a shortage of resources in this
 // process.
 func (po *pool) dialFailure(address string, err error) grant {
-	for _, own := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM} {
-		if errors.Is(err, own) {
+	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM} {
+		if errors.Is(err, errno) {
 			return grant{outcome: NoConnection, err: err}
 		}
 	}
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -205,7 +205,8 @@
 
 // Do sends a request to a server and reads the reply. It returns when the reply is
 // complete, at the request's deadline, or when the context ends. In the last two cases it
-// closes the connection at once, so that the server drops the request.
+// closes the connection at once, so that the server drops the request, unless the exchange
+// on that connection had not started.
 func (cl *Client) Do(ctx context.Context, ta Target, rq *Request) Result {
 	ex := cl.newExchange(rq)
 	if err := ex.prepare(rq); err != nil {
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -674,10 +674,10 @@
 				}
 				connect = unreachable
 				ctx, cancel := context.WithCancel(t.Context())
-				left := async(ctx, cl, ta, newGet())
+				canceled := async(ctx, cl, ta, newGet())
 				synctest.Wait()
 				cancel()
-				qc.Assert((<-left).Outcome, qt.Equals, Canceled)
+				qc.Assert((<-canceled).Outcome, qt.Equals, Canceled)
 				start := time.Now()
 				re := cl.Do(t.Context(), ta, newGet())
 				qc.Assert(re.Outcome, qt.Equals, tc.want)
@@ -800,7 +800,7 @@
 			}
 		}, qc)})
 		ta := Target{ID: "i-1", MaxConnections: 1}
-		ask := func(keep string, isNew bool) {
+		send := func(keep string, isNew bool) {
 			t.Helper()
 			rq := newGet()
 			if keep != "" {
@@ -808,15 +808,15 @@
 			}
 			checkAnswered(qc, cl.Do(t.Context(), ta, rq), isNew)
 		}
-		ask("timeout=10", true)
+		send("timeout=10", true)
 		time.Sleep(8*time.Second - 1)
-		ask("", false)
+		send("", false)
 		time.Sleep(8 * time.Second)
-		ask("", true)
+		send("", true)
 		time.Sleep(30*time.Second - 1)
-		ask("timeout=100", false)
+		send("timeout=100", false)
 		time.Sleep(30 * time.Second)
-		ask("", true)
+		send("", true)
 		cl.CloseIdle(time.Now().Add(30*time.Second - 1))
 		checkCount(qc, cl, 1, 1)
 		cl.CloseIdle(time.Now().Add(30 * time.Second))
