--- a/cmd/balsamctl/apply.go
+++ b/cmd/balsamctl/apply.go
@@ -22,14 +22,14 @@
 	maxArgs: 1,
 	summary: "Send the changed files of a folder to a tier.",
 	help: `
-Only files that differ from what this operator last saw on the tier are sent,
-each with the revision it had then, as remembered in DIR/` + seenFile + `. If
-another operator changed one of them meanwhile, nothing is changed and that
-operator is named; pull, look, and apply again. The file ` + seenFile + ` belongs
-to this copy of the folder: don't share it.
+It sends only the files that differ from the versions this operator last saw on
+the tier, each with the revision recorded in DIR/` + stateFile + `. If another
+operator has changed one of them in the meantime, nothing is changed and the error
+names that operator: pull, compare, and apply again. The file ` + stateFile + `
+belongs to this copy of the folder; don't share it.
 
 A change whose answer was lost is sent again first, under its own change id, and
-gets the first answer. -forget gives up on it instead.
+gets the first answer. With -forget it is dropped instead.
 `,
 	example: "balsamctl apply -instances 10.1.1.11:7003 -author ana -wait configuration",
 	remote:  true,
@@ -37,16 +37,16 @@
 		authorFlag(fl, op)
 		fl.StringVar(&op.changeID, "change-id", "", "`id` of the change; random by default")
 		fl.BoolVar(&op.wait, "wait", false, "wait until the change is in force on every serving instance")
-		fl.BoolVar(&op.forget, "forget", false, "forget a change whose answer was lost")
+		fl.BoolVar(&op.forget, "forget", false, "drop a change whose answer was lost")
 	},
 	do: apply,
 }
 
-// applied is the JSON form of one change that apply sent.
-type applied struct {
+// appliedChange is the JSON form of one change that apply sent.
+type appliedChange struct {
 	ChangeID   string
 	Code       result.Code
-	Name       string // Name is the name of Code.
+	Name       string // name of Code
 	Revision   uint64
 	Files      []string
 	WaitingFor []string `json:",omitempty"`
@@ -54,11 +54,11 @@
 
 // applier sends changes of one folder.
 type applier struct {
-	cl   *operator.Client
-	dir  string
-	wait bool
-	seen seen
-	done []applied // done are the changes that were made.
+	cl    *operator.Client
+	dir   string
+	wait  bool
+	state localState
+	made  []appliedChange // changes that the tier accepted
 }
 
 func apply(ctx context.Context, in *invocation) error {
@@ -71,10 +71,10 @@
 		return err
 	}
 	err = ap.run(ctx, in, files)
-	if len(ap.done) == 0 && err != nil {
+	if len(ap.made) == 0 && err != nil {
 		return err
 	}
-	return cmp.Or(in.printApplied(ap.done), err)
+	return cmp.Or(in.printApplied(ap.made), err)
 }
 
 func newApplier(in *invocation) (*applier, error) {
@@ -85,20 +85,20 @@
 	if in.author == "" {
 		return nil, &usageError{"no author: give -author or set " + envAuthor}
 	}
-	se, err := loadSeen(in.args[0])
+	ls, err := loadState(in.args[0])
 	if in.forget {
-		se = se.withUnanswered(nil)
+		ls = ls.withUnanswered(nil)
 	}
-	return &applier{cl: cl, dir: in.args[0], wait: in.wait, seen: se}, err
+	return &applier{cl: cl, dir: in.args[0], wait: in.wait, state: ls}, err
 }
 
 func (ap *applier) run(ctx context.Context, in *invocation, files []operator.File) error {
-	if un := ap.seen.Unanswered; un != nil {
+	if un := ap.state.Unanswered; un != nil {
 		if err := ap.send(ctx, *un); err != nil {
 			return err
 		}
 	}
-	chs := ap.seen.changes(files)
+	chs := ap.state.changes(files)
 	if len(chs) == 0 {
 		return nil
 	}
@@ -109,7 +109,7 @@
 	return ap.send(ctx, cr)
 }
 
-func (in *invocation) printApplied(done []applied) error {
+func (in *invocation) printApplied(done []appliedChange) error {
 	return in.print(done, func(wr io.Writer) {
 		if len(done) == 0 {
 			fmt.Fprintln(wr, "nothing to change")
@@ -120,52 +120,52 @@
 	})
 }
 
-// send sends a change and records in the folder what became of it.
+// send sends a change and records its outcome in the folder's state file.
 func (ap *applier) send(ctx context.Context, cr operator.ChangeRequest) error {
-	if err := ap.save(ap.seen.withUnanswered(&cr)); err != nil {
+	if err := ap.save(ap.state.withUnanswered(&cr)); err != nil {
 		return err
 	}
-	ask := ap.cl.Change
+	change := ap.cl.Change
 	if ap.wait {
-		ask = ap.cl.ChangeAndWait
+		change = ap.cl.ChangeAndWait
 	}
-	re, err := ask(ctx, cr)
+	re, err := change(ctx, cr)
 	if err == nil {
 		return ap.record(cr, re)
 	}
 	if re := (*result.Error)(nil); errors.As(err, &re) && re.Code == result.NotRunBadRequest {
-		return errors.Join(err, ap.save(ap.seen.withUnanswered(nil)))
+		return errors.Join(err, ap.save(ap.state.withUnanswered(nil)))
 	}
-	return fmt.Errorf("change %s: outcome unknown, apply again to ask: %w", cr.ChangeID, err)
+	return fmt.Errorf("change %s: outcome unknown, run apply again to resolve it: %w", cr.ChangeID, err)
 }
 
-func (ap *applier) save(se seen) error {
-	ap.seen = se
-	return se.save(ap.dir)
+func (ap *applier) save(ls localState) error {
+	ap.state = ls
+	return ls.save(ap.dir)
 }
 
 func (ap *applier) record(cr operator.ChangeRequest, re operator.ChangeReply) error {
 	if re.Code != result.Accepted && re.Code != result.Pending {
-		return errors.Join(refused(cr, re), ap.save(ap.seen.withUnanswered(nil)))
+		return errors.Join(refusedError(cr, re), ap.save(ap.state.withUnanswered(nil)))
 	}
-	if err := ap.save(ap.seen.withChange(cr, re.Revision)); err != nil {
+	if err := ap.save(ap.state.withChange(cr, re.Revision)); err != nil {
 		return err
 	}
-	do := applied{ChangeID: cr.ChangeID, Code: re.Code, Name: re.Code.String(), Revision: re.Revision, WaitingFor: re.WaitingFor}
+	do := appliedChange{ChangeID: cr.ChangeID, Code: re.Code, Name: re.Code.String(), Revision: re.Revision, WaitingFor: re.WaitingFor}
 	for _, ch := range cr.Files {
 		do.Files = append(do.Files, ch.Name)
 	}
-	ap.done = append(ap.done, do)
+	ap.made = append(ap.made, do)
 	if re.Code == result.Pending {
 		return &result.Error{Code: re.Code, Op: "change " + cr.ChangeID, Detail: "waiting for " + strings.Join(re.WaitingFor, ", ") + "; balsamctl members shows the revisions in force"}
 	}
 	return nil
 }
 
-func refused(cr operator.ChangeRequest, re operator.ChangeReply) error {
+func refusedError(cr operator.ChangeRequest, re operator.ChangeReply) error {
 	er := &result.Error{Code: re.Code, Op: "change " + cr.ChangeID}
 	if re.Conflict != nil {
-		er.Detail = describe(*re.Conflict) + "; nothing was changed"
+		er.Detail = describeConflict(*re.Conflict) + "; nothing was changed"
 	}
 	if len(re.Faults) > 0 {
 		er.Err = settings.Faults(re.Faults)
@@ -173,12 +173,12 @@
 	return er
 }
 
-func describe(co operator.Conflict) string {
+func describeConflict(co operator.Conflict) string {
 	switch {
 	case co.File == "":
 		return co.Author + " used this change id for another change"
 	case co.Author == "":
-		return co.File + " is not on the tier as it was when pulled; pull first"
+		return co.File + " is no longer on the tier in the version that was pulled; pull first"
 	default:
 		return fmt.Sprintf("%s was changed by %s in change %s at revision %d; pull first", co.File, co.Author, co.ChangeID, co.Revision)
 	}
--- a/cmd/balsamctl/audit.go
+++ b/cmd/balsamctl/audit.go
@@ -12,15 +12,15 @@
 	"balsamwinch.example/operator"
 )
 
-// shortHash is how many digits of a hash are shown to a person.
-const shortHash = 12
+// shortHashLength is how many digits of a hash the text output shows.
+const shortHashLength = 12
 
 var auditCommand = command{
 	name:    "audit",
 	summary: "Print the audit trail and verify its chain of hashes.",
 	help: `
-Each accepted or refused change is shown with who, when, change id and, for each
-file, the hashes before and after. A chain that was altered ends with exit code 6.
+Each accepted or refused change is shown with its author, time, change id and, for
+each file, the hashes before and after. If the chain was altered, the exit code is 6.
 `,
 	example: "balsamctl audit -instances 10.1.1.11:7003 -from 100 -content",
 	remote:  true,
@@ -31,10 +31,10 @@
 	do: audit,
 }
 
-// audited is the JSON form of the audit trail.
-type audited struct {
+// auditReport is the JSON form of the audit trail.
+type auditReport struct {
 	Entries []operator.AuditEntry
-	Sound   bool // Sound says that the chain of hashes holds.
+	Sound   bool // whether the hash chain is intact
 }
 
 func audit(ctx context.Context, in *invocation) error {
@@ -46,8 +46,8 @@
 	if err != nil {
 		return err
 	}
-	broken := control.Verify(chain(re.Entries))
-	rp := audited{Entries: re.Entries, Sound: broken == nil}
+	verifyErr := control.Verify(controlEntries(re.Entries))
+	rp := auditReport{Entries: re.Entries, Sound: verifyErr == nil}
 	err = in.print(rp, func(wr io.Writer) {
 		for _, en := range re.Entries {
 			printEntry(wr, en, in.content)
@@ -56,11 +56,11 @@
 			fmt.Fprintf(wr, "%d entries, chain verified, last hash %s\n", len(re.Entries), lastHash(re.Entries))
 		}
 	})
-	return cmp.Or(broken, err)
+	return cmp.Or(verifyErr, err)
 }
 
-// lastHash is what an operator notes or compares with other control instances:
-// a chain that was cut off at its end, or made anew, is sound in itself.
+// lastHash returns the hash of the last entry. Operators note it or compare it with other
+// control instances, because a chain that was truncated or rebuilt is consistent in itself.
 func lastHash(entries []operator.AuditEntry) string {
 	if len(entries) == 0 {
 		return "-"
@@ -68,8 +68,8 @@
 	return entries[len(entries)-1].Hash
 }
 
-// chain turns the entries into those that package control verifies.
-func chain(entries []operator.AuditEntry) []control.AuditEntry {
+// controlEntries converts the entries to those that package control verifies.
+func controlEntries(entries []operator.AuditEntry) []control.AuditEntry {
 	var ch []control.AuditEntry
 	for _, en := range entries {
 		ce := control.AuditEntry{
@@ -94,7 +94,7 @@
 	}
 	fmt.Fprintln(wr)
 	for _, af := range en.Files {
-		fmt.Fprintf(wr, "  %s: %s -> %s\n", af.Name, short(af.BeforeHash), short(af.AfterHash))
+		fmt.Fprintf(wr, "  %s: %s -> %s\n", af.Name, shortenHash(af.BeforeHash), shortenHash(af.AfterHash))
 		if content {
 			printContent(wr, "before", af.Before)
 			printContent(wr, "after", af.After)
@@ -108,9 +108,9 @@
 	}
 }
 
-func short(ha string) string {
-	if len(ha) > shortHash {
-		return ha[:shortHash]
+func shortenHash(ha string) string {
+	if len(ha) > shortHashLength {
+		return ha[:shortHashLength]
 	}
 	return orDash(ha)
 }
--- a/cmd/balsamctl/check.go
+++ b/cmd/balsamctl/check.go
@@ -18,8 +18,8 @@
 	maxArgs: 1,
 	summary: "Check a folder of configuration, or the settings file of an instance.",
 	help: `
-Of a folder, it prints the merged whole and which file and line each value came
-from. All faults are listed at once. Nothing is sent.
+For a folder, it prints the merged configuration and the file and line of each
+value. All faults are listed at once. Nothing is sent.
 `,
 	example: "balsamctl check examples/huaman/configuration",
 	do:      check,
@@ -56,11 +56,11 @@
 		return err
 	}
 	return in.print(st, func(wr io.Writer) {
-		fmt.Fprintf(wr, "%s: sound settings of instance %s, roles %v\n", path, st.Name, st.Roles)
+		fmt.Fprintf(wr, "%s: valid settings of instance %s, roles %v\n", path, st.Name, st.Roles)
 	})
 }
 
-// loadFolder reads, merges and checks a folder.
+// loadFolder reads, merges and validates the files of a folder.
 func loadFolder(dir string) ([]operator.File, operator.Configuration, error) {
 	files, err := operator.ReadFolder(dir)
 	if err != nil {
--- a/cmd/balsamctl/diff.go
+++ b/cmd/balsamctl/diff.go
@@ -16,9 +16,9 @@
 	maxArgs: 2,
 	summary: "Show what applying a folder would change.",
 	help: `
-With one folder it compares with the accepted configuration of a tier; with two
-it compares the folders and sends nothing. Lines begin with + for what is added,
-- for what is removed and ~ for what is changed.
+One folder is compared with the accepted configuration of a tier. Two folders are
+compared with each other, and nothing is sent. Lines begin with + for an added
+value, - for a removed one and ~ for a changed one.
 `,
 	example: "balsamctl diff -instances 10.1.1.11:7003,10.1.2.11:7003 configuration",
 	remote:  true,
@@ -27,9 +27,9 @@
 
 // difference is the JSON form of a diff.
 type difference struct {
-	Files []string // Files are those that apply would send.
+	Files []string // files that apply would send
 	Lines []string
-	// Outdated are files that another operator changed since they were pulled.
+	// Outdated lists files that another operator changed since they were pulled.
 	Outdated []string
 }
 
@@ -71,7 +71,7 @@
 	if err != nil {
 		return difference{}, err
 	}
-	se, err := loadSeen(dir)
+	ls, err := loadState(dir)
 	if err != nil {
 		return difference{}, err
 	}
@@ -83,7 +83,7 @@
 	if err != nil {
 		return difference{}, err
 	}
-	chs := se.changes(files)
+	chs := ls.changes(files)
 	older, _ := operator.Merge(filesOf(tier))
 	newer, fs := operator.Merge(overlay(filesOf(tier), chs))
 	di := difference{Lines: operator.Diff(older, newer)}
@@ -113,7 +113,7 @@
 	return 0
 }
 
-// overlay returns the files as they are after the changes.
+// overlay returns the files with the changes applied.
 func overlay(files []operator.File, chs []operator.FileChange) []operator.File {
 	files = slices.Clone(files)
 	for _, ch := range chs {
--- a/cmd/balsamctl/folder.go
+++ b/cmd/balsamctl/folder.go
@@ -16,32 +16,32 @@
 	"balsamwinch.example/operator"
 )
 
-// seenFile holds, in the operator's folder, what this operator last saw of the
-// tier's files. The base of a change must come from here: were it asked of the
-// tier when the change is sent, it would always be the newest revision, and the
-// work of another operator who changed the file meanwhile would be overwritten
-// unseen. The file belongs to one operator's copy of the folder, so it has no
-// place in a shared repository.
-const seenFile = ".balsamctl.json"
+// stateFile is the file in the operator's folder that records the versions of the tier's files
+// that this operator last saw. The base of a change must come from here. If the tier were
+// asked when the change is sent, the base would always be the newest revision, and the work of
+// another operator who changed the file in the meantime would be overwritten unnoticed. The
+// file belongs to one operator's copy of the folder, so it must not be put into a shared
+// repository.
+const stateFile = ".balsamctl.json"
 
 const (
 	fileMode   = 0o644
 	folderMode = 0o755
 )
 
-// seen is the content of seenFile.
-type seen struct {
-	Files map[string]seenVersion
-	// Unanswered is a change that was sent and whose answer is not known. It
-	// is sent again first, under its own change id: under a new one it would
-	// conflict with itself if the tier had made it.
+// localState is the content of stateFile.
+type localState struct {
+	Files map[string]fileVersion
+	// Unanswered is a change that was sent and whose answer is not known. The next apply sends
+	// it again first, under its own change id: under a new one it would conflict with itself
+	// if the tier had already made it.
 	Unanswered *operator.ChangeRequest `json:",omitempty"`
 }
 
-// seenVersion is a file as the operator last saw it on the tier.
-type seenVersion struct {
+// fileVersion is the version of a file that the operator last saw on the tier.
+type fileVersion struct {
 	Revision uint64
-	Hash     string // Hash is the SHA-256 of the content in hexadecimal.
+	Hash     string // SHA-256 of the content in hexadecimal
 }
 
 func hash(data []byte) string {
@@ -49,32 +49,32 @@
 	return hex.EncodeToString(su[:])
 }
 
-func loadSeen(dir string) (seen, error) {
-	se := seen{Files: make(map[string]seenVersion)}
-	path := filepath.Join(dir, seenFile)
+func loadState(dir string) (localState, error) {
+	ls := localState{Files: make(map[string]fileVersion)}
+	path := filepath.Join(dir, stateFile)
 	data, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
-		return se, nil
+		return ls, nil
 	}
 	if err != nil {
-		return se, err
+		return ls, err
 	}
-	if err := json.Unmarshal(data, &se); err != nil {
-		return se, fmt.Errorf("%s is damaged; remove it and pull again: %w", path, err)
+	if err := json.Unmarshal(data, &ls); err != nil {
+		return ls, fmt.Errorf("%s is damaged; remove it and pull again: %w", path, err)
 	}
-	return se, nil
+	return ls, nil
 }
 
-func (se seen) save(dir string) error {
-	data, err := json.MarshalIndent(se, "", "  ")
+func (ls localState) save(dir string) error {
+	data, err := json.MarshalIndent(ls, "", "  ")
 	if err != nil {
 		return err
 	}
-	return writeFile(filepath.Join(dir, seenFile), data)
+	return writeFile(filepath.Join(dir, stateFile), data)
 }
 
-// writeFile replaces a file in one step, so that an interrupt leaves the old or
-// the new content.
+// writeFile replaces a file atomically, so that an interruption leaves either the old or the
+// new content.
 func writeFile(path string, data []byte) error {
 	fi, err := os.CreateTemp(filepath.Dir(path), ".balsamctl-*")
 	if err != nil {
@@ -89,19 +89,20 @@
 	return os.Rename(fi.Name(), path)
 }
 
-// changes lists what the folder changes against what was seen, by name.
-func (se seen) changes(files []operator.File) []operator.FileChange {
+// changes returns the differences between the folder and the recorded versions, sorted by file
+// name.
+func (ls localState) changes(files []operator.File) []operator.FileChange {
 	var chs []operator.FileChange
-	here := make(map[string]bool)
+	local := make(map[string]bool)
 	for _, fi := range files {
-		here[fi.Name] = true
-		was := se.Files[fi.Name]
+		local[fi.Name] = true
+		was := ls.Files[fi.Name]
 		if was.Hash != hash(fi.Content) {
 			chs = append(chs, operator.FileChange{Name: fi.Name, Base: was.Revision, Content: fi.Content})
 		}
 	}
-	for na, was := range se.Files {
-		if !here[na] {
+	for na, was := range ls.Files {
+		if !local[na] {
 			chs = append(chs, operator.FileChange{Name: na, Base: was.Revision, Delete: true})
 		}
 	}
@@ -111,28 +112,27 @@
 	return chs
 }
 
-// withChange returns what is seen after a change was made at a revision.
-func (se seen) withChange(cr operator.ChangeRequest, revision uint64) seen {
-	se = se.clone()
-	se.Unanswered = nil
+// withChange returns the state after the tier made the change at the given revision.
+func (ls localState) withChange(cr operator.ChangeRequest, revision uint64) localState {
+	ls = ls.clone()
+	ls.Unanswered = nil
 	for _, ch := range cr.Files {
 		if ch.Delete {
-			delete(se.Files, ch.Name)
+			delete(ls.Files, ch.Name)
 			continue
 		}
-		se.Files[ch.Name] = seenVersion{Revision: revision, Hash: hash(ch.Content)}
+		ls.Files[ch.Name] = fileVersion{Revision: revision, Hash: hash(ch.Content)}
 	}
-	return se
+	return ls
 }
 
-// withUnanswered returns what is seen while the answer to a change is awaited;
-// nil means that none is.
-func (se seen) withUnanswered(cr *operator.ChangeRequest) seen {
-	se.Unanswered = cr
-	return se
+// withUnanswered returns the state with the change recorded as unanswered; nil clears it.
+func (ls localState) withUnanswered(cr *operator.ChangeRequest) localState {
+	ls.Unanswered = cr
+	return ls
 }
 
-func (se seen) clone() seen {
-	se.Files = maps.Clone(se.Files)
-	return se
+func (ls localState) clone() localState {
+	ls.Files = maps.Clone(ls.Files)
+	return ls
 }
--- a/cmd/balsamctl/help.go
+++ b/cmd/balsamctl/help.go
@@ -10,7 +10,7 @@
 func help(args []string, out, errOut io.Writer) int {
 	if len(args) == 0 {
 		printOverview(out)
-		return exitDone
+		return exitOK
 	}
 	cm, ok := lookup(args[0])
 	if !ok {
@@ -18,7 +18,7 @@
 		return exitUsage
 	}
 	cm.print(out, cm.flagSet(&options{}, out))
-	return exitDone
+	return exitOK
 }
 
 func printOverview(wr io.Writer) {
@@ -28,7 +28,7 @@
 		fmt.Fprintf(tw, "  %s\t%s\n", cm.name, cm.summary)
 	}
 	tw.Flush()
-	fmt.Fprint(wr, "\nbalsamctl help COMMAND tells more and gives an example.\n\n", exitCodes)
+	fmt.Fprint(wr, "\nbalsamctl help COMMAND shows details and an example.\n\n", exitCodes)
 }
 
 func (cm command) print(wr io.Writer, fl *flag.FlagSet) {
--- a/cmd/balsamctl/keys.go
+++ b/cmd/balsamctl/keys.go
@@ -16,19 +16,19 @@
 	args:    "DIR NAME=IP[,IP]...",
 	minArgs: 2,
 	maxArgs: -1,
-	summary: "Make keys with which instances know each other.",
+	summary: "Create keys with which instances authenticate each other.",
 	help: `
 It writes a certificate and a key for each instance to DIR, signed by the
-certificate authority that DIR holds; without one it makes one. Files that exist
-are never overwritten. These keys are for a try-out: whoever holds the authority's
-key can join the tier.
+certificate authority in DIR, which is created if it doesn't exist. Existing files
+are never overwritten. These keys are for evaluation only: whoever holds the
+authority's key can join the tier.
 `,
 	example: "balsamctl keys keys entry-1=10.1.1.11 entry-2=10.1.1.12",
 	do:      makeKeys,
 }
 
-// written is the JSON form of the files of one instance.
-type written struct {
+// keyFiles is the JSON form of the files written for one instance.
+type keyFiles struct {
 	Name        string
 	Authority   string
 	Certificate string
@@ -38,7 +38,7 @@
 func makeKeys(_ context.Context, in *invocation) error {
 	var ss []keys.Subject
 	for _, ar := range in.args[1:] {
-		su, err := subject(ar)
+		su, err := parseSubject(ar)
 		if err != nil {
 			return err
 		}
@@ -48,9 +48,9 @@
 	if err := keys.Write(dir, ss...); err != nil {
 		return err
 	}
-	var ws []written
+	var ws []keyFiles
 	for _, su := range ss {
-		ws = append(ws, written{
+		ws = append(ws, keyFiles{
 			Name:        su.Name,
 			Authority:   filepath.Join(dir, keys.AuthorityFile),
 			Certificate: filepath.Join(dir, keys.CertificateFile(su.Name)),
@@ -65,7 +65,7 @@
 	})
 }
 
-func subject(ar string) (keys.Subject, error) {
+func parseSubject(ar string) (keys.Subject, error) {
 	na, li, ok := strings.Cut(ar, "=")
 	if !ok {
 		return keys.Subject{}, &usageError{fmt.Sprintf("want NAME=IP, got %q", ar)}
@@ -74,7 +74,7 @@
 	for _, te := range strings.Split(li, ",") {
 		ip := net.ParseIP(te)
 		if ip == nil {
-			return keys.Subject{}, &usageError{fmt.Sprintf("want an IP number for %s, got %q", na, te)}
+			return keys.Subject{}, &usageError{fmt.Sprintf("want an IP address for %s, got %q", na, te)}
 		}
 		su.IPs = append(su.IPs, ip)
 	}
--- a/cmd/balsamctl/main.go
+++ b/cmd/balsamctl/main.go
@@ -1,5 +1,5 @@
-// Command balsamctl is the operators' command: it checks, compares and applies
-// a folder of configuration files, and shows and steers a running tier.
+// Command balsamctl is the operators' command-line tool. It checks, compares and applies a
+// folder of configuration files, and shows and manages a running tier.
 package main
 
 import "os"
--- a/cmd/balsamctl/main_test.go
+++ b/cmd/balsamctl/main_test.go
@@ -31,18 +31,18 @@
 		UpdateScripts:       os.Getenv("UPDATE_SCRIPTS") != "",
 		RequireExplicitExec: true,
 		Setup: func(en *testscript.Env) error {
-			ti := &tier{state: control.NewState(), committed: make(chan struct{})}
+			ti := &fakeTier{state: control.NewState(), committed: make(chan struct{})}
 			sv := httptest.NewServer(operator.NewServer(ti, zap.NewNop()))
 			en.Defer(sv.Close)
 			en.Values[tierKey{}] = ti
 			en.Setenv("TIER", sv.Listener.Addr().String())
 			en.Setenv(envInstances, sv.Listener.Addr().String())
 			en.Setenv(envAuthor, "ana")
-			en.Setenv("GORACE", "atexit_sleep_ms=10") // by default each command that is built with -race ends a second late
+			en.Setenv("GORACE", "atexit_sleep_ms=10") // by default each command that is built with -race exits a second late
 			return nil
 		},
 		Cmds: map[string]func(ts *testscript.TestScript, neg bool, args []string){
-			// exits runs a command and wants its exit code.
+			// exits runs a command and fails unless it exits with the given code.
 			"exits": func(ts *testscript.TestScript, _ bool, args []string) {
 				err := ts.Exec(args[1], args[2:]...)
 				var ee *exec.ExitError
@@ -50,13 +50,13 @@
 					ts.Fatalf("want exit code %s, got %v", args[0], err)
 				}
 			},
-			// committed waits until the tier has made a change whose answer it holds back.
+			// committed waits until the tier has made a change whose answer it withholds.
 			"committed": func(ts *testscript.TestScript, _ bool, _ []string) {
-				<-ts.Value(tierKey{}).(*tier).committed
+				<-ts.Value(tierKey{}).(*fakeTier).committed
 			},
-			// tamper alters the audit trail that the tier shows.
+			// tamper alters the audit trail that the tier returns.
 			"tamper": func(ts *testscript.TestScript, _ bool, _ []string) {
-				ti := ts.Value(tierKey{}).(*tier)
+				ti := ts.Value(tierKey{}).(*fakeTier)
 				ti.mu.Lock()
 				defer ti.mu.Unlock()
 				ti.tampered = true
@@ -67,19 +67,20 @@
 
 type tierKey struct{}
 
-// tier is a tier of one instance: the real state of control without a log.
-type tier struct {
-	mu        sync.Mutex
-	index     uint64
-	state     control.State
-	committed chan struct{}
-	held      bool
-	tampered  bool
+// fakeTier is a tier of one instance. It applies changes to the real control state but has no
+// log.
+type fakeTier struct {
+	mu         sync.Mutex
+	index      uint64
+	state      control.State
+	committed  chan struct{}
+	answerHeld bool
+	tampered   bool
 }
 
-// Change holds the first answer to an author called hasty until they go away,
-// and never sees a change of an author called slow in force.
-func (ti *tier) Change(ctx context.Context, cr operator.ChangeRequest) (operator.ChangeReply, error) {
+// Change withholds the first answer to the author "hasty" until the request is canceled. It
+// reports every accepted change of the author "slow" as pending.
+func (ti *fakeTier) Change(ctx context.Context, cr operator.ChangeRequest) (operator.ChangeReply, error) {
 	cm := control.Change{ChangeID: cr.ChangeID, Author: cr.Author, When: time.Unix(1_780_000_000, 0)}
 	for _, fc := range cr.Files {
 		cm.Files = append(cm.Files, control.FileChange(fc))
@@ -89,8 +90,8 @@
 	ti.index++
 	next, oc := ti.state.Apply(ti.index, cm)
 	ti.state = next
-	if cr.Author == "hasty" && !ti.held {
-		ti.held = true
+	if cr.Author == "hasty" && !ti.answerHeld {
+		ti.answerHeld = true
 		close(ti.committed)
 		<-ctx.Done()
 	}
@@ -105,7 +106,7 @@
 	return re, nil
 }
 
-func (ti *tier) Files(context.Context) (operator.FilesReply, error) {
+func (ti *fakeTier) Files(context.Context) (operator.FilesReply, error) {
 	ti.mu.Lock()
 	defer ti.mu.Unlock()
 	re := operator.FilesReply{Revision: ti.state.Revision()}
@@ -115,7 +116,7 @@
 	return re, nil
 }
 
-func (ti *tier) Audit(_ context.Context, from uint64) (operator.AuditReply, error) {
+func (ti *fakeTier) Audit(_ context.Context, from uint64) (operator.AuditReply, error) {
 	ti.mu.Lock()
 	defer ti.mu.Unlock()
 	var re operator.AuditReply
@@ -135,7 +136,7 @@
 	return re, nil
 }
 
-func (ti *tier) Status(context.Context) (operator.Status, error) {
+func (ti *fakeTier) Status(context.Context) (operator.Status, error) {
 	return operator.Status{
 		Instance: "entry-1", Leader: "entry-2", Term: 4, Revision: 12,
 		Voters:    []operator.VoterStatus{{ID: "d1", Name: "entry-1", Address: "10.0.0.1:7004"}, {ID: "d2", Name: "entry-2", Learner: true}},
@@ -145,17 +146,17 @@
 	}, nil
 }
 
-func (ti *tier) Explain(_ context.Context, subject string) (operator.Explanation, error) {
+func (ti *fakeTier) Explain(_ context.Context, subject string) (operator.Explanation, error) {
 	return operator.Explanation{Subject: subject, Lines: []string{subject + " leads since term 4"}}, nil
 }
 
-func (ti *tier) Drain(_ context.Context, dr operator.DrainRequest) (operator.DrainReply, error) {
+func (ti *fakeTier) Drain(_ context.Context, dr operator.DrainRequest) (operator.DrainReply, error) {
 	if dr.Instance != "" && dr.Instance != "entry-1" {
 		return operator.DrainReply{}, &result.Error{Code: result.NotRunBadRequest, Op: "drain", Detail: "this is entry-1"}
 	}
 	return operator.DrainReply{Instance: "entry-1", StopsWithinMillis: 15_000}, nil
 }
 
-func (ti *tier) ChangeVoters(_ context.Context, vr operator.VotersRequest) (operator.VotersReply, error) {
+func (ti *fakeTier) ChangeVoters(_ context.Context, vr operator.VotersRequest) (operator.VotersReply, error) {
 	return operator.VotersReply{Detail: string(vr.Action) + " " + vr.Name + " " + vr.Replaces + " by " + vr.Author}, nil
 }
--- a/cmd/balsamctl/steer.go
+++ b/cmd/balsamctl/manage.go
@@ -14,15 +14,15 @@
 	name:    "explain",
 	args:    explainArgs,
 	maxArgs: 1,
-	summary: "Say why something is as it is, or what became of a request.",
+	summary: "Explain the state of an object or the outcome of a request.",
 	help: `
 SUBJECT is the name of a backend server, an instance or a service, a change id,
-or the word leader; an instance is asked.
+or the word leader. The answer comes from a running instance.
 
-With -request, the logs of instances are read instead, whole files or all files of
+With -request, it reads the logs of instances instead: single files or all files of
 a folder, also with a time in seconds and the instance's name before each line. It
-shows the lines of the request, what each instance that wrote one believed at that
-moment, and the last lines about the backend servers that are named.
+shows the lines of the request, the view that each instance that logged one had at
+that moment, and the last lines about the backend servers in them.
 `,
 	example: "balsamctl explain -instances 10.1.1.11:7003 archivo-07\n  balsamctl explain -request 6263dad916613ad5 -logs logs",
 	remote:  true,
@@ -44,7 +44,7 @@
 	summary: "Stop one instance gracefully.",
 	help: `
 ADDRESS is the operators' address of the instance. It leaves the address list at
-once, serves callers until their lists have run out, finishes its requests and
+once, serves callers until their lists have expired, finishes its requests and
 exits.
 `,
 	example: "balsamctl drain -name entry-2 10.1.1.12:7003",
@@ -66,8 +66,8 @@
 	maxArgs: 4,
 	summary: "Change the set of voters.",
 	help: `
-ADDRESS is the peer address of the instance NAME. A new voter counts only once it
-has caught up; until then it is a learner.
+ADDRESS is the peer address of the instance NAME. A new voter gets a vote only once
+it has caught up; until then it is a learner.
 `,
 	example: "balsamctl voters -instances 10.1.1.11:7003 replace entry-2 entry-7 10.1.2.17:7004",
 	remote:  true,
--- a/cmd/balsamctl/pull.go
+++ b/cmd/balsamctl/pull.go
@@ -29,26 +29,26 @@
 	maxArgs: 1,
 	summary: "Fetch the accepted files of a tier into a folder.",
 	help: `
-Files that were not edited here are brought up to date; edited ones are kept. A
-file that was edited here and changed by another operator as well is left alone
-and named. After looking at both, -take mine keeps the content here, which the
-next apply sends over the other operator's, and -take theirs replaces it.
+Files that were not edited locally are updated; edited ones are kept. A file that
+was edited locally and also changed by another operator is left alone and listed.
+After comparing both, -take mine keeps the local content, with which the next apply
+overwrites the other operator's, and -take theirs replaces it.
 `,
 	example: "balsamctl pull -instances 10.1.1.11:7003 configuration",
 	remote:  true,
 	flags: func(fl *flag.FlagSet, op *options) {
-		fl.StringVar(&op.take, "take", "", "`side` to take of files changed on both: mine or theirs")
+		fl.StringVar(&op.take, "take", "", "`side` to keep for files changed on both: mine or theirs")
 	},
 	do: pull,
 }
 
-// pulled is the JSON form of what pull did.
-type pulled struct {
+// pullReport is the JSON form of the result of pull.
+type pullReport struct {
 	Revision uint64
 	Written  []string
 	Removed  []string
-	Kept     []string // Kept are files that were edited here.
-	Clashes  []string // Clashes are files that both sides changed.
+	Kept     []string // files that were only edited in the folder
+	Clashes  []string // files that were changed on both sides
 }
 
 func pull(ctx context.Context, in *invocation) error {
@@ -74,36 +74,36 @@
 	if err := pu.run(); err != nil {
 		return err
 	}
-	return in.reportPull(pu.done)
+	return in.reportPull(pu.report)
 }
 
-func (in *invocation) reportPull(pd pulled) error {
+func (in *invocation) reportPull(pd pullReport) error {
 	err := in.print(pd, func(wr io.Writer) {
 		fmt.Fprintf(wr, "revision %d\n", pd.Revision)
 		for _, it := range []struct {
 			what  string
 			names []string
-		}{{"written", pd.Written}, {"removed", pd.Removed}, {"kept, edited here", pd.Kept}} {
+		}{{"written", pd.Written}, {"removed", pd.Removed}, {"kept, edited locally", pd.Kept}} {
 			if len(it.names) > 0 {
 				fmt.Fprintf(wr, "%s: %s\n", it.what, strings.Join(it.names, ", "))
 			}
 		}
 	})
 	if err == nil && len(pd.Clashes) > 0 {
-		de := "edited here and changed by another operator: " + strings.Join(pd.Clashes, ", ") + "; give -take"
+		de := "edited locally and changed by another operator: " + strings.Join(pd.Clashes, ", ") + "; give -take"
 		return &result.Error{Code: result.Conflict, Op: "pull", Detail: de}
 	}
 	return err
 }
 
-// puller brings a folder up to date.
+// puller updates a folder to the files of the tier.
 type puller struct {
-	dir  string
-	take string
-	seen seen
-	here map[string][]byte
-	tier map[string]operator.StoredFile
-	done pulled
+	dir    string
+	take   string
+	state  localState
+	local  map[string][]byte
+	remote map[string]operator.StoredFile
+	report pullReport
 }
 
 func newPuller(dir string, tier operator.FilesReply, take string) (*puller, error) {
@@ -111,101 +111,100 @@
 	if err != nil {
 		return nil, err
 	}
-	se, err := loadSeen(dir)
+	ls, err := loadState(dir)
 	if err != nil {
 		return nil, err
 	}
 	pu := &puller{
-		dir:  dir,
-		take: take,
-		seen: se,
-		here: make(map[string][]byte),
-		tier: make(map[string]operator.StoredFile),
-		done: pulled{Revision: tier.Revision},
+		dir:    dir,
+		take:   take,
+		state:  ls,
+		local:  make(map[string][]byte),
+		remote: make(map[string]operator.StoredFile),
+		report: pullReport{Revision: tier.Revision},
 	}
 	for _, fi := range files {
-		pu.here[fi.Name] = fi.Content
+		pu.local[fi.Name] = fi.Content
 	}
 	for _, sf := range tier.Files {
 		if filepath.Base(sf.Name) != sf.Name {
-			return nil, fmt.Errorf("the tier names a file %q outside the folder", sf.Name)
+			return nil, fmt.Errorf("the tier lists the file %q, which is outside the folder", sf.Name)
 		}
-		pu.tier[sf.Name] = sf
-		pu.answered(sf)
+		pu.remote[sf.Name] = sf
+		pu.resolveUnanswered(sf)
 	}
 	return pu, nil
 }
 
-// answered clears the change whose answer was lost if the file shows that the
-// tier made it.
-func (pu *puller) answered(sf operator.StoredFile) {
-	if un := pu.seen.Unanswered; un != nil && un.ChangeID == sf.ChangeID {
-		pu.seen = pu.seen.withChange(*un, sf.Revision)
+// resolveUnanswered clears the unanswered change if the file shows that the tier made it.
+func (pu *puller) resolveUnanswered(sf operator.StoredFile) {
+	if un := pu.state.Unanswered; un != nil && un.ChangeID == sf.ChangeID {
+		pu.state = pu.state.withChange(*un, sf.Revision)
 	}
 }
 
 func (pu *puller) run() error {
 	all := make(map[string]bool)
 	for _, ks := range [][]string{
-		slices.Collect(maps.Keys(pu.here)),
-		slices.Collect(maps.Keys(pu.tier)),
-		slices.Collect(maps.Keys(pu.seen.Files)),
+		slices.Collect(maps.Keys(pu.local)),
+		slices.Collect(maps.Keys(pu.remote)),
+		slices.Collect(maps.Keys(pu.state.Files)),
 	} {
 		for _, na := range ks {
 			all[na] = true
 		}
 	}
 	for _, na := range slices.Sorted(maps.Keys(all)) {
-		if err := pu.file(na); err != nil {
+		if err := pu.syncFile(na); err != nil {
 			return err
 		}
 	}
-	return pu.seen.save(pu.dir)
+	return pu.state.save(pu.dir)
 }
 
-func (pu *puller) file(na string) error {
-	data, isHere := pu.here[na]
-	sf, isThere := pu.tier[na]
-	was, wasSeen := pu.seen.Files[na]
-	edited := isHere != wasSeen || isHere && hash(data) != was.Hash
-	changed := isThere != wasSeen || isThere && sf.Revision != was.Revision
-	same := isHere == isThere && bytes.Equal(data, sf.Content)
+func (pu *puller) syncFile(na string) error {
+	data, isLocal := pu.local[na]
+	sf, isRemote := pu.remote[na]
+	was, wasSeen := pu.state.Files[na]
+	edited := isLocal != wasSeen || isLocal && hash(data) != was.Hash
+	changed := isRemote != wasSeen || isRemote && sf.Revision != was.Revision
+	same := isLocal == isRemote && bytes.Equal(data, sf.Content)
 	switch {
 	case same:
-		pu.see(na)
+		pu.markSeen(na)
 	case !edited && !changed:
 	case !edited || changed && pu.take == takeTheirs:
 		return pu.fetch(na)
 	case !changed:
-		pu.done.Kept = append(pu.done.Kept, na)
+		pu.report.Kept = append(pu.report.Kept, na)
 	case pu.take == takeMine:
-		pu.see(na)
-		pu.done.Kept = append(pu.done.Kept, na)
+		pu.markSeen(na)
+		pu.report.Kept = append(pu.report.Kept, na)
 	default:
-		pu.done.Clashes = append(pu.done.Clashes, na)
+		pu.report.Clashes = append(pu.report.Clashes, na)
 	}
 	return nil
 }
 
-// see records that the operator has seen the tier's version of the file.
-func (pu *puller) see(na string) {
-	sf, ok := pu.tier[na]
+// markSeen records the tier's version of the file as seen.
+func (pu *puller) markSeen(na string) {
+	sf, ok := pu.remote[na]
 	if !ok {
-		delete(pu.seen.Files, na)
+		delete(pu.state.Files, na)
 		return
 	}
-	pu.seen.Files[na] = seenVersion{Revision: sf.Revision, Hash: hash(sf.Content)}
+	pu.state.Files[na] = fileVersion{Revision: sf.Revision, Hash: hash(sf.Content)}
 }
 
-// fetch makes the file here the same as the tier's.
+// fetch replaces the local file by the tier's, or removes it if the tier has none.
 func (pu *puller) fetch(na string) error {
 	path := filepath.Join(pu.dir, na)
-	sf, ok := pu.tier[na]
-	pu.see(na)
+	sf, ok := pu.remote[na]
+	pu.markSeen(na)
 	if !ok {
-		pu.done.Removed = append(pu.done.Removed, na)
+		pu.report.Removed = append(pu.report.Removed, na)
 		return os.Remove(path)
 	}
-	pu.done.Written = append(pu.done.Written, na)
+	pu.report.Written = append(pu.report.Written, na)
 	return writeFile(path, sf.Content)
 }
--- a/cmd/balsamctl/request.go
+++ b/cmd/balsamctl/request.go
@@ -16,24 +16,24 @@
 	"balsamwinch.example/trail"
 )
 
-// explainRequest tells what logs say about one request.
+// explainRequest prints what the logs say about one request.
 func explainRequest(in *invocation) error {
-	sos, err := logs(in.logs)
+	sos, err := logSources(in.logs)
 	if err != nil {
 		return err
 	}
-	st, err := trail.Explain(in.request, sos)
+	rr, err := trail.Explain(in.request, sos)
 	if err != nil {
 		return err
 	}
-	if len(st.Lines) == 0 {
-		return noLine(st, len(sos))
+	if len(rr.Lines) == 0 {
+		return noLinesError(rr, len(sos))
 	}
-	return in.print(st, func(wr io.Writer) { printStory(wr, st) })
+	return in.print(rr, func(wr io.Writer) { printReport(wr, rr) })
 }
 
-// logs returns the files that are named, and those of the folders that are.
-func logs(paths []string) ([]trail.Source, error) {
+// logSources returns the given log files and all files of the given folders.
+func logSources(paths []string) ([]trail.Source, error) {
 	var sos []trail.Source
 	for _, pa := range paths {
 		err := filepath.WalkDir(pa, func(file string, en fs.DirEntry, err error) error {
@@ -50,44 +50,44 @@
 	return sos, nil
 }
 
-// noLine says why a request may have no line.
-func noLine(st trail.RequestReport, files int) error {
-	te := fmt.Sprintf("no line of request %s in %d files: either it was answered whole, in time and by the backend servers asked first, "+
-		"or it reached no instance of these logs", st.RequestID, files)
-	if len(st.LeftOut) > 0 {
-		te += ", or its line is among those that were left out: " + leftOut(st)
+// noLinesError explains why the logs may have no line about a request.
+func noLinesError(rr trail.RequestReport, files int) error {
+	te := fmt.Sprintf("no line of request %s in %d files: either it was answered completely, in time and by the backend servers asked first, "+
+		"or it reached no instance of these logs", rr.RequestID, files)
+	if len(rr.LeftOut) > 0 {
+		te += ", or its line is among those left out: " + formatLeftOut(rr)
 	}
 	return errors.New(te)
 }
 
-func leftOut(st trail.RequestReport) string {
+func formatLeftOut(rr trail.RequestReport) string {
 	var te []string
-	for _, ev := range slices.Sorted(maps.Keys(st.LeftOut)) {
-		te = append(te, fmt.Sprintf("%d of %s", st.LeftOut[ev], ev))
+	for _, ev := range slices.Sorted(maps.Keys(rr.LeftOut)) {
+		te = append(te, fmt.Sprintf("%d of %s", rr.LeftOut[ev], ev))
 	}
 	return strings.Join(te, ", ")
 }
 
-func printStory(wr io.Writer, st trail.RequestReport) {
-	fmt.Fprintf(wr, "request %s\n", st.RequestID)
+func printReport(wr io.Writer, rr trail.RequestReport) {
+	fmt.Fprintf(wr, "request %s\n", rr.RequestID)
 	ends := make(map[string]bool)
-	for _, li := range st.Lines {
+	for _, li := range rr.Lines {
 		fmt.Fprintf(wr, "\n%s %s %s\n", li.FormatTime(), li.Instance, li.Event)
 		printRequest(wr, li)
 		printAttempts(wr, trail.Attempts(li), ends)
 	}
 	printEnds(wr, ends)
-	for _, be := range st.Beliefs {
-		printBelief(wr, be)
+	for _, iv := range rr.Beliefs {
+		printInstanceView(wr, iv)
 	}
-	for _, se := range st.Servers {
+	for _, se := range rr.Servers {
 		printServer(wr, se)
 	}
-	if len(st.LeftOut) > 0 {
-		fmt.Fprintf(wr, "\nlines that the logs lack: %s\n", leftOut(st))
+	if len(rr.LeftOut) > 0 {
+		fmt.Fprintf(wr, "\nlines left out of the logs: %s\n", formatLeftOut(rr))
 	}
-	if st.Unread > 0 {
-		fmt.Fprintf(wr, "\nlines that could not be read: %d\n", st.Unread)
+	if rr.Unread > 0 {
+		fmt.Fprintf(wr, "\nlines that could not be read: %d\n", rr.Unread)
 	}
 }
 
@@ -101,16 +101,17 @@
 		{"missing parts", li.Text("Missing")},
 	}
 	if ac := li.Text("Active"); ac != "" {
-		rows = append(rows, [2]string{"then", fmt.Sprintf("%s requests under way; the backend servers last changed %s ms before it came", ac, li.Text("NewsMillis"))})
+		rows = append(rows, [2]string{"then", fmt.Sprintf("%s requests in flight; the backend servers last changed %s ms before it arrived", ac, li.Text("NewsMillis"))})
 	}
 	printPairs(wr, rows)
 }
 
-// statusLeft is the status in the line of a request whose caller left.
-const statusLeft = 499
+// statusCallerLeft is the status in the log line of a request whose caller closed the
+// connection before the answer.
+const statusCallerLeft = 499
 
 func answerOf(li trail.Line) string {
-	if li.Number("Status") == statusLeft {
+	if li.Number("Status") == statusCallerLeft {
 		return "none: the caller had left"
 	}
 	co := result.Code(li.Number("Code"))
@@ -158,18 +159,18 @@
 	tw.Flush()
 }
 
-// endMeanings say what the ends of attempts mean, in the order of this table.
+// endMeanings explains the ends of attempts, in the order in which they are printed.
 var endMeanings = [][2]string{
-	{"Answered", "a whole reply came; a status from 500 on is the backend server's own failure"},
-	{"NotRun", "the backend server says that it didn't run the request, as when its queue is full"},
-	{"Moved", "the process at the address says that it is another backend server"},
-	{"NotSent", "no byte left, as when the address can't be reached"},
+	{"Answered", "a complete reply arrived; a status from 500 on is the backend server's own failure"},
+	{"NotRun", "the backend server reports that it didn't run the request, for example because its queue is full"},
+	{"Moved", "the process at the address reports that it is another backend server"},
+	{"NotSent", "no byte was sent, for example because the address is unreachable"},
 	{"NoConnection", "all connections that this instance may open to the server were in use; nothing was sent"},
-	{"Lost", "bytes left, and the connection ended before a whole reply"},
-	{"Wrong", "bytes left, and what came was no reply to this request"},
+	{"Lost", "bytes were sent, and the connection ended before a complete reply"},
+	{"Wrong", "bytes were sent, and what arrived was not a reply to this request"},
 	{"TimedOut", "the deadline passed"},
-	{"Canceled", "given up, as another attempt had answered or the caller had left"},
-	{"UnderWay", "no reply had come when the request ended"},
+	{"Canceled", "canceled because another attempt had answered or the caller had left"},
+	{"UnderWay", "no reply had arrived when the request ended"},
 	{"NotAsked", "no backend server was asked"},
 }
 
@@ -186,35 +187,35 @@
 	}
 }
 
-func printBelief(wr io.Writer, be trail.InstanceView) {
-	fmt.Fprintf(wr, "\n%s at its last line of the request\n", be.Instance)
-	state := "not known: the logs don't reach back to its start"
-	if be.State != "" {
-		state = fmt.Sprintf("%s since %s", be.State, be.Since)
+func printInstanceView(wr io.Writer, iv trail.InstanceView) {
+	fmt.Fprintf(wr, "\n%s at its last line of the request\n", iv.Instance)
+	state := "unknown: the logs don't reach back to its start"
+	if iv.State != "" {
+		state = fmt.Sprintf("%s since %s", iv.State, iv.Since)
 	}
 	const unseen = "none seen in the logs"
 	version := unseen
-	if be.VersionSince != "" {
-		version = fmt.Sprintf("version %d since %s", be.Version, be.VersionSince)
+	if iv.VersionSince != "" {
+		version = fmt.Sprintf("version %d since %s", iv.Version, iv.VersionSince)
 	}
 	links := unseen
-	if len(be.Links) > 0 {
-		links = fmt.Sprintf("%d of %d up", linksUp(be.Links), len(be.Links))
+	if len(iv.Links) > 0 {
+		links = fmt.Sprintf("%d of %d up", linksUp(iv.Links), len(iv.Links))
 	}
 	rows := [][2]string{{"state", state}, {"configuration", version}}
-	if be.Entries > 0 {
-		rows = append(rows, [2]string{"entry instances", fmt.Sprint(be.Entries)})
+	if iv.Entries > 0 {
+		rows = append(rows, [2]string{"entry instances", fmt.Sprint(iv.Entries)})
 	}
 	printPairs(wr, append(rows, [2]string{"control links", links}))
-	printLinks(wr, be.Links)
-	if len(be.During) == 0 {
+	printLinks(wr, iv.Links)
+	if len(iv.During) == 0 {
 		return
 	}
 	fmt.Fprintln(wr, "  while the request ran")
-	if be.Before > 0 {
-		fmt.Fprintf(wr, "    %d lines before these\n", be.Before)
+	if iv.Before > 0 {
+		fmt.Fprintf(wr, "    %d lines before these\n", iv.Before)
 	}
-	for _, li := range be.During {
+	for _, li := range iv.During {
 		fmt.Fprintf(wr, "    %s %s\n", li.FormatTime(), describeLine(li))
 	}
 }
@@ -254,7 +255,7 @@
 		for _, end := range slices.Sorted(maps.Keys(se.Around)) {
 			te = append(te, fmt.Sprintf("%d %s", se.Around[end], end))
 		}
-		fmt.Fprintf(wr, "  attempts in lines of other requests from %s before to %s after: %s; at %d entry instances\n",
+		fmt.Fprintf(wr, "  attempts in log lines of other requests from %s before to %s after: %s; at %d entry instances\n",
 			trail.AroundWindow, trail.AroundWindow, strings.Join(te, ", "), se.Instances)
 	}
 	for _, li := range se.Lines {
@@ -262,7 +263,7 @@
 	}
 }
 
-// describeLine shows the event and the fields of a line.
+// describeLine formats the event and the fields of a line.
 func describeLine(li trail.Line) string {
 	te := []string{li.Event}
 	for _, fi := range li.Fields {
--- a/cmd/balsamctl/run.go
+++ b/cmd/balsamctl/run.go
@@ -19,9 +19,9 @@
 	"balsamwinch.example/settings"
 )
 
-// The exit codes.
+// Exit codes.
 const (
-	exitDone     = 0
+	exitOK       = 0
 	exitFailed   = 1
 	exitUsage    = 2
 	exitConflict = 3
@@ -33,14 +33,14 @@
 const exitCodes = `Exit codes:
   0  done
   1  failed, for example because no instance could be reached
-  2  wrong command line
+  2  invalid command line
   3  conflict: another operator changed a file first
   4  faults in settings or configuration
   5  pending: committed, but not yet in force on every serving instance
-  6  the audit trail is not a sound chain
+  6  the hash chain of the audit trail is broken
 `
 
-// The environment variables that give defaults.
+// Environment variables with defaults for flags.
 const (
 	envInstances = "BALSAMCTL_INSTANCES"
 	envAuthor    = "BALSAMCTL_AUTHOR"
@@ -51,18 +51,18 @@
 // command is one subcommand.
 type command struct {
 	name    string
-	args    string // args shows the arguments after the flags.
+	args    string // arguments after the flags, for the usage line
 	minArgs int
-	maxArgs int // maxArgs is -1 for any number.
+	maxArgs int // -1 for any number
 	summary string
 	help    string
 	example string
-	remote  bool // remote says that it speaks with a tier.
+	remote  bool // whether the command connects to a tier
 	flags   func(fl *flag.FlagSet, op *options)
 	do      func(ctx context.Context, in *invocation) error
 }
 
-// options are the values of all flags that some subcommand has.
+// options holds the values of the flags of all subcommands.
 type options struct {
 	json      bool
 	instances string
@@ -84,7 +84,7 @@
 	options
 	args    []string
 	out     io.Writer
-	printed bool // printed says that the result is out; a program gets one JSON value.
+	printed bool // whether the result was already printed; with -json only one value may be printed
 }
 
 func commands() []command {
@@ -94,12 +94,12 @@
 	}
 }
 
-// usageError is a wrong command line.
+// usageError reports an invalid command line.
 type usageError struct {
 	detail string
 }
 
-// Error returns what is wrong.
+// Error returns the detail.
 func (ue *usageError) Error() string {
 	return ue.detail
 }
@@ -121,7 +121,7 @@
 	in := &invocation{out: out}
 	fl := cm.flagSet(&in.options, errOut)
 	if err := fl.Parse(args[1:]); errors.Is(err, flag.ErrHelp) {
-		return exitDone
+		return exitOK
 	} else if err != nil {
 		return exitUsage
 	}
@@ -175,7 +175,7 @@
 	return cm.do(ctx, in)
 }
 
-// client returns a client of the tier.
+// client returns a client for the instances of the tier.
 func (in *invocation) client() (*operator.Client, error) {
 	if in.instances == "" {
 		return nil, &usageError{"no instances: give -instances or set " + envInstances}
@@ -186,7 +186,7 @@
 // finish prints an error and returns the exit code.
 func (in *invocation) finish(err error, errOut io.Writer) int {
 	if err == nil {
-		return exitDone
+		return exitOK
 	}
 	co, de := classify(err)
 	if in.json && !in.printed {
@@ -196,7 +196,7 @@
 	return co
 }
 
-// printError gives each fault a line of its own that begins with its file.
+// printError prints each fault on its own line, beginning with the file name.
 func printError(wr io.Writer, err error, fs settings.Faults) {
 	if len(fs) == 0 {
 		fmt.Fprintf(wr, "balsamctl: %v\n", err)
@@ -210,7 +210,7 @@
 type failure struct {
 	Exit   int
 	Code   result.Code `json:",omitempty"`
-	Name   string      `json:",omitempty"` // Name is the name of Code.
+	Name   string      `json:",omitempty"` // name of Code
 	Detail string
 	Faults settings.Faults `json:",omitempty"`
 }
@@ -240,13 +240,12 @@
 	return fa.Exit, fa
 }
 
-// print writes the value as JSON or else calls the function that writes it for
-// a person.
-func (in *invocation) print(va any, person func(wr io.Writer)) error {
+// print writes the value as JSON, or calls printText if -json is not set.
+func (in *invocation) print(va any, printText func(wr io.Writer)) error {
 	if in.json {
 		return in.printJSON(va)
 	}
-	person(in.out)
+	printText(in.out)
 	return nil
 }
 
--- a/cmd/balsamctl/status.go
+++ b/cmd/balsamctl/status.go
@@ -14,8 +14,8 @@
 	name:    "status",
 	summary: "Show the leader, the services and the backend servers.",
 	help: `
-It shows what the first instance that answers sees: for each service the snapshot
-that a query would pin, how many shards some server holds and which none does.
+It shows the view of the first instance that answers: for each service the snapshot
+that a query would pin, how many shards a server holds and which ones no server holds.
 `,
 	example: "balsamctl status -instances 10.1.1.11:7003",
 	remote:  true,
@@ -26,7 +26,7 @@
 	name:    "members",
 	summary: "Show the instances and the voters.",
 	help: `
-For each instance it shows the revision in force and how long its lease still runs.
+For each instance it shows the revision in force and the remaining time of its lease.
 `,
 	example: "balsamctl members -instances 10.1.1.11:7003",
 	remote:  true,
@@ -39,7 +39,7 @@
 		return err
 	}
 	return in.print(st, func(wr io.Writer) {
-		printHead(wr, st)
+		printHeader(wr, st)
 		printServices(wr, st.Services)
 		printServers(wr, st.Servers)
 	})
@@ -57,7 +57,7 @@
 		Instances []operator.InstanceStatus
 	}{st.Leader, st.Term, st.Voters, st.Instances}
 	return in.print(me, func(wr io.Writer) {
-		printHead(wr, st)
+		printHeader(wr, st)
 		printVoters(wr, st.Voters)
 		printInstances(wr, st.Instances)
 	})
@@ -71,7 +71,7 @@
 	return cl.Status(ctx)
 }
 
-func printHead(wr io.Writer, st operator.Status) {
+func printHeader(wr io.Writer, st operator.Status) {
 	le := st.Leader
 	if le == "" {
 		le = "none known"
@@ -79,7 +79,7 @@
 	fmt.Fprintf(wr, "seen by %s: leader %s, term %d, revision %d\n", st.Instance, le, st.Term, st.Revision)
 }
 
-// printTable writes rows of cells, the first one being the heading.
+// printTable writes rows of cells; the first row is the header.
 func printTable(wr io.Writer, rows [][]string) {
 	fmt.Fprintln(wr)
 	tw := tabwriter.NewWriter(wr, 0, 0, 2, ' ', 0)
