--- a/cmd/balsamwinch/bookings_test.go
+++ b/cmd/balsamwinch/bookings_test.go
@@ -17,11 +17,11 @@
 	"balsamwinch.example/result"
 )
 
-// bookingCallers is how many callers send bookings at a time.
+// bookingCallers is the number of concurrent callers that send bookings.
 const bookingCallers = 8
 
-// bookings sends requests that must not be repeated, and resends those whose
-// outcome it does not know through the next instance, as a caller would.
+// bookings sends requests that must not run twice. Like a real caller, it resends a request
+// with an unknown outcome through the next instance.
 type bookings struct {
 	addresses func() []string
 	service   string
@@ -29,33 +29,34 @@
 	next      atomic.Int64
 	wg        sync.WaitGroup
 	mu        sync.Mutex
-	claims    map[string]result.Code // claims holds the last answer to each key.
+	lastCodes map[string]result.Code // last result code received for each key
 }
 
-// cmdBookings starts callers that send bookings in the background: bookings
-// SERVICE COUNT INSTANCE... The environment variable BOOKINGS replaces COUNT.
+// cmdBookings implements "bookings SERVICE COUNT INSTANCE...": it starts callers that send
+// bookings in the background. The environment variable BOOKINGS replaces COUNT.
 func cmdBookings(ts *testscript.TestScript, _ bool, args []string) {
 	if more := os.Getenv("BOOKINGS"); more != "" {
 		args[1] = more
 	}
 	count, err := strconv.ParseInt(args[1], 10, 64)
 	ts.Check(err)
-	wo := worldOf(ts)
-	bo := &bookings{service: args[0], count: count, claims: make(map[string]result.Code)}
-	bo.addresses = func() []string { return wo.callers(args[2:]) }
-	wo.books = bo
+	cl := clusterOf(ts)
+	bo := &bookings{service: args[0], count: count, lastCodes: make(map[string]result.Code)}
+	bo.addresses = func() []string { return cl.callerAddressesOf(args[2:]) }
+	cl.bookings = bo
 	for range bookingCallers {
 		bo.wg.Go(bo.run)
 	}
 }
 
-// callers returns the caller addresses of instances as they last started.
-func (wo *world) callers(names []string) []string {
-	wo.mu.Lock()
-	defer wo.mu.Unlock()
+// callerAddressesOf returns the caller addresses that the instances printed at their last
+// start.
+func (cl *cluster) callerAddressesOf(names []string) []string {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
 	var out []string
 	for _, name := range names {
-		out = append(out, wo.callerOf[name])
+		out = append(out, cl.callerAddresses[name])
 	}
 	return out
 }
@@ -69,12 +70,12 @@
 		key := fmt.Sprintf("booking-%d", ix)
 		code := bo.book(key, int(ix))
 		bo.mu.Lock()
-		bo.claims[key] = code
+		bo.lastCodes[key] = code
 		bo.mu.Unlock()
 	}
 }
 
-// book sends one booking until an answer settles it, or ten sends did not.
+// book sends one booking until an answer gives its outcome, at most ten times.
 func (bo *bookings) book(key string, ix int) result.Code {
 	code := result.OutcomeUnknown
 	for try := range 10 {
@@ -105,29 +106,29 @@
 	return an.Code, err
 }
 
-// cmdBooked waits for all bookings and compares what callers were told with what
-// the backend servers ran: booked CONTROLADDRESS...
+// cmdBooked implements "booked CONTROLADDRESS...": it waits for all bookings and compares the
+// answers that callers received with the requests that the backend servers ran.
 func cmdBooked(ts *testscript.TestScript, _ bool, args []string) {
-	bo := worldOf(ts).books
+	bo := clusterOf(ts).bookings
 	bo.wg.Wait()
-	twice, lied, ran, unknown, notRun := 0, 0, 0, 0, 0
+	twice, contradicted, ran, unknown, notRun := 0, 0, 0, 0, 0
 	for _, address := range args {
-		runs := keyRuns(ts, address)
-		for key, times := range runs {
-			if times > 1 {
+		keyCounts := runsByKey(ts, address)
+		for key, count := range keyCounts {
+			if count > 1 {
 				twice++
 			}
-			if bo.claims[key].NotRun() {
-				lied++
+			if bo.lastCodes[key].NotRun() {
+				contradicted++
 			}
 		}
-		for key, code := range bo.claims {
-			if code == result.Complete && runs[key] == 0 {
-				lied++
+		for key, code := range bo.lastCodes {
+			if code == result.Complete && keyCounts[key] == 0 {
+				contradicted++
 			}
 		}
 	}
-	for _, code := range bo.claims {
+	for _, code := range bo.lastCodes {
 		switch {
 		case code == result.Complete:
 			ran++
@@ -137,14 +138,14 @@
 			unknown++
 		}
 	}
-	fmt.Fprintf(ts.Stdout(), "twice %d, lied %d; of %d: ran %d, not run %d, unknown %d\n", twice, lied, len(bo.claims), ran, notRun, unknown)
+	fmt.Fprintf(ts.Stdout(), "twice %d, lied %d; of %d: ran %d, not run %d, unknown %d\n", twice, contradicted, len(bo.lastCodes), ran, notRun, unknown)
 	if out := os.Getenv("BOOKINGS_OUT"); out != "" {
-		ts.Check(os.WriteFile(out, fmt.Appendf(nil, "twice %d, lied %d; of %d: ran %d, not run %d, unknown %d\n", twice, lied, len(bo.claims), ran, notRun, unknown), 0o600))
+		ts.Check(os.WriteFile(out, fmt.Appendf(nil, "twice %d, lied %d; of %d: ran %d, not run %d, unknown %d\n", twice, contradicted, len(bo.lastCodes), ran, notRun, unknown), 0o600))
 	}
 }
 
-// keyRuns asks a backend server how often it ran each key.
-func keyRuns(ts *testscript.TestScript, address string) map[string]int {
+// runsByKey returns how often a backend server ran the request of each key.
+func runsByKey(ts *testscript.TestScript, address string) map[string]int {
 	rs, err := http.Get("http://" + address + "/counts")
 	ts.Check(err)
 	defer rs.Body.Close()
--- a/cmd/balsamwinch/demo.go
+++ b/cmd/balsamwinch/demo.go
@@ -23,13 +23,13 @@
 	"balsamwinch.example/timer"
 )
 
-// The shape of the demo's tier.
+// Sizes and limits of the demo's tier.
 const (
-	demoInstances = 3
-	demoShards    = 4
-	demoReplicas  = 2
-	demoReady     = 30 * time.Second
-	demoService   = "archivo"
+	demoInstances    = 3
+	demoShards       = 4
+	demoReplicas     = 2
+	demoReadyTimeout = 30 * time.Second
+	demoService      = "archivo"
 )
 
 // demoFile is the operators' configuration of the demo.
@@ -50,17 +50,17 @@
 
 var demoShardNames = [demoShards]string{"a", "b", "c", "d"}
 
-// demo starts a whole tier with emulated backend servers in this process. With
-// -once it sends one query, prints the answer as JSON and stops. With -routed it is
-// the routed tier.
+// demo runs a complete tier with emulated backend servers in this process. With -once it sends
+// one query, prints the answer as JSON and stops. With -routed it runs the routed tier
+// instead.
 func demo(ctx context.Context, args []string, out, errOut io.Writer) error {
 	fs := flag.NewFlagSet("demo", flag.ContinueOnError)
 	fs.SetOutput(errOut)
 	once := fs.Bool("once", false, "send one query, print the answer as JSON and stop")
 	routed := fs.Bool("routed", false, "run the routed tier")
-	verbose := fs.Bool("v", false, "write the instances' logs to standard error")
+	verbose := fs.Bool("v", false, "print the logs of the instances on standard error")
 	if err := fs.Parse(args); err != nil {
-		return usageOf(err)
+		return asUsageError(err)
 	}
 	lg := zap.NewNop()
 	if *verbose {
@@ -90,16 +90,16 @@
 	if err != nil {
 		return err
 	}
-	leafs, cancel := context.WithCancel(context.Background())
-	done := startLeafs(leafs, lo.Addresses("Backend"), ts, lg)
+	leavesCtx, cancel := context.WithCancel(context.Background())
+	done := startLeaves(leavesCtx, lo.Addresses("Backend"), ts, lg)
 	err = serveDemo(ctx, lo, once, out)
 	cancel()
 	<-done
 	return errors.Join(err, lo.Close())
 }
 
-// demoTiming shortens the lease, which a first leader waits out before it grants
-// any.
+// demoTiming returns a timing with a shorter lease, because the first leader waits for the
+// length of a lease before it grants one.
 func demoTiming() settings.Timing {
 	ti := settings.NewInstance().Timing
 	ti.Lease = time.Second
@@ -108,7 +108,7 @@
 }
 
 // startLeafs starts the emulated backend servers under a supervisor.
-func startLeafs(ctx context.Context, announce []string, ts *timer.Service, lg *zap.Logger) <-chan error {
+func startLeaves(ctx context.Context, announce []string, ts *timer.Service, lg *zap.Logger) <-chan error {
 	su := suture.NewSimple("leafs")
 	for _, sh := range demoShardNames {
 		for re := range demoReplicas {
@@ -134,15 +134,15 @@
 }
 
 func serveDemo(ctx context.Context, lo *instance.Local, once bool, out io.Writer) error {
-	ready, cancel := context.WithTimeout(ctx, demoReady)
+	readyCtx, cancel := context.WithTimeout(ctx, demoReadyTimeout)
 	defer cancel()
-	if err := lo.Apply(ready, "demo", []operator.File{{Name: "10-archivo.yaml", Content: []byte(demoFile)}}); err != nil {
+	if err := lo.Apply(readyCtx, "demo", []operator.File{{Name: "10-archivo.yaml", Content: []byte(demoFile)}}); err != nil {
 		return err
 	}
-	all := func(in *instance.Instance) bool {
+	allReady := func(in *instance.Instance) bool {
 		return len(in.View().Servers) == demoShards*demoReplicas && in.Ready()
 	}
-	if err := lo.Wait(ready, all); err != nil {
+	if err := lo.Wait(readyCtx, allReady); err != nil {
 		return err
 	}
 	address := lo.Addresses("Caller")[0]
--- a/cmd/balsamwinch/demo_routed.go
+++ b/cmd/balsamwinch/demo_routed.go
@@ -14,35 +14,35 @@
 	"balsamwinch.example/timer"
 )
 
-// The shape of the demo's routed tier.
+// Sizes and limits of the demo's routed tier.
 const (
-	routedEntries    = 2
-	routedControls   = 3
-	routedRecords    = 4
-	routedTopK       = 5
-	routedHost       = "archivo.example"
-	routedPath       = "/search/curtains"
-	routedTimeout    = time.Second
-	routedStopWithin = 2 * time.Second
+	routedEntries     = 2
+	routedControls    = 3
+	routedRecords     = 4
+	routedTopK        = 5
+	routedHost        = "archivo.example"
+	routedPath        = "/search/curtains"
+	routedTimeout     = time.Second
+	routedStopTimeout = 2 * time.Second
 )
 
 // routedAnswer is the merged answer that the demo prints.
 type routedAnswer struct {
 	Status  int
-	Records []string // Records are the greatest of all shards, the greatest first.
-	Stamps  []string // Stamps name the backend server that answered for each shard.
-	Missing int      // Missing counts the shards that are left out.
+	Records []string // greatest records of all shards, in descending order
+	Stamps  []string // one for each shard, from the backend server that answered
+	Missing int      // number of shards missing from the answer
 }
 
-// runRoutedDemo starts a routed tier with emulated backend servers, sends a query
-// that is merged from all shards, prints the answer, and serves on unless once is
-// set.
+// runRoutedDemo starts a routed tier with emulated backend servers, sends a query whose answer
+// is merged from all shards, and prints it. Unless once is set, it then serves until the
+// context ends.
 func runRoutedDemo(ctx context.Context, folder string, once bool, out io.Writer, lg *zap.Logger) error {
 	ts := timer.New()
-	ready, cancel := context.WithTimeout(ctx, demoReady)
+	readyCtx, cancel := context.WithTimeout(ctx, demoReadyTimeout)
 	defer cancel()
-	lo, err := emulate.StartLocalTier(ready, emulate.LocalConfig{
-		Entries: routedEntries, Controls: routedControls, Folder: folder, StopTimeout: routedStopWithin,
+	lo, err := emulate.StartLocalTier(readyCtx, emulate.LocalConfig{
+		Entries: routedEntries, Controls: routedControls, Folder: folder, StopTimeout: routedStopTimeout,
 		DataCentres: []string{"miraflores", "surquillo", "san-isidro"},
 	}, ts, lg)
 	if err != nil {
@@ -53,14 +53,14 @@
 		return errors.Join(err, lo.Close())
 	}
 	defer ss.Close()
-	err = lo.Configure(ready, routedConfiguration())
+	err = lo.Configure(readyCtx, routedConfiguration())
 	if err == nil {
-		err = serveRouted(ctx, ready, lo, ss, ts, once, out)
+		err = serveRouted(ctx, readyCtx, lo, ss, ts, once, out)
 	}
 	return errors.Join(err, lo.Close())
 }
 
-// routedServers returns two backend servers for each shard.
+// routedServers returns the configurations of demoReplicas backend servers for each shard.
 func routedServers() []emulate.Config {
 	var cfs []emulate.Config
 	for _, sh := range demoShardNames {
@@ -90,12 +90,13 @@
 	return cf
 }
 
-// serveRouted asks until all shards answer, prints that answer, and serves on.
-func serveRouted(ctx, ready context.Context, lo *emulate.LocalTier, ss *emulate.Servers, ts *timer.Service, once bool, out io.Writer) error {
+// serveRouted repeats a query until all shards answer and prints that answer. Unless once is
+// set, it then waits until the context ends.
+func serveRouted(ctx, readyCtx context.Context, lo *emulate.LocalTier, ss *emulate.Servers, ts *timer.Service, once bool, out io.Writer) error {
 	ca := emulate.NewCaller()
 	defer ca.Close()
 	address := lo.CallerAddresses()[0]
-	an, err := ca.AwaitComplete(ready, ts, address,
+	an, err := ca.AwaitComplete(readyCtx, ts, address,
 		emulate.Request{ID: "demo", Host: routedHost, Path: routedPath, Timeout: routedTimeout},
 		emulate.Expectation{Services: demoShardNames[:], Service: ss.Service, Records: routedRecords, TopK: routedTopK})
 	if err != nil {
--- a/cmd/balsamwinch/demo_routed_test.go
+++ b/cmd/balsamwinch/demo_routed_test.go
@@ -6,9 +6,8 @@
 	"testing"
 )
 
-// Someone starts the demo of the routed tier: one whole answer is printed, and
-// the process ends.
-func TestRoutedDemo(t *testing.T) {
+// With -once the routed demo must print one complete answer and exit.
+func TestRoutedDemoOnceReturnsCompleteAnswer(t *testing.T) {
 	var out, errOut bytes.Buffer
 	if code := run(t.Context(), []string{"demo", "-routed", "-once"}, &out, &errOut); code != exitOK {
 		t.Fatalf("exit code %d: %s", code, errOut.String())
@@ -18,6 +17,6 @@
 		t.Fatalf("%v: %s", err, out.String())
 	}
 	if len(ra.Records) != routedTopK || len(ra.Stamps) != demoShards || ra.Missing != 0 {
-		t.Fatalf("not a whole answer: %s", out.String())
+		t.Fatalf("answer is not complete: %s", out.String())
 	}
 }
--- a/cmd/balsamwinch/flood_test.go
+++ b/cmd/balsamwinch/flood_test.go
@@ -16,41 +16,41 @@
 	"balsamwinch.example/result"
 )
 
-// floodPartitions is what a flood's service is divided into unless told otherwise.
+// floodPartitions is the default partition map of the queried service.
 const floodPartitions = "1:a,b"
 
-// flood sends queries from several callers until it is told to end. They begin at
-// the addresses in turn, and each keeps the address list that it gets for its time
-// to live, as a real one does. Every answer is compared with its query: request
-// id, rows, snapshot and shards.
+// flood sends queries from several concurrent callers until it is stopped. The callers start
+// at different addresses, and each keeps its address list until its TTL expires, as a real
+// caller does. Every answer is checked against its query: request id, rows, snapshot and
+// shards.
 type flood struct {
-	addresses  []string
-	fixed      bool // fixed makes each caller stay at its first address without asking for a list.
-	service    string
-	partitions load.Partitions
-	stop       chan struct{}
-	wg         sync.WaitGroup
-	sent       atomic.Int64
-	ended      atomic.Int64 // ended counts queries that were answered or cut.
-	cut        atomic.Int64 // cut counts queries that got no answer at all.
-	bad        atomic.Int64 // bad counts answers that are not complete.
-	wrong      atomic.Int64 // wrong counts answers that are mixed, of another request, or claim what they don't hold.
-	last       atomic.Value
+	addresses    []string
+	fixedAddress bool // whether each caller keeps its first address and never fetches a list
+	service      string
+	partitions   load.Partitions
+	stop         chan struct{}
+	wg           sync.WaitGroup
+	sent         atomic.Int64
+	ended        atomic.Int64 // queries that ended, with or without an answer
+	unanswered   atomic.Int64 // queries that got no answer at all
+	incomplete   atomic.Int64 // answers with a code other than Complete
+	wrong        atomic.Int64 // answers that mix snapshots, belong to another request or claim coverage they lack
+	lastError    atomic.Value
 }
 
-// cmdFlood starts callers: flood ADDRESSES SERVICE CALLERS [NUMBER:SHARD,SHARD...].
-// The last arguments are the service's partition maps.
+// cmdFlood implements "flood ADDRESSES SERVICE CALLERS [NUMBER:SHARD,SHARD...]": it starts
+// callers. The last arguments are the service's partition maps.
 func cmdFlood(ts *testscript.TestScript, _ bool, args []string) {
 	startFlood(ts, false, args)
 }
 
-// cmdPress is flood for callers that stay at the given addresses: press ADDRESSES
-// SERVICE CALLERS.
+// cmdPress implements "press ADDRESSES SERVICE CALLERS": like flood, but the callers keep the
+// given addresses.
 func cmdPress(ts *testscript.TestScript, _ bool, args []string) {
 	startFlood(ts, true, args)
 }
 
-func startFlood(ts *testscript.TestScript, fixed bool, args []string) {
+func startFlood(ts *testscript.TestScript, fixedAddress bool, args []string) {
 	callers, err := strconv.Atoi(args[2])
 	ts.Check(err)
 	maps := args[3:]
@@ -58,11 +58,11 @@
 		maps = []string{floodPartitions}
 	}
 	fl := &flood{
-		addresses:  strings.Split(args[0], ","),
-		fixed:      fixed,
-		service:    args[1],
-		partitions: make(load.Partitions),
-		stop:       make(chan struct{}),
+		addresses:    strings.Split(args[0], ","),
+		fixedAddress: fixedAddress,
+		service:      args[1],
+		partitions:   make(load.Partitions),
+		stop:         make(chan struct{}),
 	}
 	for _, pa := range maps {
 		number, shards, _ := strings.Cut(pa, ":")
@@ -70,7 +70,7 @@
 		ts.Check(err)
 		fl.partitions[nu] = strings.Split(shards, ",")
 	}
-	worldOf(ts).flood = fl
+	clusterOf(ts).flood = fl
 	for ix := range callers {
 		fl.wg.Go(func() { fl.run(ix) })
 	}
@@ -79,7 +79,7 @@
 func (fl *flood) run(caller int) {
 	first := caller % len(fl.addresses)
 	cr := &listCaller{seeds: slices.Concat(fl.addresses[first:], fl.addresses[:first]), service: fl.service}
-	if fl.fixed {
+	if fl.fixedAddress {
 		cr.list.Addresses = cr.seeds[:1]
 		cr.until = time.Now().Add(time.Hour)
 	}
@@ -95,43 +95,43 @@
 			Partitions: fl.partitions,
 		}
 		fl.sent.Add(1)
-		fl.note(ca, cr.query(ca))
+		fl.record(ca, cr.query(ca))
 		fl.ended.Add(1)
 	}
 }
 
-func (fl *flood) note(ca load.Call, at load.Attempt) {
+func (fl *flood) record(ca load.Call, at load.Attempt) {
 	if at.Err != nil {
-		fl.cut.Add(1)
-		fl.last.Store(at.Err.Error())
+		fl.unanswered.Add(1)
+		fl.lastError.Store(at.Err.Error())
 		return
 	}
 	if at.Answer.Code != result.Complete {
-		fl.bad.Add(1)
-		fl.last.Store(fmt.Sprint(at.Answer.Code, " ", at.Answer.Detail))
+		fl.incomplete.Add(1)
+		fl.lastError.Store(fmt.Sprint(at.Answer.Code, " ", at.Answer.Detail))
 	}
 	if brs := load.Check(ca, at); len(brs) > 0 {
 		fl.wrong.Add(1)
-		fl.last.Store(fmt.Sprint(brs))
+		fl.lastError.Store(fmt.Sprint(brs))
 	}
 }
 
-// cmdFlooded waits until that many more queries have ended: flooded COUNT.
+// cmdFlooded implements "flooded COUNT": it waits until COUNT more queries have ended.
 func cmdFlooded(ts *testscript.TestScript, _ bool, args []string) {
 	count, err := strconv.ParseInt(args[0], 10, 64)
 	ts.Check(err)
-	fl := worldOf(ts).flood
+	fl := clusterOf(ts).flood
 	until := fl.ended.Load() + count
-	for end := time.Now().Add(patience); fl.ended.Load() < until; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); fl.ended.Load() < until; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			ts.Fatalf("%d of %d queries are still to end", until-fl.ended.Load(), count)
+			ts.Fatalf("%d of %d queries have not ended", until-fl.ended.Load(), count)
 		}
 	}
 }
 
-// cmdFloodEnds stops the callers and prints what they counted.
+// cmdFloodEnds implements "floodends": it stops the callers and prints their counters.
 func cmdFloodEnds(ts *testscript.TestScript, _ bool, _ []string) {
-	fl := worldOf(ts).flood
+	fl := clusterOf(ts).flood
 	close(fl.stop)
 	fl.wg.Wait()
 	some := "none"
@@ -139,5 +139,5 @@
 		some = "some"
 	}
 	fmt.Fprintf(ts.Stdout(), "sent %s, cut %d, bad %d, wrong %d, last %v\n",
-		some, fl.cut.Load(), fl.bad.Load(), fl.wrong.Load(), fl.last.Load())
+		some, fl.unanswered.Load(), fl.incomplete.Load(), fl.wrong.Load(), fl.lastError.Load())
 }
--- a/cmd/balsamwinch/instance.go
+++ b/cmd/balsamwinch/instance.go
@@ -16,8 +16,7 @@
 	"balsamwinch.example/timer"
 )
 
-// started is the line that an instance prints on standard output once it
-// listens.
+// started is the JSON line that an instance prints on standard output once it listens.
 type started struct {
 	Instance string
 	Caller   string `json:",omitempty"`
@@ -33,7 +32,7 @@
 	fs.SetOutput(errOut)
 	path := fs.String("settings", "", "the instance's settings `FILE` (YAML)")
 	if err := fs.Parse(args); err != nil {
-		return settings.Instance{}, usageOf(err)
+		return settings.Instance{}, asUsageError(err)
 	}
 	if *path == "" || fs.NArg() > 0 {
 		return settings.Instance{}, &usageError{detail: "want -settings FILE and nothing else"}
@@ -41,7 +40,7 @@
 	return settings.LoadInstance(*path)
 }
 
-func usageOf(err error) error {
+func asUsageError(err error) error {
 	if err == flag.ErrHelp {
 		return err
 	}
@@ -81,11 +80,11 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%s: settings are sound; roles %v in data centre %s\n", cf.Name, cf.Roles, cf.DataCentre)
+	fmt.Fprintf(out, "%s: settings are valid; roles %v in data centre %s\n", cf.Name, cf.Roles, cf.DataCentre)
 	return nil
 }
 
-// newLogger returns a logger that writes JSON lines.
+// newLogger returns a logger that writes JSON lines. An unknown level means info.
 func newLogger(out io.Writer, level string) *zap.Logger {
 	lv, err := zapcore.ParseLevel(level)
 	if err != nil {
--- a/cmd/balsamwinch/main.go
+++ b/cmd/balsamwinch/main.go
@@ -1,5 +1,5 @@
-// Command balsamwinch runs one instance of the query tier, or a demo of the
-// whole tier in one process.
+// Command balsamwinch runs one instance of the query tier, or a demo of a complete tier in one
+// process.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	"balsamwinch.example/result"
 )
 
-// The exit codes, as docs/OPERATIONS.md lists them.
+// Exit codes, documented in docs/OPERATIONS.md.
 const (
 	exitOK       = 0
 	exitFailed   = 1
@@ -29,7 +29,7 @@
   balsamwinch run -settings FILE     run one instance until SIGTERM
   balsamwinch check -settings FILE   check a settings file
   balsamwinch platform               run one instance of the routed tier on the users' platform
-  balsamwinch demo [-once]           run a whole tier with emulated backend servers
+  balsamwinch demo [-once]           run a complete tier with emulated backend servers
   balsamwinch demo -routed [-once]   the same for the routed tier
   balsamwinch help                   print this text
 
@@ -68,12 +68,12 @@
 	return exitCode(err, errOut)
 }
 
-// usageError is a wrong command line.
+// usageError reports an invalid command line.
 type usageError struct {
 	detail string
 }
 
-// Error says what is wrong.
+// Error returns the detail.
 func (ue *usageError) Error() string {
 	return ue.detail
 }
--- a/cmd/balsamwinch/platform.go
+++ b/cmd/balsamwinch/platform.go
@@ -15,14 +15,14 @@
 	"balsamwinch.example/trail"
 )
 
-// runPlatform runs one instance of the routed tier as the users' platform starts
-// it: the environment names the settings file.
+// runPlatform runs one instance of the routed tier on the users' platform, which passes the
+// path of the settings file in an environment variable.
 func runPlatform(ctx context.Context, args []string, out, errOut io.Writer) error {
 	fl := flag.NewFlagSet("platform", flag.ContinueOnError)
 	fl.SetOutput(errOut)
 	file := fl.String("settings", os.Getenv(platform.SettingsVariable), "settings `file`")
 	if err := fl.Parse(args); err != nil {
-		return usageOf(err)
+		return asUsageError(err)
 	}
 	data, err := os.ReadFile(*file)
 	if err != nil {
@@ -34,13 +34,13 @@
 	}
 	ts := timer.New()
 	lg, tw := trail.New(out, trail.Config{Instance: se.Name}, ts)
-	defer func() { _ = tw.Close() }() // What its reader doesn't take in time is lost; nobody is left to tell.
-	// A reader of the log that ends must not end the instance: by default, a write
-	// to a closed pipe at standard output ends the process.
+	defer func() { _ = tw.Close() }() // Lines that the reader doesn't take in time are lost; nothing is left to report that to.
+	// The instance must survive the end of the log's reader. By default, a write to a closed
+	// pipe at standard output ends the process.
 	signal.Ignore(syscall.SIGPIPE)
-	again := make(chan os.Signal, 1)
-	signal.Notify(again, syscall.SIGHUP)
+	reload := make(chan os.Signal, 1)
+	signal.Notify(reload, syscall.SIGHUP)
 	changes := make(chan tier.Settings)
-	go tier.Watch(ctx, ts, *file, again, changes, lg)
+	go tier.Watch(ctx, ts, *file, reload, changes, lg)
 	return tier.Run(ctx, se, changes, platform.Dialect{}, lg, tw.WriteMetrics)
 }
--- a/cmd/balsamwinch/platform_test.go
+++ b/cmd/balsamwinch/platform_test.go
@@ -15,8 +15,8 @@
 	"balsamwinch.example/trail"
 )
 
-// entrySettings are those of an entry instance without a control instance. Its
-// stop takes no longer than it must.
+// entrySettings are the settings of an entry instance without a control instance. The short
+// StopWithin keeps the test fast.
 const entrySettings = `
 Name: entry-1
 Address: 127.0.0.1
@@ -27,19 +27,20 @@
 Timing: {StopWithin: 1s}
 `
 
-// journal keeps what an instance writes, and calls begun after the first write.
-type journal struct {
-	mu    sync.Mutex
-	bu    bytes.Buffer
-	once  sync.Once
-	begun func()
+// logBuffer collects the log of an instance and calls onFirstWrite before it stores the first
+// write.
+type logBuffer struct {
+	mu           sync.Mutex
+	bu           bytes.Buffer
+	once         sync.Once
+	onFirstWrite func()
 }
 
-func (jo *journal) Write(data []byte) (int, error) {
-	jo.once.Do(jo.begun)
-	jo.mu.Lock()
-	defer jo.mu.Unlock()
-	return jo.bu.Write(data)
+func (lb *logBuffer) Write(data []byte) (int, error) {
+	lb.once.Do(lb.onFirstWrite)
+	lb.mu.Lock()
+	defer lb.mu.Unlock()
+	return lb.bu.Write(data)
 }
 
 func settingsFile(t *testing.T, text string) string {
@@ -50,16 +51,16 @@
 	return path
 }
 
-// An instance is stopped. The last lines tell how the stop went, and they are
-// written although they are not due yet.
-func TestPlatformWritesLastLines(t *testing.T) {
+// When an instance is stopped, the lines about the stop must be flushed before it exits,
+// although their batch is not yet due.
+func TestPlatformFlushesLogOnStop(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
-	jo := &journal{begun: stop}
-	if err := runPlatform(ctx, []string{"-settings", settingsFile(t, entrySettings)}, jo, jo); err != nil {
+	lb := &logBuffer{onFirstWrite: stop}
+	if err := runPlatform(ctx, []string{"-settings", settingsFile(t, entrySettings)}, lb, lb); err != nil {
 		t.Fatal(err)
 	}
 	var events []string
-	unread, err := trail.Scan(&jo.bu, func([]byte) bool { return true }, func(li trail.Line) bool {
+	unread, err := trail.Scan(&lb.bu, func([]byte) bool { return true }, func(li trail.Line) bool {
 		if li.Instance != "entry-1" {
 			t.Errorf("line of instance %q", li.Instance)
 		}
@@ -70,14 +71,14 @@
 		t.Fatalf("%d lines could not be read: %v", unread, err)
 	}
 	if first, last := events[0], events[len(events)-1]; first != "instance-starting" || last != "instance-stopped" {
-		t.Errorf("want the lines of a start and a stop at the ends, got %v", events)
+		t.Errorf("want the start first and the stop last, got %v", events)
 	}
 	if !slices.Contains(events, "instance-stopping") || slices.Contains(events, "metrics-not-served") {
 		t.Errorf("want instance-stopping and not metrics-not-served, got %v", events)
 	}
 }
 
-func TestPlatformBadSettings(t *testing.T) {
+func TestPlatformRejectsInvalidSettings(t *testing.T) {
 	tests := []struct{ name, text string }{
 		{"no name", strings.Replace(entrySettings, "Name: entry-1", "", 1)},
 		{"metrics without port", strings.Replace(entrySettings, `Metrics: "127.0.0.1:0"`, `Metrics: "127.0.0.1"`, 1)},
--- a/cmd/balsamwinch/proxy_test.go
+++ b/cmd/balsamwinch/proxy_test.go
@@ -14,14 +14,13 @@
 	"TERM": syscall.SIGTERM,
 }
 
-// proxy forwards UDP packets to one instance, and drops those from and to the
-// instances that it is told to cut off.
+// proxy forwards UDP packets to one instance. It drops packets from and to blocked senders.
 type proxy struct {
-	front *net.UDPConn
-	to    *net.UDPAddr
-	mu    sync.Mutex
-	back  map[string]*net.UDPConn // back has one socket for each sender.
-	cut   map[string]bool
+	front   *net.UDPConn
+	target  *net.UDPAddr
+	mu      sync.Mutex
+	conns   map[string]*net.UDPConn // one socket for each sender
+	blocked map[string]bool
 }
 
 func newProxy(to string) (*proxy, error) {
@@ -33,7 +32,7 @@
 	if err != nil {
 		return nil, err
 	}
-	px := &proxy{front: front, to: ta, back: make(map[string]*net.UDPConn), cut: make(map[string]bool)}
+	px := &proxy{front: front, target: ta, conns: make(map[string]*net.UDPConn), blocked: make(map[string]bool)}
 	go px.forward()
 	return px, nil
 }
@@ -49,52 +48,52 @@
 		if err != nil {
 			return
 		}
-		if uc := px.backOf(from); uc != nil {
+		if uc := px.senderConn(from); uc != nil {
 			_, _ = uc.Write(buf[:count])
 		}
 	}
 }
 
-// backOf returns the socket for a sender, or nil if the sender is cut off.
-func (px *proxy) backOf(from *net.UDPAddr) *net.UDPConn {
+// senderConn returns the socket for a sender, or nil if the sender is blocked.
+func (px *proxy) senderConn(from *net.UDPAddr) *net.UDPConn {
 	px.mu.Lock()
 	defer px.mu.Unlock()
-	if px.cut[from.String()] {
+	if px.blocked[from.String()] {
 		return nil
 	}
-	if uc, ok := px.back[from.String()]; ok {
+	if uc, ok := px.conns[from.String()]; ok {
 		return uc
 	}
-	uc, err := net.DialUDP("udp", nil, px.to)
+	uc, err := net.DialUDP("udp", nil, px.target)
 	if err != nil {
 		return nil
 	}
-	px.back[from.String()] = uc
-	go px.backward(uc, from)
+	px.conns[from.String()] = uc
+	go px.forwardReplies(uc, from)
 	return uc
 }
 
-func (px *proxy) backward(uc *net.UDPConn, to *net.UDPAddr) {
+func (px *proxy) forwardReplies(uc *net.UDPConn, to *net.UDPAddr) {
 	buf := make([]byte, 65536)
 	for {
 		count, err := uc.Read(buf)
 		if err != nil && count == 0 {
-			if _, ok := err.(net.Error); ok && px.gone(uc) {
+			if _, ok := err.(net.Error); ok && px.isClosed(uc) {
 				return
 			}
 			continue
 		}
 		px.mu.Lock()
-		cut := px.cut[to.String()]
+		blocked := px.blocked[to.String()]
 		px.mu.Unlock()
-		if !cut {
+		if !blocked {
 			_, _ = px.front.WriteToUDP(buf[:count], to)
 		}
 	}
 }
 
-// gone reports whether the socket was closed; a refused packet is not the end.
-func (px *proxy) gone(uc *net.UDPConn) bool {
+// isClosed reports whether the socket was closed. A refused packet doesn't count.
+func (px *proxy) isClosed(uc *net.UDPConn) bool {
 	_, err := uc.Write(nil)
 	return err != nil && !isRefused(err)
 }
@@ -108,23 +107,23 @@
 	return ok && se.Err == syscall.ECONNREFUSED
 }
 
-func (px *proxy) setCut(sender string, cut bool) {
+func (px *proxy) setBlocked(sender string, blocked bool) {
 	px.mu.Lock()
 	defer px.mu.Unlock()
-	px.cut[sender] = cut
+	px.blocked[sender] = blocked
 }
 
-func (px *proxy) heal() {
+func (px *proxy) unblockAll() {
 	px.mu.Lock()
 	defer px.mu.Unlock()
-	clear(px.cut)
+	clear(px.blocked)
 }
 
 func (px *proxy) close() {
 	px.front.Close()
 	px.mu.Lock()
 	defer px.mu.Unlock()
-	for _, uc := range px.back {
+	for _, uc := range px.conns {
 		uc.Close()
 	}
 }
--- a/cmd/balsamwinch/script_test.go
+++ b/cmd/balsamwinch/script_test.go
@@ -32,19 +32,19 @@
 	"balsamwinch.example/result"
 )
 
-// patience bounds every wait for a condition. It is no timing bound: a scenario
-// that holds is through long before.
-const patience = 60 * time.Second
+// waitTimeout bounds every wait for a condition. It is not a timing requirement: a script that
+// passes is done long before.
+const waitTimeout = 60 * time.Second
 
-// programs is the folder of the built programs.
+// programs is the folder that holds the built programs.
 var programs string
 
 func TestMain(m *testing.M) {
 	testscript.Main(builder{m}, map[string]func(){"query": queryMain, "direct": directMain, "get": getMain})
 }
 
-// builder builds the real programs before the scripts run. The test binary also
-// runs as the command query, which needs none.
+// builder builds the real programs before the scripts run. The test binary also runs as the
+// commands query, direct and get, which need none of them.
 type builder struct{ m *testing.M }
 
 func (bu builder) Run() int {
@@ -95,66 +95,66 @@
 	})
 }
 
-// world is what one script has started.
-type world struct {
-	dir     string
-	procs   map[string]*process
-	proxies map[string]*proxy // proxies stand before the peer addresses of control instances.
-	peers   map[string]string // peers are the real peer addresses by instance.
-	aliases map[string]string // aliases are second names of instances, set by leader.
-	flood   *flood
-	books   *bookings
+// cluster holds the processes and proxies that one script has started.
+type cluster struct {
+	dir       string
+	processes map[string]*process
+	proxies   map[string]*proxy // one before the peer address of each control instance
+	peers     map[string]string // real peer addresses by instance
+	aliases   map[string]string // second names of instances, set by leader
+	flood     *flood
+	bookings  *bookings
 
-	mu       sync.Mutex
-	callerOf map[string]string // callerOf holds caller addresses for callers in the background.
+	mu              sync.Mutex
+	callerAddresses map[string]string // caller addresses by instance, read by callers in the background
 }
 
 type process struct {
-	cmd   *exec.Cmd
-	lines map[string]string // lines holds the addresses that it printed.
-	done  chan struct{}
-	err   error
+	cmd       *exec.Cmd
+	addresses map[string]string // addresses that the process printed
+	done      chan struct{}
+	err       error
 }
 
-type worldKey struct{}
+type clusterKey struct{}
 
 func setup(env *testscript.Env) error {
-	wo := &world{
-		dir:     env.WorkDir,
-		procs:   make(map[string]*process),
-		proxies: make(map[string]*proxy),
-		peers:   make(map[string]string),
-		aliases: make(map[string]string),
+	cl := &cluster{
+		dir:       env.WorkDir,
+		processes: make(map[string]*process),
+		proxies:   make(map[string]*proxy),
+		peers:     make(map[string]string),
+		aliases:   make(map[string]string),
 
-		callerOf: make(map[string]string),
+		callerAddresses: make(map[string]string),
 	}
-	env.Values[worldKey{}] = wo
+	env.Values[clusterKey{}] = cl
 	env.Vars = append(env.Vars,
 		"PATH="+os.Getenv("PATH"),
 		"BALSAMCTL_AUTHOR=ana",
 	)
 	env.Defer(func() {
-		for _, pr := range wo.procs {
+		for _, pr := range cl.processes {
 			_ = pr.cmd.Process.Kill()
 			<-pr.done
 		}
-		for _, px := range wo.proxies {
+		for _, px := range cl.proxies {
 			px.close()
 		}
 	})
 	return nil
 }
 
-func worldOf(ts *testscript.TestScript) *world {
-	return ts.Value(worldKey{}).(*world)
+func clusterOf(ts *testscript.TestScript) *cluster {
+	return ts.Value(clusterKey{}).(*cluster)
 }
 
-// cmdTier writes settings and keys: tier INSTANCES CONTROL [TIMING ...], where
-// TIMING is a line like "Lease: 4s". Instances are named
-// i1, i2 and so on in data centres a, b and c; the first CONTROL of them keep
-// the durable state, with a proxy before the peer address of each.
+// cmdTier implements "tier INSTANCES CONTROL [TIMING ...]": it writes settings and keys.
+// TIMING is a line such as "Lease: 4s". The instances are named i1, i2 and so on and are in
+// the data centres a, b and c. The first CONTROL of them keep the durable state; the peer
+// address of each is reached through a proxy.
 func cmdTier(ts *testscript.TestScript, _ bool, args []string) {
-	wo := worldOf(ts)
+	cl := clusterOf(ts)
 	count, err := strconv.Atoi(args[0])
 	ts.Check(err)
 	voters, err := strconv.Atoi(args[1])
@@ -163,29 +163,30 @@
 	for ix := 1; ix <= count; ix++ {
 		name := fmt.Sprintf("i%d", ix)
 		subjects = append(subjects, keys.Subject{Name: name, IPs: []net.IP{net.ParseIP("127.0.0.1")}})
-		wo.peers[name] = freeUDP(ts)
+		cl.peers[name] = freeUDP(ts)
 		if ix > voters {
 			continue
 		}
-		px, err := newProxy(wo.peers[name])
+		px, err := newProxy(cl.peers[name])
 		ts.Check(err)
-		wo.proxies[name] = px
+		cl.proxies[name] = px
 	}
-	ts.Check(keys.Write(filepath.Join(wo.dir, "keys"), subjects...))
+	ts.Check(keys.Write(filepath.Join(cl.dir, "keys"), subjects...))
 	for ix := 1; ix <= count; ix++ {
 		name := fmt.Sprintf("i%d", ix)
-		ts.Check(os.WriteFile(filepath.Join(wo.dir, name+".yaml"), []byte(instanceYAML(name, ix, ix <= voters, wo.peers[name], wo.voters(name), args[2:])), 0o600))
+		ts.Check(os.WriteFile(filepath.Join(cl.dir, name+".yaml"), []byte(instanceYAML(name, ix, ix <= voters, cl.peers[name], cl.voters(name), args[2:])), 0o600))
 	}
 }
 
-// voters lists the control instances as one instance reaches them.
-func (wo *world) voters(self string) string {
+// voters returns the YAML list of the control instances with the addresses at which the
+// instance self reaches them.
+func (cl *cluster) voters(self string) string {
 	var sb strings.Builder
-	for ix := 1; ix <= len(wo.proxies); ix++ {
+	for ix := 1; ix <= len(cl.proxies); ix++ {
 		name := fmt.Sprintf("i%d", ix)
-		address := wo.proxies[name].address()
+		address := cl.proxies[name].address()
 		if name == self {
-			address = wo.peers[name]
+			address = cl.peers[name]
 		}
 		fmt.Fprintf(&sb, "    - {Name: %s, Address: %q}\n", name, address)
 	}
@@ -218,7 +219,7 @@
 		strings.Join(override([]string{"Lease: 2s", "Renewal: 250ms"}, timing), "\n  "))
 }
 
-// override returns the lines with those replaced that more has under the same key.
+// override returns the lines of more, followed by those lines whose key more does not have.
 func override(lines, more []string) []string {
 	out := slices.Clone(more)
 	for _, li := range lines {
@@ -230,9 +231,8 @@
 	return out
 }
 
-// freeUDP returns a free address of a loopback number of its own. On a number that
-// others share, one of them could take the port before the instance starts, or
-// while it is down.
+// freeUDP returns a free address on a random loopback IP address. On a shared one, another
+// process could take the port before the instance starts or while it is down.
 func freeUDP(ts *testscript.TestScript) string {
 	host := fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
 	pc, err := net.ListenPacket("udp", host+":0")
@@ -241,23 +241,23 @@
 	return pc.LocalAddr().String()
 }
 
-// cmdStart starts instances and waits for the addresses that they print, which
-// become NAME_Caller, NAME_Operator and so on.
+// cmdStart implements "start NAME...": it starts instances and waits for the addresses that
+// they print, which it exports as NAME_Caller, NAME_Operator and so on.
 func cmdStart(ts *testscript.TestScript, _ bool, args []string) {
 	for _, name := range args {
 		startProcess(ts, name, "balsamwinch", "run", "-settings", name+".yaml")
 	}
 }
 
-// cmdLeaf starts a backend server: leaf NAME SERVICE SHARD [YAML line ...]. It
-// announces itself to the instances started so far. A line replaces the one that
-// it has by default.
+// cmdLeaf implements "leaf NAME SERVICE SHARD [YAML line ...]": it starts a backend server,
+// which announces itself to the instances started so far. A given line replaces the default
+// line with the same key.
 func cmdLeaf(ts *testscript.TestScript, _ bool, args []string) {
-	wo := worldOf(ts)
+	cl := clusterOf(ts)
 	name := args[0]
 	var announce []string
-	for _, pr := range wo.procs {
-		if ad := pr.lines["Backend"]; ad != "" {
+	for _, pr := range cl.processes {
+		if ad := pr.addresses["Backend"]; ad != "" {
 			announce = append(announce, strconv.Quote(ad))
 		}
 	}
@@ -272,27 +272,27 @@
 		"Repeat: 200ms",
 		"TTL: 2s",
 	}, args[3:])
-	ts.Check(os.WriteFile(filepath.Join(wo.dir, name+".yaml"), []byte(strings.Join(lines, "\n")+"\n"), 0o600))
+	ts.Check(os.WriteFile(filepath.Join(cl.dir, name+".yaml"), []byte(strings.Join(lines, "\n")+"\n"), 0o600))
 	startProcess(ts, name, "balsamleaf", "-settings", name+".yaml")
 }
 
 func startProcess(ts *testscript.TestScript, name, program string, args ...string) {
-	wo := worldOf(ts)
-	logs, err := os.OpenFile(filepath.Join(wo.dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	cl := clusterOf(ts)
+	logs, err := os.OpenFile(filepath.Join(cl.dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	ts.Check(err)
 	cmd := exec.Command(filepath.Join(programs, program), args...)
-	cmd.Dir = wo.dir
+	cmd.Dir = cl.dir
 	cmd.Stderr = logs
 	out, err := cmd.StdoutPipe()
 	ts.Check(err)
 	ts.Check(cmd.Start())
-	pr := &process{cmd: cmd, lines: make(map[string]string), done: make(chan struct{})}
-	wo.procs[name] = pr
-	if err := json.NewDecoder(out).Decode(&pr.lines); err != nil {
+	pr := &process{cmd: cmd, addresses: make(map[string]string), done: make(chan struct{})}
+	cl.processes[name] = pr
+	if err := json.NewDecoder(out).Decode(&pr.addresses); err != nil {
 		text, _ := os.ReadFile(logs.Name())
 		close(pr.done)
-		delete(wo.procs, name)
-		ts.Fatalf("%s printed no addresses: %v\n%s", name, err, text)
+		delete(cl.processes, name)
+		ts.Fatalf("%s did not print its addresses: %v\n%s", name, err, text)
 	}
 	go func() {
 		_, _ = io.Copy(io.Discard, out)
@@ -300,102 +300,104 @@
 		logs.Close()
 		close(pr.done)
 	}()
-	wo.mu.Lock()
-	wo.callerOf[name] = pr.lines["Caller"]
-	wo.mu.Unlock()
-	wo.export(ts, name)
+	cl.mu.Lock()
+	cl.callerAddresses[name] = pr.addresses["Caller"]
+	cl.mu.Unlock()
+	cl.export(ts, name)
 }
 
-// export sets the addresses of a process as NAME_Caller and so on, and under its
-// second name.
-func (wo *world) export(ts *testscript.TestScript, name string) {
-	for key, va := range wo.procs[name].lines {
+// export sets the environment variables for the addresses of a process, such as NAME_Caller,
+// also under its second name.
+func (cl *cluster) export(ts *testscript.TestScript, name string) {
+	for key, va := range cl.processes[name].addresses {
 		ts.Setenv(name+"_"+key, va)
-		if al := wo.aliases[name]; al != "" {
+		if al := cl.aliases[name]; al != "" {
 			ts.Setenv(al+"_"+key, va)
 		}
 	}
 }
 
-// cmdLeader waits until the named instances agree on who of them leads: leader
-// NAME... From then on $leader is its name and $other1, $other2 and so on are
-// the others, each with addresses as $leader_Caller.
+// cmdLeader implements "leader NAME...": it waits until the named instances agree on the
+// leader. It then sets $leader to its name and $other1, $other2 and so on to the others, each
+// with addresses such as $leader_Caller.
 func cmdLeader(ts *testscript.TestScript, _ bool, args []string) {
-	wo := worldOf(ts)
-	leads := ""
-	for end := time.Now().Add(patience); leads == ""; time.Sleep(30 * time.Millisecond) {
+	cl := clusterOf(ts)
+	leader := ""
+	for end := time.Now().Add(waitTimeout); leader == ""; time.Sleep(30 * time.Millisecond) {
 		if time.Now().After(end) {
-			ts.Fatalf("%v don't agree on a leader", args)
+			ts.Fatalf("instances %v do not agree on a leader", args)
 		}
-		leads = wo.agreed(args)
+		leader = cl.agreedLeader(args)
 	}
-	wo.aliases = map[string]string{leads: "leader"}
+	cl.aliases = map[string]string{leader: "leader"}
 	for _, name := range args {
-		if name != leads {
-			wo.aliases[name] = fmt.Sprintf("other%d", len(wo.aliases))
+		if name != leader {
+			cl.aliases[name] = fmt.Sprintf("other%d", len(cl.aliases))
 		}
 	}
-	for name, al := range wo.aliases {
+	for name, al := range cl.aliases {
 		ts.Setenv(al, name)
-		wo.export(ts, name)
+		cl.export(ts, name)
 	}
 }
 
-// agreed returns the leader that all of the instances name, or "".
-func (wo *world) agreed(names []string) string {
-	leads := ""
+// agreedLeader returns the leader that all of the instances report, or "" if they differ.
+func (cl *cluster) agreedLeader(names []string) string {
+	leader := ""
 	for _, name := range names {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
-		st, err := operator.NewClient([]string{wo.procs[name].lines["Operator"]}).Status(ctx)
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
+		st, err := operator.NewClient([]string{cl.processes[name].addresses["Operator"]}).Status(ctx)
 		cancel()
-		if err != nil || st.Leader == "" || leads != "" && st.Leader != leads {
+		if err != nil || st.Leader == "" || leader != "" && st.Leader != leader {
 			return ""
 		}
-		leads = st.Leader
+		leader = st.Leader
 	}
-	return leads
+	return leader
 }
 
-// cmdSignal sends a signal: signal KILL|STOP|CONT|TERM NAME...; after KILL it
-// waits for the end.
+// cmdSignal implements "signal KILL|STOP|CONT|TERM NAME...": it sends a signal. After KILL it
+// waits until the process has ended.
 func cmdSignal(ts *testscript.TestScript, _ bool, args []string) {
 	for _, name := range args[1:] {
-		pr, ok := worldOf(ts).procs[name]
+		pr, ok := clusterOf(ts).processes[name]
 		if !ok {
-			ts.Fatalf("%s does not run", name)
+			ts.Fatalf("%s is not running", name)
 		}
 		ts.Check(pr.cmd.Process.Signal(signals[args[0]]))
 		if args[0] == "KILL" {
 			<-pr.done
-			delete(worldOf(ts).procs, name)
+			delete(clusterOf(ts).processes, name)
 		}
 	}
 }
 
-// cmdEnded waits until processes have ended with exit code 0, or with ! another.
+// cmdEnded implements "ended NAME...": it waits until the processes have ended and checks that
+// the exit code is 0, or with ! that it is not.
 func cmdEnded(ts *testscript.TestScript, neg bool, args []string) {
 	for _, name := range args {
-		pr := worldOf(ts).procs[name]
+		pr := clusterOf(ts).processes[name]
 		select {
 		case <-pr.done:
-		case <-time.After(patience):
-			ts.Fatalf("%s still runs", name)
+		case <-time.After(waitTimeout):
+			ts.Fatalf("%s is still running", name)
 		}
 		if (pr.err != nil) != neg {
 			ts.Fatalf("%s ended with %v", name, pr.err)
 		}
-		delete(worldOf(ts).procs, name)
+		delete(clusterOf(ts).processes, name)
 	}
 }
 
-// cmdUntil runs a program until its output matches: until REGEXP PROGRAM ARG...
+// cmdUntil implements "until REGEXP PROGRAM ARG...": it runs a program until its output
+// matches, or with ! until it does not.
 func cmdUntil(ts *testscript.TestScript, neg bool, args []string) {
 	re, err := regexp.Compile("(?s)" + args[0])
 	ts.Check(err)
 	var out []byte
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
 		cmd := exec.Command(args[1], args[2:]...)
-		cmd.Dir = worldOf(ts).dir
+		cmd.Dir = clusterOf(ts).dir
 		out, _ = cmd.CombinedOutput()
 		if re.Match(out) != neg {
 			fmt.Fprintf(ts.Stdout(), "%s", out)
@@ -405,36 +407,36 @@
 	ts.Fatalf("no match of %s in\n%s", args[0], out)
 }
 
-// cmdCut cuts instances off from control: cut NAME FROM... drops all packets
-// between NAME and the peer addresses of the control instances FROM.
+// cmdCut implements "cut NAME FROM...": it drops all packets between NAME and the peer
+// addresses of the control instances FROM.
 func cmdCut(ts *testscript.TestScript, _ bool, args []string) {
-	wo := worldOf(ts)
+	cl := clusterOf(ts)
 	for _, from := range args[1:] {
-		wo.proxies[from].setCut(wo.peers[args[0]], true)
-		if px, ok := wo.proxies[args[0]]; ok {
-			px.setCut(wo.peers[from], true)
+		cl.proxies[from].setBlocked(cl.peers[args[0]], true)
+		if px, ok := cl.proxies[args[0]]; ok {
+			px.setBlocked(cl.peers[from], true)
 		}
 	}
 }
 
-// cmdDeafen makes an instance hear nothing that others begin to say, while they
-// go on hearing it: deafen NAME FROM...
+// cmdDeafen implements "deafen NAME FROM...": it cuts the connections that the instances FROM
+// open to NAME, while those that NAME opens still work.
 func cmdDeafen(ts *testscript.TestScript, _ bool, args []string) {
-	wo := worldOf(ts)
+	cl := clusterOf(ts)
 	for _, from := range args[1:] {
-		wo.proxies[args[0]].setCut(wo.peers[from], true)
+		cl.proxies[args[0]].setBlocked(cl.peers[from], true)
 	}
 }
 
-// cmdHeal ends all cuts.
+// cmdHeal implements "heal": it ends all cuts.
 func cmdHeal(ts *testscript.TestScript, _ bool, _ []string) {
-	for _, px := range worldOf(ts).proxies {
-		px.heal()
+	for _, px := range clusterOf(ts).proxies {
+		px.unblockAll()
 	}
 }
 
-// cmdPost sends a body: post ADDRESS PATH BODY, where @FILE names a file. With !
-// it must be refused.
+// cmdPost implements "post ADDRESS PATH BODY": it sends a body, where @FILE stands for the
+// content of a file. With ! the request must be refused.
 func cmdPost(ts *testscript.TestScript, neg bool, args []string) {
 	body := args[2]
 	if name, ok := strings.CutPrefix(body, "@"); ok {
@@ -450,8 +452,8 @@
 	}
 }
 
-// cmdCounts prints what a backend server counted: counts CONTROLADDRESS FIELD...
-// A field like Replies.Shed is one value of a map.
+// cmdCounts implements "counts CONTROLADDRESS FIELD...": it prints counters of a backend
+// server. A field such as Replies.Shed selects one value of a map.
 func cmdCounts(ts *testscript.TestScript, _ bool, args []string) {
 	rs, err := http.Get("http://" + args[0] + leaf.CountsPath)
 	ts.Check(err)
@@ -470,13 +472,13 @@
 	}
 }
 
-// cmdChanges makes changes of the file 50-change.yaml one after another, each in
-// force before the next: changes OPERATORS COUNT.
+// cmdChanges implements "changes OPERATORS COUNT": it changes the file 50-change.yaml COUNT
+// times; each change is in force before the next is sent.
 func cmdChanges(ts *testscript.TestScript, _ bool, args []string) {
 	count, err := strconv.Atoi(args[1])
 	ts.Check(err)
 	cl := operator.NewClient(strings.Split(args[0], ","))
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	known, err := cl.Files(ctx)
 	ts.Check(err)
@@ -503,9 +505,9 @@
 	}
 }
 
-// queryMain is the command query: query ADDRESSES SERVICE [BODY]. It asks the
-// first of the comma separated addresses that answers for the address list, and
-// sends the query to the first instance of that which takes a connection.
+// queryMain implements "query ADDRESSES SERVICE [BODY]". It fetches the address list from the
+// first of the comma-separated addresses that answers, and sends the query to the first listed
+// instance that accepts a connection.
 func queryMain() {
 	out, err := query(strings.Split(os.Args[1], ","), os.Args[2], os.Args[3:])
 	if err != nil {
@@ -531,7 +533,7 @@
 }
 
 func queryVia(address, service, body string) (string, error) {
-	hc := &http.Client{Timeout: patience}
+	hc := &http.Client{Timeout: waitTimeout}
 	rs, err := hc.Get("http://" + address + "/addresses?Service=" + service)
 	if err != nil {
 		return "", err
@@ -542,13 +544,13 @@
 		return "", err
 	}
 	if len(ad.Addresses) == 0 {
-		return "", fmt.Errorf("%s: empty address list", address)
+		return "", fmt.Errorf("%s: the address list is empty", address)
 	}
 	for _, to := range ad.Addresses {
 		var out string
 		out, err = queryAt(to, service, body)
-		// An instance that was killed a moment ago still stands in lists. Callers turn
-		// to the next one if no connection could be opened.
+		// An instance that was just killed may still be in the list. Callers try the next one
+		// if the connection was refused.
 		if !errors.Is(err, syscall.ECONNREFUSED) {
 			return out, err
 		}
@@ -556,8 +558,8 @@
 	return "", err
 }
 
-// directMain is the command direct: direct ADDRESS SERVICE [BODY]. It sends a
-// query without asking for the address list.
+// directMain implements "direct ADDRESS SERVICE [BODY]". It sends a query without fetching the
+// address list.
 func directMain() {
 	body := `{"Query":{}}`
 	if len(os.Args) > 3 {
@@ -572,7 +574,7 @@
 }
 
 func queryAt(address, service, body string) (string, error) {
-	hc := &http.Client{Timeout: patience}
+	hc := &http.Client{Timeout: waitTimeout}
 	an, err := hc.Post("http://"+address+"/services/"+service+"/query", "application/json", strings.NewReader(body))
 	if err != nil {
 		return "", err
@@ -589,7 +591,7 @@
 	return buf.String(), nil
 }
 
-// getMain is the command get: get ADDRESS PATH. It prints what an address gives.
+// getMain implements "get ADDRESS PATH". It prints the body of the response.
 func getMain() {
 	rs, err := http.Get("http://" + os.Args[1] + os.Args[2])
 	if err == nil {
@@ -602,7 +604,7 @@
 	}
 }
 
-// listCaller keeps the address list until its time to live has run out.
+// listCaller is a caller that keeps its address list until the list's TTL has expired.
 type listCaller struct {
 	seeds   []string
 	service string
@@ -610,7 +612,7 @@
 	until   time.Time
 }
 
-// query sends one query over the first address of the list.
+// query sends one query to the first address of the list.
 func (lc *listCaller) query(ca load.Call) load.Attempt {
 	at := load.Attempt{RequestID: ca.RequestID}
 	if !time.Now().Before(lc.until) {
@@ -629,7 +631,7 @@
 	return at
 }
 
-// refresh asks the instances it knows for a new list.
+// refresh fetches a new list from the known addresses, trying one after the other.
 func (lc *listCaller) refresh() error {
 	var err error
 	for _, ad := range append(lc.list.Addresses, lc.seeds...) {
