--- a/cmd/balsamleaf/main.go
+++ b/cmd/balsamleaf/main.go
@@ -1,4 +1,4 @@
-// Command balsamleaf runs emulated backend servers, for trials and tests.
+// Command balsamleaf runs emulated backend servers for experiments and tests.
 package main
 
 import (
@@ -24,7 +24,7 @@
 	"balsamwinch.example/timer"
 )
 
-// The exit codes.
+// Exit codes.
 const (
 	exitOK       = 0
 	exitFailed   = 1
@@ -37,10 +37,10 @@
 Usage:
   balsamleaf -settings FILE [-settings FILE ...] [flags]
 
-Each settings file makes one backend server. A line of JSON for each, with its
-addresses, is printed once it listens; logs go to the standard error. On SIGTERM
-it announces that it drains, finishes its requests, announces that it has left
-and exits.
+Each settings file defines one backend server. Once a server listens, a line of JSON
+with its addresses is printed; logs go to standard error. On SIGTERM each server
+announces that it drains, finishes its requests, announces that it has left and
+exits.
 
 Flags:
 `
@@ -66,20 +66,20 @@
   curl http://CONTROLADDRESS/counts
 
 Exit codes:
-  0  ended as asked
+  0  stopped as requested
   1  failed, for example because an address is in use
-  2  wrong command line
+  2  invalid command line
   3  faults in a settings file
 `
 
-// started is the line that is printed for each backend server.
+// started is the JSON line that is printed for each backend server.
 type started struct {
 	Server         string
 	Address        string
 	ControlAddress string
 }
 
-// options are the values of the flags.
+// options holds the values of the flags.
 type options struct {
 	files    []string
 	announce []string
@@ -141,11 +141,11 @@
 		op.files = append(op.files, fi)
 		return nil
 	})
-	fl.Func("announce", "announce `ADDRESSES` of instances, with commas between, instead of those in the files", func(ads string) error {
+	fl.Func("announce", "`ADDRESSES` of instances to announce to, separated by commas, instead of those in the files", func(ads string) error {
 		op.announce = strings.Split(ads, ",")
 		for _, ad := range op.announce {
 			if _, err := netip.ParseAddrPort(ad); err != nil {
-				return fmt.Errorf("want IP numbers and ports: %w", err)
+				return fmt.Errorf("want IP addresses and ports: %w", err)
 			}
 		}
 		return nil
@@ -156,7 +156,7 @@
 		return op, err
 	}
 	if fl.NArg() > 0 {
-		return op, fmt.Errorf("want flags alone, got %q", fl.Arg(0))
+		return op, fmt.Errorf("want only flags, got %q", fl.Arg(0))
 	}
 	if len(op.files) == 0 {
 		return op, errors.New("want -settings FILE, got nothing; -help shows an example")
@@ -195,7 +195,7 @@
 	return zap.New(core), nil
 }
 
-// serve runs the backend servers until the context ends and all have left, or
+// serve runs the backend servers until the context ends and all of them have left, or until
 // one fails.
 func serve(ctx context.Context, cfs []leaf.Config, out io.Writer, lg *zap.Logger) error {
 	ts := timer.New()
--- a/cmd/balsamleaf/main_test.go
+++ b/cmd/balsamleaf/main_test.go
@@ -44,9 +44,9 @@
 DrainFor: 1ms
 `
 
-// Operators stop a backend server: instances hear that it drains and that it has
-// left, and it exits without an error.
-func TestTerminate(t *testing.T) {
+// On SIGTERM a backend server must announce that it drains and then that it has left, and exit
+// without an error.
+func TestSIGTERMAnnouncesDrainingAndLeft(t *testing.T) {
 	c := qt.New(t)
 	states := make(chan backend.State, 100)
 	instance := httptest.NewServer(backend.NewAnnounceHandler(func(re backend.Record) backend.AnnounceReply {
