--- a/cmd/balsamload/capacity.go
+++ b/cmd/balsamload/capacity.go
@@ -15,39 +15,38 @@
 
 const (
 	defaultRuns = 3
-	// watchTime and quickTime are how long something that goes on by itself is
-	// watched.
-	watchTime = 2 * time.Second
-	quickTime = time.Second
+	// defaultWindow and quickWindow are how long a tier without changes is observed.
+	defaultWindow = 2 * time.Second
+	quickWindow   = time.Second
 )
 
-// measure is the subcommand capacity.
-func measure(ctx context.Context, args []string, out, errOut io.Writer) error {
+// runCapacity is the subcommand capacity.
+func runCapacity(ctx context.Context, args []string, out, errOut io.Writer) error {
 	fl := flag.NewFlagSet("capacity", flag.ContinueOnError)
 	asJSON := fl.Bool("json", false, "print JSON with the values of all runs")
-	runs := fl.Int("runs", 0, "how often each size is measured (default 3, 1 with -quick)")
-	quick := fl.Bool("quick", false, "take smaller sizes and shorter times")
-	role := fl.String("role", "", "measure only what has a row of the `ROLE`, and print these rows")
-	sizes := fl.String("sizes", "", "take these `SIZES`, separated by commas, in place of each measure's own")
-	names := fl.Bool("list", false, "list the names of the measures and stop")
+	runs := fl.Int("runs", 0, "number of runs of each size (default 3, 1 with -quick)")
+	quick := fl.Bool("quick", false, "use smaller sizes and shorter times")
+	role := fl.String("role", "", "run only measurements with rows of the `ROLE`, and print only these rows")
+	sizes := fl.String("sizes", "", "use these `SIZES`, separated by commas, instead of those of each measurement")
+	list := fl.Bool("list", false, "list the measurements and exit")
 	if err := parse(fl, args, errOut, -1, "capacity [FLAGS] [NAME...]"); err != nil {
 		return err
 	}
-	chosen, err := choose(fl.Args(), *role)
+	selected, err := selectMeasurements(fl.Args(), *role)
 	if err != nil {
 		return err
 	}
-	op, err := options(*runs, *quick, *sizes)
+	op, err := capacityOptions(*runs, *quick, *sizes)
 	if err != nil {
 		return err
 	}
-	if *names {
-		for _, me := range chosen {
+	if *list {
+		for _, me := range selected {
 			fmt.Fprintf(out, "%s\tsizes %v %s\trows of %s\n", me.Name, me.Sizes, me.SizeUnit, strings.Join(me.Roles(), ", "))
 		}
 		return nil
 	}
-	rows, err := take(ctx, chosen, op, *role)
+	rows, err := runMeasurements(ctx, selected, op, *role)
 	if err != nil {
 		return err
 	}
@@ -57,10 +56,10 @@
 	return capacity.WriteMarkdown(out, rows)
 }
 
-func options(runs int, quick bool, sizes string) (capacity.Options, error) {
-	op := capacity.Options{Runs: defaultRuns, Quick: quick, Window: watchTime}
+func capacityOptions(runs int, quick bool, sizes string) (capacity.Options, error) {
+	op := capacity.Options{Runs: defaultRuns, Quick: quick, Window: defaultWindow}
 	if quick {
-		op.Runs, op.Window = 1, quickTime
+		op.Runs, op.Window = 1, quickWindow
 	}
 	switch {
 	case runs < 0:
@@ -81,38 +80,38 @@
 	return op, nil
 }
 
-// choose returns the measures of the given names, or all, that have a row of
-// the role, or of any.
-func choose(names []string, role string) ([]capacity.Measurement, error) {
-	var chosen []capacity.Measurement
+// selectMeasurements returns the measurements with the given names, or all if there are none,
+// that have a row of the role. An empty role selects any.
+func selectMeasurements(names []string, role string) ([]capacity.Measurement, error) {
+	var selected []capacity.Measurement
 	var known, roles []string
 	for _, me := range capacity.Measurements() {
 		known = append(known, me.Name)
 		roles = append(roles, me.Roles()...)
 		if (len(names) == 0 || slices.Contains(names, me.Name)) && (role == "" || slices.Contains(me.Roles(), role)) {
-			chosen = append(chosen, me)
+			selected = append(selected, me)
 		}
 	}
 	for _, na := range names {
 		if !slices.Contains(known, na) {
-			return nil, &usageError{fmt.Sprintf("no measure %q; want one of %s", na, strings.Join(known, ", "))}
+			return nil, &usageError{fmt.Sprintf("no measurement %q; want one of %s", na, strings.Join(known, ", "))}
 		}
 	}
 	if role != "" && !slices.Contains(roles, role) {
 		slices.Sort(roles)
 		return nil, &usageError{fmt.Sprintf("no role %q; want one of %s", role, strings.Join(slices.Compact(roles), ", "))}
 	}
-	return chosen, nil
+	return selected, nil
 }
 
-func take(ctx context.Context, mes []capacity.Measurement, op capacity.Options, role string) ([]capacity.Row, error) {
+func runMeasurements(ctx context.Context, mes []capacity.Measurement, op capacity.Options, role string) ([]capacity.Row, error) {
 	var rows []capacity.Row
 	for _, me := range mes {
-		taken, err := me.Run(ctx, op)
+		measured, err := me.Run(ctx, op)
 		if err != nil {
 			return nil, err
 		}
-		for _, ro := range taken {
+		for _, ro := range measured {
 			if role == "" || ro.Slope.Role == role {
 				rows = append(rows, ro)
 			}
--- a/cmd/balsamload/experiment.go
+++ b/cmd/balsamload/experiment.go
@@ -16,18 +16,18 @@
 	"balsamwinch.example/timer"
 )
 
-// addressFlags name instances that run elsewhere.
+// addressFlags holds the addresses of instances that run outside this process.
 type addressFlags struct {
 	callers, backends, operators string
 }
 
 func (af *addressFlags) register(fl *flag.FlagSet) {
-	fl.StringVar(&af.callers, "callers", "", "callers' `addresses` of instances that run elsewhere, separated by commas")
-	fl.StringVar(&af.backends, "backends", "", "`addresses` at which they take announcements")
-	fl.StringVar(&af.operators, "operators", "", "operators' `addresses` of them")
+	fl.StringVar(&af.callers, "callers", "", "callers' `addresses` of instances outside this process, separated by commas")
+	fl.StringVar(&af.backends, "backends", "", "`addresses` at which these instances take announcements")
+	fl.StringVar(&af.operators, "operators", "", "operators' `addresses` of these instances")
 }
 
-func list(addresses string) []string {
+func splitAddresses(addresses string) []string {
 	return strings.FieldsFunc(addresses, func(ch rune) bool { return ch == ',' })
 }
 
@@ -35,7 +35,7 @@
 func runExperiment(ctx context.Context, args []string, out, errOut io.Writer) error {
 	fl := flag.NewFlagSet("run", flag.ContinueOnError)
 	asJSON := fl.Bool("json", false, "print JSON")
-	verbose := fl.Bool("v", false, "log what the tier does to standard error")
+	verbose := fl.Bool("v", false, "print the log of the tier on standard error")
 	var af addressFlags
 	af.register(fl)
 	if err := parse(fl, args, errOut, 1, "run [FLAGS] FILE"); err != nil {
@@ -45,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	re, err := runOn(ctx, ex, af, logger(errOut, *verbose))
+	re, err := runExperimentOn(ctx, ex, af, logger(errOut, *verbose))
 	if err != nil {
 		return err
 	}
@@ -55,8 +55,9 @@
 	return verdict(re)
 }
 
-// runOn runs the experiment on the instances named or on some of its own.
-func runOn(ctx context.Context, ex load.Experiment, af addressFlags, lg *zap.Logger) (re load.Report, err error) {
+// runExperimentOn runs the experiment on the instances of the flags, or on instances in this
+// process if no address is given.
+func runExperimentOn(ctx context.Context, ex load.Experiment, af addressFlags, lg *zap.Logger) (re load.Report, err error) {
 	ts := timer.New()
 	in, err := instances(ctx, ex, af, ts, lg)
 	if err != nil {
@@ -79,14 +80,14 @@
 	if af == (addressFlags{}) {
 		return startInstances(ctx, ex, ts, lg)
 	}
-	rg := load.ExternalInstances{Callers: list(af.callers), Backends: list(af.backends), Operators: list(af.operators)}
+	rg := load.ExternalInstances{Callers: splitAddresses(af.callers), Backends: splitAddresses(af.backends), Operators: splitAddresses(af.operators)}
 	if len(rg.Callers) == 0 || len(rg.Backends) == 0 || len(rg.Operators) == 0 {
-		return nil, &usageError{"instances that run elsewhere need -callers, -backends and -operators"}
+		return nil, &usageError{"instances outside this process need -callers, -backends and -operators"}
 	}
 	return rg, nil
 }
 
-// logger writes JSON lines of warnings, or of everything.
+// logger returns a logger that writes JSON lines, from level error on, or from info if verbose.
 func logger(wr io.Writer, verbose bool) *zap.Logger {
 	level := zap.ErrorLevel
 	if verbose {
@@ -96,10 +97,10 @@
 	return zap.New(zapcore.NewCore(en, zapcore.Lock(zapcore.AddSync(wr)), level))
 }
 
-// tabled is a report that prints itself as a table.
-type tabled interface{ WriteTable(out io.Writer) error }
+// tableWriter is a report that can be printed as a table.
+type tableWriter interface{ WriteTable(out io.Writer) error }
 
-func printReport(out io.Writer, re tabled, asJSON bool) error {
+func printReport(out io.Writer, re tableWriter, asJSON bool) error {
 	if asJSON {
 		return printJSON(out, re)
 	}
@@ -117,7 +118,7 @@
 	case !re.Promises.Kept():
 		return &verdictError{exitBroken, "a promise was broken, see above"}
 	case re.Dropped > 0 || len(re.Skipped) > 0:
-		return &verdictError{exitInvalid, "the load or the faults were not those of the file, see above"}
+		return &verdictError{exitInvalid, "the load or the faults differed from the file, see above"}
 	default:
 		return nil
 	}
--- a/cmd/balsamload/local.go
+++ b/cmd/balsamload/local.go
@@ -12,14 +12,13 @@
 	"balsamwinch.example/timer"
 )
 
-// localInstances are instances in this process with their data in a folder of
-// their own.
+// localInstances runs instances in this process, with their data in a temporary folder.
 type localInstances struct {
 	lo     *instance.Local
 	folder string
 }
 
-// startInstances starts the instances that the experiment asks for.
+// startInstances starts the instances that the experiment specifies.
 func startInstances(_ context.Context, ex load.Experiment, ts *timer.Service, lg *zap.Logger) (load.Instances, error) {
 	folder, err := os.MkdirTemp("", "balsamload-")
 	if err != nil {
@@ -38,19 +37,19 @@
 	return &localInstances{lo: lo, folder: folder}, nil
 }
 
-// CallerAddresses returns the addresses for callers.
+// CallerAddresses returns the addresses at which the instances serve callers.
 func (li *localInstances) CallerAddresses() []string { return li.lo.Addresses("Caller") }
 
-// BackendAddresses returns the addresses for announcements.
+// BackendAddresses returns the addresses at which the instances take announcements.
 func (li *localInstances) BackendAddresses() []string { return li.lo.Addresses("Backend") }
 
-// OperatorAddresses returns the addresses for operators.
+// OperatorAddresses returns the addresses at which the instances serve operators.
 func (li *localInstances) OperatorAddresses() []string { return li.lo.Addresses("Operator") }
 
-// Kill ends an instance without a word to the others.
+// Kill stops an instance without notifying the others.
 func (li *localInstances) Kill(_ context.Context, number int) error { return li.lo.Kill(number - 1) }
 
-// Start starts a killed instance again with what is on its disk.
+// Start restarts a killed instance from the data on its disk.
 func (li *localInstances) Start(_ context.Context, number int) error {
 	return li.lo.Restart(number - 1)
 }
--- a/cmd/balsamload/main.go
+++ b/cmd/balsamload/main.go
@@ -1,6 +1,6 @@
-// Command balsamload puts an open-loop load on a tier and measures the answers:
-// it runs an experiment file, sends a single query, or measures the slopes that
-// docs/CAPACITY.md is worked out from.
+// Command balsamload puts an open-loop load on a tier and measures the answers. It runs an
+// experiment file, sends a single query, or measures the slopes from which docs/CAPACITY.md
+// extrapolates.
 package main
 
 import (
@@ -16,28 +16,28 @@
 	"balsamwinch.example/settings"
 )
 
-// The exit codes.
+// Exit codes.
 const (
 	exitOK       = 0
-	exitFailed   = 1 // exitFailed says that the run could not be made or finished, or that a check of soak was broken.
+	exitFailed   = 1 // the run could not be started or finished, or a check of soak failed
 	exitUsage    = 2
-	exitSettings = 3 // exitSettings says that the experiment file has faults.
-	exitBroken   = 4 // exitBroken says that a promise was broken, or that the answer is not complete.
-	exitInvalid  = 5 // exitInvalid says that the load or the faults were not those of the file.
+	exitSettings = 3 // the experiment file has faults
+	exitBroken   = 4 // a promise was broken, or the answer is not complete
+	exitInvalid  = 5 // the load or the faults differed from the file
 )
 
 const usage = `balsamload: load and measurements for balsamwinch
 
 Usage:
   balsamload run [-json] [-callers A,B -backends A,B -operators A,B] FILE
-        run an experiment file on a tier in this process, or on instances that
-        run elsewhere, and print what was measured
+        run an experiment file on a tier in this process, or on instances outside
+        it, and print the measurements
   balsamload routed [-json] FILE
-        run an experiment file of the routed tier in this process and print what
-        was measured
+        run an experiment file of the routed tier in this process and print the
+        measurements
   balsamload soak [-json] [-seed N] [-length TIME] [-logs FOLDER] FILE
-        put the routed tier under load while faults are played, check its promises
-        and print what was found
+        put the routed tier under load while faults are injected, check its promises
+        and print the findings
   balsamload files -out FOLDER FILE
         write the operators' files of an experiment
   balsamload once -callers A,B [-json] SERVICE
@@ -57,11 +57,11 @@
 
 Exit codes:
   0  done; every promise was kept
-  1  the run could not be made or finished, or a check of "soak" was broken
-  2  the command line is wrong
+  1  the run could not be started or finished, or a check of "soak" failed
+  2  the command line is invalid
   3  the experiment file has faults, each with its line
   4  a promise was broken, or the answer of "once" is not complete
-  5  the run is not valid: queries were not sent or faults not brought about
+  5  the run is not valid: queries were not sent or faults not injected
 `
 
 func main() {
@@ -80,7 +80,7 @@
 		"run":           runExperiment,
 		"files":         writeFiles,
 		"once":          askOnce,
-		"capacity":      measure,
+		"capacity":      runCapacity,
 		"routed":        runRouted,
 		"soak":          runSoak,
 		instanceCommand: runInstance,
@@ -99,23 +99,23 @@
 	}
 }
 
-// usageError is a wrong command line.
+// usageError reports an invalid command line.
 type usageError struct {
 	detail string
 }
 
-// Error says what is wrong.
+// Error returns the detail.
 func (ue *usageError) Error() string {
 	return ue.detail
 }
 
-// verdictError is a run that came to its end and was not good.
+// verdictError reports a run that finished with a bad result.
 type verdictError struct {
 	code   int
 	detail string
 }
 
-// Error says what was not good.
+// Error returns the detail.
 func (ve *verdictError) Error() string {
 	return ve.detail
 }
@@ -140,8 +140,7 @@
 	}
 }
 
-// parse reads flags and wants the given number of arguments, or at least none
-// if it is below zero.
+// parse parses the flags and checks the number of arguments, unless wanted is negative.
 func parse(fl *flag.FlagSet, args []string, errOut io.Writer, wanted int, usage string) error {
 	fl.SetOutput(errOut)
 	fl.Usage = func() {
--- a/cmd/balsamload/main_test.go
+++ b/cmd/balsamload/main_test.go
@@ -22,7 +22,7 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-func golden(c *qt.C, name string, got []byte) {
+func checkGolden(c *qt.C, name string, got []byte) {
 	c.Helper()
 	path := filepath.Join("testdata", name)
 	if *update {
@@ -33,8 +33,9 @@
 	c.Assert(string(got), qt.Equals, string(want))
 }
 
-// entry is a fake instance that answers every query with the code.
-func entry(t *testing.T, code result.Code) string {
+// startFakeEntry starts a fake instance that answers every query with the code, and returns
+// its address.
+func startFakeEntry(t *testing.T, code result.Code) string {
 	var sv *httptest.Server
 	sv = httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, rq *http.Request) {
 		if rq.URL.Path == caller.AddressesPath {
@@ -56,7 +57,7 @@
 }
 
 func TestCommandLine(t *testing.T) {
-	whole, part := entry(t, result.Complete), entry(t, result.Partial)
+	complete, partial := startFakeEntry(t, result.Complete), startFakeEntry(t, result.Partial)
 	for _, tt := range []struct {
 		name string
 		args string
@@ -75,10 +76,10 @@
 		{"soak-missing-file", "soak testdata/none.yaml", exitFailed},
 		{"soak-faulty-file", "soak testdata/faulty.yaml", exitSettings},
 		{"soak-too-short", "soak -length 1s ../../experiments/routed/soak.yaml", exitUsage},
-		{"once-complete", "once -callers " + whole + " archivo", exitOK},
-		{"once-json", "once -json -callers " + whole + " archivo", exitOK},
-		{"once-partial", "once -callers " + part + " archivo", exitBroken},
-		{"once-bad-query", "once -callers " + whole + " -query { archivo", exitUsage},
+		{"once-complete", "once -callers " + complete + " archivo", exitOK},
+		{"once-json", "once -json -callers " + complete + " archivo", exitOK},
+		{"once-partial", "once -callers " + partial + " archivo", exitBroken},
+		{"once-bad-query", "once -callers " + complete + " -query { archivo", exitUsage},
 		{"once-no-callers", "once archivo", exitUsage},
 		{"capacity-list", "capacity -list", exitOK},
 		{"capacity", "capacity -runs 2 caller/addresses", exitOK},
@@ -89,12 +90,12 @@
 			var out, errOut bytes.Buffer
 			code := run(context.Background(), strings.Fields(tt.args), &out, &errOut)
 			c.Check(code, qt.Equals, tt.want)
-			golden(c, tt.name+".txt", append(out.Bytes(), errOut.Bytes()...))
+			checkGolden(c, tt.name+".txt", append(out.Bytes(), errOut.Bytes()...))
 		})
 	}
 }
 
-func TestFiles(t *testing.T) {
+func TestFilesWritesOperatorFiles(t *testing.T) {
 	c := qt.New(t)
 	folder := t.TempDir()
 	var out, errOut bytes.Buffer
@@ -104,7 +105,7 @@
 	c.Assert(paths, qt.HasLen, 3)
 }
 
-func TestVerdict(t *testing.T) {
+func TestVerdictExitCode(t *testing.T) {
 	for _, tt := range []struct {
 		re   load.Report
 		want int
@@ -119,10 +120,10 @@
 	}
 }
 
-// A whole tier in this process, two arms, a repartition, lost replies and the
-// last instance killed: the report has a line for each arm, phase and group, every
-// fault was brought about, and no promise is broken.
-func TestRunOnATier(t *testing.T) {
+// Runs an experiment on a tier in this process, with two arms, a repartition, lost replies and
+// the last instance killed. The report must have a line for each arm, phase and group, every
+// fault must have been injected, and no promise may be broken.
+func TestRunExperimentOnLocalTier(t *testing.T) {
 	c := qt.New(t)
 	var out, errOut bytes.Buffer
 	code := run(t.Context(), []string{"run", "-json", "testdata/tiny.yaml"}, &out, &errOut)
--- a/cmd/balsamload/once.go
+++ b/cmd/balsamload/once.go
@@ -34,7 +34,7 @@
 	case !json.Valid([]byte(*query)):
 		return &usageError{"-query is not JSON"}
 	}
-	cl := load.NewClient(timer.New(), list(*callers))
+	cl := load.NewClient(timer.New(), splitAddresses(*callers))
 	defer cl.Close()
 	oc := cl.Do(ctx, load.Call{
 		Service:   fl.Arg(0),
@@ -56,7 +56,7 @@
 			return err
 		}
 	} else {
-		describe(out, an)
+		printAnswerText(out, an)
 	}
 	if an.Code != result.Complete {
 		return &verdictError{exitBroken, fmt.Sprintf("the answer is %s (%d)", an.Code, int(an.Code))}
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// describe prints an answer for people.
-func describe(out io.Writer, an fanout.Answer) {
+// printAnswerText prints an answer as text.
+func printAnswerText(out io.Writer, an fanout.Answer) {
 	fmt.Fprintf(out, "%s (%d) from %s, snapshot %s, configuration %d\n", an.Code, int(an.Code), an.Instance, an.Snapshot, an.Revision)
 	if an.Detail != "" {
 		fmt.Fprintln(out, an.Detail)
@@ -82,6 +82,6 @@
 		}
 	}
 	if an.RetryAfterMillis > 0 {
-		fmt.Fprintf(out, "come back after %d ms\n", an.RetryAfterMillis)
+		fmt.Fprintf(out, "retry after %d ms\n", an.RetryAfterMillis)
 	}
 }
--- a/cmd/balsamload/routed.go
+++ b/cmd/balsamload/routed.go
@@ -13,7 +13,7 @@
 func runRouted(ctx context.Context, args []string, out, errOut io.Writer) error {
 	fl := flag.NewFlagSet("routed", flag.ContinueOnError)
 	asJSON := fl.Bool("json", false, "print JSON")
-	verbose := fl.Bool("v", false, "log what the tier does to standard error")
+	verbose := fl.Bool("v", false, "print the log of the tier on standard error")
 	if err := parse(fl, args, errOut, 1, "routed [FLAGS] FILE"); err != nil {
 		return err
 	}
@@ -32,7 +32,7 @@
 	case re.Wrong() > 0:
 		return &verdictError{exitBroken, "an answer was wrong, see above"}
 	case re.Dropped > 0:
-		return &verdictError{exitInvalid, "the load was not that of the file, see above"}
+		return &verdictError{exitInvalid, "the load differed from the file, see above"}
 	default:
 		return nil
 	}
--- a/cmd/balsamload/soak.go
+++ b/cmd/balsamload/soak.go
@@ -12,8 +12,7 @@
 	"balsamwinch.example/timer"
 )
 
-// instanceCommand is the subcommand that soak starts for each instance; it is no command
-// for people.
+// instanceCommand is the internal subcommand that soak starts for each instance.
 const instanceCommand = "soak-instance"
 
 // runInstance is the subcommand instanceCommand.
@@ -25,8 +24,8 @@
 func runSoak(ctx context.Context, args []string, out, errOut io.Writer) error {
 	fl := flag.NewFlagSet("soak", flag.ContinueOnError)
 	asJSON := fl.Bool("json", false, "print JSON")
-	seed := fl.Uint64("seed", 0, "`number` from which faults and arrivals are drawn, in place of the file's")
-	length := fl.Duration("length", 0, "`time` under load, in place of the file's")
+	seed := fl.Uint64("seed", 0, "`number` that seeds faults and arrivals, instead of the file's")
+	length := fl.Duration("length", 0, "`duration` of the load, instead of the file's")
 	logs := fl.String("logs", "", "`folder` for the logs of the instances; it must exist")
 	if err := parse(fl, args, errOut, 1, "soak [FLAGS] FILE"); err != nil {
 		return err
@@ -57,9 +56,9 @@
 	}
 	switch {
 	case re.NumViolations() > 0:
-		return &verdictError{exitFailed, fmt.Sprintf("%d checks were broken, see above; seed %d", re.NumViolations(), re.Seed)}
+		return &verdictError{exitFailed, fmt.Sprintf("%d checks failed, see above; seed %d", re.NumViolations(), re.Seed)}
 	case re.Dropped > 0 || len(re.Problems) > 0:
-		return &verdictError{exitInvalid, "the load or the faults were not those of the file, see above"}
+		return &verdictError{exitInvalid, "the load or the faults differed from the file, see above"}
 	default:
 		return nil
 	}
