--- a/capacity/addresses.go
+++ b/capacity/addresses.go
@@ -8,14 +8,14 @@
 	"balsamwinch.example/view"
 )
 
-// addresses measures the list that a caller keeps.
+// addresses measures the size of the address list that a caller keeps.
 func addresses() Measurement {
 	return Measurement{
 		Name: "caller/addresses", SizeUnit: "instances", Sizes: []int{9, 90, 890}, Quick: []int{9, 90, 890}, Target: TargetInstances,
 		Columns: []Column{
 			{"caller", "address list, all instances", "bytes", Linear},
 		},
-		Sample: func(_ context.Context, tr Trial) ([]float64, error) {
+		Take: func(_ context.Context, tr Trial) ([]float64, error) {
 			vi := &view.View{Instances: instancesOf(tr.Size)}
 			var ad caller.Addresses
 			for _, in := range caller.RankInstances(vi, "", "", 0) {
--- a/capacity/exchange.go
+++ b/capacity/exchange.go
@@ -18,12 +18,12 @@
 
 const (
 	loopback = "127.0.0.1"
-	// packetHeaders are the bytes of the IP and UDP headers of a packet.
+	// packetHeaders is the size of the IP and UDP headers of a packet in bytes.
 	packetHeaders = 28
 	leaderName    = "leader"
 )
 
-// relay passes packets between one instance and the leader and counts them.
+// relay forwards packets between one instance and the leader and counts them.
 type relay struct {
 	front, back    net.PacketConn
 	client         atomic.Pointer[net.UDPAddr]
@@ -31,7 +31,7 @@
 }
 
 func newRelay(leader string) (*relay, error) {
-	to, err := net.ResolveUDPAddr("udp", leader)
+	leaderAddress, err := net.ResolveUDPAddr("udp", leader)
 	if err != nil {
 		return nil, err
 	}
@@ -44,15 +44,15 @@
 		return nil, errors.Join(err, front.Close())
 	}
 	re := &relay{front: front, back: back}
-	go re.pass(front, back, func(from net.Addr) net.Addr {
+	go re.forward(front, back, func(from net.Addr) net.Addr {
 		re.client.Store(from.(*net.UDPAddr))
-		return to
+		return leaderAddress
 	})
-	go re.pass(back, front, func(net.Addr) net.Addr { return re.client.Load() })
+	go re.forward(back, front, func(net.Addr) net.Addr { return re.client.Load() })
 	return re, nil
 }
 
-func (re *relay) pass(from, to net.PacketConn, target func(net.Addr) net.Addr) {
+func (re *relay) forward(from, to net.PacketConn, target func(net.Addr) net.Addr) {
 	buf := make([]byte, 1<<16)
 	for {
 		le, ad, err := from.ReadFrom(buf)
@@ -72,9 +72,9 @@
 	re.back.Close()
 }
 
-// party is a leader and the stand-ins that renew their leases with it over real
+// renewalCluster is a leader and the peers that renew their leases with it over real
 // connections.
-type party struct {
+type renewalCluster struct {
 	au     *keys.Authority
 	co     *peer.Codec
 	ts     *timer.Service
@@ -83,62 +83,62 @@
 	wg     sync.WaitGroup
 	leader *peer.Peer
 
-	mu sync.Mutex
-	bo control.LeaseTable
+	mu     sync.Mutex
+	leases control.LeaseTable
 }
 
-func newParty(holders int) (*party, error) {
+func newRenewalCluster(holders int) (*renewalCluster, error) {
 	au, err := keys.NewAuthority()
 	if err != nil {
 		return nil, err
 	}
-	pa := &party{au: au, co: peer.NewCodec(control.Messages()), ts: timer.New(), bo: bookOf(holders)}
-	pa.ctx, pa.cancel = context.WithCancel(context.Background())
+	rc := &renewalCluster{au: au, co: peer.NewCodec(control.Messages()), ts: timer.New(), leases: leaseTableOf(holders)}
+	rc.ctx, rc.cancel = context.WithCancel(context.Background())
 	grant := func(_ context.Context, _ string, ms peer.Message) (peer.Message, error) {
-		pa.mu.Lock()
-		defer pa.mu.Unlock()
-		bo, gr := grantOf(pa.bo, began, ms.(control.Renewal), holders)
-		pa.bo = bo
+		rc.mu.Lock()
+		defer rc.mu.Unlock()
+		lt, gr := grantOf(rc.leases, startTime, ms.(control.Renewal), holders)
+		rc.leases = lt
 		return gr, nil
 	}
-	pa.leader, err = pa.join(leaderName, grant)
+	rc.leader, err = rc.join(leaderName, grant)
 	if err != nil {
-		return nil, errors.Join(err, pa.close())
+		return nil, errors.Join(err, rc.close())
 	}
-	return pa, nil
+	return rc, nil
 }
 
-func (pa *party) join(name string, ha peer.Handler) (*peer.Peer, error) {
-	pr, err := pa.au.Issue(keys.Subject{Name: name, IPs: []net.IP{net.ParseIP(loopback)}})
+func (rc *renewalCluster) join(name string, ha peer.Handler) (*peer.Peer, error) {
+	pr, err := rc.au.Issue(keys.Subject{Name: name, IPs: []net.IP{net.ParseIP(loopback)}})
 	if err != nil {
 		return nil, err
 	}
-	tl, err := pa.au.Config(pr)
+	tl, err := rc.au.Config(pr)
 	if err != nil {
 		return nil, err
 	}
-	pe, err := peer.New(peer.Config{Self: name, Address: loopback + ":0", TLS: tl}, pa.co, ha, pa.ts, zap.NewNop())
+	pe, err := peer.New(peer.Config{Self: name, Address: loopback + ":0", TLS: tl}, rc.co, ha, rc.ts, zap.NewNop())
 	if err != nil {
 		return nil, err
 	}
-	pa.wg.Go(func() { _ = pe.Serve(pa.ctx) })
+	rc.wg.Go(func() { _ = pe.Serve(rc.ctx) })
 	return pe, nil
 }
 
-func (pa *party) close() error {
-	pa.cancel()
-	pa.wg.Wait()
+func (rc *renewalCluster) close() error {
+	rc.cancel()
+	rc.wg.Wait()
 	return nil
 }
 
-func refuse(context.Context, string, peer.Message) (peer.Message, error) { return nil, nil }
+func noReply(context.Context, string, peer.Message) (peer.Message, error) { return nil, nil }
 
 func renewalOf(ix, holders int) control.Renewal {
 	return control.Renewal{Instance: instanceOf(ix), InForce: 1, Leased: true, Entries: holders}
 }
 
-// round lets every stand-in renew once, one after the other.
-func (pa *party) round(ctx context.Context, pes []*peer.Peer, address string) error {
+// renewAll renews the lease of every peer once, one after the other.
+func (rc *renewalCluster) renewAll(ctx context.Context, pes []*peer.Peer, address string) error {
 	for ix, pe := range pes {
 		if _, err := pe.Call(ctx, leaderName, address, renewalOf(ix, len(pes))); err != nil {
 			return err
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// exchanges measures renewals over real connections between instances.
+// exchanges measures lease renewals over real connections.
 func exchanges() Measurement {
 	return Measurement{
 		Name: "leader/exchanges", SizeUnit: "instances", Sizes: []int{9, 30, 100}, Quick: []int{3, 9, 30}, Target: TargetInstances,
@@ -159,55 +159,55 @@
 			{"leader", "a renewal on the wire, both ways", "packets", Linear},
 			{"entry", "first renewal of an instance on the wire, both ways", "bytes", Linear},
 		},
-		Sample: takeExchanges,
+		Take: takeExchanges,
 	}
 }
 
 func takeExchanges(ctx context.Context, tr Trial) (vas []float64, err error) {
-	const callsEach = 2000 // callsEach is about how many renewals are averaged.
+	const targetCalls = 2000 // approximate number of renewals that are averaged
 	ctx, cancel := context.WithTimeout(ctx, time.Minute)
 	defer cancel()
-	pa, err := newParty(tr.Size)
+	rc, err := newRenewalCluster(tr.Size)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { err = errors.Join(err, pa.close()) }()
+	defer func() { err = errors.Join(err, rc.close()) }()
 	var pes []*peer.Peer
 	for ix := range tr.Size {
-		pe, err := pa.join(instanceOf(ix).Name, refuse)
+		pe, err := rc.join(instanceOf(ix).Name, noReply)
 		if err != nil {
 			return nil, err
 		}
 		pes = append(pes, pe)
 	}
-	empty := held()
-	first := spent(1, func(int) { err = pa.round(ctx, pes, pa.leader.Address()) })
+	empty := liveBytes()
+	first := cpuMicrosPerRun(1, func(int) { err = rc.renewAll(ctx, pes, rc.leader.Address()) })
 	if err != nil {
 		return nil, err
 	}
-	connection := held() - empty
-	rounds := max(2, callsEach/tr.Size)
-	renewal := spent(rounds, func(int) {
-		if er := pa.round(ctx, pes, pa.leader.Address()); er != nil {
+	connection := liveBytes() - empty
+	rounds := max(2, targetCalls/tr.Size)
+	renewal := cpuMicrosPerRun(rounds, func(int) {
+		if er := rc.renewAll(ctx, pes, rc.leader.Address()); er != nil {
 			err = er
 		}
 	})
 	if err != nil {
 		return nil, err
 	}
-	wire, err := pa.wire(ctx, pes[0], tr.Size)
+	traffic, err := rc.measureTraffic(ctx, pes[0], tr.Size)
 	if err != nil {
 		return nil, err
 	}
 	each := float64(tr.Size)
-	return append([]float64{connection / each, first / each, renewal / each}, wire...), nil
+	return append([]float64{connection / each, first / each, renewal / each}, traffic...), nil
 }
 
-// wire counts what goes over the wire for a renewal once the connection is made,
-// and for the first one.
-func (pa *party) wire(ctx context.Context, pe *peer.Peer, holders int) ([]float64, error) {
+// measureTraffic returns the bytes and packets of a renewal on an established connection, and
+// the additional bytes of the first renewal.
+func (rc *renewalCluster) measureTraffic(ctx context.Context, pe *peer.Peer, holders int) ([]float64, error) {
 	const calls = 50
-	re, err := newRelay(pa.leader.Address())
+	re, err := newRelay(rc.leader.Address())
 	if err != nil {
 		return nil, err
 	}
@@ -219,8 +219,8 @@
 	if err := call(); err != nil {
 		return nil, err
 	}
-	// What confirms the handshake may still be on its way; the second renewal
-	// leaves it behind.
+	// Packets that confirm the handshake may still be in transit after the first renewal, but
+	// not after the second.
 	if err := call(); err != nil {
 		return nil, err
 	}
--- a/capacity/fanout.go
+++ b/capacity/fanout.go
@@ -23,45 +23,45 @@
 	"balsamwinch.example/view"
 )
 
-// instant replies at once, in place of a client with connections.
-type instant struct{}
+// instantSender replies at once, without connections.
+type instantSender struct{}
 
-// Do returns the reply that the request asks for.
-func (instant) Do(_ context.Context, ta backend.Target, rq backend.Request) (backend.Reply, error) {
-	return answerTo(ta.Server, rq), nil
+// Do returns the reply that matches the request.
+func (instantSender) Do(_ context.Context, ta backend.Target, rq backend.Request) (backend.Reply, error) {
+	return replyTo(ta.Server, rq), nil
 }
 
-func answerTo(server string, rq backend.Request) backend.Reply {
+func replyTo(server string, rq backend.Request) backend.Reply {
 	return backend.Reply{RequestID: rq.RequestID, Server: server, Shard: rq.Shard, Snapshot: rq.Snapshot, Code: backend.ReplyOK}
 }
 
-// standIn is a backend server that answers every query at once.
-type standIn struct {
+// fakeServer is a backend server that answers every query at once.
+type fakeServer struct {
 	ln     net.Listener
 	server string
 }
 
-func newStandIn(server string) (*standIn, error) {
+func newFakeServer(server string) (*fakeServer, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	si := &standIn{ln: ln, server: server}
-	go si.accept()
-	return si, nil
+	fs := &fakeServer{ln: ln, server: server}
+	go fs.accept()
+	return fs, nil
 }
 
-func (si *standIn) accept() {
+func (fs *fakeServer) accept() {
 	for {
-		nc, err := si.ln.Accept()
+		nc, err := fs.ln.Accept()
 		if err != nil {
 			return
 		}
-		go si.serve(nc)
+		go fs.serve(nc)
 	}
 }
 
-func (si *standIn) serve(nc net.Conn) {
+func (fs *fakeServer) serve(nc net.Conn) {
 	defer nc.Close()
 	rd := bufio.NewReader(nc)
 	for {
@@ -74,23 +74,23 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, hr.Body)
-		body, _ := json.Marshal(answerTo(si.server, rq)) // A Reply has nothing that can't be encoded.
+		body, _ := json.Marshal(replyTo(fs.server, rq)) // A Reply contains nothing that can't be encoded.
 		if _, err := fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body); err != nil {
 			return
 		}
 	}
 }
 
-// tierOf is what an entry needs to answer queries.
-type tierOf struct {
-	en *fanout.Engine
-	cl *backend.Client
-	si []*standIn
+// queryEntry is the part of an entry that answers queries, with its backend servers.
+type queryEntry struct {
+	en      *fanout.Engine
+	cl      *backend.Client
+	servers []*fakeServer
 }
 
-func newTierOf(leaves int, connected bool) (*tierOf, error) {
+func newQueryEntry(leaves int, connected bool) (*queryEntry, error) {
 	ts := timer.New()
-	ti := &tierOf{}
+	qe := &queryEntry{}
 	vi := &view.View{Configuration: configuration(leaves), LeaseUntil: time.Now().Add(leaseLength), Servers: recordsOf(leaves * replicas)}
 	for ix := range vi.Servers {
 		re := &vi.Servers[ix]
@@ -99,49 +99,50 @@
 		if !connected {
 			continue
 		}
-		si, err := newStandIn(re.Server)
+		fs, err := newFakeServer(re.Server)
 		if err != nil {
-			return nil, errors.Join(err, ti.close())
+			return nil, errors.Join(err, qe.close())
 		}
-		ti.si = append(ti.si, si)
-		re.Address = si.ln.Addr().String()
+		qe.servers = append(qe.servers, fs)
+		re.Address = fs.ln.Addr().String()
 	}
 	ce := &view.Cell{}
 	ce.Store(vi)
 	ta := limit.NewTable(ts, limit.TableConfig{})
 	ta.Update(vi)
-	ti.cl = backend.NewClient(ts, zap.NewNop(), backend.ClientConfig{SilenceTimeout: time.Minute})
-	var sd fanout.Sender = ti.cl
+	qe.cl = backend.NewClient(ts, zap.NewNop(), backend.ClientConfig{SilenceTimeout: time.Minute})
+	var sd fanout.Sender = qe.cl
 	if !connected {
-		sd = instant{}
+		sd = instantSender{}
 	}
 	ad := limit.NewAdmission(ts, limit.AdmissionConfig{ServiceCapacity: ta.ServiceCapacity})
 	nb := func(percent float64, burst int) fanout.Budget { return limit.NewBudget(percent, burst) }
-	ti.en = fanout.New("entry-000", ce, sd, ta, ad, nb, nil, ts, zap.NewNop(), fanout.NewMetrics(metrics.NewSet()))
-	return ti, nil
+	qe.en = fanout.New("entry-000", ce, sd, ta, ad, nb, nil, ts, zap.NewNop(), fanout.NewMetrics(metrics.NewSet()))
+	return qe, nil
 }
 
-func (ti *tierOf) close() error {
-	if ti.cl != nil {
-		ti.cl.Close()
+func (qe *queryEntry) close() error {
+	if qe.cl != nil {
+		qe.cl.Close()
 	}
 	var errs []error
-	for _, si := range ti.si {
-		errs = append(errs, si.ln.Close())
+	for _, fs := range qe.servers {
+		errs = append(errs, fs.ln.Close())
 	}
 	return errors.Join(errs...)
 }
 
-// cost is what queries cost.
-type cost struct {
+// queryCost is the mean processor time in µs and the mean number of allocations per leaf
+// request, and the median latency of a query in ms.
+type queryCost struct {
 	leafMicros, leafAllocs, median float64
 }
 
-func (ti *tierOf) measure(ctx context.Context, leaves, queries int) (cost, error) {
+func (qe *queryEntry) measure(ctx context.Context, leaves, queries int) (queryCost, error) {
 	const warmUp = 20
-	ask := func(ix int) (time.Duration, error) {
+	runQuery := func(ix int) (time.Duration, error) {
 		start := time.Now()
-		an := ti.en.Run(ctx, fanout.Query{
+		an := qe.en.Run(ctx, fanout.Query{
 			RequestID: fmt.Sprint(ix), Service: serviceName, Repeatable: true, Deadline: start.Add(time.Minute),
 			Body: json.RawMessage(`{"Building":"Av. Larco 345","Limit":20}`),
 		})
@@ -151,16 +152,16 @@
 		return time.Since(start), nil
 	}
 	for ix := range warmUp {
-		if _, err := ask(ix); err != nil {
-			return cost{}, err
+		if _, err := runQuery(ix); err != nil {
+			return queryCost{}, err
 		}
 	}
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	took := make([]float64, queries)
 	var failed error
-	spentMicros := spent(queries, func(ix int) {
-		du, err := ask(ix)
+	spentMicros := cpuMicrosPerRun(queries, func(ix int) {
+		du, err := runQuery(ix)
 		if err != nil {
 			failed = err
 		}
@@ -168,14 +169,13 @@
 	})
 	runtime.ReadMemStats(&after)
 	allocs := float64(after.Mallocs-before.Mallocs) / float64(queries*leaves)
-	return cost{leafMicros: spentMicros / float64(leaves), leafAllocs: allocs, median: quantileOf(slices.Clone(took), 0.5)}, failed
+	return queryCost{leafMicros: spentMicros / float64(leaves), leafAllocs: allocs, median: quantileOf(slices.Clone(took), 0.5)}, failed
 }
 
-// fanouts measures what a query costs an entry for each leaf request: the engine
-// alone, and with real connections to stand-ins in this process, whose own cost
-// is in the figure.
+// fanouts measures the cost of a query per leaf request: for the engine alone, and with real
+// connections to fake servers in this process, whose own cost is included.
 func fanouts() Measurement {
-	const leafRequestsEach = 20_000
+	const leafRequestsPerRun = 20_000
 	return Measurement{
 		Name: "entry/fanout", SizeUnit: "leaves", Sizes: []int{13, 60, 180}, Quick: []int{13, 60, 180}, Target: TargetQueryLeaves,
 		Columns: []Column{
@@ -186,15 +186,15 @@
 			{"entry", "a leaf request over HTTP, with the stand-in's part", "allocations", Constant},
 			{"entry", "a query over HTTP, one at a time", "ms at the median", Linear},
 		},
-		Sample: func(ctx context.Context, tr Trial) ([]float64, error) {
+		Take: func(ctx context.Context, tr Trial) ([]float64, error) {
 			var vas []float64
 			for _, connected := range []bool{false, true} {
-				ti, err := newTierOf(tr.Size, connected)
+				qe, err := newQueryEntry(tr.Size, connected)
 				if err != nil {
 					return nil, err
 				}
-				co, err := ti.measure(ctx, tr.Size, leafRequestsEach/tr.Size)
-				if err := errors.Join(err, ti.close()); err != nil {
+				co, err := qe.measure(ctx, tr.Size, leafRequestsPerRun/tr.Size)
+				if err := errors.Join(err, qe.close()); err != nil {
 					return nil, err
 				}
 				vas = append(vas, co.leafMicros, co.leafAllocs, co.median)
--- a/capacity/grants.go
+++ b/capacity/grants.go
@@ -11,32 +11,32 @@
 	"balsamwinch.example/peer"
 )
 
-// leaseLength is long, so that no lease ends within a trial.
+// leaseLength is so long that no lease expires during a trial.
 const leaseLength = time.Hour
 
-var began = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
-// bookOf returns a leader's book in which the first instances hold leases.
-func bookOf(count int) control.LeaseTable {
-	bo := control.NewLeaseTable(began.Add(-2*leaseLength), leaseLength).WithRevision(began, 1)
+// leaseTableOf returns a leader's lease table in which the first count instances hold leases.
+func leaseTableOf(count int) control.LeaseTable {
+	lt := control.NewLeaseTable(startTime.Add(-2*leaseLength), leaseLength).WithRevision(startTime, 1)
 	for _, in := range instancesOf(count) {
-		bo, _, _ = bo.WithRenewal(began, control.Renewal{Instance: in, InForce: 1}, count)
+		lt, _, _ = lt.WithRenewal(startTime, control.Renewal{Instance: in, InForce: 1}, count)
 	}
-	return bo
+	return lt
 }
 
-// grantOf does what the leader does with a renewal that names the newest list of
-// lease holders, without the files.
-func grantOf(bo control.LeaseTable, now time.Time, rn control.Renewal, maxEntries int) (control.LeaseTable, control.Grant) {
-	bo, ok, reason := bo.WithRenewal(now, rn, maxEntries)
-	return bo, control.Grant{
-		Granted: ok, Reason: reason, LeaseMillis: bo.LeaseMillis(), Term: 1, Revision: 1, Leader: "entry-000",
-		Roster: rn.Roster, Entries: bo.Divisor(rn.Instance),
+// grantOf handles a renewal that names the current list of lease holders as the leader does,
+// but without configuration files.
+func grantOf(lt control.LeaseTable, now time.Time, rn control.Renewal, maxEntries int) (control.LeaseTable, control.Grant) {
+	lt, ok, reason := lt.WithRenewal(now, rn, maxEntries)
+	return lt, control.Grant{
+		Granted: ok, Reason: reason, LeaseMillis: lt.LeaseMillis(), Term: 1, Revision: 1, Leader: "entry-000",
+		Roster: rn.Roster, Entries: lt.Divisor(rn.Instance),
 	}
 }
 
-// grants measures the renewal of a lease: the decisions and the codec at both
-// ends, without the transport.
+// grants measures the renewal of a lease: the decisions and the codec at both ends, without
+// the transport.
 func grants() Measurement {
 	const repetitions = 200
 	return Measurement{
@@ -51,50 +51,50 @@
 			{"leader", "one look whether a change is in force", "processor µs", Linear},
 			{"leader", "book of leases", "bytes held", Linear},
 		},
-		Sample: takeGrants(repetitions),
+		Take: takeGrants(repetitions),
 	}
 }
 
 func takeGrants(repetitions int) func(context.Context, Trial) ([]float64, error) {
 	return func(_ context.Context, tr Trial) ([]float64, error) {
 		co := peer.NewCodec(control.Messages(), member.Messages())
-		empty := held()
-		bo := bookOf(tr.Size)
-		book := held() - empty
+		empty := liveBytes()
+		lt := leaseTableOf(tr.Size)
+		tableBytes := liveBytes() - empty
 		rn := control.Renewal{Instance: instanceOf(tr.Size / 2), InForce: 1, Leased: true, Entries: tr.Size}
 		renewal, err := co.Encode(rn)
 		if err != nil {
 			return nil, err
 		}
 		var frame []byte
-		leader := spent(repetitions, func(int) {
+		leader := cpuMicrosPerRun(repetitions, func(int) {
 			var gr control.Grant
-			bo, gr = grantOf(bo, began, rn, tr.Size)
+			lt, gr = grantOf(lt, startTime, rn, tr.Size)
 			frame, err = co.Encode(gr)
 		})
 		if err != nil {
 			return nil, err
 		}
 		var listed []byte
-		list := spent(repetitions, func(int) {
-			listed, err = co.Encode(control.Grant{Granted: true, Instances: bo.Instances(began)})
+		list := cpuMicrosPerRun(repetitions, func(int) {
+			listed, err = co.Encode(control.Grant{Granted: true, Instances: lt.Instances(startTime)})
 		})
 		if err != nil {
 			return nil, err
 		}
-		holders := bo.Instances(began)
-		me := member.New(rn.Instance, 1, began)
-		entry := spent(repetitions, func(int) {
+		holders := lt.Instances(startTime)
+		me := member.New(rn.Instance, 1, startTime)
+		entry := cpuMicrosPerRun(repetitions, func(int) {
 			_, _ = co.Decode(frame)
-			me, _ = member.Step(me, member.InstancesGranted{Now: began, Instances: holders})
+			me, _ = member.Step(me, member.InstancesGranted{Now: startTime, Instances: holders})
 			me.Instances()
 		})
-		look := spent(repetitions, func(int) { bo.InForce(began, 1) })
-		return []float64{float64(len(renewal)), float64(len(frame)), leader, float64(len(listed)), list, entry, look, book}, nil
+		check := cpuMicrosPerRun(repetitions, func(int) { lt.InForce(startTime, 1) })
+		return []float64{float64(len(renewal)), float64(len(frame)), leader, float64(len(listed)), list, entry, check, tableBytes}, nil
 	}
 }
 
-// serviceFile is an operators' file of one service.
+// serviceFile returns an operators' file that defines one service.
 func serviceFile(ix, deadline int) operator.File {
 	return operator.File{
 		Name: fmt.Sprintf("%03d.yaml", ix),
@@ -103,10 +103,9 @@
 	}
 }
 
-// stateOf returns the replicated state after one change of the given number of
-// files.
+// stateOf returns the replicated state after a single change of count files.
 func stateOf(count int) control.State {
-	ch := control.Change{ChangeID: "folder", Author: "ana", When: began}
+	ch := control.Change{ChangeID: "folder", Author: "ana", When: startTime}
 	for ix := range count {
 		fi := serviceFile(ix, 100)
 		ch.Files = append(ch.Files, control.FileChange{Name: fi.Name, Content: fi.Content})
@@ -115,8 +114,8 @@
 	return st
 }
 
-// files measures a configuration on its way: for a change of one file the leader
-// sends it to each instance with the names of all.
+// files measures the distribution of a configuration: after a change of one file the leader
+// sends that file and the names of all files to each instance.
 func files() Measurement {
 	const repetitions = 10
 	return Measurement{
@@ -126,11 +125,11 @@
 			{"leader", "encoding of a grant with one file", "processor µs", Linear},
 			{"entry", "a change: decoding, merging and checking all files", "processor µs", Linear},
 		},
-		Sample: func(_ context.Context, tr Trial) ([]float64, error) {
+		Take: func(_ context.Context, tr Trial) ([]float64, error) {
 			co := peer.NewCodec(control.Messages())
 			st := stateOf(tr.Size)
 			if st.Revision() != 1 {
-				return nil, fmt.Errorf("the folder was refused")
+				return nil, fmt.Errorf("the change was refused")
 			}
 			bare, err := co.Encode(control.Grant{Granted: true, Revision: 1})
 			if err != nil {
@@ -142,13 +141,13 @@
 				names[ix] = all[ix].Name
 			}
 			var frame []byte
-			leader := spent(repetitions, func(int) {
+			leader := cpuMicrosPerRun(repetitions, func(int) {
 				frame, err = co.Encode(control.Grant{Granted: true, Revision: 1, Names: names, Files: all[:1]})
 			})
 			if err != nil {
 				return nil, err
 			}
-			entry := spent(repetitions, func(int) {
+			entry := cpuMicrosPerRun(repetitions, func(int) {
 				_, _ = co.Decode(frame)
 				var fis []operator.File
 				for _, fi := range all {
--- a/capacity/measure.go
+++ b/capacity/measure.go
@@ -1,7 +1,7 @@
-// Package capacity measures what the state and the traffic of a tier cost at a
-// few sizes, with small stand-ins in one process, so that docs/CAPACITY.md can
-// work out the size two years out. It uses the real decisions, codecs and
-// connections; it does not emulate a tier of that size.
+// Package capacity measures the cost of a tier's state and traffic at a few sizes, with small
+// substitutes in one process, so that docs/CAPACITY.md can extrapolate to the size expected in
+// two years. It uses the real decisions, codecs and connections; it does not emulate a tier of
+// that size.
 package capacity
 
 import (
@@ -19,60 +19,60 @@
 	"balsamwinch.example/load"
 )
 
-// Sizes two years out, from the users' letter.
+// Target sizes, expected in two years, as the users state them.
 const (
 	TargetInstances    = 890
 	TargetServers      = 6900
 	TargetQueryLeaves  = 180
-	TargetControlFiles = 270 // ControlFiles is a guess: ten times the files of today's larger folder.
+	TargetControlFiles = 270 // estimate: ten times the files of the larger current folder
 )
 
-// Model says how a value is carried on to the size two years out.
+// Model is the method by which a value is extrapolated to the target size.
 type Model uint8
 
-// The models of a column.
+// Models of a column.
 const (
-	Linear Model = iota // Line extends the least squares line.
-	// Level takes the largest size: the design bounds the value, or it does not
-	// follow a line.
+	Linear Model = iota // extends the least squares line
+	// Constant takes the value at the largest size, because the design bounds the value or
+	// because it does not follow a line.
 	Constant
 )
 
-// Column is one value that a measure gives at each size.
+// Column describes one value that a measurement yields at each size.
 type Column struct {
-	Role  string // Role is what carries the cost: entry, leader, voter, caller.
-	Kind  string // Kind is the state or the traffic that costs.
+	Role  string // what bears the cost: entry, leader, voter, caller, instance or backend server
+	Kind  string // state or traffic that is measured
 	Unit  string
 	Model Model
 }
 
-// Trial is one taking of a measure.
+// Trial describes one run of a measurement at one size.
 type Trial struct {
 	Size   int
-	Run    int           // Run numbers the repetitions of a size from 0.
-	Window time.Duration // Window is how long something that goes on by itself is watched.
+	Run    int           // number of the repetition at this size, from 0
+	Window time.Duration // how long background activity is observed
 }
 
-// Measure gives the values of its columns at several sizes.
+// Measurement yields the values of its columns at several sizes.
 type Measurement struct {
-	Name     string // Name selects the measure on the command line.
-	SizeUnit string // Of is what the sizes count.
-	Sizes    []int  // Sizes are at least three.
-	Quick    []int  // Quick are the sizes of a quick run.
-	Target   int    // Target is the size two years out.
+	Name     string // selects the measurement on the command line
+	SizeUnit string // what the sizes count
+	Sizes    []int  // at least three
+	Quick    []int  // sizes of a quick run
+	Target   int    // size expected in two years
 	Columns  []Column
-	Sample   func(ctx context.Context, tr Trial) ([]float64, error)
+	Take     func(ctx context.Context, tr Trial) ([]float64, error)
 }
 
-// Measures returns all measures.
+// Measurements returns all measurements.
 func Measurements() []Measurement {
 	return []Measurement{
-		addresses(), grants(), files(), states(), publishing(), connections(), tail(),
+		addresses(), grants(), files(), states(), publishing(), connections(), tailLatency(),
 		fanouts(), exchanges(), tiers(), records(),
 	}
 }
 
-// Roles returns the roles of the measure's columns.
+// Roles returns the distinct roles of the columns.
 func (me Measurement) Roles() []string {
 	var ros []string
 	for _, co := range me.Columns {
@@ -83,23 +83,23 @@
 	return ros
 }
 
-// Options say how measures are run.
+// Options controls how measurements are run.
 type Options struct {
 	Runs   int
-	Quick  bool  // Quick takes the quick sizes.
-	Sizes  []int // Sizes, if any, are taken in place of the measure's own.
+	Quick  bool  // use the quick sizes
+	Sizes  []int // used instead of the measurement's own sizes if not empty
 	Window time.Duration
 }
 
-// Row is one column of a measure at all its sizes.
+// Row holds the values of one column at all sizes.
 type Row struct {
 	load.Row
 	Of    string
 	Model Model
-	Means []float64 // Means are the mean values, by ascending size.
+	Means []float64 // mean values, by ascending size
 }
 
-// Run takes the measure at each size as often as the options say.
+// Run takes op.Runs trials at each size and returns a row for each column.
 func (me Measurement) Run(ctx context.Context, op Options) ([]Row, error) {
 	sls := make([]load.Slope, len(me.Columns))
 	for ix, co := range me.Columns {
@@ -107,7 +107,7 @@
 	}
 	for run := range op.Runs {
 		for _, size := range me.sizes(op) {
-			vas, err := me.Sample(ctx, Trial{Size: size, Run: run, Window: op.Window})
+			vas, err := me.Take(ctx, Trial{Size: size, Run: run, Window: op.Window})
 			if err != nil {
 				return nil, fmt.Errorf("%s at size %d: %w", me.Name, size, err)
 			}
@@ -164,8 +164,9 @@
 	return slices.Compact(slices.Sorted(slices.Values(ro.Slope.Sizes)))
 }
 
-// AtTarget returns the value at the size two years out, and how it was come by.
-func (ro Row) AtTarget() (value float64, how string) {
+// AtTarget returns the value at the target size, and whether it was measured, extrapolated or
+// taken from the largest size.
+func (ro Row) AtTarget() (value float64, source string) {
 	sizes := ro.sizes()
 	last := len(sizes) - 1
 	ix := slices.Index(sizes, ro.Target)
@@ -179,14 +180,14 @@
 	}
 }
 
-// Write prints the rows as Markdown, a table for each command.
+// WriteMarkdown prints the rows as Markdown, one table for each command.
 func WriteMarkdown(wr io.Writer, rows []Row) error {
 	var sb strings.Builder
-	said := ""
+	lastCommand := ""
 	for _, ro := range rows {
-		if ro.Slope.Command != said {
-			said = ro.Slope.Command
-			writeHead(&sb, said)
+		if ro.Slope.Command != lastCommand {
+			lastCommand = ro.Slope.Command
+			writeHead(&sb, lastCommand)
 		}
 		ro.write(&sb)
 	}
@@ -209,13 +210,13 @@
 		line = number(ro.Fit.Base) + " + " + number(ro.Fit.PerItem)
 		fit = fmt.Sprintf("%.3f", ro.Fit.R2)
 	}
-	va, how := ro.AtTarget()
+	va, source := ro.AtTarget()
 	fmt.Fprintf(sb, "| %s | %s | %s | %s %s | %s | %s | %s | ±%.1f%% | %s at %s, %s |\n",
 		ro.Slope.Role, ro.Slope.Kind, ro.Slope.Unit, list(ro.sizes()), ro.Of, list(ro.Means),
-		line, fit, 100*ro.Fit.Spread, number(va), number(ro.Target), how)
+		line, fit, 100*ro.Fit.Spread, number(va), number(ro.Target), source)
 }
 
-// WriteJSON prints the rows with all values of all runs.
+// WriteJSON prints the rows with the values of all runs as JSON.
 func WriteJSON(wr io.Writer, rows []Row) error {
 	en := json.NewEncoder(wr)
 	en.SetIndent("", "  ")
@@ -230,7 +231,7 @@
 	return strings.Join(sts, ", ")
 }
 
-// number prints three significant digits, and whole numbers from 1000 up.
+// number formats a value with three significant digits, or as a whole number from 1000 on.
 func number(va float64) string {
 	if math.Abs(va) >= 1000 {
 		return fmt.Sprintf("%.0f", va)
@@ -238,7 +239,8 @@
 	return fmt.Sprintf("%.3g", va)
 }
 
-// processorTime returns the processor time that this process has used.
+// processorTime returns the processor time that this process has used, user and system, or 0
+// if it can't be read.
 func processorTime() time.Duration {
 	var ru syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &ru); err != nil {
@@ -247,9 +249,9 @@
 	return time.Duration(ru.Utime.Nano() + ru.Stime.Nano())
 }
 
-// spent returns the processor time of each of a number of repetitions in
-// microseconds. Garbage that they leave behind is collected within it.
-func spent(repetitions int, do func(ix int)) float64 {
+// cpuMicrosPerRun returns the mean processor time of a repetition in µs. It includes
+// collections of the garbage that the repetitions produce meanwhile.
+func cpuMicrosPerRun(repetitions int, do func(ix int)) float64 {
 	runtime.GC()
 	before := processorTime()
 	for ix := range repetitions {
@@ -262,8 +264,8 @@
 	return float64(du) / float64(time.Microsecond)
 }
 
-// held returns the bytes of heap and stacks in use after a collection.
-func held() float64 {
+// liveBytes returns the bytes of heap and stacks in use after a garbage collection.
+func liveBytes() float64 {
 	var ms runtime.MemStats
 	runtime.GC()
 	runtime.GC()
--- a/capacity/measure_test.go
+++ b/capacity/measure_test.go
@@ -9,12 +9,12 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestRows(t *testing.T) {
+func TestRowsExtrapolateToTarget(t *testing.T) {
 	c := qt.New(t)
 	me := Measurement{
 		Name: "x/y", SizeUnit: "things", Sizes: []int{1, 2, 4}, Quick: []int{1, 2, 4}, Target: 10,
 		Columns: []Column{{"x", "grows", "bytes", Linear}, {"x", "stays", "bytes", Constant}},
-		Sample: func(_ context.Context, tr Trial) ([]float64, error) {
+		Take: func(_ context.Context, tr Trial) ([]float64, error) {
 			return []float64{3 + 2*float64(tr.Size), 7}, nil
 		},
 	}
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestLeafQuantile(t *testing.T) {
+func TestMaxLateRatio(t *testing.T) {
 	c := qt.New(t)
 	for _, tc := range []struct {
 		leaves int
@@ -50,19 +50,18 @@
 	}
 }
 
-// TestExactMeasures takes those measures that time nothing: their values must be
-// the same on every run.
-func TestExactMeasures(t *testing.T) {
+// Measurements without timing must return the same values in every run.
+func TestUntimedMeasurementsAreDeterministic(t *testing.T) {
 	c := qt.New(t)
-	vas, err := connections().Sample(context.Background(), Trial{Size: 25})
+	vas, err := connections().Take(context.Background(), Trial{Size: 25})
 	c.Assert(err, qt.IsNil)
 	c.Check(vas[4:], qt.DeepEquals, []float64{1, 4, 0})
 	c.Check(vas[0] <= TargetInstances && vas[1] >= 1, qt.IsTrue)
 	for range 2 {
-		vas, err = tail().Sample(context.Background(), Trial{Size: 13})
+		vas, err = tailLatency().Take(context.Background(), Trial{Size: 13})
 		c.Assert(err, qt.IsNil)
 		c.Check(vas[5] < vas[4], qt.IsTrue, qt.Commentf("p99 with a hedge and without"))
-		again, _ := tail().Sample(context.Background(), Trial{Size: 13})
+		again, _ := tailLatency().Take(context.Background(), Trial{Size: 13})
 		c.Check(again, qt.DeepEquals, vas)
 	}
 }
--- a/capacity/names.go
+++ b/capacity/names.go
@@ -10,35 +10,35 @@
 )
 
 const (
-	dataCentres   = 12
-	replicas      = 2
-	serverSlots   = 6
-	serverLimit   = 110
-	serviceName   = "archivo"
-	firstRun      = 1_760_000_000_000 // firstRun is an incarnation of usual length.
-	recordTTL     = 600_000           // recordTTL is long enough that no record ends within a trial.
-	heldVersions  = 2
-	firstVersion  = 4200
-	addressesEach = 250
+	dataCentres        = 12
+	replicas           = 2
+	serverSlots        = 6
+	serverLimit        = 110
+	serviceName        = "archivo"
+	firstIncarnation   = 1_760_000_000_000 // incarnation of typical length
+	recordTTL          = 600_000           // ms; so long that no record expires during a trial
+	heldVersions       = 2
+	firstVersion       = 4200
+	addressesPerSubnet = 250
 )
 
-// instanceOf returns an instance with names and addresses of usual length.
+// instanceOf returns an instance with names and addresses of typical length.
 func instanceOf(ix int) view.Instance {
 	address := func(port int) string {
-		return fmt.Sprintf("10.20.%d.%d:%d", ix/addressesEach, ix%addressesEach, port)
+		return fmt.Sprintf("10.20.%d.%d:%d", ix/addressesPerSubnet, ix%addressesPerSubnet, port)
 	}
 	return view.Instance{
-		Name: fmt.Sprintf("entry-%03d", ix), Region: fmt.Sprintf("region-%d", ix%3), DataCentre: centreOf(ix), Entry: true,
+		Name: fmt.Sprintf("entry-%03d", ix), Region: fmt.Sprintf("region-%d", ix%3), DataCentre: dataCentreOf(ix), Entry: true,
 		CallerAddress: address(7101), BackendAddress: address(7102), OperatorAddress: address(7103), PeerAddress: address(7104),
-		Incarnation: firstRun + uint64(ix),
+		Incarnation: firstIncarnation + uint64(ix),
 	}
 }
 
-func centreOf(ix int) string {
+func dataCentreOf(ix int) string {
 	return fmt.Sprintf("data-centre-%02d", ix%dataCentres)
 }
 
-// instancesOf returns the first instances by number.
+// instancesOf returns the first count instances.
 func instancesOf(count int) []view.Instance {
 	ins := make([]view.Instance, 0, count)
 	for ix := range count {
@@ -47,14 +47,14 @@
 	return ins
 }
 
-// recordOf returns a record of ordinary size: one shard in two versions. Two
-// records in a row hold the same shard.
+// recordOf returns a record of typical size, with one shard in two versions. Records 2n and
+// 2n+1 hold the same shard.
 func recordOf(ix int) backend.Record {
 	re := backend.Record{
 		Server: fmt.Sprintf("leaf-%05d", ix), Service: serviceName,
-		Address:    fmt.Sprintf("10.30.%d.%d:8080", ix/addressesEach, ix%addressesEach),
-		DataCentre: centreOf(ix), State: backend.Serving, Slots: serverSlots, ConnectionLimit: serverLimit,
-		Incarnation: firstRun, Sequence: 1, TTLMillis: recordTTL,
+		Address:    fmt.Sprintf("10.30.%d.%d:8080", ix/addressesPerSubnet, ix%addressesPerSubnet),
+		DataCentre: dataCentreOf(ix), State: backend.Serving, Slots: serverSlots, ConnectionLimit: serverLimit,
+		Incarnation: firstIncarnation, Sequence: 1, TTLMillis: recordTTL,
 	}
 	for ve := range uint64(heldVersions) {
 		id := snapshot.ID{Partition: 1, Version: firstVersion + ve}
@@ -75,7 +75,7 @@
 	return res
 }
 
-// configuration returns a service with as many shards as leaves.
+// configuration returns a configuration of one service with the given number of shards.
 func configuration(leaves int) operator.Configuration {
 	var shards []string
 	for ix := range leaves {
--- a/capacity/records.go
+++ b/capacity/records.go
@@ -13,12 +13,11 @@
 	"balsamwinch.example/instance"
 )
 
-// recordInstances is how many instances take the announcements.
+// recordInstances is the number of instances that receive the announcements.
 const recordInstances = 6
 
-// records measures whole instances that hold many records: each backend server
-// announces itself once, by HTTP, and all of them within as short a time as the
-// instances can take them.
+// records measures complete instances that hold many records. Each backend server announces
+// itself once over HTTP, and the announcements are sent as fast as the instances accept them.
 func records() Measurement {
 	return Measurement{
 		Name: "instance/records", SizeUnit: "backend servers", Sizes: []int{600, 2300, 4600}, Quick: []int{60, 150, 300}, Target: TargetServers,
@@ -31,7 +30,7 @@
 			{"instance", "nothing changes, mean over all", "processor ms a second", Linear},
 			{"instance", "one changed record, mean over all", "processor ms", Linear},
 		},
-		Sample: takeRecords,
+		Take: takeRecords,
 	}
 }
 
@@ -43,13 +42,13 @@
 		return nil, err
 	}
 	defer ti.close()
-	bare, err := ti.watch(ctx, tr.Window/2)
+	bare, err := ti.observe(ctx, tr.Window/2)
 	if err != nil {
 		return nil, err
 	}
-	empty := held()
+	empty := liveBytes()
 	res := recordsOf(tr.Size)
-	before := ti.read()
+	before := ti.takeSample()
 	if err := ti.announce(ctx, res); err != nil {
 		return nil, err
 	}
@@ -57,13 +56,13 @@
 	if err := ti.lo.Wait(ctx, knows); err != nil {
 		return nil, err
 	}
-	mass := before.until(ti.read())
+	mass := before.usageUntil(ti.takeSample())
 	massBytes := mean(mass.member).bytes - mean(bare.member).bytes*mass.seconds/bare.seconds
-	heldEach := (held() - empty) / recordInstances
-	if _, err := ti.watch(ctx, tr.Window/2); err != nil {
+	heldEach := (liveBytes() - empty) / recordInstances
+	if _, err := ti.observe(ctx, tr.Window/2); err != nil {
 		return nil, err
 	}
-	quiet, err := ti.watch(ctx, tr.Window)
+	quiet, err := ti.observe(ctx, tr.Window)
 	if err != nil {
 		return nil, err
 	}
@@ -78,7 +77,7 @@
 	}, nil
 }
 
-// announce posts each record to one of the instances in turn.
+// announce posts the records to the instances in turn.
 func (ti *tier) announce(ctx context.Context, res []backend.Record) error {
 	addresses := ti.lo.Addresses("Backend")
 	errs := make([]error, len(addresses))
@@ -120,9 +119,9 @@
 	return nil
 }
 
-// changeRecords lets some backend servers say something new, each once the one
-// before is known everywhere, and returns the processor time of each in ms, mean
-// over the instances, beyond what they spend in the same time anyway.
+// changeRecords announces new versions of some records, each after the previous one is known
+// everywhere. It returns the processor time per change in ms, as a mean over the instances,
+// without what they use in the same time anyway (quiet, in ms per second).
 func (ti *tier) changeRecords(ctx context.Context, res []backend.Record, quiet float64) (float64, error) {
 	const changes = 10
 	start, before := time.Now(), processorTime()
@@ -137,6 +136,6 @@
 			return 0, err
 		}
 	}
-	spent := micros(processorTime()-before) / 1000 / recordInstances
-	return (spent - quiet*time.Since(start).Seconds()) / changes, nil
+	used := micros(processorTime()-before) / 1000 / recordInstances
+	return (used - quiet*time.Since(start).Seconds()) / changes, nil
 }
--- a/capacity/state.go
+++ b/capacity/state.go
@@ -16,12 +16,12 @@
 	"balsamwinch.example/view"
 )
 
-// states measures what a voter holds for each intent and each audit entry, and
-// the snapshot that stops its control thread while it is encoded.
+// states measures the memory that a voter needs for each intent and audit entry, and the
+// snapshot, whose encoding blocks the control thread.
 func states() Measurement {
 	const (
-		audited    = 4 // One audit entry is made for each so many intents.
-		stateFiles = 9
+		intentsPerAuditEntry = 4
+		stateFiles           = 9
 	)
 	return Measurement{
 		Name: "voter/states", SizeUnit: "intents, and a quarter as many audit entries",
@@ -33,13 +33,13 @@
 			{"voter", "encoding of a snapshot: the control thread stands still", "ms", Linear},
 			{"voter", "decoding of a snapshot at start", "ms", Linear},
 		},
-		Sample: func(_ context.Context, tr Trial) ([]float64, error) {
-			empty := held()
+		Take: func(_ context.Context, tr Trial) ([]float64, error) {
+			empty := liveBytes()
 			st := withIntents(stateOf(stateFiles), tr.Size)
-			intents := held() - empty
-			st = withChanges(st, tr.Size/audited)
-			audit := held() - empty - intents
-			want := min(tr.Size/audited+1, control.MaxAuditEntries)
+			intents := liveBytes() - empty
+			st = withChanges(st, tr.Size/intentsPerAuditEntry)
+			audit := liveBytes() - empty - intents
+			want := min(tr.Size/intentsPerAuditEntry+1, control.MaxAuditEntries)
 			if len(st.Audit(0)) != want || st.Intents() != tr.Size {
 				return nil, fmt.Errorf("want %d intents, got %d with %d audit entries", tr.Size, st.Intents(), len(st.Audit(0)))
 			}
@@ -63,7 +63,7 @@
 		key := fmt.Sprintf("empfang-%028d", ix)
 		digest := fmt.Sprintf("%064d", ix)
 		attempt := fmt.Sprintf("halle-schwabing-1/%d", ix)
-		when := began.Add(time.Duration(ix) * time.Millisecond)
+		when := startTime.Add(time.Duration(ix) * time.Millisecond)
 		st, _ = st.Apply(st.Index()+1, control.BeginIntent{
 			Key: key, Digest: digest, Service: "service-1", Instance: "halle-schwabing-1", Attempt: attempt, When: when,
 		})
@@ -82,15 +82,15 @@
 		}
 		fi := serviceFile(0, 101+ix%1000)
 		st, _ = st.Apply(st.Index()+1, control.Change{
-			ChangeID: fmt.Sprintf("0195a000-0000-7000-8000-%012d", ix), Author: "ana", When: began.Add(time.Duration(ix) * time.Second),
+			ChangeID: fmt.Sprintf("0195a000-0000-7000-8000-%012d", ix), Author: "ana", When: startTime.Add(time.Duration(ix) * time.Second),
 			Files: []control.FileChange{{Name: fi.Name, Base: base, Content: fi.Content}},
 		})
 	}
 	return st
 }
 
-// publishing measures what one changed record costs an instance that holds many:
-// the list, the view and all that is derived from it are made again.
+// publishing measures the cost of one changed record at an instance that holds many: the list,
+// the view and everything derived from them are rebuilt.
 func publishing() Measurement {
 	const repetitions = 20
 	return Measurement{
@@ -102,32 +102,32 @@
 			{"entry", "a changed record: statistics and connections", "processor µs", Linear},
 			{"entry", "an announcement that changes nothing", "processor µs", Linear},
 		},
-		Sample: func(_ context.Context, tr Trial) ([]float64, error) {
+		Take: func(_ context.Context, tr Trial) ([]float64, error) {
 			ts := timer.New()
 			res := recordsOf(tr.Size)
-			empty := held()
-			me := member.New(instanceOf(0), 1, began)
+			empty := liveBytes()
+			me := member.New(instanceOf(0), 1, startTime)
 			for _, re := range res {
-				me, _ = member.Step(me, member.Announced{Now: began, Record: re})
+				me, _ = member.Step(me, member.Announced{Now: startTime, Record: re})
 			}
 			me.Servers()
-			recordBytes := held() - empty
+			recordBytes := liveBytes() - empty
 			vi := &view.View{Configuration: configuration(TargetQueryLeaves), Instances: instancesOf(9), Servers: me.Servers()}
 			ta := limit.NewTable(ts, limit.TableConfig{})
 			ta.Update(vi)
-			tableBytes := held() - empty - recordBytes
+			tableBytes := liveBytes() - empty - recordBytes
 			cl := backend.NewClient(ts, zap.NewNop(), backend.ClientConfig{})
-			list := spent(repetitions, func(int) {
+			list := cpuMicrosPerRun(repetitions, func(int) {
 				res[0].Sequence++
-				me, _ = member.Step(me, member.Announced{Now: began, Record: res[0]})
+				me, _ = member.Step(me, member.Announced{Now: startTime, Record: res[0]})
 				me.Servers()
 			})
-			derived := spent(repetitions, func(int) {
+			derived := cpuMicrosPerRun(repetitions, func(int) {
 				ta.Update(vi)
 				cl.SetTargets(targets(vi))
 			})
-			repeated := spent(len(res), func(ix int) {
-				me, _ = member.Step(me, member.Announced{Now: began, Record: res[ix]})
+			repeated := cpuMicrosPerRun(len(res), func(ix int) {
+				me, _ = member.Step(me, member.Announced{Now: startTime, Record: res[ix]})
 			})
 			runtime.KeepAlive(ta)
 			return []float64{recordBytes, tableBytes, list, derived, repeated}, nil
@@ -135,7 +135,7 @@
 	}
 }
 
-// targets is what an instance derives from a view for its connections.
+// targets returns the connection targets that an instance derives from a view.
 func targets(vi *view.View) map[string]backend.Target {
 	tas := make(map[string]backend.Target, len(vi.Servers))
 	for _, re := range vi.Servers {
--- a/capacity/tier.go
+++ b/capacity/tier.go
@@ -21,23 +21,23 @@
 	voters = 3
 	// tierTimeout bounds a trial with a tier.
 	tierTimeout = 2 * time.Minute
-	// tierLease shortens the start, at which a leader waits for a lease's length.
-	// What is measured depends on the renewals alone.
-	tierLease = 2 * time.Second
-	tierFiles = 27 // tierFiles is the size of the larger folder of today.
+	// tierLease is short because a leader waits for the length of a lease at its start. The
+	// measured values depend only on the interval of the renewals.
+	tierLease    = 2 * time.Second
+	currentFiles = 27 // files in the larger current folder
 )
 
-// limitsFile admits more instances than any trial has, restarted ones included.
+// limitsFile allows more entries than any trial has, including those restarted.
 var limitsFile = operator.File{Name: "limits.yaml", Content: []byte("Limits:\n  MaxEntries: 2000\n")}
 
-// tier is a tier in this process whose instances speak over the network. The
-// first of them are voters and entries, the others only entries.
+// tier is a tier in this process whose instances communicate over the network. The first
+// instances are voters and entries, the others only entries.
 type tier struct {
-	lo     *instance.Local
-	ts     *timer.Service
-	folder string
-	size   int
-	held   float64 // held is what was held before the tier was started.
+	lo            *instance.Local
+	ts            *timer.Service
+	folder        string
+	size          int
+	baselineBytes float64 // live bytes before the tier was started
 }
 
 func startTier(ctx context.Context, size int) (*tier, error) {
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ti := &tier{ts: timer.New(), folder: folder, size: size, held: held()}
+	ti := &tier{ts: timer.New(), folder: folder, size: size, baselineBytes: liveBytes()}
 	tm := settings.NewInstance().Timing
 	tm.Lease = tierLease
 	ti.lo, err = instance.StartLocal(instance.LocalConfig{
@@ -55,37 +55,38 @@
 		_ = os.RemoveAll(folder)
 		return nil, err
 	}
-	if err := ti.form(ctx); err != nil {
+	if err := ti.configure(ctx); err != nil {
 		ti.close()
 		return nil, err
 	}
 	return ti, nil
 }
 
-func (ti *tier) form(ctx context.Context) error {
-	if err := ti.lo.Wait(ctx, ti.serves); err != nil {
+func (ti *tier) configure(ctx context.Context) error {
+	if err := ti.lo.Wait(ctx, ti.isReady); err != nil {
 		return err
 	}
 	fis := []operator.File{limitsFile}
-	for ix := range tierFiles - 1 {
+	for ix := range currentFiles - 1 {
 		fis = append(fis, serviceFile(ix, 100))
 	}
 	return ti.lo.Apply(ctx, "folder", fis)
 }
 
-// serves reports whether an instance holds a lease and knows all the others.
-func (ti *tier) serves(in *instance.Instance) bool {
+// isReady reports whether an instance holds a lease and knows all instances.
+func (ti *tier) isReady(in *instance.Instance) bool {
 	vi := in.View()
 	return vi.Leased(ti.ts.Now()) && len(vi.Instances) == ti.size
 }
 
-// close kills the instances: a graceful stop would wait for address lists.
+// close kills the instances, because a graceful stop would wait until address lists have
+// expired.
 func (ti *tier) close() {
 	ti.kill(0)
 	_ = os.RemoveAll(ti.folder)
 }
 
-// kill kills the instances from the given index on, together.
+// kill kills the instances from the given index on, all at the same time.
 func (ti *tier) kill(from int) {
 	var wg sync.WaitGroup
 	for ix := from; ix < ti.size; ix++ {
@@ -94,27 +95,27 @@
 	wg.Wait()
 }
 
-// reading is what instances have sent and received, by instance, and spent.
-type reading struct {
+// sample holds the counters of all instances at one time. The slices are indexed by instance.
+type sample struct {
 	when      time.Time
 	processor time.Duration
-	control   []peer.Traffic // control holds the messages of the replicated log as well.
+	control   []peer.Traffic // includes messages of the replicated log
 	member    []peer.Traffic
 	dialled   []float64
 }
 
-func (ti *tier) read() reading {
-	rd := reading{when: time.Now(), processor: processorTime()}
+func (ti *tier) takeSample() sample {
+	sa := sample{when: time.Now(), processor: processorTime()}
 	for _, in := range ti.lo.Instances() {
 		co := in.Counters()
-		rd.control = append(rd.control, co.Control)
-		rd.member = append(rd.member, co.Member)
-		rd.dialled = append(rd.dialled, float64(co.Dialled))
+		sa.control = append(sa.control, co.Control)
+		sa.member = append(sa.member, co.Member)
+		sa.dialled = append(sa.dialled, float64(co.Dialled))
 	}
-	return rd
+	return sa
 }
 
-// flow is traffic in both directions.
+// flow is the sum of the traffic in both directions.
 type flow struct {
 	messages, bytes float64
 }
@@ -134,22 +135,22 @@
 	return flow{messages: fl.messages * factor, bytes: fl.bytes * factor}
 }
 
-// spending is what happened between two readings.
-type spending struct {
+// usage is the difference of two samples.
+type usage struct {
 	seconds         float64
-	processorMillis float64 // processorMillis is that of the whole process.
-	control, member []flow  // control and member are by instance.
+	processorMillis float64 // of the whole process
+	control, member []flow  // by instance
 	dialled         []float64
 }
 
-func (rd reading) until(la reading) spending {
-	sp := spending{seconds: la.when.Sub(rd.when).Seconds(), processorMillis: micros(la.processor-rd.processor) / 1000}
-	for ix := range rd.control {
-		sp.control = append(sp.control, flowBetween(rd.control[ix], la.control[ix]))
-		sp.member = append(sp.member, flowBetween(rd.member[ix], la.member[ix]))
-		sp.dialled = append(sp.dialled, la.dialled[ix]-rd.dialled[ix])
+func (sa sample) usageUntil(later sample) usage {
+	us := usage{seconds: later.when.Sub(sa.when).Seconds(), processorMillis: micros(later.processor-sa.processor) / 1000}
+	for ix := range sa.control {
+		us.control = append(us.control, flowBetween(sa.control[ix], later.control[ix]))
+		us.member = append(us.member, flowBetween(sa.member[ix], later.member[ix]))
+		us.dialled = append(us.dialled, later.dialled[ix]-sa.dialled[ix])
 	}
-	return sp
+	return us
 }
 
 // mean returns the mean of flows.
@@ -161,22 +162,23 @@
 	return all.times(1 / float64(len(fls)))
 }
 
-// leader returns the control flow of the busiest voter.
-func (sp spending) leader() flow {
-	return slices.MaxFunc(sp.control[:voters], func(aa, bb flow) int { return int(aa.bytes - bb.bytes) })
+// leaderFlow returns the control flow of the voter with the most traffic, which is taken to be
+// the leader.
+func (us usage) leaderFlow() flow {
+	return slices.MaxFunc(us.control[:voters], func(aa, bb flow) int { return int(aa.bytes - bb.bytes) })
 }
 
-// watch lets a time pass in which nothing is done to the tier.
-func (ti *tier) watch(ctx context.Context, window time.Duration) (spending, error) {
-	before := ti.read()
+// observe returns the usage during a window without changes.
+func (ti *tier) observe(ctx context.Context, window time.Duration) (usage, error) {
+	before := ti.takeSample()
 	if err := ti.ts.Sleep(ctx, window); err != nil {
-		return spending{}, err
+		return usage{}, err
 	}
-	return before.until(ti.read()), nil
+	return before.usageUntil(ti.takeSample()), nil
 }
 
-// tiers measures whole instances: what they spend while nothing changes, what a
-// change of the configuration takes, and what a restart costs the others.
+// tiers measures complete instances: their usage without changes, the cost of a configuration
+// change, and the cost of a restart for the other instances.
 func tiers() Measurement {
 	return Measurement{
 		Name: "instance/tiers", SizeUnit: "instances", Sizes: []int{6, 15, 30}, Quick: []int{5, 7, 9}, Target: TargetInstances,
@@ -200,7 +202,7 @@
 			{"instance", "restart of a third together: membership at each other one, for each of them", "bytes", Constant},
 			{"instance", "restart of a third together until all serve", "seconds", Constant},
 		},
-		Sample: takeTiers,
+		Take: takeTiers,
 	}
 }
 
@@ -212,16 +214,16 @@
 		return nil, err
 	}
 	defer ti.close()
-	if _, err := ti.watch(ctx, tr.Window/2); err != nil {
+	if _, err := ti.observe(ctx, tr.Window/2); err != nil {
 		return nil, err
 	}
-	bytesHeld := held() - ti.held
-	quiet, err := ti.watch(ctx, tr.Window)
+	bytesHeld := liveBytes() - ti.baselineBytes
+	quiet, err := ti.observe(ctx, tr.Window)
 	if err != nil {
 		return nil, err
 	}
 	each := 1 / quiet.seconds
-	co, me, le := mean(quiet.control[voters:]).times(each), mean(quiet.member[voters:]).times(each), quiet.leader().times(each)
+	co, me, le := mean(quiet.control[voters:]).times(each), mean(quiet.member[voters:]).times(each), quiet.leaderFlow().times(each)
 	vas := []float64{
 		co.messages, co.bytes, me.messages, me.bytes, le.messages, le.bytes / float64(tr.Size),
 		quiet.processorMillis * each, bytesHeld / float64(tr.Size),
@@ -243,10 +245,10 @@
 	return append(vas, one.others.messages, one.others.bytes, one.dialled, one.seconds, many.others.bytes/float64(third), many.seconds), nil
 }
 
-// change changes one file several times and returns what one change costs.
-func (ti *tier) change(ctx context.Context, quiet spending) ([]float64, error) {
+// change changes one file several times and returns the cost per change.
+func (ti *tier) change(ctx context.Context, quiet usage) ([]float64, error) {
 	const changes = 10
-	before := ti.read()
+	before := ti.takeSample()
 	var took []float64
 	for ix := range changes {
 		start := time.Now()
@@ -256,43 +258,43 @@
 		}
 		took = append(took, micros(time.Since(start))/1000)
 	}
-	sp := before.until(ti.read())
-	share := sp.seconds / quiet.seconds
-	entry := mean(sp.control[voters:]).bytes - mean(quiet.control[voters:]).bytes*share
-	processor := (sp.processorMillis - quiet.processorMillis*share) / float64(ti.size)
+	us := before.usageUntil(ti.takeSample())
+	share := us.seconds / quiet.seconds
+	entry := mean(us.control[voters:]).bytes - mean(quiet.control[voters:]).bytes*share
+	processor := (us.processorMillis - quiet.processorMillis*share) / float64(ti.size)
 	return []float64{entry / changes, processor / changes, quantileOf(took, 0.5), slices.Max(took)}, nil
 }
 
-// restartCost is what a restart cost those that were not restarted.
+// restartCost is the cost of a restart for the instances that were not restarted.
 type restartCost struct {
-	others  flow // others is what each entry among them sent and received beyond quiet.
+	others  flow // mean traffic of an entry, without the quiet traffic
 	dialled float64
-	seconds float64 // seconds is how long it took from the start until all served.
+	seconds float64 // time from the start until all instances are ready
 }
 
-// restart kills the last instances without a warning and starts them again.
-func (ti *tier) restart(ctx context.Context, quiet spending, count int) (restartCost, error) {
+// restart kills the last count instances without notice and starts them again.
+func (ti *tier) restart(ctx context.Context, quiet usage, count int) (restartCost, error) {
 	const settle = 500 * time.Millisecond
-	before := ti.read()
+	before := ti.takeSample()
 	stay := ti.size - count
 	ti.kill(stay)
-	began := time.Now()
+	start := time.Now()
 	for ix := stay; ix < ti.size; ix++ {
 		if err := ti.lo.Restart(ix); err != nil {
 			return restartCost{}, err
 		}
 	}
-	if err := ti.lo.Wait(ctx, ti.serves); err != nil {
+	if err := ti.lo.Wait(ctx, ti.isReady); err != nil {
 		return restartCost{}, err
 	}
-	rc := restartCost{seconds: time.Since(began).Seconds()}
+	rc := restartCost{seconds: time.Since(start).Seconds()}
 	if err := ti.ts.Sleep(ctx, settle); err != nil {
 		return rc, err
 	}
-	sp := before.until(ti.read())
-	rc.others = mean(sp.member[voters:stay]).plus(mean(quiet.member[voters:stay]).times(-sp.seconds / quiet.seconds))
+	us := before.usageUntil(ti.takeSample())
+	rc.others = mean(us.member[voters:stay]).plus(mean(quiet.member[voters:stay]).times(-us.seconds / quiet.seconds))
 	for ix := range stay {
-		rc.dialled += sp.dialled[ix]
+		rc.dialled += us.dialled[ix]
 	}
 	return rc, nil
 }
