--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -1,4 +1,5 @@
-// Package examples_test checks the examples as the programs do.
+// Package examples_test loads the example settings and configurations with the code that the
+// programs use.
 package examples_test
 
 import (
@@ -12,8 +13,8 @@
 	"balsamwinch.example/settings"
 )
 
-// group is services that share a shape, by the beginning of their names.
-type group struct {
+// serviceGroup is a number of services with the same name prefix and number of shards.
+type serviceGroup struct {
 	prefix           string
 	services, shards int
 }
@@ -22,13 +23,13 @@
 	name        string
 	policy      operator.Policy
 	dataCentres int
-	groups      []group
+	groups      []serviceGroup
 }{
-	{"huaman", operator.Best, 3, []group{{"quote-desk-", 10, 3}, {"workshop-cut-", 15, 3}, {"archivo", 1, 13}, {"agenda-visitas", 1, 6}}},
-	{"aumueller", operator.Complete, 4, []group{{"raumfinder-", 10, 3}, {"elternportal-", 15, 3}, {"empfang", 1, 8}, {"altbuch-bruecke", 1, 4}}},
+	{"huaman", operator.Best, 3, []serviceGroup{{"quote-desk-", 10, 3}, {"workshop-cut-", 15, 3}, {"archivo", 1, 13}, {"agenda-visitas", 1, 6}}},
+	{"aumueller", operator.Complete, 4, []serviceGroup{{"raumfinder-", 10, 3}, {"elternportal-", 15, 3}, {"empfang", 1, 8}, {"altbuch-bruecke", 1, 4}}},
 }
 
-func TestInstances(t *testing.T) {
+func TestInstanceSettingsAreConsistent(t *testing.T) {
 	for _, fm := range firms {
 		t.Run(fm.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -65,7 +66,7 @@
 	}
 }
 
-func TestConfiguration(t *testing.T) {
+func TestConfigurationHasExpectedServices(t *testing.T) {
 	for _, fm := range firms {
 		t.Run(fm.name, func(t *testing.T) {
 			c := qt.New(t)
