--- a/gateway/backend_test.go
+++ b/gateway/backend_test.go
@@ -148,7 +148,7 @@
 	rd *bufio.Reader
 	rq *http.Request
 	ar *arrival
-	// earlier arrivals of the request at the service
+	// number of earlier arrivals of the request at the service
 	nth int
 }
 
@@ -191,10 +191,10 @@
 		return rejectNotRun(http.StatusBadRequest)
 	}
 	wo.be.mu.Lock()
-	only := wo.be.override
+	override := wo.be.override
 	wo.be.mu.Unlock()
-	if only != nil {
-		return *only
+	if override != nil {
+		return *override
 	}
 	return wo.be.rg.behavior(wo)
 }
@@ -219,9 +219,9 @@
 // waitWhileOpen waits for a channel while it watches the connection, and reports whether
 // the connection is still open. With a nil channel it waits until the connection closes.
 func (wo *work) waitWhileOpen(wait <-chan struct{}) bool {
-	ended, looked := make(chan struct{}), make(chan struct{})
+	ended, peeked := make(chan struct{}), make(chan struct{})
 	go func() {
-		defer close(looked)
+		defer close(peeked)
 		_, err := wo.rd.Peek(1)
 		switch {
 		case err == nil:
@@ -235,7 +235,7 @@
 		_ = wo.nc.SetReadDeadline(time.Unix(1, 0))
 	case <-ended:
 	}
-	<-looked
+	<-peeked
 	select {
 	case <-ended:
 		wo.be.rg.hist.update(func() { wo.be.rg.hist.aborted = append(wo.be.rg.hist.aborted, wo.ar.id) })
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -145,7 +145,7 @@
 	if ca.ro.TargetLatency > 0 {
 		due := ca.start.Add(ca.ro.TargetLatency - 2*ca.sv.cf.CallerDelay)
 		pl.PartialDeadline = due.Add(-ca.sv.cf.PartialMargin)
-		pl.NoServerDeadline = ca.start.Add(ca.ro.TargetLatency / offerDivisor)
+		pl.NoServerDeadline = ca.start.Add(ca.ro.TargetLatency / noServerDivisor)
 	}
 	if shards > 1 {
 		pl.NoServerDeadline = pl.PartialDeadline // The other shards are working by then, so rejecting earlier saves nothing.
@@ -158,9 +158,9 @@
 	// rejectionDelay is the delay before a third backend server is asked after two have
 	// rejected the request.
 	rejectionDelay = 5 * time.Millisecond
-	// offerDivisor bounds the time to find a backend server: the target latency divided by
-	// it.
-	offerDivisor = 5
+	// offerDivisor sets the time limit for finding a backend server: the target latency
+	// divided by offerDivisor.
+	noServerDivisor = 5
 )
 
 // upstreamRequest returns the request that is sent to backend servers.
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -75,7 +75,7 @@
 	started time.Time
 
 	tb               atomic.Pointer[route.Table]
-	connections      atomic.Pointer[map[string]int]
+	connections      atomic.Pointer[map[string]int] // connections that this instance may open to each server, by service
 	scarceServers    atomic.Pointer[scarceServers]
 	rejecting        atomic.Bool
 	closing          atomic.Bool
--- a/gateway/history_test.go
+++ b/gateway/history_test.go
@@ -268,15 +268,15 @@
 // it has.
 func (hi *history) checkParts(id string, an *answer, ros []*route.Route) {
 	hi.tb.Helper()
-	var in []string
+	var services []string
 	var parts []string
 	for _, stamp := range partStamps(an) {
 		is, ok := hi.stamped[stamp]
-		if !ok || is.id != id || is.status < 200 || is.status > 299 || slices.Contains(in, is.service) {
-			hi.tb.Errorf("%s has the part %q: known %t, of %s, status %d, services so far %s", id, stamp, ok, is.id, is.status, in)
+		if !ok || is.id != id || is.status < 200 || is.status > 299 || slices.Contains(services, is.service) {
+			hi.tb.Errorf("%s has the part %q: known %t, of %s, status %d, services so far %s", id, stamp, ok, is.id, is.status, services)
 			return
 		}
-		in = append(in, is.service)
+		services = append(services, is.service)
 		parts = append(parts, is.body)
 	}
 	missing, err := strconv.Atoi(an.header.Get(names.MissingParts))
@@ -284,16 +284,16 @@
 		missing, err = 0, nil
 	}
 	fits := err == nil && slices.ContainsFunc(ros, func(ro *route.Route) bool {
-		for _, service := range in {
+		for _, service := range services {
 			if !slices.Contains(ro.Shards, service) {
 				return false
 			}
 		}
-		return len(in)+missing == len(ro.Shards) && float64(len(in)) >= ro.Merge.LeastShare*float64(len(ro.Shards))-1e-9 &&
+		return len(services)+missing == len(ro.Shards) && float64(len(services)) >= ro.Merge.LeastShare*float64(len(ro.Shards))-1e-9 &&
 			string(an.body) == mergeGreatest(parts, ro.Merge.RecordBytes, ro.Merge.TopK)
 	})
-	if !fits || an.status != http.StatusOK || len(in) == 0 {
-		hi.tb.Errorf("%s was answered %d with the parts of %s, %q missing and %d bytes, which matches no configuration", id, an.status, in, an.header.Get(names.MissingParts), len(an.body))
+	if !fits || an.status != http.StatusOK || len(services) == 0 {
+		hi.tb.Errorf("%s was answered %d with the parts of %s, %q missing and %d bytes, which matches no configuration", id, an.status, services, an.header.Get(names.MissingParts), len(an.body))
 	}
 }
 
--- a/gateway/lifetime.go
+++ b/gateway/lifetime.go
@@ -9,8 +9,8 @@
 // minLifetime and maxLifetime bound how long a caller's connection is used. Callers that
 // moved away from an instance which was partitioned or stopped would otherwise stay at
 // their new instance, although connections and retry budget are divided evenly among
-// instances. An instance that serves three times its share would still have a ninth of the
-// connections and of the retry budget.
+// instances: of nine instances, one that serves three times its share would still have only
+// a ninth of the connections and of the retry budget.
 const (
 	minLifetime = 6 * time.Second
 	maxLifetime = 14 * time.Second
--- a/gateway/lines.go
+++ b/gateway/lines.go
@@ -153,13 +153,13 @@
 	oe.AddInt("Retried", ca.numRetries)
 	oe.AddInt("Denied", ca.numDenied)
 	oe.AddInt("Missing", ca.numMissing)
-	if broke := ca.lostServers(); len(broke) > 0 {
+	if lost := ca.lostServers(); len(lost) > 0 {
 		// The request ID differs in each attempt of a caller. The content key shows which
 		// attempts are the same request, and so whether backend servers end during one of
 		// them.
 		oe.AddString("Content", ca.quarantineKey().String())
-		oe.AddInt("BrokeOff", len(broke))
-		zap.Strings("Under", broke[:min(len(broke), maxListedServers)]).AddTo(oe)
+		oe.AddInt("BrokeOff", len(lost))
+		zap.Strings("Under", lost[:min(len(lost), maxListedServers)]).AddTo(oe)
 	}
 	if ca.code == result.NotRunQuarantined {
 		oe.AddString("Content", ca.quarantineKey().String())
--- a/gateway/merge_test.go
+++ b/gateway/merge_test.go
@@ -83,17 +83,17 @@
 // within the target latency, and the shard counts as missing.
 func TestPartialAnswerAtTargetLatency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const aim = 100 * time.Millisecond
+		const targetLatency = 100 * time.Millisecond
 		rg := newRig(t, newMemNetwork(), setup{})
 		shs := shardNames(10)
 		for _, sh := range shs {
 			rg.startServers(sh, 2)
 		}
 		rg.startServers("p7", 1, neverAnswer)
-		rg.setTable(route.Route{Prefix: "/", Timeout: time.Second, TargetLatency: aim, MaxAttempts: 2, Shards: shs, Merge: route.Merge{TopK: 5, LeastShare: 0.89}})
+		rg.setTable(route.Route{Prefix: "/", Timeout: time.Second, TargetLatency: targetLatency, MaxAttempts: 2, Shards: shs, Merge: route.Merge{TopK: 5, LeastShare: 0.89}})
 		an := rg.get("/a", http.StatusOK)
 		checkMissing(t, an, 1)
-		qt.Assert(t, an.took, qt.Equals, aim-2*callerDelay-holdMargin)
+		qt.Assert(t, an.took, qt.Equals, targetLatency-2*callerDelay-partialMargin)
 		rg.hist.awaitAborted(len(rg.hist.arrivalsOf(an.id)) - 9)
 	})
 }
@@ -238,14 +238,14 @@
 // does. A merged answer with an empty stamp would be invalid, and so would a single answer
 // without a stamp.
 func TestAnswerWithoutStampIsRejected(t *testing.T) {
-	unsigned := respondWith(func(re *reply) { re.stamped = false })
+	unstamped := respondWith(func(re *reply) { re.stamped = false })
 	onBothNetworks(t, func(t *testing.T, nw network) {
 		rg := newRig(t, nw, setup{})
 		shs := shardNames(3)
 		rg.startServers("p0", 2)
-		rg.startServers("p1", 2, unsigned, respondOK)
-		rg.startServers("p2", 2, unsigned)
-		rg.startServers("s", 2, unsigned)
+		rg.startServers("p1", 2, unstamped, respondOK)
+		rg.startServers("p2", 2, unstamped)
+		rg.startServers("s", 2, unstamped)
 		rg.setTable(
 			route.Route{Prefix: "/", Timeout: longTimeout, TargetLatency: longTimeout / 2, MaxAttempts: 2, Shards: shs, Merge: route.Merge{TopK: 50, LeastShare: 0.5}},
 			route.Route{Prefix: "/s/", Timeout: longTimeout, Kind: route.NotRepeatable, Targets: singleTarget("s")},
@@ -391,20 +391,20 @@
 // target latency, and the request does not wait longer.
 func TestShardWithoutServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const aim = 100 * time.Millisecond
+		const targetLatency = 100 * time.Millisecond
 		rg := newRig(t, newMemNetwork(), setup{})
 		rg.startServers("p0", 1)
 		rg.startServers("p1", 1)
 		rg.setTable(
-			route.Route{Prefix: "/some/", Timeout: time.Second, TargetLatency: aim, Shards: shardNames(3), Merge: route.Merge{TopK: 5, LeastShare: 0.6}},
-			route.Route{Prefix: "/all/", Timeout: time.Second, TargetLatency: aim, Shards: shardNames(3), Merge: route.Merge{TopK: 5, LeastShare: 1}},
+			route.Route{Prefix: "/some/", Timeout: time.Second, TargetLatency: targetLatency, Shards: shardNames(3), Merge: route.Merge{TopK: 5, LeastShare: 0.6}},
+			route.Route{Prefix: "/all/", Timeout: time.Second, TargetLatency: targetLatency, Shards: shardNames(3), Merge: route.Merge{TopK: 5, LeastShare: 1}},
 		)
 		an := rg.get("/some/", http.StatusOK)
 		checkMissing(t, an, 1)
-		qt.Assert(t, an.took < aim, qt.IsTrue)
+		qt.Assert(t, an.took < targetLatency, qt.IsTrue)
 		an = rg.send(request{uri: "/all/"})
 		qt.Assert(t, an.status >= 500, qt.IsTrue)
-		qt.Assert(t, an.took <= aim, qt.IsTrue, qt.Commentf("took %v", an.took))
+		qt.Assert(t, an.took <= targetLatency, qt.IsTrue, qt.Commentf("took %v", an.took))
 	})
 }
 
--- a/gateway/noserver_test.go
+++ b/gateway/noserver_test.go
@@ -30,7 +30,7 @@
 // although no server was expected. Waiting is only justified if servers may be about to
 // become known, as just after a start.
 func TestWaitOnlyIfServerIsExpected(t *testing.T) {
-	const aim = 100 * time.Millisecond
+	const targetLatency = 100 * time.Millisecond
 	tests := []struct {
 		name   string
 		before func(rg *rig)
@@ -44,28 +44,28 @@
 			rg.startServers("s", 2)
 			rg.setServiceState("s", registry.Gone)
 		}, 0},
-		{"not known yet", func(*rig) {}, aim / 5},
+		{"not known yet", func(*rig) {}, targetLatency / 5},
 		{"only a draining one known", func(rg *rig) {
 			rg.servers = append(rg.servers, newBackend(rg, "s", "s-1"))
 			rg.setServiceState("s", registry.Draining)
-		}, aim / 5},
+		}, targetLatency / 5},
 		{"discovery timeout has passed", func(*rig) { time.Sleep(discoveryTimeout) }, 0},
-		{"discovery timeout almost over", func(*rig) { time.Sleep(discoveryTimeout - aim) }, aim / 5},
+		{"discovery timeout almost over", func(*rig) { time.Sleep(discoveryTimeout - targetLatency) }, targetLatency / 5},
 		{"named just now", func(rg *rig) {
-			rg.setTable(route.Route{Prefix: "/", TargetLatency: aim, Targets: singleTarget("other")})
+			rg.setTable(route.Route{Prefix: "/", TargetLatency: targetLatency, Targets: singleTarget("other")})
 			time.Sleep(discoveryTimeout)
-			rg.setTable(route.Route{Prefix: "/", TargetLatency: aim, Targets: singleTarget("s")})
-		}, aim / 5},
+			rg.setTable(route.Route{Prefix: "/", TargetLatency: targetLatency, Targets: singleTarget("s")})
+		}, targetLatency / 5},
 		{"named by the previous version, too", func(rg *rig) {
 			time.Sleep(discoveryTimeout)
-			rg.setTable(route.Route{Prefix: "/", TargetLatency: aim, Targets: singleTarget("s")})
+			rg.setTable(route.Route{Prefix: "/", TargetLatency: targetLatency, Targets: singleTarget("s")})
 		}, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				rg := newRig(t, newMemNetwork(), setup{})
-				rg.setTable(route.Route{Prefix: "/", TargetLatency: aim, Targets: singleTarget("s")})
+				rg.setTable(route.Route{Prefix: "/", TargetLatency: targetLatency, Targets: singleTarget("s")})
 				tt.before(rg)
 				an := rg.get("/a", http.StatusServiceUnavailable)
 				qt.Assert(t, an.took, qt.Equals, tt.took)
@@ -105,10 +105,10 @@
 				rg.startServers(sh, 1, delayed(10*time.Millisecond, respondOK))
 			}
 			rg.setServiceState("p2", state)
-			const aim = 100 * time.Millisecond
+			const targetLatency = 100 * time.Millisecond
 			rg.setTable(
-				route.Route{Prefix: "/some/", TargetLatency: aim, Shards: shardNames(3), Merge: route.Merge{TopK: 5, LeastShare: 0.6}},
-				route.Route{Prefix: "/all/", TargetLatency: aim, Shards: shardNames(3), Merge: route.Merge{TopK: 5, LeastShare: 1}},
+				route.Route{Prefix: "/some/", TargetLatency: targetLatency, Shards: shardNames(3), Merge: route.Merge{TopK: 5, LeastShare: 0.6}},
+				route.Route{Prefix: "/all/", TargetLatency: targetLatency, Shards: shardNames(3), Merge: route.Merge{TopK: 5, LeastShare: 1}},
 			)
 			time.Sleep(discoveryTimeout)
 			an := rg.get("/some/", http.StatusOK)
@@ -171,7 +171,7 @@
 		rg.setTable(route.Route{Prefix: "/", TargetLatency: 100 * time.Millisecond, MaxAttempts: 2, Shards: shardNames(3), Merge: route.Merge{TopK: 5, LeastShare: 0.6}})
 		an := rg.get("/", http.StatusOK)
 		checkMissing(t, an, 1)
-		qt.Assert(t, an.took, qt.Equals, 100*time.Millisecond-2*callerDelay-holdMargin)
+		qt.Assert(t, an.took, qt.Equals, 100*time.Millisecond-2*callerDelay-partialMargin)
 		time.Sleep(300 * time.Millisecond)
 		first := rg.sendAsync(request{uri: "/"})
 		time.Sleep(100 * time.Millisecond) // The first caller has left, and its connection is still opening.
@@ -189,13 +189,13 @@
 // waiting request polled for one, and a connection was idle in between. Parts now wait in a
 // queue.
 func TestPartsWaitForConnection(t *testing.T) {
-	const count, work, aim = 8, 10 * time.Millisecond, 100 * time.Millisecond
+	const count, work, targetLatency = 8, 10 * time.Millisecond, 100 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		rg := newRig(t, newMemNetwork(), setup{justStarted: true})
 		for _, sh := range shardNames(3) {
 			rg.startServers(sh, 1, delayed(work, respondOK))
 		}
-		rg.setTable(route.Route{Prefix: "/", TargetLatency: aim, MaxAttempts: 1, Shards: shardNames(3), Merge: route.Merge{TopK: 5, LeastShare: 0.6}})
+		rg.setTable(route.Route{Prefix: "/", TargetLatency: targetLatency, MaxAttempts: 1, Shards: shardNames(3), Merge: route.Merge{TopK: 5, LeastShare: 0.6}})
 		var ans []<-chan *answer
 		for range count {
 			ans = append(ans, rg.sendAsync(request{uri: "/a"}))
--- a/gateway/property_test.go
+++ b/gateway/property_test.go
@@ -48,8 +48,8 @@
 	return sp
 }
 
-// behavior returns how a backend server treats a request: a third of requests get one of
-// the faults, most others an answer, some of them late.
+// behavior returns how a backend server treats a request: a third of the requests get one
+// of the faults, and the others an answer. One request in 40 is delayed for longer.
 func (ch *chaos) behavior(*work) behavior {
 	ch.mu.Lock()
 	faults := ch.faults
@@ -95,14 +95,14 @@
 func (cr *chaosRig) changeTable() {
 	sets := [][]string{{"a1", "a2", "a3"}, {"a1", "b1"}, {"b1", "b2", "a3", "a2"}}
 	set := func() []string { return sets[cr.ch.intn(len(sets))] }
-	plain := [][]route.Target{singleTarget("plain"), singleTarget("w1"), {{Service: "w1", Weight: 3}, {Service: "w2", Weight: 1}}}
-	kinds := []route.Target{{Service: "order", Weight: 1 + cr.ch.intn(3)}, {Service: "w2", Weight: cr.ch.intn(2)}}
-	const aim, timeout = 100 * time.Millisecond, 400 * time.Millisecond
+	plainTargets := [][]route.Target{singleTarget("plain"), singleTarget("w1"), {{Service: "w1", Weight: 3}, {Service: "w2", Weight: 1}}}
+	orderTargets := []route.Target{{Service: "order", Weight: 1 + cr.ch.intn(3)}, {Service: "w2", Weight: cr.ch.intn(2)}}
+	const targetLatency, timeout = 100 * time.Millisecond, 400 * time.Millisecond
 	cr.setLimitedTable(limits, 30,
-		route.Route{Prefix: "/plain/", Timeout: timeout, TargetLatency: aim, MaxAttempts: 1 + cr.ch.intn(3), Targets: plain[cr.ch.intn(len(plain))]},
-		route.Route{Prefix: "/order/", Kind: route.NotRepeatable, Timeout: timeout, TargetLatency: aim, MaxAttempts: 3, Targets: kinds},
-		route.Route{Prefix: "/some/", Timeout: timeout, TargetLatency: aim, MaxAttempts: 2, Shards: set(), Merge: route.Merge{TopK: 7, LeastShare: 0.5}},
-		route.Route{Prefix: "/all/", Timeout: timeout, TargetLatency: aim, MaxAttempts: 2, Shards: set(), Merge: route.Merge{TopK: 3, LeastShare: 1}},
+		route.Route{Prefix: "/plain/", Timeout: timeout, TargetLatency: targetLatency, MaxAttempts: 1 + cr.ch.intn(3), Targets: plainTargets[cr.ch.intn(len(plainTargets))]},
+		route.Route{Prefix: "/order/", Kind: route.NotRepeatable, Timeout: timeout, TargetLatency: targetLatency, MaxAttempts: 3, Targets: orderTargets},
+		route.Route{Prefix: "/some/", Timeout: timeout, TargetLatency: targetLatency, MaxAttempts: 2, Shards: set(), Merge: route.Merge{TopK: 7, LeastShare: 0.5}},
+		route.Route{Prefix: "/all/", Timeout: timeout, TargetLatency: targetLatency, MaxAttempts: 2, Shards: set(), Merge: route.Merge{TopK: 3, LeastShare: 1}},
 	)
 }
 
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -74,16 +74,16 @@
 		}
 		return
 	}
-	ended := ca.lostServers()
-	if len(ended) == 0 {
+	lost := ca.lostServers()
+	if len(lost) == 0 {
 		return
 	}
 	rc := qa.RecordLoss(ca.sv.ts.Now(), quarantine.Loss{
-		Key: ca.quarantineKey(), Attempt: ca.id, Start: ca.start, Probe: ca.probe, Service: ca.lostService(), Servers: ended,
+		Key: ca.quarantineKey(), Attempt: ca.id, Start: ca.start, Probe: ca.probe, Service: ca.lostService(), Servers: lost,
 	})
 	// The log line of the request holds both its ID and the content key.
 	ca.sv.lg.Warn(eventSuspected, zap.Stringer("Content", ca.quarantineKey()), zap.Bool("Probe", ca.probe),
-		zap.Int("BrokeOff", len(ended)), zap.Int("Losses", len(rc.Losses)), zap.Strings("Servers", rc.Servers), zap.Stringer("Verdict", rc.Verdict()))
+		zap.Int("BrokeOff", len(lost)), zap.Int("Losses", len(rc.Losses)), zap.Strings("Servers", rc.Servers), zap.Stringer("Verdict", rc.Verdict()))
 }
 
 // anyServerAnswered reports whether any server has answered the request with something
--- a/gateway/rig_test.go
+++ b/gateway/rig_test.go
@@ -37,8 +37,8 @@
 
 // Delays of the tests' gateways.
 const (
-	callerDelay = 3 * time.Millisecond
-	holdMargin  = 6 * time.Millisecond
+	callerDelay   = 3 * time.Millisecond
+	partialMargin = 6 * time.Millisecond
 )
 
 // setup holds the options of a rig.
@@ -88,7 +88,7 @@
 	rg.bu = budget.New(se.budget, rg.ts.Now().Add(-se.budget.Window))
 	re := replica.New(replica.Config{Seed: 1, HedgeFraction: 0.08})
 	rg.gw = New(Config{
-		Names: names, CallerDelay: callerDelay, PartialMargin: holdMargin, MaxInFlight: se.maxInFlight,
+		Names: names, CallerDelay: callerDelay, PartialMargin: partialMargin, MaxInFlight: se.maxInFlight,
 	}, rg.ts, lg, rg.up, re, rg.bu, quarantine.New())
 	if !se.justStarted {
 		rg.gw.started = rg.gw.started.Add(-startupDuration)
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -183,7 +183,7 @@
 }
 
 // needsBudget reports whether an attempt is an extra arrival that the retry budget pays
-// for. A retry is none if no earlier attempt has reached a backend server; a hedge always
+// for. A retry is not, if no earlier attempt has reached a backend server; a hedge always
 // is, since the attempt it accompanies was sent before.
 func (ex *executor) needsBudget(sa scatter.Attempt) bool {
 	return sa.Kind == scatter.Hedge || sa.Kind == scatter.Retry && ex.arrived[sa.Shard]
--- a/gateway/share.go
+++ b/gateway/share.go
@@ -37,9 +37,9 @@
 	peakUntil     time.Time // when the count was last at its peak
 }
 
-// update returns the count after an update. The TTL of a peak starts when the count last
-// equalled it; otherwise, after a long stable phase, the first decrease would take effect
-// at once.
+// update returns the entryCount with a new current count. The TTL of a peak starts when the
+// count last equalled it; otherwise, after a long stable phase, the first decrease would
+// take effect at once.
 func (ec entryCount) update(now time.Time, count int) entryCount {
 	switch {
 	case count >= ec.recentPeak(now):
