--- a/gateway/call.go
+++ b/gateway/call.go
@@ -158,8 +158,8 @@
 	// rejectionDelay is the delay before a third backend server is asked after two have
 	// rejected the request.
 	rejectionDelay = 5 * time.Millisecond
-	// offerDivisor sets the time limit for finding a backend server: the target latency
-	// divided by offerDivisor.
+	// noServerDivisor sets the time limit for finding a backend server: the target latency
+	// divided by noServerDivisor.
 	noServerDivisor = 5
 )
 
