--- a/tier/control.go
+++ b/tier/control.go
@@ -51,7 +51,7 @@
 		Name: se.Name, DataCentre: se.DataCentre, SilenceTimeout: maxMissedAnnouncements * se.Timing.Announcement, Quarantine: qa,
 	}, ts, lg)
 	co.ro = newRosters(di.NewParser(), co.pu, ts, lg)
-	ss := stateStore{dir: se.DataFolder, pu: co.pu, ps: &peerServers{hearSuspects: co.pu.AddSuspects}, ro: co.ro, qa: qa, ts: ts, lg: lg}
+	ss := stateStore{dir: se.DataFolder, pu: co.pu, ps: &peerServers{mergeSuspects: co.pu.AddSuspects}, ro: co.ro, qa: qa, ts: ts, lg: lg}
 	ss.restore(se.Timing.Announcement)
 	co.nd = fleet.New(fleet.Config{
 		Name: se.Name, Address: se.LinkAddress(), Seeds: ls.linkSeeds, FirstStart: se.FirstStart, MaxFailures: se.Losses,
--- a/tier/dialect.go
+++ b/tier/dialect.go
@@ -17,9 +17,9 @@
 // Dialect defines the interface to operators, backend servers and callers: header names,
 // the format of configurations, and the HTTP APIs.
 type Dialect interface {
-	// Names returns the header names.
+	// HeaderNames returns the names of the headers.
 	HeaderNames() gateway.HeaderNames
-	// Tables returns a new parser for accepted configurations.
+	// NewParser returns a new parser for accepted configurations.
 	NewParser() ConfigurationParser
 	// ControlHandler returns the API for operators and backend servers.
 	ControlHandler(co ControlAPI) http.Handler
@@ -51,8 +51,8 @@
 	Evacuate(ctx context.Context, dataCentre string, evacuate bool, from string) error
 	// Evacuated returns the evacuated data centres that this instance knows of.
 	Evacuated() evacuation.Set
-	// Announce processes an announcement of a backend server. One that leaves has the
-	// state Gone and tells which of its starts it belongs to.
+	// Announce processes an announcement of a backend server. A server that leaves is
+	// announced with the state Gone, and Born tells which start of it leaves.
 	Announce(se registry.Server)
 	// Leave removes a backend server that says that it leaves.
 	Leave(id string)
--- a/tier/entry.go
+++ b/tier/entry.go
@@ -26,7 +26,7 @@
 
 // Limits and timeouts of an entry instance.
 const (
-	holdMargin     = 6 * time.Millisecond
+	partialMargin  = 6 * time.Millisecond
 	maxInFlight    = 400
 	budgetFraction = 0.95
 	// serverRetentionTimeout is how long a backend server that no control instance
@@ -103,7 +103,7 @@
 	en := &entry{parser: di.NewParser(), re: re, qa: qa, ts: ts, lg: lg}
 	en.gw = gateway.New(gateway.Config{
 		Names: di.HeaderNames(), Name: se.Name, DataCentre: se.DataCentre,
-		CallerDelay: se.Timing.CallerDistance, PartialMargin: holdMargin, MaxInFlight: maxInFlight,
+		CallerDelay: se.Timing.CallerDistance, PartialMargin: partialMargin, MaxInFlight: maxInFlight,
 		Warmup: warmup.Limit{BurstFactor: se.Warmup.Overage, Slack: se.Warmup.Slack},
 	}, ts, lg, up, re, bu, qa)
 	en.su = feed.NewSubscriber(feed.SubscriberConfig{
@@ -185,7 +185,7 @@
 // entry instances.
 func (en *entry) OutliersFound(fis []outlier.Finding) { en.re.ApplyFindings(en.ts.Now(), fis) }
 
-// SuspectsHeard merges what other instances know of requests under which servers crashed.
+// SuspectsReceived merges what other instances know of requests under which servers crashed.
 func (en *entry) SuspectsReceived(_ string, rcs []quarantine.Record) []quarantine.Record {
 	return en.qa.Merge(en.ts.Now(), rcs)
 }
--- a/tier/entrylist.go
+++ b/tier/entrylist.go
@@ -23,10 +23,10 @@
 	lastLinked map[savedEntry]time.Time
 }
 
-func newEntryList(now time.Time, nes []savedEntry) entryList {
+func newEntryList(now time.Time, saved []savedEntry) entryList {
 	el := entryList{lastLinked: make(map[savedEntry]time.Time)}
-	for _, ne := range nes {
-		el.lastLinked[ne] = now
+	for _, se := range saved {
+		el.lastLinked[se] = now
 	}
 	return el
 }
@@ -39,15 +39,15 @@
 		if err != nil {
 			continue
 		}
-		ne := savedEntry{Name: en.Name, DataCentre: en.DataCentre, Address: net.JoinHostPort(host, strconv.Itoa(port))}
-		if _, ok := el.lastLinked[ne]; !ok {
+		se := savedEntry{Name: en.Name, DataCentre: en.DataCentre, Address: net.JoinHostPort(host, strconv.Itoa(port))}
+		if _, ok := el.lastLinked[se]; !ok {
 			changed = true
 		}
-		el.lastLinked[ne] = now
+		el.lastLinked[se] = now
 	}
-	for ne, at := range el.lastLinked {
+	for se, at := range el.lastLinked {
 		if now.Sub(at) >= entryTTL {
-			delete(el.lastLinked, ne)
+			delete(el.lastLinked, se)
 			changed = true
 		}
 	}
@@ -57,8 +57,8 @@
 // entries returns the entry instances sorted by address.
 func (el entryList) entries() []savedEntry {
 	out := make([]savedEntry, 0, len(el.lastLinked))
-	for ne := range el.lastLinked {
-		out = append(out, ne)
+	for se := range el.lastLinked {
+		out = append(out, se)
 	}
 	slices.SortFunc(out, func(a, b savedEntry) int {
 		return cmp.Or(strings.Compare(a.Address, b.Address), strings.Compare(a.Name, b.Name))
@@ -72,10 +72,10 @@
 // invitation and the link and snapshot that follow cost a control instance about 3 ms at
 // 0.24 of a core. Invited in the order of addresses, the instances of the last of five
 // data centres served 0.4 s after those of the first.
-func invitees(nes []savedEntry, gs roster.Groups, dataCentre string) []feed.Invitee {
-	ins := make([]roster.Instance, len(nes))
-	for ix, ne := range nes {
-		ins[ix] = roster.Instance{Name: ne.Name, DataCentre: ne.DataCentre, Address: ne.Address}
+func invitees(saved []savedEntry, gs roster.Groups, dataCentre string) []feed.Invitee {
+	ins := make([]roster.Instance, len(saved))
+	for ix, se := range saved {
+		ins[ix] = roster.Instance{Name: se.Name, DataCentre: se.DataCentre, Address: se.Address}
 	}
 	members := gs.Members(ins)
 	rank := func(in roster.Instance) int {
--- a/tier/entrylist_test.go
+++ b/tier/entrylist_test.go
@@ -36,15 +36,15 @@
 		c := qt.New(t)
 		ss := newTestStore(t.TempDir())
 		var ins []roster.Instance
-		var nes []savedEntry
+		var saved []savedEntry
 		for _, dc := range []string{"cusco", "lima"} {
 			for ix := range 6 {
-				ne := savedEntry{Name: fmt.Sprint(dc, ix), DataCentre: dc, Address: fmt.Sprintf("%s-%d:7740", dc, ix)}
-				nes = append(nes, ne)
-				ins = append(ins, roster.Instance{Name: ne.Name, DataCentre: dc})
+				se := savedEntry{Name: fmt.Sprint(dc, ix), DataCentre: dc, Address: fmt.Sprintf("%s-%d:7740", dc, ix)}
+				saved = append(saved, se)
+				ins = append(ins, roster.Instance{Name: se.Name, DataCentre: dc})
 			}
 		}
-		ss.save(entriesFile, nes)
+		ss.save(entriesFile, saved)
 		ss.save(rosterSizesFile, []roster.SavedSize{{Key: "wide", DataCentre: "cusco", Members: 2}, {Key: "wide", DataCentre: "lima", Members: 2}})
 		ss.restore(time.Second)
 		got := ss.invitees("lima")
--- a/tier/load.go
+++ b/tier/load.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// targetMerging is the mean number of merged requests in flight that an entry
+	// targetMergedInFlight is the mean number of merged requests in flight that an entry
 	// instance should have. The parts of a request share its link and its processor: at
 	// 0.2, one request in six overlaps another (M/M/1), and 63 parts of 1,400 bytes
 	// occupy a link of 20 Mbit/s for 35 ms each time.
-	targetMerging = 0.2
+	targetMergedInFlight = 0.2
 	// loadInterval is how often an instance measures its load.
 	loadInterval = 500 * time.Millisecond
 	// loadWeight is the EWMA weight of a new measurement. Queries are rare and arrive at
@@ -23,24 +23,24 @@
 	loadRefreshInterval = 5 * time.Second
 )
 
-// loadMeter measures the load of an entry instance relative to targetMerging, and decides
-// when to report it.
+// loadMeter measures the load of an entry instance relative to targetMergedInFlight, and
+// decides when to report it.
 type loadMeter struct {
 	load, reported float64
 	reportedAt     time.Time
-	lastMerging    time.Duration // total at the last update
+	lastMergedTime time.Duration // total at the last update
 	lastAt         time.Time
 }
 
 // update records the total time for which merged requests were in flight so far, and
 // reports whether the load should be sent.
-func (lm *loadMeter) update(now time.Time, merging time.Duration) bool {
+func (lm *loadMeter) update(now time.Time, mergedTime time.Duration) bool {
 	span := now.Sub(lm.lastAt)
 	if span <= 0 {
 		return false
 	}
-	seen := float64(merging-lm.lastMerging) / float64(span) / targetMerging
-	lm.lastAt, lm.lastMerging = now, merging
+	seen := float64(mergedTime-lm.lastMergedTime) / float64(span) / targetMergedInFlight
+	lm.lastAt, lm.lastMergedTime = now, mergedTime
 	lm.load += loadWeight * (seen - lm.load)
 	moved := math.Abs(lm.load - lm.reported)
 	if moved < minLoadChange && (now.Sub(lm.reportedAt) < loadRefreshInterval || moved == 0 && !lm.reportedAt.IsZero()) {
--- a/tier/meters.go
+++ b/tier/meters.go
@@ -123,10 +123,10 @@
 func newInstrumentedAPI(co controlInstanceAPI, ts *timer.Service) *instrumentedAPI {
 	set := vm.NewSet()
 	series := func(name string) callMetrics {
-		in := `{call="` + name + `"}`
+		labels := `{call="` + name + `"}`
 		return callMetrics{
-			seconds: set.NewPrometheusHistogramExt("balsamwinch_control_call_seconds"+in, callBuckets),
-			failed:  set.NewCounter("balsamwinch_control_calls_failed_total" + in),
+			seconds: set.NewPrometheusHistogramExt("balsamwinch_control_call_seconds"+labels, callBuckets),
+			failed:  set.NewCounter("balsamwinch_control_calls_failed_total" + labels),
 		}
 	}
 	return &instrumentedAPI{
--- a/tier/meters_test.go
+++ b/tier/meters_test.go
@@ -74,7 +74,7 @@
 	qt.Assert(t, ob.Len(), qt.Equals, 1)
 }
 
-func TestWriteProcess(t *testing.T) {
+func TestWriteProcessMetrics(t *testing.T) {
 	start := time.Unix(1000, 0)
 	mw := writeProcessMetrics(start, func() time.Time { return start.Add(90 * time.Second) })
 	qt.Assert(t, nonZeroLines(mw, "balsamwinch_running_seconds"), qt.DeepEquals, []string{"balsamwinch_running_seconds 90"})
@@ -84,7 +84,7 @@
 }
 
 // The metrics of a control instance before its group is formed.
-func TestWriteGroup(t *testing.T) {
+func TestWriteGroupMetrics(t *testing.T) {
 	ts, lg := timer.New(), zap.NewNop()
 	nd := fleet.New(fleet.Config{Name: "control-1", Dir: t.TempDir()}, ts, lg, nil)
 	pu := feed.NewPublisher(feed.PublisherConfig{Name: "control-1"}, ts, lg)
--- a/tier/peerservers.go
+++ b/tier/peerservers.go
@@ -16,9 +16,9 @@
 // announcements from. They are only persisted for the next start, and nothing is decided
 // by them.
 type peerServers struct {
-	// hearSuspects merges what another control instance knows of requests under which
+	// mergeSuspects merges what another control instance knows of requests under which
 	// servers crashed.
-	hearSuspects func(control string, rcs []quarantine.Record) []quarantine.Record
+	mergeSuspects func(control string, rcs []quarantine.Record) []quarantine.Record
 
 	mu      sync.Mutex
 	servers map[string][]registry.Server
@@ -59,10 +59,10 @@
 // SharersChanged does nothing: it concerns entry instances.
 func (*peerServers) SharersChanged(int) {}
 
-// SuspectsHeard merges what another control instance knows of requests under which
+// SuspectsReceived merges what another control instance knows of requests under which
 // servers crashed: an entry instance may have a link to only one of the two.
 func (ps *peerServers) SuspectsReceived(control string, rcs []quarantine.Record) []quarantine.Record {
-	return ps.hearSuspects(control, rcs)
+	return ps.mergeSuspects(control, rcs)
 }
 
 // OutliersFound does nothing: it concerns entry instances.
--- a/tier/roster.go
+++ b/tier/roster.go
@@ -18,8 +18,8 @@
 )
 
 // rosterInterval is how often a control instance updates which entry instances serve a
-// merged route. It adds to the time for which callers keep their address list before the
-// instances added for a burst get requests.
+// merged route. Instances added for a burst get requests only after this interval and the
+// time for which callers keep their address list.
 const rosterInterval = 250 * time.Millisecond
 
 // rosters assigns a subset of the entry instances to the callers of each merged route, so
@@ -55,8 +55,8 @@
 }
 
 // restore applies the sizes that were saved before this start.
-func (ro *rosters) restore(nos []roster.SavedSize) {
-	ro.latest.Store(&decision{chosen: roster.Restore(ro.ts.Now(), nos)})
+func (ro *rosters) restore(sizes []roster.SavedSize) {
+	ro.latest.Store(&decision{chosen: roster.Restore(ro.ts.Now(), sizes)})
 }
 
 // savedSizes returns the sizes to save for the next start.
--- a/tier/roster_test.go
+++ b/tier/roster_test.go
@@ -77,9 +77,9 @@
 	})
 }
 
-// Guards against twice as many entry instances that connect to all new servers while
-// these are cold. When shards are repartitioned, routes stay and name other services;
-// their callers must keep their instances. Two hosts with the same shards form one group.
+// When shards are repartitioned, routes stay and name other services. Their callers must
+// keep their instances; otherwise twice as many entry instances would connect to all new
+// servers while these are cold. Two hosts with the same shards form one group.
 func TestRepartitionKeepsRoster(t *testing.T) {
 	c := qt.New(t)
 	wide := func(service string) *route.Table {
--- a/tier/run.go
+++ b/tier/run.go
@@ -127,7 +127,7 @@
 }
 
 // serveUntil runs the supervisor's services until the context has ended. It then calls
-// leave, and stops the services when leave has returned.
+// shutdown, and stops the services when shutdown has returned.
 func serveUntil(ctx context.Context, sp *suture.Supervisor, shutdown func()) {
 	run, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
--- a/tier/run_test.go
+++ b/tier/run_test.go
@@ -14,8 +14,8 @@
 	"balsamwinch.example/trail"
 )
 
-// Guards against a failure of a service whose log line has two fields named Event: the
-// second one hid the first from JSON readers. The failure must be in a field of its own.
+// Guards against a log line about a failed service with two fields named Event, of which
+// JSON readers see only one. The failure must be in a field of its own.
 func TestServiceFailureLogLineHasOneEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
--- a/tier/statestore.go
+++ b/tier/statestore.go
@@ -22,7 +22,7 @@
 )
 
 const (
-	// names of files in the data folder
+	// Names of files in the data folder.
 	serversFile     = "servers"
 	entriesFile     = "entry-instances"
 	rosterSizesFile = "chosen"
@@ -77,9 +77,9 @@
 
 // loadEntries returns the saved entry instances.
 func (ss stateStore) loadEntries() []savedEntry {
-	var nes []savedEntry
-	ss.load(entriesFile, &nes)
-	return nes
+	var saved []savedEntry
+	ss.load(entriesFile, &saved)
+	return saved
 }
 
 // invitees returns the saved entry instances in the order in which to invite them.
@@ -192,16 +192,16 @@
 // that knew of them may have lost power at the same time, and such a request may be sent
 // again.
 func (ss stateStore) restoreSuspects() {
-	var no savedSuspects
-	if !ss.load(suspectsFile, &no) {
+	var saved savedSuspects
+	if !ss.load(suspectsFile, &saved) {
 		return
 	}
 	now := ss.ts.Now()
 	// If the clock was set back, the records keep the age that they were saved with.
-	sinceSave := max(0, now.UnixMilli()-no.SavedAt)
-	for ix := range no.Records {
-		no.Records[ix].AgeMillis = uint32(min(int64(no.Records[ix].AgeMillis)+sinceSave, math.MaxUint32))
+	sinceSave := max(0, now.UnixMilli()-saved.SavedAt)
+	for ix := range saved.Records {
+		saved.Records[ix].AgeMillis = uint32(min(int64(saved.Records[ix].AgeMillis)+sinceSave, math.MaxUint32))
 	}
-	merged := ss.qa.Merge(now, no.Records)
+	merged := ss.qa.Merge(now, saved.Records)
 	ss.lg.Info("suspects-restored", zap.Int("Suspects", len(merged)))
 }
--- a/tier/watch_test.go
+++ b/tier/watch_test.go
@@ -68,8 +68,9 @@
 
 func (wt *watchTest) count(line string) int { return wt.logs.FilterMessage(line).Len() }
 
-// Guards against control instances that are gone: the platform changes the seeds in the
-// settings file without a signal, and the instance must notice by itself.
+// Guards against an instance that keeps using seeds of control instances that are gone:
+// the platform changes the seeds in the settings file without a signal, and the instance
+// must notice by itself.
 func TestWatchDetectsChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		wt := watch(t, goodSettings("10.0.0.2"))
@@ -168,14 +169,14 @@
 		defer cancel()
 		co, logs := observer.New(zap.InfoLevel)
 		se := Settings{LinkPort: 7740, Seeds: []string{"10.0.0.1:80"}}
-		sh := newLiveSettings(se)
+		ls := newLiveSettings(se)
 		changes := make(chan Settings)
-		go sh.applyChanges(ctx, changes, zap.New(co))
-		qt.Assert(t, sh.linkSeeds(), qt.DeepEquals, []string{"10.0.0.1:7740"})
+		go ls.applyChanges(ctx, changes, zap.New(co))
+		qt.Assert(t, ls.linkSeeds(), qt.DeepEquals, []string{"10.0.0.1:7740"})
 		se.Seeds = []string{"10.0.0.2:80", "10.0.0.3:80"}
 		changes <- se
 		synctest.Wait()
-		qt.Assert(t, sh.linkSeeds(), qt.DeepEquals, []string{"10.0.0.2:7740", "10.0.0.3:7740"})
+		qt.Assert(t, ls.linkSeeds(), qt.DeepEquals, []string{"10.0.0.2:7740", "10.0.0.3:7740"})
 		changes <- se
 		synctest.Wait()
 		var changed []any
