--- a/fleet/ask.go
+++ b/fleet/ask.go
@@ -71,7 +71,7 @@
 func (nd *Node) askLeader(ctx context.Context, op string, message func(request uint64) peer.Message) (Answer, error) {
 	target := nd.leader()
 	reason := "no leader is known"
-	silent, attemptsSinceSilent := "", 0 // silent is the instance that did not answer last; attemptsSinceSilent counts the attempts since then.
+	silent, attemptsSinceSilent := "", 0 // silent is the instance whose answer was last missing; attemptsSinceSilent counts the attempts since then.
 	for attempt := 0; ; attempt++ {
 		if attemptsSinceSilent++; attemptsSinceSilent > maxSilentSkips {
 			silent = ""
--- a/fleet/event.go
+++ b/fleet/event.go
@@ -34,8 +34,8 @@
 // evacuationsReceived is a set of evacuations that a leader reports as committed.
 type evacuationsReceived struct{ set evacuation.Set }
 
-// requestReceived is a Proposal, a ReadRequest or an EvacuationOrder. reply is called once
-// and doesn't block.
+// requestReceived is a Proposal, a ReadRequest or an EvacuationRequest. reply is called
+// once and doesn't block.
 type requestReceived struct {
 	ms    peer.Message
 	reply func(Answer)
--- a/fleet/faults_test.go
+++ b/fleet/faults_test.go
@@ -176,8 +176,8 @@
 }
 
 // More instances fail at a time than the group tolerates, but at most one disk is lost.
-// Nothing need be acknowledged meanwhile. Once all instances are back the group must
-// continue, and at no time may a read be older than a version acknowledged before it.
+// Proposals may fail meanwhile. Once all instances are back the group must commit proposals
+// again, and at no time may a read be older than a version acknowledged before it.
 func TestRecoveryFromOverlappingFaults(t *testing.T) {
 	gr := newFormedGroup(t, 1, 3, 2)
 	wl, stop := gr.startWorkload()
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -30,7 +30,7 @@
 	"balsamwinch.example/wal"
 )
 
-// MaxDocumentBytes is the size of the largest document.
+// MaxDocumentBytes is the size of the largest document in bytes.
 const MaxDocumentBytes = 1 << 20
 
 // Defaults of Config.
--- a/fleet/lead.go
+++ b/fleet/lead.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// maxInFlight bounds the proposals, and separately the reads, that are pending at a
-	// leader.
+	// maxInFlight bounds the proposals and evacuation orders together, and separately the
+	// reads, that are pending at a leader.
 	maxInFlight = 64
 	// maxInFlightBytes bounds the bytes that are appended and not committed.
 	maxInFlightBytes = 2 << 20
--- a/fleet/message.go
+++ b/fleet/message.go
@@ -81,8 +81,8 @@
 	Held    uint64 // Held is the version that the requester has; it is not sent again.
 }
 
-// EvacuationOrder asks the leader to commit a change of the evacuations. The Answer follows
-// once it is applied.
+// EvacuationRequest asks the leader to commit a change of the evacuations. The Answer
+// follows once it is applied.
 type EvacuationRequest struct {
 	Request uint64
 	Order   evacuation.Change
@@ -91,7 +91,7 @@
 // Evacuations are committed evacuations, sent by a leader to non-members.
 type Evacuations struct{ Set evacuation.Set }
 
-// Answer answers Proposal, ReadRequest and EvacuationOrder.
+// Answer answers Proposal, ReadRequest and EvacuationRequest.
 type Answer struct {
 	Request uint64
 	OK      bool
@@ -101,7 +101,7 @@
 	Leader  string // Leader is the instance to ask if not OK; "" if unknown.
 	Reason  string
 
-	// Outcome and Evacuations are the result of an EvacuationOrder.
+	// Outcome and Evacuations are the result of an EvacuationRequest.
 	Outcome     evacuation.Outcome
 	Evacuations evacuation.Set
 }
@@ -130,7 +130,7 @@
 // Kind returns KindAnswer.
 func (Answer) Kind() peer.Kind { return KindAnswer }
 
-// Kind returns KindEvacuationOrder.
+// Kind returns KindEvacuationRequest.
 func (EvacuationRequest) Kind() peer.Kind { return KindEvacuationRequest }
 
 // Kind returns KindEvacuations.
