--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -351,21 +351,21 @@
 	gr := newFormedGroup(t, 1, 3, 2)
 	gr.all[0].mustPropose(1, "one")
 	gr.awaitDocument(1, "one")
-	cut := gr.leader()
-	gr.network.isolate(cut, gr.all)
+	isolated := gr.leader()
+	gr.network.isolate(isolated, gr.all)
 	for _, in := range gr.all {
-		if in != cut {
+		if in != isolated {
 			in.mustPropose(2, "two")
 			break
 		}
 	}
 	ctx, cancel := context.WithTimeout(gr.ctx, 4*testElectionTimeout)
 	defer cancel()
-	_, _, err := cut.nd.Read(ctx)
+	_, _, err := isolated.nd.Read(ctx)
 	gr.c.Assert(err, qt.ErrorMatches, `.*ControlUnavailable.*`)
-	gr.c.Assert(cut.nd.Propose(ctx, 3, nil), qt.ErrorMatches, `.*ControlUnavailable.*`)
+	gr.c.Assert(isolated.nd.Propose(ctx, 3, nil), qt.ErrorMatches, `.*ControlUnavailable.*`)
 	gr.network.heal()
-	cut.assertRead(2, "two")
+	isolated.assertRead(2, "two")
 	gr.awaitDocument(2, "two")
 	gr.awaitVoters(3)
 }
