--- a/quorum/clearance.go
+++ b/quorum/clearance.go
@@ -226,7 +226,7 @@
 }
 
 // becomeRemoved handles a leader's statement that this member was removed. If it is added
-// again, the leader's Append says so.
+// again, it learns that from the leader's Append.
 func (sp *step) becomeRemoved(leader ID) {
 	sp.transition(eventRemove)
 	sp.leader = ""
--- a/quorum/follower.go
+++ b/quorum/follower.go
@@ -1,7 +1,7 @@
 package quorum
 
 // acceptLeader accepts the sender of an Append or Snapshot as the leader of its term. It
-// reports false if the term is over.
+// reports false if that term is lower than the current one.
 func (sp *step) acceptLeader(from ID, he Header) bool {
 	if he.Term < sp.hard.Term || sp.role == Leader && he.Term == sp.hard.Term {
 		return false
--- a/quorum/leader.go
+++ b/quorum/leader.go
@@ -5,8 +5,9 @@
 const (
 	// maxInFlightBatches bounds the full batches that one member has not acknowledged.
 	maxInFlightBatches = 4
-	// neverAcked is the ackedSendTime of a member that has not acknowledged anything.
-	neverAcked int64 = -1
+	// noTime is the ackedSendTime of a member that has not acknowledged anything, and the
+	// snapshotRequestedAt of one for which no snapshot is awaited.
+	noTime int64 = -1
 )
 
 // progress is a leader's view of another member.
@@ -24,7 +25,7 @@
 	sp.transition(eventVoteWon)
 	sp.leader = sp.cf.Self
 	sp.becameLeaderAt = sp.now
-	sp.quorumContact = time0
+	sp.quorumContact = zeroTime
 	sp.members = nil
 	sp.syncMembers()
 	sp.appendOwn(EntryNoop, nil)
@@ -46,7 +47,7 @@
 }
 
 func (sp *step) newProgress(id ID) progress {
-	return progress{id: id, next: sp.log.last() + 1, ackedSendTime: neverAcked, snapshotRequestedAt: neverAcked}
+	return progress{id: id, next: sp.log.last() + 1, ackedSendTime: noTime, snapshotRequestedAt: noTime}
 }
 
 func (sp *step) findProgress(id ID) *progress {
@@ -155,7 +156,7 @@
 	pr.matched = max(pr.matched, matched)
 	pr.next = max(pr.next, pr.matched+1)
 	if pr.matched >= sp.log.snapshotIndex {
-		pr.snapshotRequestedAt = neverAcked
+		pr.snapshotRequestedAt = noTime
 	}
 	if pr.next <= sp.log.last() {
 		sp.sendAppend(pr)
@@ -187,7 +188,7 @@
 // flight.
 func (sp *step) requestSnapshot(pr *progress) {
 	pr.next = sp.log.snapshotIndex + 1
-	if pr.snapshotRequestedAt != neverAcked && sp.sendTime()-pr.snapshotRequestedAt < int64(2*sp.cf.ElectionTimeout) {
+	if pr.snapshotRequestedAt != noTime && sp.sendTime()-pr.snapshotRequestedAt < int64(2*sp.cf.ElectionTimeout) {
 		return
 	}
 	pr.snapshotRequestedAt = sp.sendTime()
--- a/quorum/lease.go
+++ b/quorum/lease.go
@@ -15,7 +15,7 @@
 // leadership has no lease from then on.
 func (st State) LeaseExpiry() time.Time {
 	if st.role != Leader || st.quorumContact.IsZero() {
-		return time0
+		return zeroTime
 	}
 	return st.quorumContact.Add(st.cf.ElectionTimeout * leaseNumerator / leaseDenominator)
 }
@@ -25,7 +25,7 @@
 // from a majority yet. It never decreases while a voter leads.
 func (st State) LastQuorumContact() time.Time {
 	if st.role != Leader {
-		return time0
+		return zeroTime
 	}
 	return st.quorumContact
 }
@@ -65,7 +65,7 @@
 // recentlyAcked reports whether a member acknowledged something sent within the election
 // timeout.
 func (sp *step) recentlyAcked(pr progress) bool {
-	return pr.ackedSendTime != neverAcked && sp.sendTime()-pr.ackedSendTime < int64(sp.cf.ElectionTimeout)
+	return pr.ackedSendTime != noTime && sp.sendTime()-pr.ackedSendTime < int64(sp.cf.ElectionTimeout)
 }
 
 // updateQuorumContact computes when the newest message that a majority of the voters has
@@ -82,7 +82,7 @@
 		sendTimes = append(sendTimes, sp.progress(id).ackedSendTime)
 	}
 	at := majorityValue(sendTimes)
-	if at == neverAcked {
+	if at == noTime {
 		return
 	}
 	if sent := sp.startedAt.Add(time.Duration(at)); sent.After(sp.quorumContact) {
--- a/quorum/role.go
+++ b/quorum/role.go
@@ -41,7 +41,7 @@
 	sp.transition(eventStepDown)
 	sp.leader = ""
 	sp.members = nil
-	sp.quorumContact = time0
+	sp.quorumContact = zeroTime
 }
 
 // adoptTerm adopts a higher term, in which no vote has been granted yet.
--- a/quorum/search_test.go
+++ b/quorum/search_test.go
@@ -75,7 +75,7 @@
 			ms = append(ms, transition{po, message, limit, ev, bu})
 		}
 	}
-	less := func(field func(bu *budget) *int, po int, ev Event) {
+	addIfBudgeted := func(field func(bu *budget) *int, po int, ev Event) {
 		left := bu
 		if nu := field(&left); *nu > 0 {
 			*nu--
@@ -85,7 +85,7 @@
 	for me, en := range cl.network {
 		ev := Received{cl.now, en.from, en.ms}
 		add(cl.find(en.to), me, ev, bu)
-		less(func(bu *budget) *int { return &bu.duplicates }, cl.find(en.to), ev)
+		addIfBudgeted(func(bu *budget) *int { return &bu.duplicates }, cl.find(en.to), ev)
 	}
 	for po, no := range cl.nodes {
 		if !no.up {
@@ -95,8 +95,8 @@
 			add(po, -1, Tick{cl.now}, bu)
 		}
 		if no.st.Role() == Leader {
-			less(func(bu *budget) *int { return &bu.proposals }, po, Propose{Now: cl.now})
-			less(func(bu *budget) *int { return &bu.resigns }, po, Resign{cl.now})
+			addIfBudgeted(func(bu *budget) *int { return &bu.proposals }, po, Propose{Now: cl.now})
+			addIfBudgeted(func(bu *budget) *int { return &bu.resigns }, po, Resign{cl.now})
 		}
 	}
 	if bu.waits > 0 {
@@ -188,7 +188,7 @@
 		writeHash[any](&ha, an.id, an.leader, age(an.receivedAt))
 	}
 	for _, pr := range st.members {
-		writeHash[any](&ha, pr.id, pr.matched, pr.next, age(st.startedAt.Add(time.Duration(pr.ackedSendTime))), pr.ackedSendTime == neverAcked)
+		writeHash[any](&ha, pr.id, pr.matched, pr.next, age(st.startedAt.Add(time.Duration(pr.ackedSendTime))), pr.ackedSendTime == noTime)
 	}
 	return ha.Sum64()
 }
--- a/quorum/state.go
+++ b/quorum/state.go
@@ -9,7 +9,7 @@
 // defaultMaxBatch is used if Config.MaxBatch is zero.
 const defaultMaxBatch = 64
 
-var time0 time.Time
+var zeroTime time.Time
 
 // State is the state of one voter, learner or non-member. It is immutable: Step returns a
 // new one and leaves the old one unchanged.
@@ -87,13 +87,13 @@
 	}
 }
 
-// Role returns the role.
+// Role returns the current role of the member.
 func (st State) Role() Role { return st.role }
 
-// Leader returns the leader of the term, or "" if none is known.
+// Leader returns the leader of the current term, or "" if none is known.
 func (st State) Leader() ID { return st.leader }
 
-// Term returns the term.
+// Term returns the current term.
 func (st State) Term() uint64 { return st.hard.Term }
 
 // Commit returns the index up to which entries are known to be committed.
@@ -125,7 +125,7 @@
 // LeaderSince returns the time since which the leader is known here, or the zero time.
 func (st State) LeaderSince() time.Time {
 	if st.leader == "" {
-		return time0
+		return zeroTime
 	}
 	return st.leaderSince
 }
@@ -141,8 +141,8 @@
 func (st State) Members() []Progress {
 	var ps []Progress
 	for _, pr := range st.members {
-		contact := time0
-		if pr.ackedSendTime != neverAcked {
+		contact := zeroTime
+		if pr.ackedSendTime != noTime {
 			contact = st.startedAt.Add(time.Duration(pr.ackedSendTime))
 		}
 		ps = append(ps, Progress{ID: pr.id, Matched: pr.matched, LastContact: contact})
@@ -159,7 +159,7 @@
 	case Follower, PreCandidate, Candidate:
 		return st.electionAt, true
 	}
-	return time0, false
+	return zeroTime, false
 }
 
 // compact removes the entries that a durable snapshot replaces.
--- a/quorum/step.go
+++ b/quorum/step.go
@@ -28,7 +28,7 @@
 // executor must publish the new state before it performs the actions, because a leader that
 // transfers leadership has no lease from then on.
 func Step(st State, ev Event) (State, []Action) {
-	sp := newStep(st, time0)
+	sp := newStep(st, zeroTime)
 	switch ev := ev.(type) {
 	case Tick:
 		sp.now = ev.Now
--- a/quorum/voters.go
+++ b/quorum/voters.go
@@ -154,8 +154,9 @@
 	case !vs.HasVoter(ev.Remove) && !vs.HasLearner(ev.Remove):
 		return ReasonNotMember
 	case ev.Remove == sp.cf.Self:
-		// With 2 voters, a leader that removed itself and crashed would leave a
-		// voter that needs the vote of one whose longer log forbids it.
+		// With 2 voters, a leader that removed itself and crashed could leave a voter
+		// without that entry. This voter would then need the vote of the removed leader,
+		// which must refuse it because its own log is longer.
 		return ReasonIsLeader
 	}
 	return 0
