--- a/wal/system.go
+++ b/wal/system.go
@@ -21,11 +21,11 @@
 	Create(name string) (File, error)
 	// Append truncates a file to a size and opens it for writing at its end.
 	Append(name string, size int64) (File, error)
-	// Rename replaces a file of the second name.
+	// Rename renames a file and replaces an existing file with the new name.
 	Rename(from, to string) error
 	Remove(name string) error
 	SyncDir(dir string) error
-	// Lock opens a file that only one process at a time can have open.
+	// Lock opens a lock file. It fails if another process has the file open.
 	Lock(name string) (io.Closer, error)
 }
 
--- a/wal/wal.go
+++ b/wal/wal.go
@@ -158,8 +158,8 @@
 	return jo.failure
 }
 
-// append writes a record and syncs it. Without the sync, an acknowledged entry or vote
-// could be lost with the power, and a voter could vote twice.
+// append writes a record and syncs it. Without the sync, a power loss could erase an
+// acknowledged entry or vote, and a voter could vote twice.
 func (jo *Journal) append(re record) error {
 	data, err := re.encode(jo.sequence + 1)
 	if err != nil {
--- a/wal/wal_test.go
+++ b/wal/wal_test.go
@@ -330,15 +330,15 @@
 func TestAcknowledgedWritesSurviveFailures(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		di := newMemoryDisk()
-		var mo, may journalModel // may is mo with the call that failed.
+		var mo, attempted journalModel // attempted is mo after the call that failed.
 		for range rapid.IntRange(1, 6).Draw(rt, "boots") {
 			jo, re, err := open(di, testFolder, zap.NewNop(), testSegmentLimit)
 			if err != nil {
 				rt.Fatal(err)
 			}
 			got := journalModel{hard: re.Hard, snapshot: re.Snapshot, entries: re.Entries}
-			if fmt.Sprint(got) != fmt.Sprint(may) && fmt.Sprint(got) != fmt.Sprint(mo) {
-				rt.Fatalf("acknowledged %v, maybe %v, got %v", mo, may, got)
+			if fmt.Sprint(got) != fmt.Sprint(attempted) && fmt.Sprint(got) != fmt.Sprint(mo) {
+				rt.Fatalf("acknowledged %v, maybe %v, got %v", mo, attempted, got)
 			}
 			mo = got
 			countdown := rapid.IntRange(0, 40).Draw(rt, "failure")
@@ -348,17 +348,17 @@
 				}
 				return nil
 			}
-			for may, err = mo, error(nil); err == nil; {
-				mo = may
-				if may, err = randomCall(rt, jo, mo); rapid.IntRange(0, 9).Draw(rt, "stop") == 0 {
+			for attempted, err = mo, error(nil); err == nil; {
+				mo = attempted
+				if attempted, err = randomCall(rt, jo, mo); rapid.IntRange(0, 9).Draw(rt, "stop") == 0 {
 					break
 				}
 			}
 			if err == nil {
-				mo = may
+				mo = attempted
 			}
-			cut := rapid.IntRange(0, 60).Draw(rt, "torn")
-			di = di.crash(func(da []byte) []byte { return da[:min(cut, len(da))] })
+			keptBytes := rapid.IntRange(0, 60).Draw(rt, "torn")
+			di = di.crash(func(da []byte) []byte { return da[:min(keptBytes, len(da))] })
 		}
 	})
 }
