--- a/feed/announcements.go
+++ b/feed/announcements.go
@@ -99,9 +99,9 @@
 	pu.scheduleFlush(now)
 }
 
-// addChange merges a change into the pending ones. It keeps the order of ids, which tells
-// which of two ids at one address is newer. An incarnation that is Draining stays so,
-// whatever it announces later.
+// addChange merges a change into the pending ones. It keeps the order of ids, from which
+// receivers derive which of two ids at one address is newer. An incarnation that is
+// Draining stays so, whatever it announces later.
 func (pe *pendingUpdate) addChange(ch registry.Change) {
 	ix, ok := pe.indexes[ch.Server.ID]
 	if !ok {
--- a/feed/fetch_test.go
+++ b/feed/fetch_test.go
@@ -205,13 +205,13 @@
 // support gets the plain full configuration, also among others that support deltas.
 func TestFetchWithoutDeltaSupport(t *testing.T) {
 	c := qt.New(t)
-	var ds configurationStore
+	var cs configurationStore
 	data := routes(1, 100)
-	ds.add(1, data)
+	cs.add(1, data)
 	for _, fe := range []Fetch{{Version: 1, AcceptDelta: true}, {Version: 1}} {
-		do := answerFetchOf(c, &ds, fe)
-		c.Check(bytes.Equal(do.Data, data), qt.Equals, !fe.AcceptDelta)
-		c.Check(len(do.Digest) > 0, qt.Equals, fe.AcceptDelta)
+		cfg := answerFetchOf(c, &cs, fe)
+		c.Check(bytes.Equal(cfg.Data, data), qt.Equals, !fe.AcceptDelta)
+		c.Check(len(cfg.Digest) > 0, qt.Equals, fe.AcceptDelta)
 	}
 	su := &Subscriber{lg: zap.NewNop()}
 	got, err := su.decodeConfiguration(Configuration{Version: 1, Data: data})
@@ -220,21 +220,21 @@
 }
 
 // answerFetchOf returns the Configuration that answers a Fetch.
-func answerFetchOf(c *qt.C, ds *configurationStore, fe Fetch) Configuration {
-	var do Configuration
+func answerFetchOf(c *qt.C, cs *configurationStore, fe Fetch) Configuration {
+	var cfg Configuration
 	runInBubble(c.TB.(*testing.T), func(c *qt.C, cl *cluster) {
 		local, remote := newPipe(cl)
-		pa, version, err := ds.pack(local, fe)
+		pa, version, err := cs.pack(local, fe)
 		c.Assert(err, qt.IsNil)
 		c.Assert(version, qt.Equals, uint64(1))
 		c.Assert(local.SendPrepared(pa), qt.IsNil)
 		ms, err := remote.Receive()
 		c.Assert(err, qt.IsNil)
-		do = ms.(Configuration)
+		cfg = ms.(Configuration)
 		local.Close()
 		remote.Close()
 	})
-	return do
+	return cfg
 }
 
 // newPipe returns the two ends of a link.
--- a/feed/invite_test.go
+++ b/feed/invite_test.go
@@ -56,7 +56,7 @@
 		c.Assert(en.su.NumConnected(), qt.Equals, 1)
 		c.Assert(en.versions, qt.DeepEquals, []uint64{3})
 
-		// A control instance that has ended, which no other one lists, isn't dialed
+		// A control instance that has ended, which no other one lists, isn't dialled
 		// forever.
 		other.isolate()
 		cl.advance(2*unlistedTTL + 2*time.Second)
@@ -67,7 +67,7 @@
 }
 
 // Guards against an invited entry instance that waits for its redial backoff, because it
-// dialed the control instance while that was down.
+// dialled the control instance while that was down.
 func TestInviteCutsRedialBackoffShort(t *testing.T) {
 	runInBubble(t, func(c *qt.C, cl *cluster) {
 		first, second := cl.control("first"), cl.control("second")
@@ -90,15 +90,15 @@
 	runInBubble(t, func(c *qt.C, cl *cluster) {
 		en := cl.entry("entry")
 		back := time.Now().Add(time.Second)
-		var tries atomic.Int64
+		var attempts atomic.Int64
 		lc := cl.config()
 		lc.Connect = cl.inviteConnect(en, func() bool {
-			tries.Add(1)
+			attempts.Add(1)
 			return !time.Now().Before(back)
 		})
 		InviteAll(cl.ctx, lc, cl.lg, Invite{Name: "one", Address: "one:1"}, []Invitee{{"entry", "entry:7740"}}, notLinked)
 		c.Assert(time.Since(back) <= maxInviteBackoff, qt.IsTrue)
-		c.Assert(tries.Load() < 12, qt.IsTrue, qt.Commentf("%d tries", tries.Load()))
+		c.Assert(attempts.Load() < 12, qt.IsTrue, qt.Commentf("%d attempts", attempts.Load()))
 
 		start := time.Now()
 		lc.Connect = func(ctx context.Context, _ string) (net.Conn, error) {
--- a/feed/outliers.go
+++ b/feed/outliers.go
@@ -95,8 +95,8 @@
 }
 
 // duplicateInterval is how long the same finding from another control instance is
-// ignored. The collectors get the same samples and find the same within two
-// outlierIntervals.
+// ignored. The collectors get the same samples and find the same within twice
+// outlierInterval.
 const duplicateInterval = 500 * time.Millisecond
 
 // receiveFindings handles findings of a control instance.
--- a/feed/subscriber.go
+++ b/feed/subscriber.go
@@ -59,7 +59,7 @@
 	// OutliersFound passes findings about backend servers from the samples of all entry
 	// instances.
 	OutliersFound(fis []outlier.Finding)
-	// SuspectsHeard passes requests that a control instance suspects of crashing servers.
+	// SuspectsReceived passes requests that a control instance suspects of crashing servers.
 	// It returns those with new information.
 	SuspectsReceived(control string, rcs []quarantine.Record) []quarantine.Record
 }
@@ -113,7 +113,7 @@
 	evacuationsRevision uint64  // revision of the evacuations passed to the observer last
 	entriesDirty        bool    // the entry instances or the sharers may have changed
 	fetch               fetch
-	findings            map[string]receivedFinding // findings of the last outlier.Lifetime by id
+	findings            map[string]receivedFinding // findings of the last outlier.FindingTTL by id
 	configuration       []byte                     // configuration in force, the base for the next delta
 	seedsReadAt         time.Time
 	wakeTimer           *timer.Timeout
--- a/feed/subscriber_test.go
+++ b/feed/subscriber_test.go
@@ -192,10 +192,10 @@
 		cos[0].pu.SetConfiguration(5, []byte("five"))
 		cos[1].pu.SetConfiguration(5, []byte("five"))
 		cl.advance(10*refusedBackoff + maxPropagation)
-		tries := en.attemptTimes()
-		c.Check(len(tries), qt.Equals, 11)
-		for ii := 1; ii < len(tries); ii++ {
-			c.Check(tries[ii].Sub(tries[ii-1]) >= refusedBackoff, qt.IsTrue)
+		times := en.attemptTimes()
+		c.Check(len(times), qt.Equals, 11)
+		for ii := 1; ii < len(times); ii++ {
+			c.Check(times[ii].Sub(times[ii-1]) >= refusedBackoff, qt.IsTrue)
 		}
 		c.Check(len(en.versionsInForce()), qt.Equals, 0)
 		cos[0].pu.SetConfiguration(6, []byte("six"))
@@ -378,7 +378,7 @@
 		}
 		cl.advance(2 * time.Second)
 		c.Check(en.su.NumConnected(), qt.Equals, 3)
-		// The settings change last; the dead seeds are no longer dialed.
+		// The settings change last; the dead seeds are no longer dialled.
 		en.setSeeds("four:1")
 		cl.advance(unlistedTTL + 2*time.Second)
 		before := len(cl.dialsTo("one:1"))
