--- a/registry/bench_test.go
+++ b/registry/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// benchServers returns a catalog of 90 services with 4 servers each.
+// benchServers returns the servers of 90 services with 4 servers each.
 func benchServers() []Server {
 	var ses []Server
 	for ix := range 360 {
--- a/registry/book_test.go
+++ b/registry/book_test.go
@@ -198,12 +198,12 @@
 					before = Ready
 				}
 				taken := before != Gone && se.Sequence > sequence[se.ID]
-				news := taken && (!known || se.State > before)
+				changed := taken && (!known || se.State > before)
 				if taken {
 					sequence[se.ID], state[se.ID], at[se.ID] = se.Sequence, max(before, se.State), now
 				}
-				if got := ct.Announce(now, se); got != news {
-					t.Fatalf("announce %+v: got %v, want %v", se, got, news)
+				if got := ct.Announce(now, se); got != changed {
+					t.Fatalf("announce %+v: got %v, want %v", se, got, changed)
 				}
 			},
 			"leave": func(t *rapid.T) {
--- a/registry/item.go
+++ b/registry/item.go
@@ -15,7 +15,7 @@
 // item is a server that some source holds, or held within the retention time.
 type item struct {
 	server  Server
-	order   uint64 // position in the order of first seen
+	order   uint64 // position in the order in which incarnations were first seen
 	sources map[*source]struct{}
 	heldAt  time.Duration // when a connected source last held it; outdated while one does
 	listed  *Server       // its entry in byService; nil if it has none
@@ -102,7 +102,7 @@
 }
 
 // addItem creates the item of an id, unless its incarnation is Gone or outdated. An
-// incarnation that was known before gets its old position in the order of first seen.
+// incarnation that was known before gets its old position in the order of items.
 func (un *Union) addItem(se Server) (*item, bool) {
 	ps, known := un.past.get(se.ID)
 	if known && (se.Born < ps.born || se.Born == ps.born && ps.gone) {
--- a/registry/property_test.go
+++ b/registry/property_test.go
@@ -18,7 +18,7 @@
 	held      map[string]map[string]bool // ids in each source's catalog
 	gone      map[string]bool
 	draining  map[string]bool
-	seen      []string // ids in the order of first seen
+	seen      []string // ids in the order in which they were first seen
 
 	version uint64
 	listed  map[string][]Server // last result of Servers, and before a copy of it
@@ -240,7 +240,7 @@
 // sent as a whole or as changes, the union must be the same.
 func TestUnionIndependentOfOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		books := map[string][]Server{}
+		catalogs := map[string][]Server{}
 		for ix := range 4 {
 			var ses []Server
 			for _, id := range slices.Sorted(maps.Keys(modelAddress)) {
@@ -251,15 +251,15 @@
 					ses = append(ses, se)
 				}
 			}
-			books[fmt.Sprint(ix)] = ses
+			catalogs[fmt.Sprint(ix)] = ses
 		}
-		names := slices.Sorted(maps.Keys(books))
+		names := slices.Sorted(maps.Keys(catalogs))
 		var want map[string][]Server
 		for range 4 {
 			ut := newUnionTest()
 			for _, name := range rapid.Permutation(names).Draw(t, "order") {
 				apply := rapid.SampledFrom([]func(string, ...Server) step{replace, announce}).Draw(t, "tell")
-				apply(name, rapid.Permutation(books[name]).Draw(t, "servers")...)(ut)
+				apply(name, rapid.Permutation(catalogs[name]).Draw(t, "servers")...)(ut)
 			}
 			wait(2 * testRetention)(ut)
 			got := ut.un.Servers()
--- a/registry/union.go
+++ b/registry/union.go
@@ -138,7 +138,7 @@
 }
 
 // SetServices sets the services in use. A server of another service stays listed, but
-// never in place of a server of these that has the same address. The map must not be
+// never in place of a server of a service in use at the same address. The map must not be
 // changed later.
 func (un *Union) SetServices(services map[string]bool) {
 	un.mu.Lock()
