--- a/fanout/attempt.go
+++ b/fanout/attempt.go
@@ -163,7 +163,7 @@
 const (
 	// How long an abandoned request waits for its counterpart.
 	heldSlotTTL = time.Minute
-	// Number of entries added between two sweeps.
+	// Number of calls of pair from one sweep to the next.
 	sweepEvery = 256
 )
 
--- a/fanout/explain.go
+++ b/fanout/explain.go
@@ -36,21 +36,21 @@
 	ring [maxRecentAnswers]atomic.Pointer[IncompleteAnswer]
 }
 
-func (ar *answerRing) add(ex *IncompleteAnswer) {
-	ar.ring[(ar.next.Add(1)-1)%maxRecentAnswers].Store(ex)
+func (ar *answerRing) add(ia *IncompleteAnswer) {
+	ar.ring[(ar.next.Add(1)-1)%maxRecentAnswers].Store(ia)
 }
 
 // RecentIncomplete returns the latest answers that were refused or less than
 // complete, newest first.
 func (en *Engine) RecentIncomplete() []IncompleteAnswer {
-	var exs []IncompleteAnswer
+	var ias []IncompleteAnswer
 	for ix := range en.recent.ring {
-		if ex := en.recent.ring[ix].Load(); ex != nil {
-			exs = append(exs, *ex)
+		if ia := en.recent.ring[ix].Load(); ia != nil {
+			ias = append(ias, *ia)
 		}
 	}
-	slices.SortStableFunc(exs, func(aa, bb IncompleteAnswer) int { return bb.When.Compare(aa.When) })
-	return exs
+	slices.SortStableFunc(ias, func(aa, bb IncompleteAnswer) int { return bb.When.Compare(aa.When) })
+	return ias
 }
 
 // Limits of the log lines for single answers.
--- a/fanout/keyed_test.go
+++ b/fanout/keyed_test.go
@@ -29,7 +29,7 @@
 			}
 		}
 	}
-	shed := func(et *engineTest, _ *Query) {
+	refuse := func(et *engineTest, _ *Query) {
 		et.reply = func(_ context.Context, rq backend.Request, server string) (backend.Reply, error) {
 			rp := okReply(rq, server)
 			rp.Code = backend.ReplyBad
@@ -57,7 +57,7 @@
 		{"not recorded", func(et *engineTest, _ *Query) {
 			et.begin = func() (once.Decision, error) { return once.Decision{}, lost }
 		}, "NotRunNoControl [] [] the intent could not be recorded: lost", []string{"begin, 0 sent", "finish NotRunNoControl"}},
-		{"refused by all servers frees the key", shed, "NotRunBadRequest [] [{a BadRequest} {b BadRequest}] 2 of 2 shards missing: a (BadRequest) and others", []string{"begin, 0 sent", "finish NotRunBadRequest"}},
+		{"refused by all servers frees the key", refuse, "NotRunBadRequest [] [{a BadRequest} {b BadRequest}] 2 of 2 shards missing: a (BadRequest) and others", []string{"begin, 0 sent", "finish NotRunBadRequest"}},
 		{"recording is retried", func(et *engineTest, _ *Query) {
 			et.finish = func(try int) error {
 				if try < 4 {
--- a/fanout/metrics.go
+++ b/fanout/metrics.go
@@ -74,7 +74,7 @@
 	return co.(*metrics.Counter)
 }
 
-// add records one answer.
+// add adds one answer to the series.
 func (sm *serviceMetrics) add(an *Answer) {
 	const perSecond = 1e6
 	sm.latency.Update(float64(an.Cost.Micros) / perSecond)
--- a/fanout/route.go
+++ b/fanout/route.go
@@ -97,15 +97,15 @@
 // routeFor returns the route of a service named in the view's configuration.
 func (rt *routeTable) routeFor(name string, se operator.Service) *route {
 	rt.once.Do(rt.groupServers)
-	ce, ok := rt.entries.Load(name)
+	va, ok := rt.entries.Load(name)
 	if !ok {
-		ce, _ = rt.entries.LoadOrStore(name, &routeEntry{})
+		va, _ = rt.entries.LoadOrStore(name, &routeEntry{})
 	}
-	cell := ce.(*routeEntry)
-	cell.once.Do(func() {
-		cell.ro.Store(rt.build(se, cell.previous))
+	entry := va.(*routeEntry)
+	entry.once.Do(func() {
+		entry.ro.Store(rt.build(se, entry.previous))
 	})
-	return cell.ro.Load()
+	return entry.ro.Load()
 }
 
 // groupServers groups the servers by announced service, so that a service
@@ -122,9 +122,9 @@
 	if rt.previous == nil {
 		return
 	}
-	rt.previous.entries.Range(func(name, ce any) bool {
+	rt.previous.entries.Range(func(name, entry any) bool {
 		if _, ok := rt.vi.Configuration.Services[name.(string)]; ok {
-			rt.entries.Store(name, &routeEntry{previous: ce.(*routeEntry).latest()})
+			rt.entries.Store(name, &routeEntry{previous: entry.(*routeEntry).latest()})
 		}
 		return true
 	})
@@ -138,18 +138,18 @@
 		indexes = rt.byService[se.Selector.Service]
 	}
 	var chosen []int
-	var sources []recordVersion
+	var versions []recordVersion
 	for _, ix := range indexes {
 		re := &rt.vi.Servers[ix]
 		if Selects(se, re) {
 			chosen = append(chosen, ix)
-			sources = append(sources, recordVersion{server: re.Server, incarnation: re.Incarnation, sequence: re.Sequence})
+			versions = append(versions, recordVersion{server: re.Server, incarnation: re.Incarnation, sequence: re.Sequence})
 		}
 	}
-	if previous != nil && slices.Equal(previous.recordVersions, sources) && reflect.DeepEqual(previous.se, se) {
+	if previous != nil && slices.Equal(previous.recordVersions, versions) && reflect.DeepEqual(previous.se, se) {
 		return previous
 	}
-	ro := &route{se: se, recordVersions: sources, servers: make(map[snapshot.ID]map[string][]backend.Record)}
+	ro := &route{se: se, recordVersions: versions, servers: make(map[snapshot.ID]map[string][]backend.Record)}
 	for _, ix := range chosen {
 		ro.add(rt.vi.Servers[ix])
 	}
--- a/fanout/run.go
+++ b/fanout/run.go
@@ -100,9 +100,9 @@
 	return *qr.answer
 }
 
-// stop stops what is still running. If the deadline has passed, the attempts
-// end by themselves and their backend servers know it; a cancellation would be
-// sent to each of them.
+// stop stops what is still running. After the deadline it cancels no attempts:
+// they end by themselves and their backend servers know the deadline, while each
+// cancellation would cost a message to a backend server.
 func (qr *queryRun) stop() {
 	close(qr.done)
 	if qr.tm != nil {
@@ -136,8 +136,8 @@
 
 // step passes one event to Step and performs the resulting actions.
 func (qr *queryRun) step(ev Event) {
-	if ro, ok := ev.(CapacityAvailable); ok {
-		qr.stopWaiting(ro.Shard)
+	if ca, ok := ev.(CapacityAvailable); ok {
+		qr.stopWaiting(ca.Shard)
 	}
 	if re, ok := ev.(Replied); ok {
 		qr.attempts[re.Attempt.Number-1].sent = time.Time{}
--- a/fanout/simulation_test.go
+++ b/fanout/simulation_test.go
@@ -221,8 +221,8 @@
 		case AttemptFailed:
 			delete(si.possiblyRun, si.notRun[ev.Attempt.Number])
 		}
-		if st, ok := ev.(PlanReady); ok {
-			si.planReady(st)
+		if pr, ok := ev.(PlanReady); ok {
+			si.planReady(pr)
 			continue
 		}
 		si.step(ev)
@@ -235,7 +235,7 @@
 	si.plan = ev.Plan
 	restarts := si.st.cost.Restarts
 	if si.st.plan.Shards != nil {
-		if probe, _ := Step(si.st, ev); probe.cost.Restarts == restarts {
+		if next, _ := Step(si.st, ev); next.cost.Restarts == restarts {
 			si.plan = before
 		}
 	}
@@ -312,8 +312,8 @@
 		if count > 1 {
 			fail("shard %s ran %d times", sh, count)
 		}
-		why := slices.IndexFunc(an.Missing, func(mi MissingShard) bool { return mi.Shard == sh })
-		unknown = unknown || why >= 0 && an.Missing[why].Reason != Failed
+		index := slices.IndexFunc(an.Missing, func(mi MissingShard) bool { return mi.Shard == sh })
+		unknown = unknown || index >= 0 && an.Missing[index].Reason != Failed
 	}
 	if unknown && an.Code != result.OutcomeUnknown {
 		fail("want OutcomeUnknown")
@@ -341,7 +341,7 @@
 		si.st = NewState(Params{
 			RequestIDPrefix: "q",
 			Start:           epoch,
-			AnswerDeadline:  at(rapid.SampledFrom([]int{5, 100, 400}).Draw(rt, "finish")),
+			AnswerDeadline:  at(rapid.SampledFrom([]int{5, 100, 400}).Draw(rt, "answer deadline")),
 			HedgeDelay:      10 * time.Millisecond,
 			Policy:          rapid.SampledFrom([]operator.Policy{operator.Complete, operator.Best}).Draw(rt, "policy"),
 			Tactics:         rapid.SampledFrom([]operator.Tactics{operator.Adaptive, operator.Adaptive, operator.Baseline}).Draw(rt, "tactics"),
--- a/fanout/state.go
+++ b/fanout/state.go
@@ -51,9 +51,9 @@
 }
 
 // latestAcrossShards returns when the latest attempt of any shard was sent. For
-// a cancelled attempt the time of its cancellation counts, so that its
-// replacement gets time to reply, unless only the same server is left to take
-// it.
+// a shard whose attempt was cancelled to be replaced, the time of the
+// cancellation counts, so that the replacement gets time to reply, unless only
+// the same server is left to take it.
 func (st State) latestAcrossShards() time.Duration {
 	var latest time.Duration
 	for ix := range st.plan.Shards {
@@ -103,7 +103,7 @@
 	running        [2]runningAttempt
 	oldestSent     time.Duration // when the oldest attempt in flight was sent
 	latestSent     time.Duration // when the latest attempt was sent
-	replacedAt     time.Duration // when an attempt was cancelled to be replaced
+	replacedAt     time.Duration // when an attempt was cancelled to be replaced; zero if none was
 	wakeAt         time.Duration // when the shard needs a decision
 	rows           *ShardRows
 }
--- a/fanout/step_test.go
+++ b/fanout/step_test.go
@@ -131,27 +131,27 @@
 	}
 	number, err := strconv.Atoi(args[0])
 	qt.Assert(t, err, qt.IsNil)
-	ask := sc.attempts[number]
+	sent := sc.attempts[number]
 	switch word {
 	case "capacity":
 		return CapacityAvailable{Now: now, Shard: number}
 	case "busy":
-		return NoServerAvailable{Now: now, Attempt: ask.Attempt, AvailableLater: true, RetryDelay: 5 * time.Millisecond}
+		return NoServerAvailable{Now: now, Attempt: sent.Attempt, AvailableLater: true, RetryDelay: 5 * time.Millisecond}
 	case "busy-unresponsive":
-		return NoServerAvailable{Now: now, Attempt: ask.Attempt, AvailableLater: true, Unresponsive: true}
+		return NoServerAvailable{Now: now, Attempt: sent.Attempt, AvailableLater: true, Unresponsive: true}
 	case "no-server-unresponsive":
-		return NoServerAvailable{Now: now, Attempt: ask.Attempt, Unresponsive: true}
+		return NoServerAvailable{Now: now, Attempt: sent.Attempt, Unresponsive: true}
 	case "no-server":
-		return NoServerAvailable{Now: now, Attempt: ask.Attempt}
+		return NoServerAvailable{Now: now, Attempt: sent.Attempt}
 	case "no-budget":
-		return BudgetExhausted{Now: now, Attempt: ask.Attempt}
+		return BudgetExhausted{Now: now, Attempt: sent.Attempt}
 	}
 	if kind, ok := failureWords[word]; ok {
-		return AttemptFailed{Now: now, Attempt: ask.Attempt, Kind: kind, Sent: kind == backend.Cut || kind == backend.Silent}
+		return AttemptFailed{Now: now, Attempt: sent.Attempt, Kind: kind, Sent: kind == backend.Cut || kind == backend.Silent}
 	}
 	code, ok := replyWords[word]
 	qt.Assert(t, ok, qt.IsTrue, qt.Commentf("event %q", word))
-	rp := backend.Reply{RequestID: ask.RequestID, Server: "s", Shard: ask.Shard, Snapshot: ask.Snapshot, Code: code, Rows: rowOf(ask.Snapshot, ask.Shard)}
+	rp := backend.Reply{RequestID: sent.RequestID, Server: "s", Shard: sent.Shard, Snapshot: sent.Snapshot, Code: code, Rows: rowOf(sent.Snapshot, sent.Shard)}
 	switch word {
 	case "wrong-snapshot":
 		rp.Snapshot.Version++
@@ -160,5 +160,5 @@
 	case "shed":
 		rp.RetryAfterMillis = 30
 	}
-	return Replied{Now: now, Attempt: ask.Attempt, Server: "s", Reply: rp}
+	return Replied{Now: now, Attempt: sent.Attempt, Server: "s", Reply: rp}
 }
