--- a/limit/admission.go
+++ b/limit/admission.go
@@ -31,7 +31,7 @@
 	// means the default. With a negative Target, queries wait as long as their
 	// deadlines allow.
 	Target   time.Duration
-	Interval time.Duration
+	Interval time.Duration // zero means the default
 	// Order is OldestFirst except in benchmarks that compare the orders. Newest
 	// first answers as many queries, but those left for last are rejected only at
 	// their deadlines.
--- a/limit/server.go
+++ b/limit/server.go
@@ -67,7 +67,7 @@
 	repliesSinceShed int
 	lastCut          time.Time
 	pauseUntil       time.Time // nothing is sent before this time, after a shed reply
-	pacedUntil       time.Time // when the last request would have been sent at a constant rate
+	pacedUntil       time.Time // when the next request is due at the constant rate of a limit below one
 	consecutiveSheds int       // shed replies since the last OK reply
 
 	inFlight   int
@@ -102,7 +102,7 @@
 // Sent is a request that is sent to the server.
 type Sent struct {
 	Now    time.Time
-	Oldest time.Time // when the oldest request in flight was sent
+	Oldest time.Time // when the oldest request in flight or held was sent
 	Probe  bool
 }
 
@@ -110,15 +110,15 @@
 type Ended struct {
 	Now     time.Time
 	Outcome Outcome
-	Oldest  time.Time
+	Oldest  time.Time // when the oldest request still in flight or held was sent; zero if none
 	Probe   bool
 	Held    bool    // whether the request may still run and keeps its slot
 	Random  float64 // between 0 and 1; jitter, so that instances don't act in step
 }
 
-// SlotReleased is the end of a held request.
+// SlotReleased is the end of a held request: its slot is free again.
 type SlotReleased struct {
-	Oldest time.Time
+	Oldest time.Time // when the oldest request still in flight or held was sent; zero if none
 }
 
 // Compared is the result of comparing the server with its peers.
