--- a/backend/announce.go
+++ b/backend/announce.go
@@ -12,6 +12,7 @@
 	"balsamwinch.example/result"
 )
 
+// maxRecordBytes bounds the body of an announcement.
 const maxRecordBytes = 1 << 20
 
 // Refusal is the response body for an announcement that was rejected.
--- a/backend/client.go
+++ b/backend/client.go
@@ -24,8 +24,8 @@
 	// abandoned; 0 uses the client's setting. It should be well above the slowest
 	// healthy reply, because a false alarm costs the idle connections.
 	SilenceTimeout time.Duration
-	// Idle connections that have received no reply since then are not used; zero
-	// allows all.
+	// Idle connections that have received no reply since then are closed instead
+	// of used; zero allows all.
 	ReplySince time.Time
 	// Time after which a reply is late; 0 disables the check. The Cancel of a
 	// late request uses a connection that has received a reply within that time,
--- a/backend/client_test.go
+++ b/backend/client_test.go
@@ -157,8 +157,8 @@
 		abandoned := make(chan time.Duration, 1)
 		began := time.Now()
 		var got backend.AbandonedRequest
-		cl, fk := newSilentClient(c, t, backend.ClientConfig{OnAbandoned: func(se backend.AbandonedRequest) {
-			got = se
+		cl, fk := newSilentClient(c, t, backend.ClientConfig{OnAbandoned: func(ar backend.AbandonedRequest) {
+			got = ar
 			abandoned <- time.Since(began)
 		}})
 		ctx, cancel := withTimeout(time.Hour)
@@ -333,7 +333,7 @@
 			return write(nc, reply(rq))
 		}}
 		abandoned := make(chan backend.AbandonedRequest, 1)
-		cl := newClient(t, backend.ClientConfig{Dial: fk.dial, OnAbandoned: func(se backend.AbandonedRequest) { abandoned <- se }})
+		cl := newClient(t, backend.ClientConfig{Dial: fk.dial, OnAbandoned: func(ar backend.AbandonedRequest) { abandoned <- ar }})
 		ctx, cancel := withTimeout(250 * time.Millisecond)
 		defer cancel()
 		_, err := cl.Do(ctx, target(1), request("r1"))
@@ -351,10 +351,10 @@
 	})
 }
 
-// Guards against a losing attempt that keeps its slot: the share is one
+// Guards against a cancelled request that keeps its slot: the share is one
 // connection, which carries the request, so no Cancel can be sent. Closing that
-// connection cancels the request, and the next request waits for the freed
-// connection.
+// connection cancels the request, and the next request waits until it may open
+// another.
 func TestCancelByClosingLastConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/backend/conn.go
+++ b/backend/conn.go
@@ -319,8 +319,8 @@
 )
 
 // Read reads from the connection.
-func (rs connReader) Read(bs []byte) (int, error) {
-	cn := rs.cn
+func (cr connReader) Read(bs []byte) (int, error) {
+	cn := cr.cn
 	cn.setDeadline()
 	nu, err := cn.nc.Read(bs)
 	if nu > 0 {
@@ -335,8 +335,8 @@
 
 // Write writes to the connection. Bytes accepted by the operating system may
 // have been sent.
-func (ws connWriter) Write(bs []byte) (int, error) {
-	cn := ws.cn
+func (cw connWriter) Write(bs []byte) (int, error) {
+	cn := cw.cn
 	cn.setDeadline()
 	nu, err := cn.nc.Write(bs)
 	cn.bytesWritten += nu
--- a/backend/exchange.go
+++ b/backend/exchange.go
@@ -37,7 +37,8 @@
 	return re, nil
 }
 
-// setTimeout sets the time left until the context's deadline in the request.
+// setTimeout sets the time left until the context's deadline in the request,
+// unless the request already states a shorter time.
 func setTimeout(ctx context.Context, po *pool, rq *Request) *Error {
 	deadline, ok := ctx.Deadline()
 	if !ok {
--- a/backend/fake_test.go
+++ b/backend/fake_test.go
@@ -138,9 +138,9 @@
 
 func checkError(c *qt.C, err error, kind backend.ErrorKind, sent bool) {
 	c.Helper()
-	ki, se := kindOf(err)
-	c.Check(ki, qt.Equals, kind, qt.Commentf("%v", err))
-	c.Check(se, qt.Equals, sent, qt.Commentf("%v", err))
+	gotKind, gotSent := kindOf(err)
+	c.Check(gotKind, qt.Equals, kind, qt.Commentf("%v", err))
+	c.Check(gotSent, qt.Equals, sent, qt.Commentf("%v", err))
 }
 
 func withTimeout(d time.Duration) (context.Context, context.CancelFunc) {
--- a/backend/leaf_test.go
+++ b/backend/leaf_test.go
@@ -65,14 +65,15 @@
 	c.Check(cl.Stats("sv").Unconfirmed, qt.Equals, uint64(0))
 }
 
-// Guards against a losing attempt that keeps its slot, and against hedges that
-// each cost a new connection of 6 ms. The Cancel goes over a spare connection,
-// the server answers the cancelled request, and its connection is reused.
+// Guards against the losing request of a hedge keeping its slot, and against
+// each hedge costing a new connection, which takes 6 ms to open. The Cancel goes
+// over a spare connection, the server answers the cancelled request, and its
+// connection is reused.
 func TestCancelFreesSlotAndConnection(t *testing.T) {
 	c := qt.New(t)
 	le, ta := startLeaf(c, leaf.Config{Slots: 1, ConnectionLimit: 2, Latency: leaf.Latency{Median: time.Hour}})
 	abandoned := make(chan backend.AbandonedRequest, 1)
-	cl := newClient(c, backend.ClientConfig{LingerTimeout: time.Minute, OnAbandoned: func(se backend.AbandonedRequest) { abandoned <- se }})
+	cl := newClient(c, backend.ClientConfig{LingerTimeout: time.Minute, OnAbandoned: func(ar backend.AbandonedRequest) { abandoned <- ar }})
 	for range 3 {
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() {
@@ -112,8 +113,8 @@
 }
 
 // The faults of an emulated server result in the matching error kinds, and none
-// of them affects the following request. A duplicate reply is detected only if
-// the connection carries the next request before the second copy has arrived.
+// of them affects the following request. A duplicate reply causes an error only
+// if the connection carries the next request before the second copy has arrived.
 func TestFaultsDoNotAffectNextRequest(t *testing.T) {
 	for _, tc := range []struct {
 		fa    leaf.Faults
@@ -133,8 +134,8 @@
 			c.Check(tc.kinds, qt.Contains, kind)
 			c.Check(sent, qt.Equals, err != nil)
 		}
-		// Never more. It may be fewer by those that met the second copy of a reply,
-		// which closes the connection before the server has read them.
+		// No request is sent twice. A request that met the second copy of a reply may
+		// not count, because its connection is closed before the server reads it.
 		co := le.Counts()
 		c.Check(co.Requests <= 20, qt.IsTrue)
 		c.Check(co.Requests == 20 || tc.fa.Doubled > 0, qt.IsTrue)
