--- a/route/table.go
+++ b/route/table.go
@@ -19,7 +19,7 @@
 	sharded      []*Route
 }
 
-// hostPrefix is unique among routes.
+// hostPrefix is the host and prefix of a route. No two routes share one.
 type hostPrefix struct{ host, prefix string }
 
 // node is a route in the list of its host, which is sorted by prefix. Parent is
@@ -104,9 +104,9 @@
 // and without the query. The route must not be modified.
 func (tb *Table) Match(host, path string) (*Route, bool) {
 	nos := tb.hosts[hostKey(host)]
-	// In the order of prefixes, all that the path begins with are at or before the
-	// last prefix not greater than the path, and that prefix begins with each of
-	// them too.
+	// All prefixes that the path begins with are sorted at or before the last
+	// prefix not greater than the path, and that prefix begins with each of them
+	// too.
 	after, found := slices.BinarySearchFunc(nos, path, func(no node, path string) int {
 		return strings.Compare(no.route.Prefix, path)
 	})
