--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -39,9 +39,9 @@
 	here := instance("here", "lima", "miraflores")
 	draining := instance("draining", "lima", "miraflores")
 	draining.Draining = true
-	disk := instance("disk", "lima", "miraflores")
-	disk.Entry = false
-	vi := &view.View{Self: far, Instances: []view.Instance{far, near, here, draining, disk}}
+	notEntry := instance("notEntry", "lima", "miraflores")
+	notEntry.Entry = false
+	vi := &view.View{Self: far, Instances: []view.Instance{far, near, here, draining, notEntry}}
 	for _, tc := range []struct {
 		dataCentre string
 		want       []string
@@ -99,7 +99,7 @@
 	return rw
 }
 
-func TestQuery(t *testing.T) {
+func TestQueryDefaultsAndRefusalHeaders(t *testing.T) {
 	c := qt.New(t)
 	var ru runner
 	vi := &view.View{Draining: true, Configuration: operator.Configuration{Services: map[string]operator.Service{
--- a/caller/server.go
+++ b/caller/server.go
@@ -23,7 +23,7 @@
 	"balsamwinch.example/view"
 )
 
-// Bounds of a query.
+// Limits of a query; maxIDBytes bounds request ids and keys.
 const (
 	maxBodyBytes = 1 << 20
 	maxDeadline  = 10 * time.Minute
