--- a/control/audit.go
+++ b/control/audit.go
@@ -24,16 +24,16 @@
 
 // AuditEntry is one accepted or rejected change.
 type AuditEntry struct {
-	Number   uint64 // Number counts changes from 1.
+	Number   uint64 // from 1, in the order of the entries
 	When     time.Time
 	Author   string
 	ChangeID string
 	Code     result.Code
-	Revision uint64 // Revision is the one that the change created; 0 if rejected.
-	Detail   string // Detail says why the change was rejected.
+	Revision uint64 // revision that the change created; 0 if rejected
+	Detail   string // why the change was rejected
 	Files    []AuditFile
-	Previous string // Previous is the Hash of the preceding entry.
-	Hash     string // Hash is the SHA-256 over all fields above, in hexadecimal.
+	Previous string // Hash of the preceding entry
+	Hash     string // SHA-256 over all fields above, in hexadecimal
 }
 
 // AuditFile is what an audited change did, or would have done, to one file. The
@@ -41,10 +41,10 @@
 // without the contents.
 type AuditFile struct {
 	Name       string
-	BeforeHash string // BeforeHash is the SHA-256 in hexadecimal; empty if the file did not exist.
-	AfterHash  string // AfterHash is the SHA-256 in hexadecimal; empty if the file is deleted.
-	Before     []byte // Before is nil also when the content is no longer kept.
-	After      []byte // After is nil also when the content is no longer kept.
+	BeforeHash string // SHA-256 in hexadecimal; empty if the file did not exist
+	AfterHash  string // SHA-256 in hexadecimal; empty if the file is deleted
+	Before     []byte // nil also if the content is no longer kept
+	After      []byte // nil also if the content is no longer kept
 }
 
 // AuditHead identifies the last entry of a chain of audit entries.
@@ -56,13 +56,13 @@
 // AuditError reports an audit entry that doesn't match its hashes or its
 // predecessor.
 type AuditError struct {
-	Number uint64 // Number is the number of the entry.
+	Number uint64 // number of the audit entry
 	Field  string
 	Want   string
 	Got    string
 }
 
-// Error names the entry, the field, and the expected and actual values.
+// Error returns the entry, the field and the expected and actual values in one line.
 func (ae *AuditError) Error() string {
 	return fmt.Sprintf("audit entry %d: %s: want %s, got %s", ae.Number, ae.Field, ae.Want, ae.Got)
 }
@@ -178,10 +178,10 @@
 type auditTrail struct {
 	base, head       AuditHead
 	records          tree[uint64, auditRecord]
-	numberByChangeID tree[string, uint64] // numberByChangeID maps a change id to the entry number of the first change with it.
+	numberByChangeID tree[string, uint64] // change id to the number of the entry of the first change with it
 	memoryBytes      int
-	contentSizes     tree[uint64, int] // contentSizes maps the number of each entry that has contents to their size.
-	contentBytes     int               // contentBytes is the sum of contentSizes.
+	contentSizes     tree[uint64, int] // entry number to the size of its contents, for entries that have any
+	contentBytes     int               // sum of contentSizes
 }
 
 // with returns the trail with a new entry, numbered and chained, and without the
--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -52,7 +52,7 @@
 func mustAccept(tb testing.TB, st control.State, cm control.Command) control.State {
 	ne, oc := st.Apply(st.Index()+1, cm)
 	if co, ok := oc.(control.ChangeOutcome); ok && co.Revision == 0 {
-		tb.Fatalf("refused: %+v", co)
+		tb.Fatalf("change rejected: %+v", co)
 	}
 	return ne
 }
--- a/control/change.go
+++ b/control/change.go
@@ -13,11 +13,11 @@
 
 // The bounds of changes. All voters must use the same values.
 const (
-	MaxFaults         = 100     // MaxFaults is the maximum number of faults in an outcome.
-	MaxChangeBytes    = 1 << 20 // MaxChangeBytes bounds the contents of one change.
-	MaxTotalFileBytes = 4 << 20 // MaxTotalFileBytes bounds the contents of all accepted files together.
-	MaxNameBytes      = 200     // MaxNameBytes bounds file names, author names and change ids.
-	MaxDeletedFiles   = 1000    // MaxDeletedFiles is for how many deleted files the deleting change is recorded.
+	MaxFaults         = 100     // maximum number of faults in an outcome
+	MaxChangeBytes    = 1 << 20 // contents of one change
+	MaxTotalFileBytes = 4 << 20 // contents of all accepted files together
+	MaxNameBytes      = 200     // file names, author names and change ids
+	MaxDeletedFiles   = 1000    // number of deleted files for which the deleting change is recorded
 )
 
 // change accepts or rejects a change and records it in the audit trail.
@@ -40,8 +40,8 @@
 	if fs := st.validateShape(ch); len(fs) > 0 {
 		return st.reject(ch, dg, invalidOutcome(fs))
 	}
-	if cw := st.conflict(ch); cw != nil {
-		return st.reject(ch, dg, ChangeOutcome{Code: result.Conflict, Conflict: cw})
+	if cc := st.conflict(ch); cc != nil {
+		return st.reject(ch, dg, ChangeOutcome{Code: result.Conflict, Conflict: cc})
 	}
 	next := st.withFiles(ch)
 	if next.fileBytes > MaxTotalFileBytes {
@@ -156,8 +156,8 @@
 		case ok && fi.Revision != fc.Base:
 			return &ConflictingChange{File: fc.Name, Author: fi.Author, ChangeID: fi.ChangeID, Revision: fi.Revision}
 		case !ok && fc.Base != 0:
-			if cw, known := st.deleted.get(fc.Name); known {
-				return &cw
+			if cc, known := st.deleted.get(fc.Name); known {
+				return &cc
 			}
 			return &ConflictingChange{File: fc.Name}
 		}
@@ -193,12 +193,12 @@
 
 // withDeleted records which change deleted a file, and drops the oldest record
 // beyond MaxDeletedFiles.
-func (st State) withDeleted(cw ConflictingChange) State {
-	st.deleted = st.deleted.with(cw.File, cw)
+func (st State) withDeleted(cc ConflictingChange) State {
+	st.deleted = st.deleted.with(cc.File, cc)
 	if st.deleted.len() <= MaxDeletedFiles {
 		return st
 	}
-	oldest := cw
+	oldest := cc
 	for _, ot := range st.deleted.all() {
 		if ot.Revision < oldest.Revision {
 			oldest = ot
--- a/control/change_test.go
+++ b/control/change_test.go
@@ -146,7 +146,7 @@
 			return ens
 		}, `audit entry 2: Hash: .*`},
 		{"removed", func(ens []AuditEntry) []AuditEntry { return append(ens[:1], ens[2:]...) }, `audit entry 3: Number: .*`},
-		{"made anew", func(ens []AuditEntry) []AuditEntry {
+		{"recomputed hash", func(ens []AuditEntry) []AuditEntry {
 			ens[1].Author = "eve"
 			ens[1].Hash = ens[1].hash()
 			return ens
--- a/control/command.go
+++ b/control/command.go
@@ -29,7 +29,7 @@
 type Change struct {
 	ChangeID string
 	Author   string
-	When     time.Time // When is the leader's clock at the proposal.
+	When     time.Time // leader's clock at the proposal
 	Files    []FileChange
 }
 
@@ -48,9 +48,9 @@
 // serving instance uses the revision.
 type ChangeOutcome struct {
 	Code     result.Code
-	Revision uint64 // Revision is the one that the change created; 0 if rejected.
+	Revision uint64 // revision that the change created; 0 if rejected
 	Conflict *ConflictingChange
-	Faults   []settings.Fault // Faults has at most MaxFaults elements.
+	Faults   []settings.Fault // at most MaxFaults
 }
 
 // ConflictingChange names the earlier change that a Change conflicts with.
@@ -63,8 +63,8 @@
 
 // BeginIntent records that a non-repeatable request is about to be sent.
 type BeginIntent struct {
-	Key      string // Key is the caller's idempotency key. A UUIDv7 includes its creation time; see TooOld.
-	Digest   string // Digest is the SHA-256 of the request, in hexadecimal.
+	Key      string // caller's idempotency key; a UUIDv7 includes its creation time, see TooOld
+	Digest   string // SHA-256 of the request, in hexadecimal
 	Service  string
 	Instance string
 	// Attempt identifies one arrival of the request, unique among all arrivals
@@ -72,7 +72,7 @@
 	// and only the Attempt that was Fresh can finish the intent. If it is
 	// empty, a retried command finds the intent Running.
 	Attempt string
-	When    time.Time // When is the leader's clock at the proposal.
+	When    time.Time // leader's clock at the proposal
 }
 
 // IntentStatus is the status of a key: what earlier arrivals of it recorded.
@@ -111,10 +111,10 @@
 type FinishIntent struct {
 	Key     string
 	Digest  string
-	Attempt string // Attempt is the one of the BeginIntent that was Fresh.
+	Attempt string // attempt of the BeginIntent that was Fresh
 	Code    result.Code
 	Answer  []byte
-	When    time.Time // When is the leader's clock at the proposal.
+	When    time.Time // leader's clock at the proposal
 }
 
 // Skipped is the outcome of a command whose index was applied before.
--- a/control/intent.go
+++ b/control/intent.go
@@ -48,8 +48,8 @@
 	Service       string
 	Instance      string
 	Attempt       string
-	BeginIndex    uint64 // BeginIndex is the log index of the BeginIntent.
-	BeginTime     int64  // BeginTime is the state's clock at the BeginIntent, in nanoseconds since 1970.
+	BeginIndex    uint64 // log index of the BeginIntent
+	BeginTime     int64  // state's clock at the BeginIntent, in nanoseconds since 1970
 	Finished      bool
 	Code          result.Code
 	Answer        []byte
@@ -59,10 +59,10 @@
 // intents is the table of intents. It is immutable.
 type intents struct {
 	byKey        tree[string, intent]
-	keysByIndex  tree[uint64, string] // keysByIndex maps BeginIndex to the key.
-	numByService tree[string, int]    // numByService is the number of intents of each service.
-	answerSizes  tree[uint64, int]    // answerSizes maps BeginIndex to the size of the recorded answer.
-	answerBytes  int                  // answerBytes is the sum of answerSizes.
+	keysByIndex  tree[uint64, string] // BeginIndex to key
+	numByService tree[string, int]    // service to its number of intents
+	answerSizes  tree[uint64, int]    // BeginIndex to the size of the recorded answer
+	answerBytes  int                  // sum of answerSizes
 	// newestEvicted is the highest BeginTime of any evicted intent; 0 if none
 	// was evicted.
 	newestEvicted int64
@@ -204,12 +204,12 @@
 // codes.
 func (it intents) trimAnswers() intents {
 	for it.answerBytes > MaxTotalAnswerBytes {
-		begun, by, _ := it.answerSizes.first()
-		key, _ := it.keysByIndex.get(begun)
+		index, by, _ := it.answerSizes.first()
+		key, _ := it.keysByIndex.get(index)
 		in, _ := it.byKey.get(key)
 		in.Answer, in.AnswerDropped = nil, true
 		it.byKey = it.byKey.with(key, in)
-		it.answerSizes = it.answerSizes.without(begun)
+		it.answerSizes = it.answerSizes.without(index)
 		it.answerBytes -= by
 	}
 	return it
--- a/control/intent_test.go
+++ b/control/intent_test.go
@@ -73,24 +73,24 @@
 	for i := range MaxIntents {
 		ma.apply(BeginIntent{Key: fmt.Sprint(i), Digest: "d", Service: "a", When: began})
 	}
-	refused := IntentOutcome{Status: Full, Code: result.NotRunNoControl}
-	c.Check(ma.begin("new", "d", "", began), qt.DeepEquals, refused)
+	rejected := IntentOutcome{Status: Full, Code: result.NotRunNoControl}
+	c.Check(ma.begin("new", "d", "", began), qt.DeepEquals, rejected)
 	for i := range ReservedIntentsPerService + 1 {
 		oc := ma.apply(BeginIntent{Key: fmt.Sprint("b", i), Service: "b", When: began}).(IntentOutcome)
 		c.Assert(oc.Status == Fresh, qt.Equals, i < ReservedIntentsPerService)
 	}
-	c.Check(ma.apply(BeginIntent{Key: "x", Service: "unknown", When: began}), qt.DeepEquals, refused)
+	c.Check(ma.apply(BeginIntent{Key: "x", Service: "unknown", When: began}), qt.DeepEquals, rejected)
 	c.Check(ma.begin("0", "d", "", began).Status, qt.Equals, Running)
-	c.Check(ma.begin("new", "d", "", began.Add(IntentRetention-1)), qt.DeepEquals, refused)
+	c.Check(ma.begin("new", "d", "", began.Add(IntentRetention-1)), qt.DeepEquals, rejected)
 	c.Check(ma.begin("new", "d", "", began.Add(IntentRetention)).Status, qt.Equals, Fresh)
 	c.Check(ma.Intents(), qt.Equals, MaxIntents)
 	c.Check(ma.begin("1", "d", "", began.Add(IntentRetention)).Status, qt.Equals, Fresh) // evicted; a key without a time can't be told from a new one
 	checkRoundTrip(t, ma.State)
 }
 
-// The clock of a new leader is two hours behind. Otherwise, an intent that begins
-// under it would look two hours old, and be evicted at once, when a later clock is
-// right.
+// A new leader's clock is two hours behind. An intent that begins under it must not
+// look two hours old and be evicted at once when the time of a later command is
+// right again.
 func TestClockNeverGoesBack(t *testing.T) {
 	var ma stateMachine
 	ma.change("c", "ana", FileChange{Name: "a.yaml", Content: yaml("a", 100)})
--- a/control/lease_test.go
+++ b/control/lease_test.go
@@ -111,7 +111,7 @@
 // up to more than the limit.
 func TestConnectionSharesStayWithinLimit(t *testing.T) {
 	type process struct {
-		entries int // entries is the divisor in use; 0 without a lease.
+		entries int // divisor in use; 0 without a lease
 		until   time.Time
 	}
 	rapid.Check(t, func(rt *rapid.T) {
--- a/control/message.go
+++ b/control/message.go
@@ -21,8 +21,8 @@
 // Renewal asks the leader to grant or extend a lease.
 type Renewal struct {
 	Instance  view.Instance
-	InForce   uint64 // InForce is the revision in use at the instance; 0 if none.
-	Releasing bool   // Releasing means that the instance has stopped serving and closed its connections.
+	InForce   uint64 // revision in use at the instance; 0 if none
+	Releasing bool   // whether the instance has stopped serving and closed its connections
 	// Leased means that the instance holds an unexpired lease when it sends the
 	// renewal. Until the leases of the previous leader have expired, a new
 	// leader grants entry instances only renewals with Leased set.
@@ -40,7 +40,7 @@
 type Grant struct {
 	Granted     bool
 	LeaseMillis int64
-	Reason      string // Reason is why the lease is not granted.
+	Reason      string // why the lease is not granted
 	Term        uint64
 	Revision    uint64
 	// Newer means that Revision is above Renewal.InForce. Names then lists all
@@ -54,21 +54,21 @@
 	Roster    uint64
 	Instances []view.Instance
 	Leader    string
-	// Entries is the divisor to apply to connection limits: a number of entry
-	// instances.
+	// Entries is the divisor to apply to connection limits: the number of entry
+	// instances that share them.
 	Entries int
 }
 
 // Proposal asks the leader to append a command to the log.
 type Proposal struct {
-	Command []byte // Command is a command encoded by Encode.
+	Command []byte // command encoded by Encode
 }
 
 // ProposalReply is the response to a Proposal.
 type ProposalReply struct {
 	Code    result.Code
-	Outcome []byte // Outcome is encoded by EncodeOutcome; empty if the command was not applied.
-	Leader  string // Leader is whom to ask instead.
+	Outcome []byte // encoded by EncodeOutcome; empty if the command was not applied
+	Leader  string // instance to ask instead
 }
 
 // StatusRequest asks an instance for its view of the control group.
@@ -80,11 +80,11 @@
 	Role              string
 	Leader            string
 	Term              uint64
-	LeaderSinceMillis int64 // LeaderSinceMillis is how long ago the instance first heard from the leader.
+	LeaderSinceMillis int64 // how long ago the instance first heard from the leader
 	Commit            uint64
 	Applied           uint64
 	Revision          uint64
-	WaitingFor        []string // WaitingFor names the instances that may serve without using the revision.
+	WaitingFor        []string // instances that may serve without using the revision
 	Voters            []string
 	Learners          []string
 	Holders           []Holder
@@ -95,42 +95,42 @@
 // AuditRequest asks for audit entries.
 type AuditRequest struct {
 	From  uint64
-	Limit int // Limit is the maximum number of entries to return.
+	Limit int // maximum number of entries to return
 }
 
 // AuditReply returns audit entries. Base identifies the entry before the oldest
 // kept one, and Head the newest, so that a reader can tell which entries are
 // missing.
 type AuditReply struct {
-	OK      bool   // OK means that the responder is the leader, so that no entries are missing at the end.
-	Leader  string // Leader is whom to ask instead.
+	OK      bool   // whether the responder is the leader, so that no entries are missing at the end
+	Leader  string // instance to ask instead
 	Entries []AuditEntry
 	Base    AuditHead
 	Head    AuditHead
 }
 
-// Kind numbers the message.
+// Kind implements peer.Message.
 func (Renewal) Kind() peer.Kind { return kindRenewal }
 
-// Kind numbers the message.
+// Kind implements peer.Message.
 func (Grant) Kind() peer.Kind { return kindGrant }
 
-// Kind numbers the message.
+// Kind implements peer.Message.
 func (Proposal) Kind() peer.Kind { return kindProposal }
 
-// Kind numbers the message.
+// Kind implements peer.Message.
 func (ProposalReply) Kind() peer.Kind { return kindProposalReply }
 
-// Kind numbers the message.
+// Kind implements peer.Message.
 func (StatusRequest) Kind() peer.Kind { return kindStatusRequest }
 
-// Kind numbers the message.
+// Kind implements peer.Message.
 func (StatusReply) Kind() peer.Kind { return kindStatusReply }
 
-// Kind numbers the message.
+// Kind implements peer.Message.
 func (AuditRequest) Kind() peer.Kind { return kindAuditRequest }
 
-// Kind numbers the message.
+// Kind implements peer.Message.
 func (AuditReply) Kind() peer.Kind { return kindAuditReply }
 
 // Messages returns a zero value of each message, for the codec.
--- a/control/progress.go
+++ b/control/progress.go
@@ -12,9 +12,9 @@
 
 // The events of a change.
 const (
-	EventCommit  chart.Event = "Commit"  // EventCommit means that Apply returned Accepted.
-	EventRefuse  chart.Event = "Refuse"  // EventRefuse means that Apply returned another code.
-	EventInForce chart.Event = "InForce" // EventInForce means that LeaseTable.InForce became true.
+	EventCommit  chart.Event = "Commit"  // Apply returned Accepted
+	EventRefuse  chart.Event = "Refuse"  // Apply returned another code
+	EventInForce chart.Event = "InForce" // LeaseTable.InForce became true
 )
 
 // The states of a change.
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -19,8 +19,8 @@
 	Base          AuditHead
 	Records       []recordEntry
 	Intents       []intent
-	Horizon       int64
-	Contents      [][]byte
+	Horizon       int64    // intents.newestEvicted
+	Contents      [][]byte // each once, sorted by hash
 }
 
 type fileEntry struct {
@@ -30,7 +30,7 @@
 
 type recordEntry struct {
 	Record auditRecord
-	Kept   bool // Kept reports whether the contents of the audit entry are in Contents.
+	Kept   bool // whether the contents of the audit entry are in Contents
 }
 
 const numberState = 201
@@ -49,7 +49,7 @@
 // version of the program with stricter checks must not reject at startup what was
 // accepted before.
 func (st State) Encode() ([]byte, error) {
-	sf := stateSnapshot{
+	ss := stateSnapshot{
 		Index:         st.index,
 		Clock:         st.clock,
 		Configuration: st.cfg,
@@ -58,10 +58,10 @@
 	}
 	co := make(contentsByHash)
 	for _, fi := range st.files.all() {
-		sf.Files = append(sf.Files, fileEntry{Name: fi.Name, Author: fi.Author, ChangeID: fi.ChangeID, Hash: co.add(fi.Content), Revision: fi.Revision})
+		ss.Files = append(ss.Files, fileEntry{Name: fi.Name, Author: fi.Author, ChangeID: fi.ChangeID, Hash: co.add(fi.Content), Revision: fi.Revision})
 	}
-	for _, cw := range st.deleted.all() {
-		sf.Deleted = append(sf.Deleted, cw)
+	for _, cc := range st.deleted.all() {
+		ss.Deleted = append(ss.Deleted, cc)
 	}
 	for nu, re := range st.trail.records.all() {
 		_, kept := st.trail.contentSizes.get(nu)
@@ -70,16 +70,16 @@
 			co.addIfPresent(af.AfterHash, af.After)
 		}
 		re.Entry = re.Entry.withoutContent()
-		sf.Records = append(sf.Records, recordEntry{Record: re, Kept: kept})
+		ss.Records = append(ss.Records, recordEntry{Record: re, Kept: kept})
 	}
 	for _, key := range st.intents.keysByIndex.all() {
 		in, _ := st.intents.byKey.get(key)
-		sf.Intents = append(sf.Intents, in)
+		ss.Intents = append(ss.Intents, in)
 	}
 	for _, ha := range slices.Sorted(maps.Keys(co)) {
-		sf.Contents = append(sf.Contents, co[ha])
+		ss.Contents = append(ss.Contents, co[ha])
 	}
-	return encodeEnvelope(numberState, sf)
+	return encodeEnvelope(numberState, ss)
 }
 
 func (co contentsByHash) addIfPresent(ha string, data []byte) {
@@ -98,24 +98,24 @@
 	if en.Number != numberState {
 		return State{}, codecError("decode a state", fmt.Errorf("unknown number %d", en.Number))
 	}
-	sf, err := decodeBody[stateSnapshot](en)
+	ss, err := decodeBody[stateSnapshot](en)
 	if err != nil {
 		return State{}, err
 	}
-	st, err := sf.decode()
+	st, err := ss.decode()
 	if err != nil {
 		return State{}, codecError("decode a state", err)
 	}
 	return st, nil
 }
 
-func (sf stateSnapshot) decode() (State, error) {
-	st := State{index: sf.Index, clock: sf.Clock, cfg: sf.Configuration}
+func (ss stateSnapshot) decode() (State, error) {
+	st := State{index: ss.Index, clock: ss.Clock, cfg: ss.Configuration}
 	co := make(contentsByHash)
-	for _, data := range sf.Contents {
+	for _, data := range ss.Contents {
 		co.add(data)
 	}
-	for _, fe := range sf.Files {
+	for _, fe := range ss.Files {
 		data, ok := co[fe.Hash]
 		if !ok {
 			return st, fmt.Errorf("the content of file %s is missing", fe.Name)
@@ -123,21 +123,21 @@
 		st.files = st.files.with(fe.Name, File{Name: fe.Name, Revision: fe.Revision, Author: fe.Author, ChangeID: fe.ChangeID, Content: data})
 		st.fileBytes += len(data)
 	}
-	for _, cw := range sf.Deleted {
-		st.deleted = st.deleted.with(cw.File, cw)
+	for _, cc := range ss.Deleted {
+		st.deleted = st.deleted.with(cc.File, cc)
 	}
-	for _, in := range sf.Intents {
+	for _, in := range ss.Intents {
 		st.intents = st.intents.with(in)
 	}
-	st.intents.newestEvicted = sf.Horizon
-	tr, err := sf.decodeTrail(co)
+	st.intents.newestEvicted = ss.Horizon
+	tr, err := ss.decodeTrail(co)
 	st.trail = tr
 	return st, err
 }
 
-func (sf stateSnapshot) decodeTrail(co contentsByHash) (auditTrail, error) {
-	tr := auditTrail{base: sf.Base, head: sf.Base}
-	for _, re := range sf.Records {
+func (ss stateSnapshot) decodeTrail(co contentsByHash) (auditTrail, error) {
+	tr := auditTrail{base: ss.Base, head: ss.Base}
+	for _, re := range ss.Records {
 		if en := re.Record.Entry; en.Number != tr.head.Number+1 || en.Previous != tr.head.Hash {
 			return tr, fmt.Errorf("audit entry %d does not follow entry %d", en.Number, tr.head.Number)
 		}
--- a/control/state.go
+++ b/control/state.go
@@ -11,7 +11,7 @@
 // File is one accepted file.
 type File struct {
 	Name     string
-	Revision uint64 // Revision is the configuration revision at which the file last changed.
+	Revision uint64 // configuration revision at which the file last changed
 	Author   string
 	ChangeID string
 	Content  []byte
@@ -20,12 +20,12 @@
 // State is the state of the replicated state machine. It is immutable: Apply
 // returns a new State that shares the unchanged parts.
 type State struct {
-	index     uint64 // index is the log index of the last applied command.
-	clock     int64  // clock is the highest time of any command, in nanoseconds since 1970.
+	index     uint64 // log index of the last applied command
+	clock     int64  // highest time of any command, in nanoseconds since 1970
 	cfg       operator.Configuration
 	files     tree[string, File]
 	fileBytes int
-	deleted   tree[string, ConflictingChange] // deleted maps the name of a deleted file to the change that deleted it.
+	deleted   tree[string, ConflictingChange] // name of a deleted file to the change that deleted it
 	trail     auditTrail
 	intents   intents
 }
