--- a/member/entry.go
+++ b/member/entry.go
@@ -33,9 +33,9 @@
 type version struct {
 	incarnation      uint64
 	sequence         uint64
-	epoch            uint64 // epoch increases when another owner takes over or a suspicion is refuted.
+	epoch            uint64 // increases when another owner takes over or a suspicion is refuted
 	status           status
-	owner            string // owner is the instance that vouches for the subject.
+	owner            string // instance that vouches for the subject
 	ownerIncarnation uint64
 }
 
@@ -73,11 +73,11 @@
 // instance. It is immutable.
 type entry struct {
 	key      string
-	hash     uint64 // hash is the hash of key and orders the table.
-	sum      uint64 // sum is the checksum of key and version.
+	hash     uint64 // hash of key, by which the table is ordered
+	sum      uint64 // checksum of key and version
 	version  version
-	record   *backend.Record // record is nil for an instance.
-	instance *view.Instance  // instance is nil for a backend server.
+	record   *backend.Record // nil for an instance
+	instance *view.Instance  // nil for a backend server
 }
 
 func newServerEntry(re *backend.Record, ve version) *entry {
@@ -147,8 +147,8 @@
 	// owner gone.
 	unavailableSince time.Duration
 	listed           bool
-	ownedHere        bool        // ownedHere reports whether this instance vouches for the server.
-	phase            chart.State // phase is the state in the chart; set only for instances.
+	ownedHere        bool        // whether this instance vouches for the server
+	phase            chart.State // state in the chart; set only for instances
 }
 
 // timed reports whether the item may change by the passing of time alone.
--- a/member/gossip.go
+++ b/member/gossip.go
@@ -31,7 +31,7 @@
 type queuedPush struct {
 	hash       uint64
 	roundsLeft int
-	urgent     bool // urgent marks changes after which a server or instance must get no more requests.
+	urgent     bool // whether a server or instance must get no more requests after the change
 }
 
 // queuePush queues a change for pushing. If the queue is full, it drops the oldest
--- a/member/list.go
+++ b/member/list.go
@@ -41,12 +41,12 @@
 // The statuses of a backend server.
 const (
 	Listed        ServerStatus = "Listed"
-	Silent        ServerStatus = "Silent"       // Silent means that the owner no longer receives announcements; listed until the TTL expires.
-	Expired       ServerStatus = "Gone"         // Expired means that no announcement arrived within the TTL.
-	Departed      ServerStatus = "Departed"     // Departed means that the server announced that it left.
-	Orphaned      ServerStatus = "Unclaimed"    // Orphaned means that the owner is gone; listed until the TTL expires.
-	OrphanExpired ServerStatus = "Forsaken"     // OrphanExpired means that the owner is gone and no other instance took ownership within the TTL.
-	AddressTaken  ServerStatus = "AddressTaken" // AddressTaken means that a later server has the same address.
+	Silent        ServerStatus = "Silent"       // the owner no longer receives announcements; listed until the TTL expires
+	Expired       ServerStatus = "Gone"         // no announcement arrived within the TTL
+	Departed      ServerStatus = "Departed"     // the server announced that it left
+	Orphaned      ServerStatus = "Unclaimed"    // the owner is gone; listed until the TTL expires
+	OrphanExpired ServerStatus = "Forsaken"     // the owner is gone and no other instance took ownership within the TTL
+	AddressTaken  ServerStatus = "AddressTaken" // a later server has the same address
 )
 
 // Explanation is what an instance knows of a backend server and why it is listed or
@@ -54,9 +54,9 @@
 type Explanation struct {
 	Record           backend.Record
 	Status           ServerStatus
-	Owner            string // Owner is the instance that vouches for the server or did so last.
+	Owner            string // instance that vouches for the server or did so last
 	OwnerIncarnation uint64
-	Winner           string // Winner is the server that has the address if Status is AddressTaken.
+	Winner           string // server that has the address if Status is AddressTaken
 }
 
 // Member is an instance with its state in the state chart.
--- a/member/member.go
+++ b/member/member.go
@@ -26,26 +26,26 @@
 // State is the view of one instance. It is immutable: Step returns a new one.
 type State struct {
 	self     view.Instance
-	sequence uint64    // sequence increases with each change of self.
-	origin   time.Time // origin is the time of New, which has the offset startOffset.
+	sequence uint64    // increases with each change of self
+	origin   time.Time // time of New, which has the offset startOffset
 	random   rand.PCG
 	ticks    uint64
 
 	table       *table
-	granted     []view.Instance // granted are the instances named in the last grant of control.
+	granted     []view.Instance // instances named in the last grant of control
 	grantAt     time.Duration
-	grantValid  bool // grantValid reports whether granted is younger than grantTTL.
+	grantValid  bool // whether granted is younger than grantTTL
 	partners    []partner
 	cursor      int
 	unreachable []unreachable
 	pushQueue   []queuedPush
-	tokens      float64 // tokens is the content of the token bucket for pushes between ticks.
+	tokens      float64 // tokens in the bucket that limits pushes between ticks
 	tokensAt    time.Duration
 
-	lastHeard time.Duration // lastHeard is when the last message arrived from any instance.
+	lastHeard time.Duration // when the last message arrived from any instance
 	instances *instanceList
 	servers   *serverList
-	lastScan  *instanceList // lastScan is the instance list at the last scan of the whole table.
+	lastScan  *instanceList // instance list at the last scan of the whole table
 }
 
 // Event is an input of Step. The types are Announced, Received, Tick,
@@ -97,8 +97,8 @@
 
 // Send sends a one-way message to an instance.
 type Send struct {
-	To      string // To is the instance's name.
-	Address string // Address is its peer address.
+	To      string // instance's name
+	Address string // peer address of the instance
 	Message peer.Message
 }
 
@@ -160,7 +160,7 @@
 // replaced, never modified.
 type step struct {
 	State
-	now     time.Duration // now is the time since origin plus startOffset.
+	now     time.Duration // time since origin plus startOffset
 	actions []Action
 }
 
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -115,7 +115,7 @@
 		name  string
 		leave func(cl *cluster)
 	}{
-		{"GoesOn", func(*cluster) {}},
+		{"KeepsRunning", func(*cluster) {}},
 		{"Stops", func(cl *cluster) { cl.step("a0", Leave{Now: cl.now}); cl.deliver(); cl.kill("a0") }},
 		{"Killed", func(cl *cluster) { cl.kill("a0") }},
 		{"Restarted", func(cl *cluster) { cl.start("a0", 2); cl.grantAll() }},
--- a/member/merge.go
+++ b/member/merge.go
@@ -88,13 +88,15 @@
 	}
 }
 
-// resolveAndStore stores an item after resolve.
+// resolveAndStore brings an item up to date and replaces the stored one.
 func (sp *step) resolveAndStore(it item) {
 	old, _ := sp.table.get(it.hash)
 	sp.resolve(&it)
 	sp.store(&old, &it)
 }
 
+// resolve decides whether an item is listed, and changes its entry if this instance
+// must refute a suspicion, suspect the server or take ownership of it.
 func (sp *step) resolve(it *item) {
 	if it.instance != nil {
 		sp.resolveInstance(it)
--- a/member/message.go
+++ b/member/message.go
@@ -51,7 +51,7 @@
 type VersionSummary struct {
 	_           struct{} `cbor:",toarray"`
 	Hash        uint64
-	Check       uint32 // Check is a checksum that distinguishes versions with equal numbers.
+	Check       uint32 // checksum that distinguishes versions with equal numbers
 	Incarnation uint64
 	Left        int
 	Sequence    uint64
@@ -62,7 +62,7 @@
 type Transfer struct {
 	Entries   []Entry  `cbor:"1,keyasint,omitempty"`
 	Requested []uint64 `cbor:"2,keyasint,omitempty"`
-	Forward   bool     `cbor:"3,keyasint,omitempty"` // Forward means that the receiver pushes new entries on to others.
+	Forward   bool     `cbor:"3,keyasint,omitempty"` // whether the receiver pushes new entries on to others
 }
 
 // Entry is the wire form of an entry. Exactly one of Record and Instance is set.
@@ -103,13 +103,13 @@
 	Version   uint64
 }
 
-// Kind returns the number of the type.
+// Kind implements peer.Message.
 func (Digest) Kind() peer.Kind { return kindDigest }
 
-// Kind returns the number of the type.
+// Kind implements peer.Message.
 func (Compare) Kind() peer.Kind { return kindCompare }
 
-// Kind returns the number of the type.
+// Kind implements peer.Message.
 func (Transfer) Kind() peer.Kind { return kindTransfer }
 
 // Messages returns one zero value of each message type, for the codec.
--- a/member/probe.go
+++ b/member/probe.go
@@ -25,7 +25,9 @@
 	// which an instance is suspected.
 	maxMissedProbes = 3
 	// unreachableTTL is for how long an instance that did not answer is not
-	// chosen as a partner again, even if others can reach it.
+	// chosen as a partner again, even if others can reach it. It is also the
+	// time without a message from an instance after which a Digest to it
+	// includes this instance's own entry.
 	unreachableTTL = time.Minute
 	// isolationTimeout is the time without messages after which an instance no
 	// longer trusts its own network.
@@ -37,8 +39,8 @@
 // partner is an instance that this one pushes to and probes.
 type partner struct {
 	name         string
-	sinceTick    uint64        // sinceTick is the tick at which the partner was chosen.
-	probedAt     time.Duration // probedAt is when the unanswered probe was sent; zero if there is none.
+	sinceTick    uint64        // tick at which the partner was chosen
+	probedAt     time.Duration // when the unanswered probe was sent; zero if there is none
 	missedProbes int
 }
 
@@ -154,7 +156,7 @@
 // noteReachable records that an instance is reachable.
 func (sp *step) noteReachable(name string) {
 	sp.lastHeard = sp.now
-	isName := func(av unreachable) bool { return av.name == name }
+	isName := func(un unreachable) bool { return un.name == name }
 	if slices.ContainsFunc(sp.unreachable, isName) {
 		sp.unreachable = slices.DeleteFunc(slices.Clone(sp.unreachable), isName)
 	}
@@ -177,7 +179,7 @@
 // refreshPartners drops partners that are no longer candidates, replaces the oldest
 // one every partnerRotationTicks, and chooses new ones at random.
 func (sp *step) refreshPartners() {
-	sp.unreachable = slices.DeleteFunc(slices.Clone(sp.unreachable), func(av unreachable) bool { return av.until <= sp.now })
+	sp.unreachable = slices.DeleteFunc(slices.Clone(sp.unreachable), func(un unreachable) bool { return un.until <= sp.now })
 	names := sp.candidates()
 	sp.partners = slices.DeleteFunc(slices.Clone(sp.partners), func(pa partner) bool { return !slices.Contains(names, pa.name) })
 	names = slices.DeleteFunc(names, sp.isPartner)
@@ -196,7 +198,7 @@
 func (sp *step) candidates() []string {
 	var names []string
 	for _, in := range sp.Instances() {
-		isName := func(av unreachable) bool { return av.name == in.Name }
+		isName := func(un unreachable) bool { return un.name == in.Name }
 		if in.Name != sp.self.Name && !slices.ContainsFunc(sp.unreachable, isName) {
 			names = append(names, in.Name)
 		}
--- a/member/property_test.go
+++ b/member/property_test.go
@@ -106,11 +106,11 @@
 	}
 	ix := rapid.IntRange(0, len(cm.inFlight)-1).Draw(t, "packet")
 	pk := cm.inFlight[ix]
-	fate := rapid.SampledFrom([]string{"deliver", "double", "lose"}).Draw(t, "fate")
-	if fate != "double" {
+	outcome := rapid.SampledFrom([]string{"deliver", "duplicate", "lose"}).Draw(t, "outcome")
+	if outcome != "duplicate" {
 		cm.inFlight = slices.Delete(slices.Clone(cm.inFlight), ix, ix+1)
 	}
-	if fate != "lose" {
+	if outcome != "lose" {
 		cm.step(pk.to, Received{Now: cm.now, From: pk.from, Message: pk.ms})
 	}
 }
--- a/member/table.go
+++ b/member/table.go
@@ -18,10 +18,10 @@
 // if it holds at most maxLeafItems.
 type table struct {
 	count    int
-	timed    int // timed is the number of items that may change by the passing of time alone.
+	timed    int // number of items that may change by the passing of time alone
 	sum      uint64
-	children *[tableFanout]*table // children is nil for a leaf.
-	items    []item               // items are the items of a leaf, sorted by hash.
+	children *[tableFanout]*table // nil for a leaf
+	items    []item               // items of a leaf, sorted by hash
 }
 
 // emptyTable represents a missing child.
