--- a/instance/configuration.go
+++ b/instance/configuration.go
@@ -28,7 +28,7 @@
 	if until.After(th.leaseUntil) {
 		th.leaseUntil = until
 	}
-	th.entries = ev.gr.Entries
+	th.grantedDivisor = ev.gr.Entries
 	if ev.gr.Roster != th.rosterDigest.Load() {
 		th.leaseHolders = ev.gr.Instances
 		th.rosterDigest.Store(ev.gr.Roster)
--- a/instance/connections.go
+++ b/instance/connections.go
@@ -12,7 +12,8 @@
 // give this instance's share of the connections to another instance, and the backend servers
 // would get more than they allow.
 //
-// A view that only extends the lease, as after each renewal, is skipped.
+// A view that only extends the lease, as after each renewal, is skipped. Once per sweepInterval
+// it is passed on nevertheless, so that idle connections are closed.
 func (in *Instance) viewChanged(vi *view.View) {
 	if in.cl == nil {
 		return
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -60,9 +60,9 @@
 	nextSweep time.Time  // when idle connections are checked again
 	connected bool       // whether lastView allowed connections to backend servers
 
-	stop chan struct{}
-	once sync.Once
-	kill chan struct{}
+	stop     chan struct{}
+	stopOnce sync.Once
+	kill     chan struct{}
 }
 
 // New opens the data folder and the listeners; requests are served once Serve runs. The TLS
@@ -183,7 +183,7 @@
 
 // Stop starts a graceful stop, as SIGTERM does.
 func (in *Instance) Stop() {
-	in.once.Do(func() { close(in.stop) })
+	in.stopOnce.Do(func() { close(in.stop) })
 }
 
 // Kill ends the instance without notifying anyone, as far as that is possible within a
--- a/instance/local_bench_test.go
+++ b/instance/local_bench_test.go
@@ -22,8 +22,8 @@
 	"balsamwinch.example/timer"
 )
 
-// leaves is the number of shards of the largest service in production.
-const leaves = 13
+// numShards is the number of shards of the largest service in production.
+const numShards = 13
 
 // BenchmarkQueryOverhead compares a query over 13 shards through an entry with direct requests
 // to the same backend servers, alternately and without contention. The difference is what the
@@ -75,7 +75,7 @@
 	if err := lo.Apply(ready, "bench", []operator.File{{Name: "a.yaml", Content: []byte(text)}}); err != nil {
 		b.Fatal(err)
 	}
-	for ix := range leaves {
+	for ix := range numShards {
 		le, err := leaf.New(leaf.Config{
 			Server: fmt.Sprintf("l%02d", ix), Service: "archivo", DataCentre: "miraflores", Address: "127.0.0.1:0",
 			Announce: lo.Addresses("Backend"), Shards: []string{fmt.Sprintf("%02d", ix)}, Slots: 6, ConnectionLimit: 110,
@@ -86,7 +86,7 @@
 		go func() { _ = le.Serve(ctx) }()
 	}
 	all := func(in *instance.Instance) bool {
-		return len(in.View().Servers) == leaves && in.View().Leased(ts.Now())
+		return len(in.View().Servers) == numShards && in.View().Leased(ts.Now())
 	}
 	if err := lo.Wait(ready, all); err != nil {
 		b.Fatal(err)
--- a/instance/operators.go
+++ b/instance/operators.go
@@ -240,7 +240,7 @@
 	ex.Lines = append(ex.Lines, in.explainServer(vi, subject)...)
 	ex.Lines = append(ex.Lines, explainService(vi, subject)...)
 	ex.Lines = append(ex.Lines, in.explainChange(ctx, subject)...)
-	ex.Lines = append(ex.Lines, in.explainAnswer(subject)...)
+	ex.Lines = append(ex.Lines, in.explainRequest(subject)...)
 	if len(ex.Lines) == 0 {
 		ex.Lines = []string{"unknown subject: want a backend server, a service, a change ID, a request ID or \"leader\""}
 	}
@@ -326,7 +326,7 @@
 	}
 }
 
-func (in *Instance) explainAnswer(subject string) []string {
+func (in *Instance) explainRequest(subject string) []string {
 	var out []string
 	for _, an := range in.en.RecentIncomplete() {
 		if an.RequestID != subject {
--- a/instance/thread.go
+++ b/instance/thread.go
@@ -56,7 +56,7 @@
 	files          map[string]control.File // the files in force
 	rosterDigest   atomic.Uint64           // the digest of leaseHolders; read by the renewer
 	leaseHolders   []view.Instance         // the instances that control listed last
-	entries        int
+	grantedDivisor int                     // the divisor of connection limits in the last grant; see view.View
 	draining       bool
 	sequence       uint64
 	dirty          bool
@@ -246,7 +246,7 @@
 		Instances:      th.instances,
 		Servers:        th.servers,
 		LeaseExpiry:    th.leaseUntil,
-		GrantedDivisor: th.entries,
+		GrantedDivisor: th.grantedDivisor,
 		Draining:       th.draining,
 		Sequence:       th.sequence,
 	}
--- a/instance/voter.go
+++ b/instance/voter.go
@@ -25,7 +25,7 @@
 	// inForceTimeout is how long a change waits to be in force before its operator gets the
 	// reply that it is pending.
 	inForceTimeout = 8 * time.Second
-	// maxAuditEntries is the number of audit entries in one reply.
+	// maxAuditEntries bounds the audit entries in one reply.
 	maxAuditEntries = 200
 	// rosterTTL is the maximum age of the list of lease holders in a grant.
 	rosterTTL = 100 * time.Millisecond
