--- a/link/link.go
+++ b/link/link.go
@@ -46,7 +46,7 @@
 
 // Config holds the settings of connections.
 type Config struct {
-	Codec          *peer.Codec    // knows Messages and all messages that are sent
+	Codec          *peer.Codec    // must include Messages and all messages that are sent
 	Timers         *timer.Service // clock and timers
 	DialTimeout    time.Duration  // bounds a dial
 	PingInterval   time.Duration  // the longest time without sending a frame
