--- a/peer/bench_test.go
+++ b/peer/bench_test.go
@@ -47,7 +47,7 @@
 	return pe
 }
 
-// pair returns two peers and a connection from the first to the second.
+// pair returns two peers, of which the first is connected to the second.
 func pair(b *testing.B, ha Handler) (pa, pb *Peer) {
 	au, err := keys.NewAuthority()
 	if err != nil {
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -267,7 +267,7 @@
 		return
 	}
 	from := keys.PeerName(qc.ConnectionState().TLS)
-	var ended streamCredits
+	var credits streamCredits
 	for {
 		st, err := qc.AcceptStream(pe.ctx)
 		if err != nil {
@@ -276,12 +276,12 @@
 		if !pe.beginWork() {
 			st.CancelRead(streamClosing)
 			st.CancelWrite(streamClosing)
-			ended.add(st)
+			credits.add(st)
 			continue
 		}
 		go func() {
 			pe.serveStream(from, st)
-			ended.add(st)
+			credits.add(st)
 		}()
 	}
 }
