--- a/operator/client.go
+++ b/operator/client.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// Explain returns the reasons for the state of the subject: a server, an instance, a service,
-// a change id, or the word leader.
+// Explain returns the reasons for the state of the subject: a backend server, a service, a
+// change id, a request id, or the word leader.
 func (cl *Client) Explain(ctx context.Context, subject string) (Explanation, error) {
 	return callAny[Explanation](ctx, cl, http.MethodGet, ExplainPath+"?subject="+url.QueryEscape(subject), nil)
 }
--- a/operator/configuration.go
+++ b/operator/configuration.go
@@ -69,7 +69,7 @@
 	Labels      map[string]string
 }
 
-// Limits bound every instance.
+// Limits holds the bounds that apply to every instance.
 type Limits struct {
 	// MaxEntries bounds the entry instances that hold connections to a backend server at a
 	// time. Connection shares are computed from it.
--- a/operator/message.go
+++ b/operator/message.go
@@ -257,8 +257,8 @@
 	Status(ctx context.Context) (Status, error)
 	// Audit lists entries whose number is at least from.
 	Audit(ctx context.Context, from uint64) (AuditReply, error)
-	// Explain returns the reasons for the state of a server, an instance, a service, a change
-	// or the leader.
+	// Explain returns the reasons for the state of a backend server, a service, a change, a
+	// request or the leader.
 	Explain(ctx context.Context, subject string) (Explanation, error)
 	// Drain starts a graceful stop of this instance and returns at once.
 	Drain(ctx context.Context, dr DrainRequest) (DrainReply, error)
--- a/operator/server.go
+++ b/operator/server.go
@@ -223,7 +223,7 @@
 
 func (se *server) fail(rw http.ResponseWriter, rq *http.Request, err error) {
 	st, er := errorReply(err)
-	se.lg.Info("operator request refused",
+	se.lg.Info("operator request rejected",
 		zap.String("path", rq.URL.Path), zap.Int("status", st), zap.String("detail", er.Detail))
 	se.write(rw, st, er)
 }
