--- a/settings/check.go
+++ b/settings/check.go
@@ -72,13 +72,13 @@
 	}
 }
 
-// OneOf checks that a value is one of the given words.
-func OneOf[T ~string](ck *Checker, va T, words []T, path ...string) {
-	if slices.Contains(words, va) {
+// OneOf checks that a value is one of the allowed ones.
+func OneOf[T ~string](ck *Checker, va T, allowed []T, path ...string) {
+	if slices.Contains(allowed, va) {
 		return
 	}
-	li := make([]string, len(words))
-	for i, wo := range words {
+	li := make([]string, len(allowed))
+	for i, wo := range allowed {
 		li[i] = string(wo)
 	}
 	ck.Want(false, "one of "+strings.Join(li, ", "), va, path...)
@@ -105,7 +105,7 @@
 
 // Unique checks that no value occurs twice. Empty values are ignored. Paths holds the path of
 // each value.
-func (ck *Checker) Unique(what string, values []string, paths [][]string) {
+func (ck *Checker) Unique(kind string, values []string, paths [][]string) {
 	first := make(map[string]int)
 	for i, va := range values {
 		if va == "" {
@@ -113,7 +113,7 @@
 		}
 		if j, ok := first[va]; ok {
 			_, field, _ := ck.locator.tr.find(paths[j])
-			ck.add("each "+what+" once", strconv.Quote(va)+" as in "+field, paths[i])
+			ck.add("each "+kind+" once", strconv.Quote(va)+" as in "+field, paths[i])
 			continue
 		}
 		first[va] = i
--- a/settings/instance.go
+++ b/settings/instance.go
@@ -28,7 +28,7 @@
 	Roles      []Role
 	Addresses  Addresses
 	Control    ControlGroup
-	DataFolder string // write-ahead log of an instance with the role Control
+	DataFolder string // folder of the write-ahead log; required for the role Control
 	Keys       Keys
 	Log        Log
 	Timing     Timing
@@ -84,8 +84,8 @@
 
 // Limits bound the load of an entry instance.
 type Limits struct {
-	// LeafRequests bounds the leaf requests in flight of all admitted queries together, and
-	// with them memory. Services share it by their weights.
+	// LeafRequests bounds the leaf requests in flight of all admitted queries together, which
+	// also bounds memory. Services share it by their weights.
 	LeafRequests int
 }
 
