--- a/keys/file.go
+++ b/keys/file.go
@@ -98,7 +98,7 @@
 
 // Load reads an instance's TLS configuration from three files: the authority's certificate,
 // the instance's certificate and its key. A missing or invalid file is a *result.Error with
-// the code BadKey.
+// the code BadKey that says what was expected.
 func Load(ca, cert, key string) (*tls.Config, error) {
 	var data [3][]byte
 	for ix, path := range []string{ca, cert, key} {
