--- a/delta/delta_test.go
+++ b/delta/delta_test.go
@@ -34,11 +34,11 @@
 func TestFrameSize(t *testing.T) {
 	c := qt.New(t)
 	for _, tc := range []struct {
-		name    string
-		base    []byte
-		doc     []byte
-		atMost  int
-		atLeast int
+		name     string
+		base     []byte
+		doc      []byte
+		maxBytes int
+		minBytes int
 	}{
 		{"nothing held", nil, document(1800), 48_000, 1000},
 		{"the same", document(1800), document(1800), 200, 0},
@@ -52,7 +52,7 @@
 		c.Run(tc.name, func(c *qt.C) {
 			fr, err := Encode(tc.base, tc.doc)
 			c.Assert(err, qt.IsNil)
-			c.Check(len(fr.Data) <= tc.atMost && len(fr.Data) >= tc.atLeast, qt.IsTrue, qt.Commentf("%d bytes", len(fr.Data)))
+			c.Check(len(fr.Data) <= tc.maxBytes && len(fr.Data) >= tc.minBytes, qt.IsTrue, qt.Commentf("%d bytes", len(fr.Data)))
 			doc, err := Decode(tc.base, fr, maxDocumentBytes)
 			c.Assert(err, qt.IsNil)
 			c.Check(bytes.Equal(doc, tc.doc), qt.IsTrue)
@@ -65,9 +65,9 @@
 func TestWrongBaseOrFrameIsDetected(t *testing.T) {
 	base, doc := document(200), document(200, 100)
 	for _, tc := range []struct {
-		name  string
-		base  []byte
-		spoil func(fr Frame) Frame
+		name   string
+		base   []byte
+		damage func(fr Frame) Frame
 	}{
 		{"another base", document(200, 50), nil},
 		{"no base", nil, nil},
@@ -81,8 +81,8 @@
 			c := qt.New(t)
 			fr, err := Encode(base, doc)
 			c.Assert(err, qt.IsNil)
-			if tc.spoil != nil {
-				fr = tc.spoil(fr)
+			if tc.damage != nil {
+				fr = tc.damage(fr)
 			}
 			_, err = Decode(tc.base, fr, maxDocumentBytes)
 			c.Assert(err, qt.ErrorIs, ErrMismatch)
