--- a/chart/chart.go
+++ b/chart/chart.go
@@ -164,7 +164,7 @@
 	return ch.initial
 }
 
-// Final reports whether a state is final.
+// Final reports whether the chart may end in the state.
 func (ch *Chart) Final(st State) bool {
 	return ch.final[st]
 }
