--- a/view/view.go
+++ b/view/view.go
@@ -1,5 +1,5 @@
 // Package view holds an immutable view of the tier. The control thread publishes it and the
-// traffic threads read it without locking.
+// request handlers read it without locking.
 package view
 
 import (
