--- a/result/result.go
+++ b/result/result.go
@@ -22,7 +22,7 @@
 
 // Rejections: no backend server can have started the request.
 const (
-	// NotRunOverloaded means that the queue or a limit is full.
+	// NotRunOverloaded means that the queue is full or a limit is reached.
 	NotRunOverloaded Code = 100
 	// NotRunDraining means that the instance is stopping.
 	NotRunDraining Code = 101
--- a/result/result_test.go
+++ b/result/result_test.go
@@ -47,7 +47,7 @@
 
 // A code that is added or changed without regenerating the page would be missing from the
 // documentation or described wrongly.
-func TestPage(t *testing.T) {
+func TestPageMatchesTable(t *testing.T) {
 	c := qt.New(t)
 	if *update {
 		c.Assert(os.WriteFile(page, []byte(markdown()), 0o644), qt.IsNil)
@@ -59,7 +59,7 @@
 
 // A code without a row in the table would be reported as a bare number with the HTTP status
 // 500.
-func TestTableIsWhole(t *testing.T) {
+func TestTableHasEveryCode(t *testing.T) {
 	c := qt.New(t)
 	src, err := os.ReadFile("result.go")
 	c.Assert(err, qt.IsNil)
