--- a/emulate/dialect.go
+++ b/emulate/dialect.go
@@ -31,7 +31,7 @@
 
 var _ tier.Dialect = Dialect{}
 
-// Names returns the header names.
+// HeaderNames returns the header names.
 func (Dialect) HeaderNames() gateway.HeaderNames {
 	return gateway.HeaderNames{
 		RequestID: headerRequestID, Deadline: headerDeadline, ExpectServer: headerExpectServer,
@@ -40,10 +40,10 @@
 	}
 }
 
-// Table parses a configuration in YAML or JSON. The error lists its faults.
+// Parse parses a configuration in YAML or JSON. The error lists its faults.
 func (Dialect) Parse(data []byte) (*route.Table, error) { return parseTable(data) }
 
-// Tables returns a parser for successive configurations.
+// NewParser returns a parser for successive configurations.
 func (di Dialect) NewParser() tier.ConfigurationParser { return di }
 
 // ControlHandler serves operators and backend servers.
--- a/emulate/emulate_test.go
+++ b/emulate/emulate_test.go
@@ -77,7 +77,7 @@
 func TestResponseAndCounts(t *testing.T) {
 	tests := []struct {
 		name   string
-		tr     Faults
+		fa     Faults
 		header []string
 		status int
 		notRun string
@@ -94,7 +94,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			se := newServer(t, Config{ID: "a", Service: "s", Records: 3, ReportLoad: true, Slots: 2}, newRecordingAnnouncer())
-			se.SetFaults(tt.tr)
+			se.SetFaults(tt.fa)
 			wr := serveRequest(se, "/arm/x", tt.header...)
 			qt.Check(t, wr.Code, qt.Equals, tt.status)
 			qt.Check(t, wr.Header().Get(headerNotRun), qt.Equals, tt.notRun)
@@ -148,10 +148,10 @@
 
 // Needs a listener, because the faults are in the bytes on the wire.
 func TestFaultyResponseIsAnError(t *testing.T) {
-	for name, tr := range map[string]Faults{"cut": {Cut: 1}, "garble": {Garble: 1}, "truncate": {Truncate: 1}} {
+	for name, fa := range map[string]Faults{"cut": {Cut: 1}, "garble": {Garble: 1}, "truncate": {Truncate: 1}} {
 		t.Run(name, func(t *testing.T) {
 			se := newServer(t, Config{ID: "a", Records: 4}, newRecordingAnnouncer())
-			se.SetFaults(tr)
+			se.SetFaults(fa)
 			stop := serve(t, se)
 			defer stop()
 			ca := NewCaller()
@@ -191,9 +191,9 @@
 	ca := NewCaller()
 	defer ca.Close()
 	for {
-		an, err := ca.Send(t.Context(), se.Address(), Request{ID: "r", Path: "/x", Timeout: patience})
+		res, err := ca.Send(t.Context(), se.Address(), Request{ID: "r", Path: "/x", Timeout: patience})
 		if err == nil {
-			qt.Assert(t, an.Status, qt.Equals, http.StatusOK)
+			qt.Assert(t, res.Status, qt.Equals, http.StatusOK)
 			return
 		}
 		qt.Assert(t, t.Context().Err(), qt.IsNil)
@@ -325,11 +325,11 @@
 // configuration whose outcome is unknown.
 func TestTooLargeConfigurationIsNotRetried(t *testing.T) {
 	tests := []struct {
-		name   string
-		err    error
-		status int
-		code   result.Code
-		asked  int64
+		name     string
+		err      error
+		status   int
+		code     result.Code
+		numCalls int64
 	}{
 		{"accepted", nil, http.StatusOK, 0, 1},
 		{"too large", &result.Error{Code: result.Invalid, Op: "propose document"}, http.StatusRequestEntityTooLarge, result.NotRunBadRequest, 1},
@@ -338,9 +338,9 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			ha := Dialect{}.ControlHandler(&recordingControl{recordingAnnouncer: &recordingAnnouncer{err: tt.err}})
-			var asked atomic.Int64
+			var numCalls atomic.Int64
 			hs := httptest.NewServer(http.HandlerFunc(func(wr http.ResponseWriter, rq *http.Request) {
-				asked.Add(1)
+				numCalls.Add(1)
 				re := httptest.NewRecorder()
 				ha.ServeHTTP(re, rq)
 				qt.Check(t, re.Code, qt.Equals, tt.status)
@@ -355,7 +355,7 @@
 			if re != nil {
 				qt.Assert(t, re.Code, qt.Equals, tt.code)
 			}
-			qt.Assert(t, asked.Load(), qt.Equals, tt.asked)
+			qt.Assert(t, numCalls.Load(), qt.Equals, tt.numCalls)
 		})
 	}
 }
--- a/emulate/experiment/experiment_test.go
+++ b/emulate/experiment/experiment_test.go
@@ -66,7 +66,7 @@
 	stamp := emulate.Stamp("a1", "r")
 	tests := []struct {
 		name string
-		an   emulate.Response
+		res  emulate.Response
 		err  error
 		of   func(*recorder) int
 	}{
@@ -81,7 +81,7 @@
 	}
 	for _, tt := range tests {
 		rec := newRecorder(expected, 1)
-		rec.record(req, tt.an, tt.err, 0, time.Millisecond, 2*time.Millisecond)
+		rec.record(req, tt.res, tt.err, 0, time.Millisecond, 2*time.Millisecond)
 		qt.Check(t, tt.of(rec), qt.Equals, 1, qt.Commentf("%s", tt.name))
 		qt.Check(t, rec.whole+rec.partial+rec.refused+rec.failed+rec.silent+rec.wrong, qt.Equals, 1, qt.Commentf("%s", tt.name))
 		qt.Check(t, rec.due, qt.Equals, 1)
--- a/emulate/server.go
+++ b/emulate/server.go
@@ -58,9 +58,9 @@
 }
 
 const (
-	anyAddress          = "127.0.0.1:0"
-	defaultAnnouncement = time.Second
-	defaultIdleTimeout  = 30 * time.Second
+	anyAddress              = "127.0.0.1:0"
+	defaultAnnounceInterval = time.Second
+	defaultIdleTimeout      = 30 * time.Second
 )
 
 func (cf Config) withDefaults() Config {
@@ -75,7 +75,7 @@
 		cf.WarmupFactor = 1
 	}
 	if cf.AnnounceInterval <= 0 {
-		cf.AnnounceInterval = defaultAnnouncement
+		cf.AnnounceInterval = defaultAnnounceInterval
 	}
 	if cf.IdleTimeout <= 0 {
 		cf.IdleTimeout = defaultIdleTimeout
