--- a/emulate/caller_test.go
+++ b/emulate/caller_test.go
@@ -24,7 +24,7 @@
 	ca := NewCaller()
 	defer ca.Close()
 	for nth, failed := range []bool{false, true, false} {
-		_, err := ca.Send(t.Context(), hs.Listener.Addr().String(), Request{ID: "r", Host: "a.example", Path: "/x", Timeout: patience})
+		_, err := ca.Send(t.Context(), hs.Listener.Addr().String(), Request{ID: "r", Host: "a.example", Path: "/x", Timeout: waitTimeout})
 		qt.Assert(t, err != nil, qt.Equals, failed, qt.Commentf("%d: %v", nth, err))
 	}
 	qt.Assert(t, arrived.Load(), qt.Equals, int64(3))
--- a/emulate/emulate_test.go
+++ b/emulate/emulate_test.go
@@ -24,9 +24,9 @@
 	"balsamwinch.example/timer"
 )
 
-// patience bounds every wait for a condition. It is not a timing assertion: a passing
+// waitTimeout bounds every wait for a condition. It is not a timing assertion: a passing
 // test takes far less.
-const patience = time.Minute
+const waitTimeout = time.Minute
 
 // recordingAnnouncer is an Announcer that records its calls.
 type recordingAnnouncer struct {
@@ -118,7 +118,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() {
-		second <- serveRequest(se, "/x", headerRequestID, "r2", headerDeadline, strconv.FormatInt(patience.Milliseconds(), 10))
+		second <- serveRequest(se, "/x", headerRequestID, "r2", headerDeadline, strconv.FormatInt(waitTimeout.Milliseconds(), 10))
 	}()
 	for se.waiting.Load() != 1 {
 		qt.Assert(t, se.ts.Sleep(ctx, time.Millisecond), qt.IsNil)
@@ -139,7 +139,7 @@
 // Guards against a response that claims that a request did not run, if its deadline
 // passes while it runs.
 func TestDeadlineWhileRunningIsNotReportedAsNotRun(t *testing.T) {
-	se := newServer(t, Config{ID: "a", ServiceTime: ServiceTime{Median: patience}}, newRecordingAnnouncer())
+	se := newServer(t, Config{ID: "a", ServiceTime: ServiceTime{Median: waitTimeout}}, newRecordingAnnouncer())
 	wr := serveRequest(se, "/x", headerRequestID, "r1", headerDeadline, "1")
 	qt.Assert(t, wr.Code, qt.Equals, http.StatusGatewayTimeout)
 	qt.Assert(t, wr.Header().Get(headerNotRun), qt.Equals, "")
@@ -156,7 +156,7 @@
 			defer stop()
 			ca := NewCaller()
 			defer ca.Close()
-			_, err := ca.Send(t.Context(), se.Address(), Request{ID: "r1", Host: "h", Path: "/x", Timeout: patience})
+			_, err := ca.Send(t.Context(), se.Address(), Request{ID: "r1", Host: "h", Path: "/x", Timeout: waitTimeout})
 			qt.Assert(t, err, qt.IsNotNil)
 		})
 	}
@@ -191,7 +191,7 @@
 	ca := NewCaller()
 	defer ca.Close()
 	for {
-		res, err := ca.Send(t.Context(), se.Address(), Request{ID: "r", Path: "/x", Timeout: patience})
+		res, err := ca.Send(t.Context(), se.Address(), Request{ID: "r", Path: "/x", Timeout: waitTimeout})
 		if err == nil {
 			qt.Assert(t, res.Status, qt.Equals, http.StatusOK)
 			return
@@ -400,7 +400,7 @@
 // A whole tier on one machine forms, accepts a configuration, receives the announcements
 // of backend servers and answers merged and plain requests correctly.
 func TestLocalTierAnswersRequests(t *testing.T) {
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	ts := timer.New()
 	lo, err := StartLocalTier(ctx, LocalConfig{Entries: 2, Controls: 3, DataCentres: []string{"x", "y"}, Folder: t.TempDir(), StopTimeout: 2 * time.Second}, ts, zap.NewNop())
--- a/emulate/fault_test.go
+++ b/emulate/fault_test.go
@@ -35,7 +35,7 @@
 // restart each listens at its old address, and the configuration is still there.
 func TestInstanceRestartsAtItsAddress(t *testing.T) {
 	t.Setenv(instanceVariable, "1")
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	program, err := os.Executable()
 	qt.Assert(t, err, qt.IsNil)
