--- a/load/check_test.go
+++ b/load/check_test.go
@@ -35,10 +35,10 @@
 
 func TestCheckFindsBrokenPromises(t *testing.T) {
 	for _, tt := range []struct {
-		name string
-		code result.Code
-		spot func(an *fanout.Answer)
-		want []BreachKind
+		name   string
+		code   result.Code
+		modify func(an *fanout.Answer)
+		want   []BreachKind
 	}{
 		{"correct", result.Complete, func(*fanout.Answer) {}, nil},
 		{"another request", result.Complete, func(an *fanout.Answer) { an.RequestID = "q2" }, []BreachKind{WrongAnswer}},
@@ -63,7 +63,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			an := answerCovering(tt.code, "s01", "s02")
-			tt.spot(&an)
+			tt.modify(&an)
 			var got []BreachKind
 			for _, br := range Check(testCall, Attempt{RequestID: "q1", Answer: an}) {
 				got = append(got, br.Kind)
--- a/load/client_test.go
+++ b/load/client_test.go
@@ -82,12 +82,12 @@
 func TestDoRetriesOnlyIfQueryCannotRunTwice(t *testing.T) {
 	closed := closedAddress(t)
 	for _, tt := range []struct {
-		name  string
-		first func(caller.Query) *fanout.Answer // nil for an instance that has stopped
-		key   string
-		want  result.Code
-		tries int
-		lost  bool
+		name     string
+		first    func(caller.Query) *fanout.Answer // nil for an instance that has stopped
+		key      string
+		want     result.Code
+		attempts int
+		lost     bool
 	}{
 		{"answer", replyWith(result.Complete), "", result.Complete, 1, false},
 		{"refusal", replyWith(result.NotRunOverloaded), "", result.NotRunOverloaded, 1, false},
@@ -111,7 +111,7 @@
 			cl := NewClient(timer.New(), []string{second})
 			defer cl.Close()
 			oc := cl.Do(t.Context(), Call{Service: "archivo", RequestID: "q", Key: tt.key, Deadline: time.Minute, Query: json.RawMessage(`1`)})
-			c.Assert(oc.Attempts, qt.HasLen, tt.tries)
+			c.Assert(oc.Attempts, qt.HasLen, tt.attempts)
 			c.Assert(oc.Word.Err != nil, qt.Equals, tt.lost, qt.Commentf("%v", oc.Word.Err))
 			c.Assert(oc.Word.Answer.Code, qt.Equals, tt.want)
 			for _, qu := range fi.queries() {
--- a/load/table.go
+++ b/load/table.go
@@ -150,7 +150,7 @@
 		pr.printf("lost: %s\n", lo)
 	}
 	for _, sk := range re.Skipped {
-		pr.printf("fault not brought about: %s\n", sk)
+		pr.printf("fault not injected: %s\n", sk)
 	}
 	if re.Dropped > 0 {
 		pr.printf("%d queries were due and not sent: this run is not valid\n", re.Dropped)
