--- a/cmd/balsamctl/apply.go
+++ b/cmd/balsamctl/apply.go
@@ -109,13 +109,13 @@
 	return ap.send(ctx, cr)
 }
 
-func (in *invocation) printApplied(done []appliedChange) error {
-	return in.print(done, func(wr io.Writer) {
-		if len(done) == 0 {
+func (in *invocation) printApplied(acs []appliedChange) error {
+	return in.print(acs, func(wr io.Writer) {
+		if len(acs) == 0 {
 			fmt.Fprintln(wr, "nothing to change")
 		}
-		for _, ap := range done {
-			fmt.Fprintf(wr, "%s: revision %d, change %s, files %s\n", ap.Name, ap.Revision, ap.ChangeID, strings.Join(ap.Files, ", "))
+		for _, ac := range acs {
+			fmt.Fprintf(wr, "%s: revision %d, change %s, files %s\n", ac.Name, ac.Revision, ac.ChangeID, strings.Join(ac.Files, ", "))
 		}
 	})
 }
@@ -151,11 +151,11 @@
 	if err := ap.save(ap.state.withChange(cr, re.Revision)); err != nil {
 		return err
 	}
-	do := appliedChange{ChangeID: cr.ChangeID, Code: re.Code, Name: re.Code.String(), Revision: re.Revision, WaitingFor: re.WaitingFor}
+	ac := appliedChange{ChangeID: cr.ChangeID, Code: re.Code, Name: re.Code.String(), Revision: re.Revision, WaitingFor: re.WaitingFor}
 	for _, ch := range cr.Files {
-		do.Files = append(do.Files, ch.Name)
+		ac.Files = append(ac.Files, ch.Name)
 	}
-	ap.made = append(ap.made, do)
+	ap.made = append(ap.made, ac)
 	if re.Code == result.Pending {
 		return &result.Error{Code: re.Code, Op: "change " + cr.ChangeID, Detail: "waiting for " + strings.Join(re.WaitingFor, ", ") + "; balsamctl members shows the revisions in force"}
 	}
--- a/cmd/balsamctl/audit.go
+++ b/cmd/balsamctl/audit.go
@@ -70,7 +70,7 @@
 
 // controlEntries converts the entries to those that package control verifies.
 func controlEntries(entries []operator.AuditEntry) []control.AuditEntry {
-	var ch []control.AuditEntry
+	var ces []control.AuditEntry
 	for _, en := range entries {
 		ce := control.AuditEntry{
 			Number: en.Number, When: en.When, Author: en.Author, ChangeID: en.ChangeID,
@@ -79,9 +79,9 @@
 		for _, af := range en.Files {
 			ce.Files = append(ce.Files, control.AuditFile(af))
 		}
-		ch = append(ch, ce)
+		ces = append(ces, ce)
 	}
-	return ch
+	return ces
 }
 
 func printEntry(wr io.Writer, en operator.AuditEntry, content bool) {
--- a/cmd/balsamctl/keys.go
+++ b/cmd/balsamctl/keys.go
@@ -48,20 +48,20 @@
 	if err := keys.Write(dir, ss...); err != nil {
 		return err
 	}
-	var ws []keyFiles
+	var kfs []keyFiles
 	for _, su := range ss {
-		ws = append(ws, keyFiles{
+		kfs = append(kfs, keyFiles{
 			Name:        su.Name,
 			Authority:   filepath.Join(dir, keys.AuthorityFile),
 			Certificate: filepath.Join(dir, keys.CertificateFile(su.Name)),
 			Key:         filepath.Join(dir, keys.KeyFile(su.Name)),
 		})
 	}
-	return in.print(ws, func(wr io.Writer) {
-		for _, wt := range ws {
-			fmt.Fprintf(wr, "%s: %s, %s\n", wt.Name, wt.Certificate, wt.Key)
+	return in.print(kfs, func(wr io.Writer) {
+		for _, kf := range kfs {
+			fmt.Fprintf(wr, "%s: %s, %s\n", kf.Name, kf.Certificate, kf.Key)
 		}
-		fmt.Fprintf(wr, "authority: %s\n", ws[0].Authority)
+		fmt.Fprintf(wr, "authority: %s\n", kfs[0].Authority)
 	})
 }
 
--- a/cmd/balsamctl/pull.go
+++ b/cmd/balsamctl/pull.go
@@ -77,20 +77,20 @@
 	return in.reportPull(pu.report)
 }
 
-func (in *invocation) reportPull(pd pullReport) error {
-	err := in.print(pd, func(wr io.Writer) {
-		fmt.Fprintf(wr, "revision %d\n", pd.Revision)
+func (in *invocation) reportPull(pr pullReport) error {
+	err := in.print(pr, func(wr io.Writer) {
+		fmt.Fprintf(wr, "revision %d\n", pr.Revision)
 		for _, it := range []struct {
 			what  string
 			names []string
-		}{{"written", pd.Written}, {"removed", pd.Removed}, {"kept, edited locally", pd.Kept}} {
+		}{{"written", pr.Written}, {"removed", pr.Removed}, {"kept, edited locally", pr.Kept}} {
 			if len(it.names) > 0 {
 				fmt.Fprintf(wr, "%s: %s\n", it.what, strings.Join(it.names, ", "))
 			}
 		}
 	})
-	if err == nil && len(pd.Clashes) > 0 {
-		de := "edited locally and changed by another operator: " + strings.Join(pd.Clashes, ", ") + "; give -take"
+	if err == nil && len(pr.Clashes) > 0 {
+		de := "edited locally and changed by another operator: " + strings.Join(pr.Clashes, ", ") + "; give -take"
 		return &result.Error{Code: result.Conflict, Op: "pull", Detail: de}
 	}
 	return err
