--- a/cmd/balsamload/experiment.go
+++ b/cmd/balsamload/experiment.go
@@ -80,11 +80,11 @@
 	if af == (addressFlags{}) {
 		return startInstances(ctx, ex, ts, lg)
 	}
-	rg := load.ExternalInstances{Callers: splitAddresses(af.callers), Backends: splitAddresses(af.backends), Operators: splitAddresses(af.operators)}
-	if len(rg.Callers) == 0 || len(rg.Backends) == 0 || len(rg.Operators) == 0 {
+	ei := load.ExternalInstances{Callers: splitAddresses(af.callers), Backends: splitAddresses(af.backends), Operators: splitAddresses(af.operators)}
+	if len(ei.Callers) == 0 || len(ei.Backends) == 0 || len(ei.Operators) == 0 {
 		return nil, &usageError{"instances outside this process need -callers, -backends and -operators"}
 	}
-	return rg, nil
+	return ei, nil
 }
 
 // logger returns a logger that writes JSON lines, from level error on, or from info if verbose.
