--- a/cmd/balsamwinch/demo.go
+++ b/cmd/balsamwinch/demo.go
@@ -107,7 +107,7 @@
 	return ti
 }
 
-// startLeafs starts the emulated backend servers under a supervisor.
+// startLeaves starts the emulated backend servers under a supervisor.
 func startLeaves(ctx context.Context, announce []string, ts *timer.Service, lg *zap.Logger) <-chan error {
 	su := suture.NewSimple("leafs")
 	for _, sh := range demoShardNames {
--- a/cmd/balsamwinch/demo_routed.go
+++ b/cmd/balsamwinch/demo_routed.go
@@ -96,13 +96,13 @@
 	ca := emulate.NewCaller()
 	defer ca.Close()
 	address := lo.CallerAddresses()[0]
-	an, err := ca.AwaitComplete(readyCtx, ts, address,
+	res, err := ca.AwaitComplete(readyCtx, ts, address,
 		emulate.Request{ID: "demo", Host: routedHost, Path: routedPath, Timeout: routedTimeout},
 		emulate.Expectation{Services: demoShardNames[:], Service: ss.Service, Records: routedRecords, TopK: routedTopK})
 	if err != nil {
 		return err
 	}
-	if err := printRouted(an, out); err != nil || once {
+	if err := printRouted(res, out); err != nil || once {
 		return err
 	}
 	fmt.Fprintf(out, "The routed tier serves: %d entry instances, %d control instances, %d backend servers.\n", routedEntries, routedControls, len(ss.All()))
@@ -114,9 +114,9 @@
 	return nil
 }
 
-func printRouted(an emulate.Response, out io.Writer) error {
-	ra := routedAnswer{Status: an.Status, Stamps: an.Stamps, Missing: an.Missing}
-	for body := an.Body; len(body) >= emulate.RecordBytes; body = body[emulate.RecordBytes:] {
+func printRouted(res emulate.Response, out io.Writer) error {
+	ra := routedAnswer{Status: res.Status, Stamps: res.Stamps, Missing: res.Missing}
+	for body := res.Body; len(body) >= emulate.RecordBytes; body = body[emulate.RecordBytes:] {
 		ra.Records = append(ra.Records, fmt.Sprintf("%x", body[:emulate.RecordBytes]))
 	}
 	en := json.NewEncoder(out)
