--- a/backend/announce.go
+++ b/backend/announce.go
@@ -22,7 +22,7 @@
 	Faults []RecordFault `json:",omitempty"` // all faults of the record
 }
 
-var errTrailingData = errors.New("want one record, got more after it")
+var errTrailingData = errors.New("want one record, got more behind it")
 
 // NewAnnounceHandler returns the handler of AnnouncePath. It accepts a record
 // by POST and responds with what accept returns for it. A record with a fault
--- a/caller/server.go
+++ b/caller/server.go
@@ -108,7 +108,7 @@
 	var qu Query
 	body, err := io.ReadAll(io.LimitReader(rq.Body, maxBodyBytes+1))
 	if err != nil {
-		return qu, fmt.Errorf("reading the body: %w", err)
+		return qu, fmt.Errorf("body was cut: %w", err)
 	}
 	if len(body) > maxBodyBytes {
 		return qu, fmt.Errorf("body: want at most %d bytes", maxBodyBytes)
--- a/control/lease.go
+++ b/control/lease.go
@@ -57,11 +57,11 @@
 // The reasons why a renewal is rejected, and why a revision is not yet in force.
 const (
 	reasonReleased        = "released"
-	reasonSuperseded      = "superseded by an instance with this name and a higher incarnation"
-	reasonStaleRevision   = "the revision in use is outdated; apply the files of this grant and renew again"
-	reasonPriorLeases     = "a new leader waits until the leases of the previous one have expired"
-	reasonNoMaxEntries    = "no accepted configuration states the maximum number of entry instances"
-	waitingForPriorLeases = "instances that may hold a lease from the previous leader"
+	reasonSuperseded      = "an instance with this name and a higher incarnation has come"
+	reasonStaleRevision   = "the revision in use is behind; apply the files of this grant and ask again"
+	reasonPriorLeases     = "a new leader waits until the leases of the earlier one have run out"
+	reasonNoMaxEntries    = "no accepted configuration says how many entry instances there may be"
+	waitingForPriorLeases = "instances that an earlier leader may have granted a lease"
 )
 
 // NewLeaseTable returns the table of a new leader. Until now+lease, any instance
@@ -190,7 +190,7 @@
 	case !known && (before >= maxEntries || !fits):
 		return ho, fmt.Sprintf("no room: %d entry instances hold a lease, of at most %d", before, maxEntries)
 	case known && before >= maxEntries:
-		return ho, fmt.Sprintf("too many entry instances: %d got their lease earlier, of at most %d", before, maxEntries)
+		return ho, fmt.Sprintf("one too many: %d entry instances came before, of at most %d", before, maxEntries)
 	case fits:
 		return ho.withDivisor(maxEntries), ""
 	default:
--- a/evacuation/evacuation.go
+++ b/evacuation/evacuation.go
@@ -85,17 +85,17 @@
 	detail := ""
 	switch {
 	case name == "":
-		detail = "name is empty"
+		detail = "it is empty"
 	case len(name) > MaxNameLength:
-		detail = fmt.Sprintf("name is longer than %d bytes", MaxNameLength)
+		detail = fmt.Sprintf("it has more than %d bytes", MaxNameLength)
 	case !utf8.ValidString(name):
-		detail = "name is not valid UTF-8"
+		detail = "it isn't UTF-8"
 	case strings.ContainsFunc(name, func(ru rune) bool { return !unicode.IsGraphic(ru) || unicode.IsSpace(ru) || ru == '/' }):
-		detail = "name contains a space, a slash or a control character"
+		detail = "it has a space, a slash or a control character"
 	default:
 		return nil
 	}
-	return &result.Error{Code: result.Invalid, Op: "check data centre name", Detail: detail}
+	return &result.Error{Code: result.Invalid, Op: "check name of data centre", Detail: detail}
 }
 
 // String returns the name of the outcome.
--- a/fanout/engine.go
+++ b/fanout/engine.go
@@ -197,7 +197,7 @@
 		// still in force. It continues to serve only where the operators allow it,
 		// and marks its answers as stale.
 		if !known || !se.ServeWithoutControl {
-			return refusal(result.NotRunStale, "the control lease has expired", retryAfterMissing), false
+			return refusal(result.NotRunStale, "the lease from control has run out", retryAfterMissing), false
 		}
 		qr.stale = true
 	}
@@ -212,12 +212,12 @@
 	qr.sv = qr.en.serviceOf(qu.Service, se)
 	qr.setParams(start)
 	if !start.Before(qr.pa.AnswerDeadline) {
-		return refusal(result.NotRunDeadline, "the deadline leaves no time to run the query", 0), false
+		return refusal(result.NotRunDeadline, "the deadline leaves no time", 0), false
 	}
 	qr.ro = qr.en.routesOf(vi).routeFor(qu.Service, se)
 	plan, ok := qr.ro.planFor(qu.Shards)
 	if !ok {
-		return refusal(result.NotRunNoServer, "no backend server holds a shard of any snapshot", retryAfterMissing), false
+		return refusal(result.NotRunNoServer, "no backend server holds a shard of one snapshot", retryAfterMissing), false
 	}
 	qr.plan = plan
 	return Answer{}, true
@@ -231,7 +231,7 @@
 		return "Policy: want Complete or Best, got " + strconv.Quote(string(qu.Policy))
 	}
 	if !qu.Repeatable && qu.Key == "" {
-		return "Key: required for a request that is not repeatable"
+		return "Key: want one for a request that is not repeatable"
 	}
 	if sh, ok := unknownShard(se, qu.Shards); ok {
 		return "Shards: want shards of a partition map, got " + strconv.Quote(sh)
--- a/fanout/engine_test.go
+++ b/fanout/engine_test.go
@@ -231,13 +231,13 @@
 		{"unknown shard", func(_ *engineTest, qu *Query) { qu.Shards = []string{"z"} }, `NotRunBadRequest [] [] Shards: want shards of a partition map, got "z"`},
 		{"unknown service", func(_ *engineTest, qu *Query) { qu.Service = "z" }, `NotRunUnknownService [] [] want a configured service, got "z"`},
 		{"unknown policy", func(_ *engineTest, qu *Query) { qu.Policy = "z" }, `NotRunBadRequest [] [] Policy: want Complete or Best, got "z"`},
-		{"no key", func(_ *engineTest, qu *Query) { qu.Repeatable = false }, "NotRunBadRequest [] [] Key: required for a request that is not repeatable"},
-		{"deadline too short", func(_ *engineTest, qu *Query) { qu.Deadline = time.Now().Add(time.Millisecond) }, "NotRunDeadline [] [] the deadline leaves no time to run the query"},
-		{"no server holds the shard", func(_ *engineTest, qu *Query) { qu.Service = "alone" }, "NotRunNoServer [] [] no backend server holds a shard of any snapshot"},
+		{"no key", func(_ *engineTest, qu *Query) { qu.Repeatable = false }, "NotRunBadRequest [] [] Key: want one for a request that is not repeatable"},
+		{"deadline too short", func(_ *engineTest, qu *Query) { qu.Deadline = time.Now().Add(time.Millisecond) }, "NotRunDeadline [] [] the deadline leaves no time"},
+		{"no server holds the shard", func(_ *engineTest, qu *Query) { qu.Service = "alone" }, "NotRunNoServer [] [] no backend server holds a shard of one snapshot"},
 		{"admission refused", func(et *engineTest, _ *Query) {
 			et.admitError = &result.Error{Code: result.NotRunOverloaded, Detail: "full", RetryAfter: time.Second}
 		}, "NotRunOverloaded [] [] full"},
-		{"lease expired", func(et *engineTest, _ *Query) { expireLease(et) }, "NotRunStale [] [] the control lease has expired"},
+		{"lease expired", func(et *engineTest, _ *Query) { expireLease(et) }, "NotRunStale [] [] the lease from control has run out"},
 		{"lease expired, serves stale", func(et *engineTest, qu *Query) {
 			expireLease(et)
 			qu.Service = "alone"
--- a/fanout/keyed.go
+++ b/fanout/keyed.go
@@ -57,11 +57,11 @@
 	case once.KeyReused:
 		return refusal(result.NotRunKeyReused, "the key was used before with another request", 0), true
 	case once.Running:
-		return refusal(result.OutcomeUnknown, "another request with this key is running or was lost", retryAfterMissing), false
+		return refusal(result.OutcomeUnknown, "another arrival of the key is running or was lost", retryAfterMissing), false
 	case once.TooOld:
-		return refusal(result.OutcomeUnknown, "the key is older than the records that are kept", 0), false
+		return refusal(result.OutcomeUnknown, "the key is older than what is kept", 0), false
 	case once.Full:
-		return refusal(result.NotRunNoControl, "no capacity for another intent", retryAfterMissing), false
+		return refusal(result.NotRunNoControl, "no room for another intent", retryAfterMissing), false
 	default:
 		return refusal(result.NotRunNoControl, "unknown status "+strconv.Quote(string(de.Status)), 0), false
 	}
@@ -73,11 +73,11 @@
 	now := qr.en.ts.Now()
 	switch {
 	case !qr.stale && !qr.en.ce.Load().Leased(now) && !qr.se.ServeWithoutControl:
-		return refusal(result.NotRunStale, "the control lease has expired", retryAfterMissing)
+		return refusal(result.NotRunStale, "the lease from control has run out", retryAfterMissing)
 	case !now.Before(qr.pa.AnswerDeadline):
-		return refusal(result.NotRunDeadline, "recording the intent used up all the time", retryAfterBusy)
+		return refusal(result.NotRunDeadline, "recording the intent took all the time", retryAfterBusy)
 	case qr.ctx.Err() != nil:
-		return refusal(result.NotRunDeadline, "the caller disconnected", 0)
+		return refusal(result.NotRunDeadline, "the caller went away", 0)
 	default:
 		return qr.execute()
 	}
--- a/fanout/keyed_test.go
+++ b/fanout/keyed_test.go
@@ -45,10 +45,10 @@
 	}{
 		{"fresh", withStatus(once.Fresh), "Complete [a b] []", []string{"begin, 0 sent", "finish Complete"}},
 		{"finished", withStatus(once.Finished), "Complete [a] []", []string{"begin, 0 sent"}},
-		{"running", withStatus(once.Running), "OutcomeUnknown [] [] another request with this key is running or was lost", []string{"begin, 0 sent"}},
-		{"too old", withStatus(once.TooOld), "OutcomeUnknown [] [] the key is older than the records that are kept", []string{"begin, 0 sent"}},
+		{"running", withStatus(once.Running), "OutcomeUnknown [] [] another arrival of the key is running or was lost", []string{"begin, 0 sent"}},
+		{"too old", withStatus(once.TooOld), "OutcomeUnknown [] [] the key is older than what is kept", []string{"begin, 0 sent"}},
 		{"reused", withStatus(once.KeyReused), "NotRunKeyReused [] [] the key was used before with another request", []string{"begin, 0 sent"}},
-		{"full", withStatus(once.Full), "NotRunNoControl [] [] no capacity for another intent", []string{"begin, 0 sent"}},
+		{"full", withStatus(once.Full), "NotRunNoControl [] [] no room for another intent", []string{"begin, 0 sent"}},
 		{"rows not kept", func(et *engineTest, _ *Query) {
 			et.begin = func() (once.Decision, error) {
 				return once.Decision{Status: once.Finished, Code: result.Complete}, nil
@@ -71,7 +71,7 @@
 				et.publish(func(vi *view.View) { vi.LeaseExpiry = time.Now() })
 				return once.Decision{Status: once.Fresh}, nil
 			}
-		}, "NotRunStale [] [] the control lease has expired", []string{"begin, 0 sent", "finish NotRunStale"}},
+		}, "NotRunStale [] [] the lease from control has run out", []string{"begin, 0 sent", "finish NotRunStale"}},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
--- a/fleet/ask.go
+++ b/fleet/ask.go
@@ -85,7 +85,7 @@
 		}
 		asked := target
 		if ok {
-			reason = asked + " rejected the request: " + an.Reason
+			reason = asked + " says: " + an.Reason
 			target = an.Leader
 		} else {
 			reason = asked + " does not answer"
--- a/fleet/evacuate.go
+++ b/fleet/evacuate.go
@@ -40,7 +40,7 @@
 		case an.Outcome == evacuation.Full:
 			return an.Evacuations, &result.Error{Code: result.Invalid, Op: opEvacuate, Detail: "too many data centres are evacuated"}
 		case ctx.Err() != nil:
-			return evacuation.Set{}, &result.Error{Code: result.ControlUnavailable, Op: opEvacuate, Detail: "concurrent changes came first", Err: ctx.Err()}
+			return evacuation.Set{}, &result.Error{Code: result.ControlUnavailable, Op: opEvacuate, Detail: "other orders came between", Err: ctx.Err()}
 		}
 		or.BaseRevision = an.Evacuations.Revision
 	}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -180,7 +180,7 @@
 // outcome is unknown.
 func (nd *Node) Propose(ctx context.Context, version uint64, data []byte) error {
 	if len(data) > MaxDocumentBytes {
-		return &result.Error{Code: result.Invalid, Op: opPropose, Detail: "the document is larger than 1 MiB"}
+		return &result.Error{Code: result.Invalid, Op: opPropose, Detail: "the document is larger than DocumentLimit"}
 	}
 	if version <= nd.newest.Load().Version {
 		return nil
--- a/fleet/lead.go
+++ b/fleet/lead.go
@@ -20,8 +20,8 @@
 
 // The reasons for which a request is rejected.
 const (
-	reasonBusy      = "too many requests are pending"
-	reasonNotLeader = "the instance is not the leader"
+	reasonBusy      = "too many requests wait"
+	reasonNotLeader = "the instance does not lead"
 )
 
 // pendingProposal is a proposal that waits for its commit.
--- a/fleet/thread.go
+++ b/fleet/thread.go
@@ -361,7 +361,7 @@
 		}
 		th.vo = nil
 	}
-	th.rejectPending("the instance is stopping")
+	th.rejectPending("the instance stops")
 	for len(th.nd.events) > 0 {
 		th.handle(<-th.nd.events)
 	}
--- a/fleet/voter.go
+++ b/fleet/voter.go
@@ -255,5 +255,5 @@
 		th.leading = leadership{since: th.now(), lastHeard: make(map[quorum.ID]time.Time), addressProposedAt: make(map[string]time.Time)}
 		return
 	}
-	th.rejectPending("the instance is not the leader")
+	th.rejectPending("the instance does not lead")
 }
--- a/instance/leader.go
+++ b/instance/leader.go
@@ -270,7 +270,7 @@
 		vo.step(quorum.ChangeVoters{Now: now, Remove: id})
 		rp.Detail = "removal proposed"
 	default:
-		rp.Detail = "a control instance that starts with a new disk requests to be added by itself"
+		rp.Detail = "a control instance that starts with another disk asks to be added by itself"
 	}
 	rp.Voters = vo.st.Voters()
 	return rp
--- a/instance/leader_client.go
+++ b/instance/leader_client.go
@@ -54,7 +54,7 @@
 		for _, name := range names {
 			rp, err := lc.callOne(ctx, timeout, name, ms)
 			if ctx.Err() != nil {
-				return &result.Error{Code: result.ControlUnavailable, Op: "call control", Detail: "no leader replied in time", Err: ctx.Err()}
+				return &result.Error{Code: result.ControlUnavailable, Op: "ask control", Detail: "no leader answered in time", Err: ctx.Err()}
 			}
 			if err != nil {
 				continue
@@ -69,7 +69,7 @@
 			}
 		}
 		if err := lc.ts.Sleep(ctx, leaderRetryDelay); err != nil {
-			return &result.Error{Code: result.ControlUnavailable, Op: "call control", Detail: "no leader replied in time", Err: err}
+			return &result.Error{Code: result.ControlUnavailable, Op: "ask control", Detail: "no leader answered in time", Err: err}
 		}
 	}
 }
@@ -95,7 +95,7 @@
 			return "", false
 		}
 		if rp.Code == result.Invalid {
-			invalid = &result.Error{Code: result.Invalid, Op: "propose", Detail: "the leader can't decode the command"}
+			invalid = &result.Error{Code: result.Invalid, Op: "propose", Detail: "the leader can't read the command"}
 			return "", true
 		}
 		if len(rp.Outcome) == 0 {
--- a/instance/operators.go
+++ b/instance/operators.go
@@ -242,7 +242,7 @@
 	ex.Lines = append(ex.Lines, in.explainChange(ctx, subject)...)
 	ex.Lines = append(ex.Lines, in.explainRequest(subject)...)
 	if len(ex.Lines) == 0 {
-		ex.Lines = []string{"unknown subject: want a backend server, a service, a change ID, a request ID or \"leader\""}
+		ex.Lines = []string{"nothing is known of it here: want a backend server, a service, a change id, a request id or \"leader\""}
 	}
 	return ex, nil
 }
@@ -253,7 +253,7 @@
 	}
 	ls := in.leaderStatus(ctx)
 	if ls.Leader == "" {
-		return []string{"no leader replied: fewer than a majority of the voters reach each other, or an election is running"}
+		return []string{"no leader answered: fewer than a majority of the voters reach each other, or an election is running"}
 	}
 	since := time.Duration(ls.LeaderSinceMillis) * time.Millisecond
 	return []string{
@@ -276,16 +276,16 @@
 			}
 		}
 		st := in.cl.Stats(subject)
-		out = append(out, fmt.Sprintf("%d connections open, %d closed as silent, %d closed after a mismatched reply", st.Open, st.Silent, st.Mismatched))
+		out = append(out, fmt.Sprintf("%d connections open, %d abandoned as silent, %d closed after a crossed reply", st.Open, st.Silent, st.Mismatched))
 		if sv, ok := in.ta.Server(in.ts.Now(), subject); ok {
 			running, held := sv.InFlight()
-			out = append(out, fmt.Sprintf("state %s %s: %d requests in flight, %d abandoned but not confirmed as stopped, limit %.1f, latency %s",
+			out = append(out, fmt.Sprintf("used as %s %s: %d requests in flight, %d given up but not proved stopped, at most %.1f, latency %s",
 				sv.State(), sv.Reason(), running, held, sv.Limit(), sv.Latency()))
 		}
 	}
 	for _, cf := range in.threadStatus().conflicts {
 		if cf.Loser == subject {
-			out = append(out, fmt.Sprintf("gets no requests: %s announced the same address %s later", cf.Winner, cf.Address))
+			out = append(out, fmt.Sprintf("gets no work: %s claims the same address %s later", cf.Winner, cf.Address))
 		}
 	}
 	return out
--- a/limit/admission.go
+++ b/limit/admission.go
@@ -156,7 +156,7 @@
 	default:
 		ad.qu.end(ad.ts.Now(), qy)
 		ad.resetAgingTimer()
-		return overloaded(service, "cancelled while queued", minRetryAfter, ctx.Err())
+		return overloaded(service, "given up while it waited", minRetryAfter, ctx.Err())
 	}
 }
 
--- a/operator/server.go
+++ b/operator/server.go
@@ -205,7 +205,7 @@
 		if _, err = de.Token(); errors.Is(err, io.EOF) {
 			return nil
 		}
-		err = errors.New("data after the end")
+		err = errors.New("more after the end")
 	}
 	if mb := (*http.MaxBytesError)(nil); errors.As(err, &mb) {
 		return &requestError{status: http.StatusRequestEntityTooLarge, detail: fmt.Sprintf("want at most %d bytes", mb.Limit)}
--- a/peer/codec.go
+++ b/peer/codec.go
@@ -87,14 +87,14 @@
 		return nil, err
 	}
 	if len(rest) > 0 {
-		return nil, &Error{Kind: Malformed, Detail: fmt.Sprintf("%d extra bytes after the frame", len(rest))}
+		return nil, &Error{Kind: Malformed, Detail: fmt.Sprintf("%d bytes after the frame", len(rest))}
 	}
 	return co.message(en)
 }
 
 func (co *Codec) encode(ms Message, reply bool) ([]byte, error) {
 	if co.types[ms.Kind()] != reflect.TypeOf(ms) {
-		return nil, &Error{Kind: Malformed, Detail: fmt.Sprintf("unknown message type %T", ms)}
+		return nil, &Error{Kind: Malformed, Detail: fmt.Sprintf("type %T is not known to the codec", ms)}
 	}
 	return co.encodeEnvelope(ms.Kind(), ms, reply)
 }
@@ -112,7 +112,7 @@
 		return nil, &Error{Kind: Malformed, Detail: fmt.Sprintf("kind %d", ki), Err: err}
 	}
 	if len(frame) > MaxFrameBytes {
-		return nil, &Error{Kind: TooLarge, Detail: fmt.Sprintf("kind %d: %d bytes, want at most %d", ki, len(frame), MaxFrameBytes)}
+		return nil, &Error{Kind: TooLarge, Detail: fmt.Sprintf("kind %d: %d bytes, at most %d", ki, len(frame), MaxFrameBytes)}
 	}
 	return frame, nil
 }
@@ -125,7 +125,7 @@
 		return en, nil, &Error{Kind: Malformed, Detail: "frame", Err: err}
 	}
 	if en.Version != Version {
-		detail := fmt.Sprintf("frame has version %d, this instance supports %d", en.Version, Version)
+		detail := fmt.Sprintf("frame of version %d, this instance speaks %d", en.Version, Version)
 		return en, rest, &Error{Kind: WrongVersion, Detail: detail}
 	}
 	return en, rest, nil
@@ -134,7 +134,7 @@
 func (co *Codec) message(en envelope) (Message, error) {
 	ty, ok := co.types[en.Kind]
 	if !ok {
-		return nil, &Error{Kind: Malformed, Detail: fmt.Sprintf("unknown kind %d", en.Kind)}
+		return nil, &Error{Kind: Malformed, Detail: fmt.Sprintf("kind %d is not known", en.Kind)}
 	}
 	el := ty
 	if ty.Kind() == reflect.Pointer {
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -39,10 +39,10 @@
 		frame []byte
 		want  string
 	}{
-		{"newer version", newer, `peer: WrongVersion: frame has version 2, this instance supports 1`},
-		{"unknown kind", unknown, `peer: Malformed: unknown kind 999`},
+		{"newer version", newer, `peer: WrongVersion: frame of version 2, this instance speaks 1`},
+		{"unknown kind", unknown, `peer: Malformed: kind 999 is not known`},
 		{"truncated", frame[:len(frame)-1], `peer: Malformed: frame: .*`},
-		{"extra bytes", append(frame, 0), `peer: Malformed: 1 extra bytes after the frame`},
+		{"extra bytes", append(frame, 0), `peer: Malformed: 1 bytes after the frame`},
 	} {
 		c.Run(tt.name, func(c *qt.C) {
 			_, err := co.Decode(tt.frame)
@@ -52,7 +52,7 @@
 	_, err = co.Encode(note{strings.Repeat("x", MaxFrameBytes)})
 	c.Assert(err, qt.ErrorMatches, `peer: TooLarge: kind 301: .*`)
 	_, err = co.Encode(&note{})
-	c.Assert(err, qt.ErrorMatches, `peer: Malformed: unknown message type \*peer.note`)
+	c.Assert(err, qt.ErrorMatches, `peer: Malformed: type \*peer.note is not known to the codec`)
 	c.Assert(func() { NewCodec([]Message{note{}, note{}}) }, qt.PanicMatches, `peer: kind 301 .*`)
 }
 
@@ -102,7 +102,7 @@
 		data, er := pa.acquireLink(target{"b", addressB}).exchange(bg, frame)
 		c.Assert(er == nil, qt.IsTrue, qt.Commentf("%v", er))
 		_, err = pa.co.decodeReply(data)
-		c.Assert(err, qt.ErrorMatches, `.*WrongVersion: .*frame has version 2, this instance supports 1`)
+		c.Assert(err, qt.ErrorMatches, `.*WrongVersion: .*frame of version 2, this instance speaks 1`)
 	})
 }
 
--- a/quorum/clearance.go
+++ b/quorum/clearance.go
@@ -230,7 +230,7 @@
 func (sp *step) becomeRemoved(leader ID) {
 	sp.transition(eventRemove)
 	sp.leader = ""
-	sp.reason = fmt.Sprintf("removed from the voter set according to leader %s", leader)
+	sp.reason = fmt.Sprintf("removed from the voter set, says leader %s", leader)
 }
 
 // tryClear ends the phase after a start in which this member neither votes nor
--- a/tier/control.go
+++ b/tier/control.go
@@ -157,7 +157,7 @@
 	defer cancel()
 	version, data, err := co.nd.Read(ctx)
 	if err == nil && version == 0 {
-		err = &result.Error{Code: result.ControlUnavailable, Op: "read configuration", Detail: "no configuration has been accepted yet"}
+		err = &result.Error{Code: result.ControlUnavailable, Op: "read configuration", Detail: "none was accepted yet"}
 	}
 	co.lg.Info("configuration-read", zap.Uint64("Version", version), zap.Error(err), trail.Synchronous())
 	return version, data, err
